--- a/crates/control/examples/scale/node_costs.rs
+++ b/crates/control/examples/scale/node_costs.rs
@@ -30,7 +30,7 @@
     for quota in quotas.iter().take(active) {
         let _ = gate.admit(SECOND, &quota.name, 200.0);
     }
-    let demand_us = middle_us(|now| drop(gate.demand(SECOND + now)));
+    let demand_us = middle_us(|now| drop(gate.demand_report(SECOND + now)));
     let update = grants(&quotas, active);
     let apply_us = middle_us(|now| {
         gate.apply(SECOND + now, &update);
--- a/crates/control/src/node/leading.rs
+++ b/crates/control/src/node/leading.rs
@@ -51,7 +51,7 @@
         let leads = self.replica.is_leader();
         if leads && self.leading.is_none() && self.holds_lease(now) {
             let allocator = Allocator::new(self.settings.quota, self.replica.term(), now);
-            let question = allocator.question();
+            let question = allocator.history_request();
             self.tell_all(&PeerMessage::AskHistory(question.clone()), effects);
             effects.push(Effect::AskHistory(question));
             self.leading = Some(Leading {
@@ -82,7 +82,7 @@
             if leading.homes.len() >= KNOWN_HOMES && !leading.homes.contains_key(&node) {
                 continue;
             }
-            leading.allocator.report(now, &node, &demand);
+            leading.allocator.observe_report(now, &node, &demand);
             leading.pool.add(now, &node, observations);
             leading.loads.report(now, &node, loads);
             leading.homes.insert(node, home);
--- a/crates/grants/src/allocator.rs
+++ b/crates/grants/src/allocator.rs
@@ -79,7 +79,7 @@
     }
 
     /// Takes in what a node asked for and let pass; an empty report is a sign of life.
-    pub fn report(&mut self, now: Micros, name: &str, demand: &NodeDemand) {
+    pub fn observe_report(&mut self, now: Micros, name: &str, demand: &NodeDemand) {
         let node = self.nodes.entry(name.to_owned()).or_default();
         node.reported_at = now;
         if demand.age_ms > 0 {
@@ -119,7 +119,7 @@
     }
 
     /// Asks a node what passed there in the window, before any has reported.
-    pub fn question(&self) -> GrantUpdate {
+    pub fn history_request(&self) -> GrantUpdate {
         GrantUpdate { asks_history: true, ..self.blank(0, 0) }
     }
 
--- a/crates/grants/src/gate.rs
+++ b/crates/grants/src/gate.rs
@@ -37,13 +37,13 @@
 
 /// What came of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// Nothing: it is of a leader that is none any more, or a question that was answered.
-    Nothing,
+    Ignored,
     /// A new leader asks what passed: the next report answers.
-    Question,
+    HistoryRequested,
     /// The grants are in force.
-    Grants,
+    Applied,
 }
 
 /// Grants that claim to hold for longer than this, in milliseconds, hold for this long.
@@ -218,9 +218,9 @@
     }
 
     /// Takes in grants, or a new leader's question.
-    pub fn apply(&mut self, now: Micros, update: &GrantUpdate) -> Applied {
+    pub fn apply(&mut self, now: Micros, update: &GrantUpdate) -> ApplyOutcome {
         if update.term < self.term {
-            return Applied::Nothing;
+            return ApplyOutcome::Ignored;
         }
         for account in self.accounts.values_mut() {
             account.fill_floor(now, &self.bounds, self.nodes);
@@ -229,10 +229,10 @@
         (self.term, self.round, self.is_asked) = (update.term, update.round, update.asks_history);
         if is_first_question {
             self.accounts.values_mut().for_each(|account| account.answer(now));
-            return Applied::Question;
+            return ApplyOutcome::HistoryRequested;
         }
         if update.asks_history {
-            return Applied::Nothing;
+            return ApplyOutcome::Ignored;
         }
         self.nodes = update.nodes.max(1);
         self.knows_nodes = true;
@@ -252,7 +252,7 @@
                 account.grant = account.grant.untold(now, until, pass_share);
             }
         }
-        Applied::Grants
+        ApplyOutcome::Applied
     }
 
     /// Until when grants hold: the time counts from the report that they answer, so that none holds for longer because it
@@ -300,7 +300,7 @@
     }
 
     /// Demand by tenant, for the next report.
-    pub fn demand(&mut self, now: Micros) -> NodeDemand {
+    pub fn demand_report(&mut self, now: Micros) -> NodeDemand {
         let (bounds, nodes) = (self.bounds, self.nodes);
         self.accounts.values_mut().for_each(|account| account.fill_floor(now, &bounds, nodes));
         let parts = if self.is_asked { history::parts(&self.bounds) } else { 0 };
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -31,7 +31,7 @@
 
 pub use allocator::Allocator;
 pub use bounds::{QuotaBounds, RetryBounds, TenantQuota};
-pub use gate::{Applied, QuotaGate, RetryAfter};
+pub use gate::{ApplyOutcome, QuotaGate, RetryAfter};
 pub use retry::RetryBudget;
 
 /// A time on the steady clock, or a span, in microseconds.
--- a/crates/grants/src/retry.rs
+++ b/crates/grants/src/retry.rs
@@ -43,12 +43,12 @@
     }
 
     /// Counts a client's request for a service.
-    pub fn request(&mut self, now: Micros, service: &str) {
+    pub fn record_request(&mut self, now: Micros, service: &str) {
         self.slot(now, service).requests += 1;
     }
 
     /// Whether one more repeat may be sent; it is counted if so.
-    pub fn try_repeat(&mut self, now: Micros, service: &str) -> bool {
+    pub fn try_retry(&mut self, now: Micros, service: &str) -> bool {
         self.slot(now, service);
         let slots = &self.services[service];
         let requests: u32 = slots.iter().map(|slot| slot.requests).sum();
--- a/crates/grants/tests/leaders.rs
+++ b/crates/grants/tests/leaders.rs
@@ -46,7 +46,8 @@
 /// What a leader that is about to be lost grants to all nodes.
 fn last_grants(fleet: &mut Fleet, mut leader: Leader) -> Vec<(usize, dunelink_protocol::GrantUpdate)> {
     let now = fleet.now;
-    let reports = fleet.gates.iter_mut().enumerate().map(|(node, gate)| (node, gate.demand(now))).collect();
+    let reports =
+        fleet.gates.iter_mut().enumerate().map(|(node, gate)| (node, gate.demand_report(now))).collect();
     leader.exchange(now, &fleet.quotas, reports)
 }
 
@@ -110,9 +111,9 @@
     let before = fleet.elect().expect("a leader");
     fleet.play(1, 2.0, |_| true);
     let late = last_grants(&mut fleet, before);
-    let asked: Vec<_> = fleet.gates.iter_mut().map(|gate| gate.demand(fleet.now)).collect();
+    let asked: Vec<_> = fleet.gates.iter_mut().map(|gate| gate.demand_report(fleet.now)).collect();
     fleet.deliver(late);
-    let after: Vec<_> = fleet.gates.iter_mut().map(|gate| gate.demand(fleet.now)).collect();
+    let after: Vec<_> = fleet.gates.iter_mut().map(|gate| gate.demand_report(fleet.now)).collect();
     assert_eq!(asked, after);
 }
 
--- a/crates/grants/tests/retries.rs
+++ b/crates/grants/tests/retries.rs
@@ -12,8 +12,8 @@
     let mut repeats = Vec::new();
     for i in 0..6_000_u64 {
         let now = i * SECOND / 100;
-        budget.request(now, "records");
-        if budget.try_repeat(now, "records") {
+        budget.record_request(now, "records");
+        if budget.try_retry(now, "records") {
             repeats.push(now);
         }
     }
@@ -28,8 +28,8 @@
 fn services_do_not_share_and_a_quiet_node_has_its_constant_part() {
     let mut budget = RetryBudget::new(BOUNDS);
     budget.set_nodes(8);
-    let first: usize = (0..10).filter(|_| budget.try_repeat(SECOND, "a")).count();
-    let second: usize = (0..10).filter(|_| budget.try_repeat(SECOND, "b")).count();
+    let first: usize = (0..10).filter(|_| budget.try_retry(SECOND, "a")).count();
+    let second: usize = (0..10).filter(|_| budget.try_retry(SECOND, "b")).count();
     assert_eq!((first, second), (2, 2));
-    assert!(budget.try_repeat(20 * SECOND, "a"), "the window has passed");
+    assert!(budget.try_retry(20 * SECOND, "a"), "the window has passed");
 }
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -191,7 +191,7 @@
             .iter_mut()
             .enumerate()
             .filter(|(node, _)| in_touch(*node))
-            .map(|(node, gate)| (node, gate.demand(now)))
+            .map(|(node, gate)| (node, gate.demand_report(now)))
             .collect();
         self.on_its_way = leader.exchange(now, &self.quotas, reports);
     }
@@ -261,7 +261,7 @@
         reports: Vec<(usize, NodeDemand)>,
     ) -> Vec<(usize, GrantUpdate)> {
         for (node, demand) in reports {
-            self.allocator.report(now, &node.to_string(), &demand);
+            self.allocator.observe_report(now, &node.to_string(), &demand);
         }
         let updates = self.allocator.allocate(now, quotas, self.term);
         updates.into_iter().map(|(node, update)| (node.parse().expect("a number"), update)).collect()
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -40,7 +40,7 @@
     }
     let service = route.choose_target(fastrand::f64());
     let now = node.clock.now();
-    node.retries.borrow_mut().request(now, &fleet.services[service].name);
+    node.retries.borrow_mut().record_request(now, &fleet.services[service].name);
     let units = tenant.map_or(0.0, |tenant| configuration.units(tenant, request.prompt.all_tokens()));
     if let Some(tenant) = tenant {
         let mut quota = node.quota.borrow_mut();
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -89,13 +89,13 @@
         let engine = |engine: &dunelink_settings::Engine| EngineSpec {
             slots: engine.slots,
             kv_tokens: engine.kv_tokens,
-            stride: engine.stride,
+            max_tokens_per_event: engine.stride,
         };
         let services = self.fleet.services.iter();
         services
             .map(|service| ServiceSpec {
                 name: service.name.clone(),
-                max_conns: service.max_conns,
+                max_connections: service.max_conns,
                 engine: service.engine.as_ref().map(engine),
             })
             .collect()
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -151,7 +151,7 @@
             return false;
         }
         let service = &self.configuration.fleet.services[self.admitted.service].name;
-        self.node.retries.borrow_mut().try_repeat(self.node.clock.now(), service)
+        self.node.retries.borrow_mut().try_retry(self.node.clock.now(), service)
     }
 
     /// Whether what is known of the request lets it go to one more server.
@@ -215,13 +215,13 @@
             service: &fleet.services[self.admitted.service].name,
             tenant: self.admitted.tenant.map(|tenant| fleet.tenants[tenant].name.as_str()),
             parts: &self.request.prompt.parts,
-            tokens_in,
-            tokens_out,
+            prompt_tokens: tokens_in,
+            max_output_tokens: tokens_out,
             priority: self.admitted.priority,
             target_latency: self.admitted.policy.target_latency_ms * 1_000,
             remaining: self.left().as_micros() as u64,
             excluded: &self.tried,
-            first_try: self.sent == 0,
+            is_first_attempt: self.sent == 0,
         };
         self.node.router.borrow_mut().choose(self.node.clock.now(), &asked)
     }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dunelink_grants::{Applied, QuotaBounds, QuotaGate, RetryBounds, RetryBudget};
+use dunelink_grants::{ApplyOutcome, QuotaBounds, QuotaGate, RetryBounds, RetryBudget};
 use dunelink_protocol::{
     GrantUpdate, NodeLoads, ProxyReport, ServerLoad, ServerObservation, ServerSuspicion, Tick, UNREAD_UNIT,
     server_key,
@@ -154,12 +154,12 @@
     /// Takes over grants.
     pub fn apply_grants(&self, update: &GrantUpdate) {
         match self.quota.borrow_mut().apply(self.clock.now(), update) {
-            Applied::Nothing => return,
-            Applied::Question => return self.report_wanted.notify_one(),
-            Applied::Grants => {}
+            ApplyOutcome::Ignored => return,
+            ApplyOutcome::HistoryRequested => return self.report_wanted.notify_one(),
+            ApplyOutcome::Applied => {}
         }
         self.retries.borrow_mut().set_nodes(update.nodes);
-        self.router.borrow_mut().set_fleet(update.nodes);
+        self.router.borrow_mut().set_fleet_size(update.nodes);
         self.pool.set_nodes(update.nodes);
     }
 
@@ -168,7 +168,7 @@
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
         for suspicion in suspicions {
-            router.suspect(now, &suspicion.server, suspicion.failed_share);
+            router.observe_suspicion(now, &suspicion.server, suspicion.failed_share);
         }
     }
 
@@ -226,7 +226,7 @@
 
     /// What the agent is told: demand, and the outcomes since the last report.
     pub fn report(&self) -> ProxyReport {
-        let demand = self.quota.borrow_mut().demand(self.clock.now());
+        let demand = self.quota.borrow_mut().demand_report(self.clock.now());
         let observations = self.observations.borrow_mut().drain().collect::<Vec<_>>();
         let observation =
             |(server, (served, failed)): (String, (u32, u32))| ServerObservation { server, served, failed };
--- a/crates/proxy/src/tracked.rs
+++ b/crates/proxy/src/tracked.rs
@@ -27,21 +27,21 @@
     /// The first byte is about to be written.
     pub fn sent(&self) {
         if let Some(attempt) = self.attempt {
-            self.node.router.borrow_mut().sent(self.node.clock.now(), attempt);
+            self.node.router.borrow_mut().record_sent(self.node.clock.now(), attempt);
         }
     }
 
     /// The first event of a stream, or the head of another answer, has come.
     pub fn first_event(&self) {
         if let Some(attempt) = self.attempt {
-            self.node.router.borrow_mut().first_event(self.node.clock.now(), attempt);
+            self.node.router.borrow_mut().record_first_event(self.node.clock.now(), attempt);
         }
     }
 
     /// More events of a stream have come.
     pub fn progressed(&self, events: u32) {
         if let Some(attempt) = self.attempt {
-            self.node.router.borrow_mut().progressed(self.node.clock.now(), attempt, events);
+            self.node.router.borrow_mut().record_progress(self.node.clock.now(), attempt, events);
         }
     }
 
@@ -53,7 +53,7 @@
     fn finish(&mut self, outcome: Outcome) {
         let Some(attempt) = self.attempt.take() else { return };
         let mut router = self.node.router.borrow_mut();
-        router.ended(self.node.clock.now(), attempt, outcome);
+        router.record_outcome(self.node.clock.now(), attempt, outcome);
         let served = match outcome {
             Outcome::Served => true,
             Outcome::ServerError | Outcome::Broken | Outcome::ConnectFailed | Outcome::TimedOut => false,
--- a/crates/proxy/tests/silence.rs
+++ b/crates/proxy/tests/silence.rs
@@ -66,7 +66,7 @@
         client.head().await.unwrap();
         assert_eq!(client.chunk().await.unwrap(), event(0));
         // The pause is noticed, and nobody else can be asked.
-        let asked = || system.node.router.borrow().attempts_out();
+        let asked = || system.node.router.borrow().attempts_in_flight();
         assert_eq!(asked(), 1);
         let noticed = tokio::time::Instant::now() + PAUSE;
         until(|| tokio::time::Instant::now() > noticed).await;
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -163,7 +163,7 @@
         drop(client);
         until(|| one.closed.get() == 2).await;
         assert_eq!(system.node.in_hand(), 0);
-        assert_eq!(system.node.router.borrow().attempts_out(), 0);
+        assert_eq!(system.node.router.borrow().attempts_in_flight(), 0);
     });
 }
 
--- a/crates/routing/src/api.rs
+++ b/crates/routing/src/api.rs
@@ -12,7 +12,7 @@
     /// Tokens of memory that running requests and kept prompt parts share.
     pub kv_tokens: u64,
     /// Tokens in one event of a stream.
-    pub stride: u32,
+    pub max_tokens_per_event: u32,
 }
 
 /// A service as the configuration has it.
@@ -21,7 +21,7 @@
     /// Its name; unique.
     pub name: String,
     /// Connections that one server accepts from all processes together; 0 for no bound.
-    pub max_conns: u32,
+    pub max_connections: u32,
     /// Its engine, where it runs a model.
     pub engine: Option<EngineSpec>,
 }
@@ -64,9 +64,9 @@
     /// The parts of the prompt in order; empty where there is none.
     pub parts: &'a [PromptPart],
     /// Tokens of the prompt.
-    pub tokens_in: u32,
+    pub prompt_tokens: u32,
     /// Tokens to be made at most.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
     /// From 0, the most urgent, to 9; larger figures count as 9.
     pub priority: u32,
     /// The time within which a first event or an answer earns its full worth.
@@ -76,7 +76,7 @@
     /// Servers that must not be chosen: those tried before.
     pub excluded: &'a [ServerHandle],
     /// Whether nothing was sent for this request yet.
-    pub first_try: bool,
+    pub is_first_attempt: bool,
 }
 
 /// Why a request is refused.
@@ -160,9 +160,9 @@
     /// Requests of this process there.
     pub in_flight: u32,
     /// Requests of all processes there, as estimated.
-    pub taken: f64,
+    pub fleet_in_flight: f64,
     /// Tokens of memory that the prompt parts take which it is believed to keep.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// How long its answers take against those of its service, for the priority for which that is longest.
     pub relative_latency: f64,
 }
--- a/crates/routing/src/attempts.rs
+++ b/crates/routing/src/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts that are out, by number.
 
-use dunelink_serving_model::{Micros, Work};
+use dunelink_serving_model::{InFlightRequest, Micros};
 
 use crate::{AttemptId, ServerHandle};
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) server: ServerHandle,
-    pub(crate) work: Work,
+    pub(crate) work: InFlightRequest,
     /// When the first event was expected, at the decision.
     pub(crate) due: Micros,
 }
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -1,6 +1,6 @@
 //! The decision for one request.
 
-use dunelink_serving_model::{Estimate, Micros, Workload};
+use dunelink_serving_model::{Estimate, Micros, RequestProfile};
 
 use crate::attempts::Attempt;
 use crate::locality::{self, KeyLoad, Locality};
@@ -57,7 +57,7 @@
     /// What it is compared by, lower first.
     cost: Micros,
     /// When the first event is expected, from now.
-    first_us: Micros,
+    first_response_us: Micros,
     estimate: Estimate,
 }
 
@@ -66,7 +66,7 @@
     now: Micros,
     service: usize,
     request: &'a RoutingRequest<'a>,
-    work: Workload<'a>,
+    work: RequestProfile<'a>,
     /// Tokens of the prompt that no other request reads.
     own: u32,
     /// Tokens at its front that every server is taken to keep.
@@ -90,7 +90,7 @@
         };
         let locality = locality::locality(request.parts);
         let (shared, common) = locality.map_or((0, 0), |locality| (locality.shared, locality.common));
-        let own = request.tokens_in.saturating_sub(shared);
+        let own = request.prompt_tokens.saturating_sub(shared);
         let query = Query { now, service, request, work: workload(request), own, common };
         let load = locality.map(|locality| self.count_key(&query, &locality)).unwrap_or_default();
         let mut candidates = std::mem::take(&mut self.candidates);
@@ -106,7 +106,7 @@
                 self.send(&query, &best)
             }
             Some(best) => {
-                let beyond = best.first_us.saturating_sub(request.target_latency / 2);
+                let beyond = best.first_response_us.saturating_sub(request.target_latency / 2);
                 refuse(request, beyond.clamp(AGAIN.0, AGAIN.1), RefusalReason::Overloaded)
             }
             None => self.wait_or_refuse(&query),
@@ -115,9 +115,10 @@
 
     /// Counts the request's key, and says what the whole fleet asks of it.
     fn count_key(&mut self, query: &Query<'_>, locality: &Locality) -> KeyLoad {
-        let work_ms = f64::from(query.own) / KEY_PREFILL + f64::from(query.request.tokens_out) * OUT_TOKEN_MS;
-        let load = match query.request.first_try {
-            true => self.keys.count(query.now, locality.key, work_ms),
+        let service_time_ms =
+            f64::from(query.own) / KEY_PREFILL + f64::from(query.request.max_output_tokens) * OUT_TOKEN_MS;
+        let load = match query.request.is_first_attempt {
+            true => self.keys.count(query.now, locality.key, service_time_ms),
             false => self.keys.load(query.now, locality.key),
         };
         let nodes = f64::from(self.nodes);
@@ -243,7 +244,7 @@
     /// Whether it is ready, was not tried, did not just say that it is full, and has a connection and room left.
     fn may_take(&self, query: &Query<'_>, place: u32, server: &Server) -> bool {
         let spec = self.services[query.service].spec.as_ref();
-        let connections = spec.map_or(0, |spec| spec.max_conns);
+        let connections = spec.map_or(0, |spec| spec.max_connections);
         let own = if connections == 0 { u32::MAX } else { (connections / self.nodes).max(1) };
         server.info.ready
             && !query.request.excluded.contains(&self.servers.handle(place))
@@ -254,9 +255,9 @@
 
     /// Whether a plain server's queue has room.
     fn has_depth(&self, now: Micros, server: &Server) -> bool {
-        let shape = server.model.shape();
+        let shape = server.model.capacity();
         let most = f64::from(shape.slots.max(1)) * PLAIN_DEPTH;
-        shape.has_engine() || server.model.taken(now, self.nodes) < most
+        shape.has_engine() || server.model.fleet_in_flight(now, self.nodes) < most
     }
 
     fn weigh(&self, query: &Query<'_>, place: u32, server: &Server, bias: Bias) -> Candidate {
@@ -264,12 +265,12 @@
         let estimate =
             server.model.estimate(query.now, self.nodes, speed, &query.work, bias.kept.max(query.common));
         let is_cold = query.now < server.cold_until;
-        let first_us = estimate.first_us.saturating_mul(if is_cold { COLD } else { 1 });
-        let anew = f64::from(estimate.prefill.saturating_sub(query.own));
+        let first_response_us = estimate.first_response_us.saturating_mul(if is_cold { COLD } else { 1 });
+        let anew = f64::from(estimate.prefill_tokens.saturating_sub(query.own));
         // Reading holds up all that run there.
-        let anew_us = speed.prefill_ms(anew) * 1_000.0 * READ_ANEW * (1.0 + estimate.taken);
+        let anew_us = speed.prefill_ms(anew) * 1_000.0 * READ_ANEW * (1.0 + estimate.fleet_in_flight);
         let anew_us = (anew_us as Micros).min(DEAREST_US);
-        let mut cost = first_us.saturating_add(bias.more).saturating_add(anew_us);
+        let mut cost = first_response_us.saturating_add(bias.more).saturating_add(anew_us);
         cost += silence(query.now, server).saturating_mul(SILENCE_COST);
         cost +=
             (query.request.target_latency as f64 * server.health.failing(query.now) * FAILING_COST) as Micros;
@@ -279,7 +280,7 @@
         if server.info.zone != self.settings.zone {
             cost += OTHER_ZONE_US;
         }
-        Candidate { place, cost, first_us, estimate }
+        Candidate { place, cost, first_response_us, estimate }
     }
 
     /// Whether even at the best server so much waits that the request would only make others late as well. A long
@@ -287,13 +288,14 @@
     fn is_too_late(&self, query: &Query<'_>, best: &Candidate) -> bool {
         let Some(server) = self.servers.at(best.place) else { return true };
         let estimate = &best.estimate;
-        if server.model.shape().has_engine() {
+        if server.model.capacity().has_engine() {
             // One that waits for longer than its objective is late, and makes others late.
             let bound = query.request.target_latency.min(query.request.remaining);
-            let is_busy = estimate.taken >= f64::from(server.model.shape().slots) * BUSY;
+            let is_busy = estimate.fleet_in_flight >= f64::from(server.model.capacity().slots) * BUSY;
             return is_busy && estimate.queue_us > bound;
         }
-        best.first_us > query.request.remaining && estimate.taken >= f64::from(server.model.shape().slots)
+        best.first_response_us > query.request.remaining
+            && estimate.fleet_in_flight >= f64::from(server.model.capacity().slots)
     }
 
     /// Nothing can take the request now: waits for room for a part of the objective, else refuses.
@@ -318,8 +320,9 @@
             return refuse(query.request, NO_SERVER_AGAIN, RefusalReason::NoServer);
         };
         let speed = &self.services[query.service].speed;
-        let work = server.model.sent(query.now, self.nodes, speed, &query.work, &best.estimate);
-        let attempt = self.attempts.add(Attempt { server: handle, work, due: query.now + best.first_us });
+        let work = server.model.record_sent(query.now, self.nodes, speed, &query.work, &best.estimate);
+        let attempt =
+            self.attempts.add(Attempt { server: handle, work, due: query.now + best.first_response_us });
         server.health.sent(query.now, attempt);
         Decision::Send { server: handle, attempt }
     }
@@ -329,7 +332,7 @@
     Decision::Refuse { retry_after: after.min(request.remaining / AGAIN_PART), reason }
 }
 
-fn workload<'a>(request: &RoutingRequest<'a>) -> Workload<'a> {
-    let RoutingRequest { parts, tokens_in, tokens_out, priority, .. } = *request;
-    Workload { parts, tokens_in, tokens_out, priority }
+fn workload<'a>(request: &RoutingRequest<'a>) -> RequestProfile<'a> {
+    let RoutingRequest { parts, prompt_tokens, max_output_tokens, priority, .. } = *request;
+    RequestProfile { parts, prompt_tokens, max_output_tokens, priority }
 }
--- a/crates/routing/src/locality.rs
+++ b/crates/routing/src/locality.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy)]
 struct Rate {
     count: f64,
-    work_ms: f64,
+    service_time_ms: f64,
     at: Micros,
     last: Option<ServerHandle>,
 }
@@ -106,25 +106,25 @@
 
 impl KeyRates {
     /// Counts a request of a key that takes a server that long.
-    pub(crate) fn count(&mut self, now: Micros, key: u64, work_ms: f64) -> KeyLoad {
+    pub(crate) fn count(&mut self, now: Micros, key: u64, service_time_ms: f64) -> KeyLoad {
         if self.rates.len() >= MOST_KEYS && !self.rates.contains_key(&key) {
             self.forget(now);
         }
-        let rate = self.rates.entry(key).or_insert(Rate { count: 0.0, work_ms, at: now, last: None });
+        let rate = self.rates.entry(key).or_insert(Rate { count: 0.0, service_time_ms, at: now, last: None });
         let before = rate.count_at(now);
         rate.count = before + 1.0;
-        rate.work_ms += (work_ms - rate.work_ms) / rate.count.max(1.0);
+        rate.service_time_ms += (service_time_ms - rate.service_time_ms) / rate.count.max(1.0);
         rate.at = now;
         // The first requests of a key say little of its rate: one of them is not counted.
         let per_s = before * 1_000_000.0 / RATE_SPAN;
-        KeyLoad { per_s, load: per_s * rate.work_ms / 1_000.0, last: rate.last }
+        KeyLoad { per_s, load: per_s * rate.service_time_ms / 1_000.0, last: rate.last }
     }
 
     /// What is known of a key, without counting a request.
     pub(crate) fn load(&self, now: Micros, key: u64) -> KeyLoad {
         let Some(rate) = self.rates.get(&key) else { return KeyLoad::default() };
         let per_s = rate.count_at(now) * 1_000_000.0 / RATE_SPAN;
-        KeyLoad { per_s, load: per_s * rate.work_ms / 1_000.0, last: rate.last }
+        KeyLoad { per_s, load: per_s * rate.service_time_ms / 1_000.0, last: rate.last }
     }
 
     /// Notes where a request of a key is sent.
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use dunelink_serving_model::{Micros, Shape, Speed};
+use dunelink_serving_model::{Micros, ServerCapacity, SpeedEstimate};
 
 use crate::attempts::Attempts;
 use crate::locality::KeyRates;
@@ -20,7 +20,7 @@
     pub(crate) spec: Option<ServiceSpec>,
     pub(crate) tenantless: bool,
     pub(crate) pools: Pools,
-    pub(crate) speed: Speed,
+    pub(crate) speed: SpeedEstimate,
 }
 
 /// Decides which server takes each request of one process.
@@ -65,8 +65,8 @@
         let services = &self.services;
         for (_, server) in self.servers.iter_mut() {
             let shape = shape_of(services[server.service].spec.as_ref(), &server.info);
-            if server.model.shape() != shape {
-                server.model.set_shape(shape);
+            if server.model.capacity() != shape {
+                server.model.set_capacity(shape);
             }
         }
     }
@@ -101,7 +101,7 @@
     }
 
     /// Says how many processes of the fleet send to the same servers, this one included.
-    pub fn set_fleet(&mut self, nodes: u32) {
+    pub fn set_fleet_size(&mut self, nodes: u32) {
         self.nodes = nodes.max(1);
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// How many attempts are out.
-    pub fn attempts_out(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.attempts.len()
     }
 
@@ -134,7 +134,7 @@
             spec: None,
             tenantless: false,
             pools: Pools::default(),
-            speed: Speed::default(),
+            speed: SpeedEstimate::default(),
         });
         self.by_name.insert(name.to_owned(), self.services.len() - 1);
         self.services.len() - 1
@@ -164,7 +164,7 @@
     }
 
     /// Notes that the request's bytes are sent now; its decision may have been a while ago.
-    pub fn sent(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn record_sent(&mut self, now: Micros, attempt: AttemptId) {
         let Some(out) = self.attempts.get(attempt) else { return };
         if let Some(server) = self.servers.get_mut(out.server) {
             let due = out.due.max(now);
@@ -173,16 +173,16 @@
     }
 
     /// Notes the first event of an answer, or its head where it is no stream.
-    pub fn first_event(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn record_first_event(&mut self, now: Micros, attempt: AttemptId) {
         let Some(out) = self.attempts.get(attempt) else { return };
         let Some(server) = self.servers.get_mut(out.server) else { return };
-        server.model.first_event(now, &mut self.services[server.service].speed, &mut out.work);
+        server.model.record_first_event(now, &mut self.services[server.service].speed, &mut out.work);
         server.health.alive();
         server.sign_due = None;
     }
 
     /// Notes that more events of a stream came.
-    pub fn progressed(&mut self, _now: Micros, attempt: AttemptId, _events: u32) {
+    pub fn record_progress(&mut self, _now: Micros, attempt: AttemptId, _events: u32) {
         let Some(out) = self.attempts.get(attempt) else { return };
         if let Some(server) = self.servers.get_mut(out.server) {
             server.sign_due = None;
@@ -190,11 +190,11 @@
     }
 
     /// Notes the end of an attempt. Each decision to send needs exactly one.
-    pub fn ended(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         let Some(out) = self.attempts.remove(attempt) else { return };
         let Some(server) = self.servers.get_mut(out.server) else { return };
         let speed = &mut self.services[server.service].speed;
-        server.model.ended(now, speed, &out.work, outcome == Outcome::Served);
+        server.model.record_end(now, speed, &out.work, outcome == Outcome::Served);
         let silent = server.sign_due.is_some_and(|due| now > due + SILENT_FOR) && !out.work.has_started();
         // A client that left a silent server says what a time-out says.
         let outcome = if outcome == Outcome::Cancelled && silent { Outcome::TimedOut } else { outcome };
@@ -236,7 +236,7 @@
             let (load, has_changed) = server.model.report_load(unit);
             let is_told = if whole { load.requests > 0 } else { has_changed };
             if is_told {
-                tell(&server.info.id, load.requests, load.unread);
+                tell(&server.info.id, load.requests, load.pending_prefill);
             }
         }
     }
@@ -244,7 +244,7 @@
     /// Takes in that other processes find a server failing: the failing part of its answers, 0 to 1. For three seconds
     /// it counts as if this process had seen that; it is compared by it, and never ejected for it. A server that is
     /// not listed is left out.
-    pub fn suspect(&mut self, now: Micros, server: &str, failed_share: f32) {
+    pub fn observe_suspicion(&mut self, now: Micros, server: &str, failed_share: f32) {
         let share = if failed_share.is_finite() { f64::from(failed_share.clamp(0.0, 1.0)) } else { 0.0 };
         if let Some(server) = self.servers.by_id_mut(server) {
             server.health.suspect(now, share);
@@ -271,8 +271,8 @@
 }
 
 /// What the list and the configuration say of a server's size.
-fn shape_of(spec: Option<&ServiceSpec>, info: &ServerInfo) -> Shape {
+fn shape_of(spec: Option<&ServiceSpec>, info: &ServerInfo) -> ServerCapacity {
     let engine = spec.and_then(|spec| spec.engine);
     let slots = if info.slots > 0 { info.slots } else { engine.map_or(1, |engine| engine.slots) };
-    Shape { slots, kv_tokens: engine.map_or(0, |engine| engine.kv_tokens) }
+    ServerCapacity { slots, kv_tokens: engine.map_or(0, |engine| engine.kv_tokens) }
 }
--- a/crates/routing/src/servers.rs
+++ b/crates/routing/src/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use dunelink_serving_model::{Micros, ServerModel, Shape};
+use dunelink_serving_model::{Micros, ServerCapacity, ServerModel};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::health::Health;
@@ -100,7 +100,13 @@
     }
 
     /// Takes in one entry; true if the pools of its service change by it.
-    pub(crate) fn list(&mut self, now: Micros, info: &ServerInfo, service: usize, shape: Shape) -> bool {
+    pub(crate) fn list(
+        &mut self,
+        now: Micros,
+        info: &ServerInfo,
+        service: usize,
+        shape: ServerCapacity,
+    ) -> bool {
         let cold_until = now + info.cold_remaining_ms * 1_000;
         if let Some(&place) = self.by_id.get(&info.id) {
             let Some(server) = self.at_mut(place) else { return false };
@@ -109,8 +115,8 @@
             if *server.info != *info {
                 server.info = Arc::new(info.clone());
             }
-            if server.model.shape() != shape {
-                server.model.set_shape(shape);
+            if server.model.capacity() != shape {
+                server.model.set_capacity(shape);
             }
             server.service = service;
             server.cold_until = if info.cold_remaining_ms > 0 { cold_until } else { 0 };
--- a/crates/routing/src/status.rs
+++ b/crates/routing/src/status.rs
@@ -22,9 +22,9 @@
             ready: server.info.ready,
             ejected_for: server.health.ejected_for(now),
             in_flight: server.model.in_flight(),
-            taken: server.model.taken(now, self.nodes),
-            kept_tokens: server.model.kept().weight(),
-            relative_latency: server.model.slowest_latency(now),
+            fleet_in_flight: server.model.fleet_in_flight(now, self.nodes),
+            cached_tokens: server.model.prefix_cache().total_tokens(),
+            relative_latency: server.model.max_relative_latency(now),
         }
     }
 }
--- a/crates/routing/tests/fleet_loads.rs
+++ b/crates/routing/tests/fleet_loads.rs
@@ -108,7 +108,7 @@
     let places: BTreeMap<&str, usize> =
         list.iter().enumerate().map(|(at, server)| (server.id.as_str(), at)).collect();
     let mut nodes: Vec<Router> = (0..play.nodes).map(|node| router(seed + u64::from(node), &list)).collect();
-    nodes.iter_mut().for_each(|node| node.set_fleet(play.nodes));
+    nodes.iter_mut().for_each(|node| node.set_fleet_size(play.nodes));
     let mut at_server: Vec<Simulated> = list.iter().map(|_| Simulated::default()).collect();
     let mut told: Vec<(Micros, Vec<(u32, u32)>)> = Vec::new();
     let mut outcomes = Outcomes::default();
@@ -165,7 +165,7 @@
     let parts: &[PromptPart] = if is_long { &long } else { &short };
     let asked = RoutingRequest {
         tenant: Some(&name),
-        tokens_out: if is_long { 54 } else { 290 },
+        max_output_tokens: if is_long { 54 } else { 290 },
         target_latency: OBJECTIVE,
         remaining: 8 * S,
         ..request(parts)
@@ -177,11 +177,11 @@
     let Decision::Send { server, attempt } = nodes[node].choose(now, &asked) else {
         outcomes.refused += 1;
         outcomes.cut_off_bad += u32::from(is_cut_off);
-        let taken = at_server.iter().map(|server| server.requests.len().min(SLOTS)).sum::<usize>();
-        outcomes.refused_free += u32::from(taken * 2 < at_server.len() * SLOTS);
+        let busy_slots = at_server.iter().map(|server| server.requests.len().min(SLOTS)).sum::<usize>();
+        outcomes.refused_free += u32::from(busy_slots * 2 < at_server.len() * SLOTS);
         return;
     };
-    nodes[node].sent(now, attempt);
+    nodes[node].record_sent(now, attempt);
     let id = nodes[node].server(server).expect("a listed server").id.clone();
     let (to_read, to_run) = if is_long { (READS_LONG, LONG_RUNS) } else { (READS_SHORT, SHORT_RUNS) };
     let subject = is_long.then_some(subject);
@@ -205,14 +205,14 @@
             outcomes.in_time.entry(reader.tenant).or_default().0 += u32::from(!is_late);
             let node = &mut nodes[reader.node];
             node.observe_load(now, reader.server, running, waiting, SLOTS as u32);
-            node.first_event(now, reader.attempt);
+            node.record_first_event(now, reader.attempt);
         }
         return;
     }
     requests.iter_mut().take(SLOTS).for_each(|request| request.to_run = request.to_run.saturating_sub(STEP));
     requests.retain(|request| {
         if request.to_run == 0 {
-            nodes[request.node].ended(now, request.attempt, Outcome::Served);
+            nodes[request.node].record_outcome(now, request.attempt, Outcome::Served);
         }
         request.to_run > 0
     });
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -9,8 +9,8 @@
 
 fn fail(router: &mut Router, now: Micros, parts: &[PromptPart], outcome: Outcome) -> ServerHandle {
     let (server, attempt) = sent(router.choose(now, &request(parts)));
-    router.sent(now, attempt);
-    router.ended(now, attempt, outcome);
+    router.record_sent(now, attempt);
+    router.record_outcome(now, attempt, outcome);
     server
 }
 
@@ -51,7 +51,7 @@
     for own in 0..40 {
         let parts = prompt(own, own);
         let (server, attempt) =
-            sent(router.choose(now, &RoutingRequest { tokens_in: 10, ..request(&parts) }));
+            sent(router.choose(now, &RoutingRequest { prompt_tokens: 10, ..request(&parts) }));
         let id = router.server(server).expect("listed").id.clone();
         if id == bad {
             probe = Some(attempt);
@@ -59,7 +59,7 @@
         *counts.entry(id).or_default() += 1;
     }
     assert_eq!(counts[&bad], 1);
-    router.ended(now, probe.expect("one probe"), Outcome::ConnectFailed);
+    router.record_outcome(now, probe.expect("one probe"), Outcome::ConnectFailed);
     assert_eq!(line(&router, now).ejected_for, 2 * S);
 }
 
@@ -99,7 +99,7 @@
         let (server, attempt) = sent(router.choose(now * MS / 2, &plain()));
         let outcome = if server == bad { Outcome::ServerError } else { Outcome::Served };
         drawn += u32::from(server == bad);
-        router.ended(now * MS / 2, attempt, outcome);
+        router.record_outcome(now * MS / 2, attempt, outcome);
     }
     assert!(drawn < 20, "{drawn} requests of 2,000 in a second went to a server that fails all");
 }
@@ -109,12 +109,12 @@
     let mut router = router(1, &servers("llm", 12));
     let parts = prompt(5, 1);
     let (home, attempt) = sent(router.choose(0, &request(&parts)));
-    router.sent(0, attempt);
+    router.record_sent(0, attempt);
     let (later, _) = sent(router.choose(S, &request(&parts)));
     assert_ne!(later, home);
     assert!(router.silent_for(S, home) > 0);
     // The client leaves: that says as much as a time-out.
-    router.ended(2 * S, attempt, Outcome::Cancelled);
+    router.record_outcome(2 * S, attempt, Outcome::Cancelled);
     assert_eq!(ejected(&router, 2 * S), 1);
 }
 
@@ -135,7 +135,7 @@
     let home = fail(&mut router, 0, &parts, Outcome::Rejected);
     let (next, attempt) = sent(router.choose(1, &request(&parts)));
     assert_ne!(next, home);
-    router.ended(1, attempt, Outcome::Cancelled);
+    router.record_outcome(1, attempt, Outcome::Cancelled);
     assert_eq!(ejected(&router, 1), 0);
     let (server, _) = sent(router.choose(S, &RoutingRequest { excluded: &[next], ..request(&parts) }));
     assert_eq!(server, home);
@@ -171,15 +171,15 @@
     let list = servers("llm", 4);
     let usual = share(&mut router(1, &list), S, &list[0].id);
     let mut router = router(1, &list);
-    router.suspect(0, &list[0].id, 1.0);
+    router.observe_suspicion(0, &list[0].id, 1.0);
     // Others are not listed any more, and a share may be none.
-    router.suspect(0, "i-gone", 1.0);
-    router.suspect(0, &list[1].id, f32::NAN);
+    router.observe_suspicion(0, "i-gone", 1.0);
+    router.observe_suspicion(0, &list[1].id, f32::NAN);
     let suspected = share(&mut router, S, &list[0].id);
     assert!(usual > 20 && suspected * 4 < usual, "{suspected} of {usual}");
     assert_eq!(ejected(&router, S), 0);
     let renewed = 2 * S;
-    router.suspect(renewed, &list[0].id, 1.0);
+    router.observe_suspicion(renewed, &list[0].id, 1.0);
     assert!(share(&mut router, renewed + 2 * S, &list[0].id) * 4 < usual);
     let after = share(&mut router, renewed + 3 * S, &list[0].id);
     assert!(after * 2 > usual, "{after} of {usual}");
@@ -189,7 +189,7 @@
 fn suspicion_of_all_servers_keeps_nobody_away() {
     let list = servers("llm", 3);
     let mut router = router(1, &list);
-    list.iter().for_each(|server| router.suspect(0, &server.id, 1.0));
+    list.iter().for_each(|server| router.observe_suspicion(0, &server.id, 1.0));
     for own in 0..50 {
         let parts = prompt(own, own);
         served(&mut router, S, &request(&parts));
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -51,10 +51,10 @@
                 let tenant = tenant.map(|tenant| tenant.to_string());
                 let parts = prompt(u64::from(*subject), u64::from(*own));
                 let base = if *is_plain { plain() } else { request(&parts) };
-                let tokens_in = if *is_plain { 0 } else { u32::from(*tokens) };
+                let prompt_tokens = if *is_plain { 0 } else { u32::from(*tokens) };
                 let excluded: Vec<ServerHandle> = pick(own).map(|(server, _)| server).into_iter().collect();
                 let asked =
-                    RoutingRequest { tenant: tenant.as_deref(), tokens_in, excluded: &excluded, ..base };
+                    RoutingRequest { tenant: tenant.as_deref(), prompt_tokens, excluded: &excluded, ..base };
                 match router.choose(now, &asked) {
                     Decision::Send { server, attempt } => {
                         assert!(router.is_usable(server), "a server that takes requests");
@@ -67,19 +67,21 @@
                     Decision::Refuse { retry_after, .. } => assert!(retry_after * 3 <= asked.remaining),
                 }
             }
-            Step::Sent(which) => pick(which).into_iter().for_each(|(_, attempt)| router.sent(now, attempt)),
+            Step::Sent(which) => {
+                pick(which).into_iter().for_each(|(_, attempt)| router.record_sent(now, attempt))
+            }
             Step::First(which) => {
-                pick(which).into_iter().for_each(|(_, attempt)| router.first_event(now, attempt));
+                pick(which).into_iter().for_each(|(_, attempt)| router.record_first_event(now, attempt));
             }
             Step::Progressed(which) => {
-                pick(which).into_iter().for_each(|(_, attempt)| router.progressed(now, attempt, 1));
+                pick(which).into_iter().for_each(|(_, attempt)| router.record_progress(now, attempt, 1));
             }
             Step::End { which, outcome } => {
                 if let Some((_, attempt)) = pick(which) {
                     out.retain(|(_, other)| *other != attempt);
-                    router.ended(now, attempt, OUTCOMES[usize::from(*outcome) % OUTCOMES.len()]);
+                    router.record_outcome(now, attempt, OUTCOMES[usize::from(*outcome) % OUTCOMES.len()]);
                     // An end that is told twice changes nothing.
-                    router.ended(now, attempt, Outcome::Broken);
+                    router.record_outcome(now, attempt, Outcome::Broken);
                 }
             }
             Step::Load { which, running, waiting } => {
@@ -90,7 +92,7 @@
             Step::List { first, count, draining, cold } => {
                 router.update_servers(now, &list(*first, *count, *draining, *cold));
             }
-            Step::Fleet(nodes) => router.set_fleet(u32::from(*nodes)),
+            Step::Fleet(nodes) => router.set_fleet_size(u32::from(*nodes)),
             Step::Later(ms) => now += Micros::from(*ms) * MS,
         }
         check_state(&router, now, &out);
@@ -98,11 +100,11 @@
 }
 
 fn check_state(router: &Router, now: Micros, out: &[(ServerHandle, AttemptId)]) {
-    assert_eq!(router.attempts_out(), out.len());
+    assert_eq!(router.attempts_in_flight(), out.len());
     let listed = out.iter().filter(|(server, _)| router.server(*server).is_some()).count();
     let lines = router.status(now);
     assert_eq!(lines.iter().map(|line| line.in_flight as usize).sum::<usize>(), listed);
-    assert!(lines.iter().all(|line| line.kept_tokens <= 380_000 && line.taken >= 0.0));
+    assert!(lines.iter().all(|line| line.cached_tokens <= 380_000 && line.fleet_in_flight >= 0.0));
     assert!(lines.iter().all(|line| line.relative_latency.is_finite() && line.relative_latency > 0.0));
 }
 
@@ -120,7 +122,11 @@
             let now = at as Micros * S;
             let (_, attempt) = sent(router.choose(now, &request(&parts)));
             let outcome = OUTCOMES[usize::from(*fail) % OUTCOMES.len()];
-            router.ended(now, attempt, if outcome == Outcome::Rejected { Outcome::Broken } else { outcome });
+            router.record_outcome(
+                now,
+                attempt,
+                if outcome == Outcome::Rejected { Outcome::Broken } else { outcome },
+            );
         }
     });
 }
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -60,7 +60,7 @@
     let list = servers("llm", 12);
     let homes = |every: Micros| {
         let mut router = router(1, &list);
-        router.set_fleet(8);
+        router.set_fleet_size(8);
         let mut seen = BTreeSet::new();
         for own in 0..200 {
             let parts = prompt(5, own);
@@ -117,14 +117,14 @@
 #[test]
 fn reported_load_of_other_processes_counts_and_fades() {
     let mut router = router(1, &servers("api", 2));
-    router.set_fleet(8);
+    router.set_fleet_size(8);
     let (busy, attempt) = sent(router.choose(0, &plain()));
-    router.ended(0, attempt, Outcome::Cancelled);
+    router.record_outcome(0, attempt, Outcome::Cancelled);
     router.observe_load(0, busy, 64, 30, 64);
     for at in 0..10 {
         let (server, attempt) = sent(router.choose(at * 10 * MS, &plain()));
         assert_ne!(server, busy);
-        router.ended(at * 10 * MS + 30 * MS, attempt, Outcome::Served);
+        router.record_outcome(at * 10 * MS + 30 * MS, attempt, Outcome::Served);
     }
     let mut seen = BTreeSet::new();
     for _ in 0..20 {
@@ -140,10 +140,10 @@
     let mut sizes: BTreeMap<ServerHandle, u64> = BTreeMap::new();
     for own in 0..100u64 {
         let part = [PromptPart { id: own.wrapping_mul(0x9e37_79b9_7f4a_7c15), tokens: 30_000 }];
-        let big = RoutingRequest { tokens_out: 2_000, ..request(&part) };
+        let big = RoutingRequest { max_output_tokens: 2_000, ..request(&part) };
         // Far apart, so that reading the prompts is no reason to go elsewhere.
         let (server, attempt) = sent(router.choose(own * 10 * S, &big));
-        router.first_event(own * 10 * S + 600 * MS, attempt);
+        router.record_first_event(own * 10 * S + 600 * MS, attempt);
         *sizes.entry(server).or_default() += 32_000;
     }
     assert!(sizes.values().all(|tokens| *tokens <= 380_000), "{sizes:?}");
@@ -152,9 +152,9 @@
 #[test]
 fn a_process_keeps_to_its_part_of_the_connections() {
     let mut router = router(1, &servers("llm", 1));
-    router.set_fleet(8);
+    router.set_fleet_size(8);
     let parts = prompt(5, 1);
-    let quiet = RoutingRequest { tokens_in: 10, ..request(&parts) };
+    let quiet = RoutingRequest { prompt_tokens: 10, ..request(&parts) };
     let mut out = 0;
     while let Decision::Send { .. } = router.choose(0, &quiet) {
         out += 1;
--- a/crates/routing/tests/pools.rs
+++ b/crates/routing/tests/pools.rs
@@ -114,7 +114,7 @@
     router.update_servers(S, &[server("llm", 77)]);
     assert!(router.server(old).is_none());
     assert!(!router.is_usable(old));
-    router.ended(S, attempt, Outcome::Broken);
+    router.record_outcome(S, attempt, Outcome::Broken);
     let (new, _) = sent(router.choose(S, &request(&parts)));
     assert_ne!(new, old);
     assert_eq!(router.status(S)[0].in_flight, 1);
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -25,10 +25,10 @@
 
 /// The model service `llm` and the plain service `api`.
 pub fn specs() -> Vec<ServiceSpec> {
-    let engine = EngineSpec { slots: 64, kv_tokens: 380_000, stride: 6 };
+    let engine = EngineSpec { slots: 64, kv_tokens: 380_000, max_tokens_per_event: 6 };
     vec![
-        ServiceSpec { name: "llm".into(), max_conns: 400, engine: Some(engine) },
-        ServiceSpec { name: "api".into(), max_conns: 100, engine: None },
+        ServiceSpec { name: "llm".into(), max_connections: 400, engine: Some(engine) },
+        ServiceSpec { name: "api".into(), max_connections: 100, engine: None },
     ]
 }
 
@@ -53,21 +53,21 @@
         service: "llm",
         tenant: Some("kaje80"),
         parts,
-        tokens_in: parts.iter().map(|part| part.tokens).sum(),
-        tokens_out: 54,
+        prompt_tokens: parts.iter().map(|part| part.tokens).sum(),
+        max_output_tokens: 54,
         priority: 1,
         target_latency: 600 * MS,
         remaining: 4 * S,
         excluded: &[],
-        first_try: true,
+        is_first_attempt: true,
     }
 }
 
 pub fn plain<'a>() -> RoutingRequest<'a> {
     RoutingRequest {
         service: "api",
-        tokens_in: 0,
-        tokens_out: 0,
+        prompt_tokens: 0,
+        max_output_tokens: 0,
         target_latency: 150 * MS,
         remaining: 1_500 * MS,
         ..request(&[])
@@ -86,8 +86,8 @@
 pub fn served(router: &mut Router, now: Micros, request: &RoutingRequest<'_>) -> String {
     let (server, attempt) = sent(router.choose(now, request));
     let id = router.server(server).expect("a listed server").id.clone();
-    router.sent(now, attempt);
-    router.first_event(now + 60 * MS, attempt);
-    router.ended(now + 100 * MS, attempt, Outcome::Served);
+    router.record_sent(now, attempt);
+    router.record_first_event(now + 60 * MS, attempt);
+    router.record_outcome(now + 100 * MS, attempt, Outcome::Served);
     id
 }
--- a/crates/serving-model/src/lib.rs
+++ b/crates/serving-model/src/lib.rs
@@ -5,15 +5,15 @@
 //! one question: how long would a request with these prompt parts wait for its first token there.
 //! All times are microseconds of the caller's steady clock.
 
-mod kept;
+mod prefix_cache;
 mod reading;
 mod server;
 mod speed;
 
-pub use kept::{KeptParts, PromptPart};
+pub use prefix_cache::{PrefixCache, PromptPart};
 pub use reading::LoadReading;
-pub use server::{Estimate, OwnLoad, ServerModel, Shape, Work, Workload};
-pub use speed::Speed;
+pub use server::{Estimate, InFlightRequest, LocalLoad, RequestProfile, ServerCapacity, ServerModel};
+pub use speed::SpeedEstimate;
 
 /// A time or a span in microseconds.
 pub type Micros = u64;
--- a/crates/serving-model/src/kept.rs
+++ b/crates/serving-model/src/prefix_cache.rs
@@ -26,7 +26,7 @@
 }
 
 /// Prompt parts by last use, bounded by tokens and by number.
-pub struct KeptParts {
+pub struct PrefixCache {
     at: HashMap<u64, u32>,
     nodes: Vec<Node>,
     newest: u32,
@@ -34,15 +34,15 @@
     weight: u64,
 }
 
-impl Default for KeptParts {
-    fn default() -> KeptParts {
-        KeptParts { at: HashMap::new(), nodes: Vec::new(), newest: NONE, oldest: NONE, weight: 0 }
+impl Default for PrefixCache {
+    fn default() -> PrefixCache {
+        PrefixCache { at: HashMap::new(), nodes: Vec::new(), newest: NONE, oldest: NONE, weight: 0 }
     }
 }
 
-impl KeptParts {
+impl PrefixCache {
     /// What the parts kept count in memory together, in tokens.
-    pub fn weight(&self) -> u64 {
+    pub fn total_tokens(&self) -> u64 {
         self.weight
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// How many tokens of the prompt need no reading: those of the leading parts that are all kept.
-    pub fn leading(&self, parts: &[PromptPart]) -> u32 {
+    pub fn cached_prefix_tokens(&self, parts: &[PromptPart]) -> u32 {
         let kept = parts.iter().take_while(|part| self.at.contains_key(&part.id));
         kept.fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
@@ -65,18 +65,18 @@
     /// Notes that these parts were just used, and lets go of the least recently used ones beyond `room` tokens.
     /// The last part counts `senders` times: each of so many processes sends parts of its own there, while the
     /// parts before it are the same for all of them.
-    pub fn used(&mut self, parts: &[PromptPart], room: u64, senders: u32) {
+    pub fn record_use(&mut self, parts: &[PromptPart], room: u64, senders: u32) {
         let Some((last, shared)) = parts.split_last() else { return };
         self.touch(last.id, u64::from(last.tokens) * u64::from(senders.max(1)));
         // The first part is the most shared one: it is the last to give way.
         for part in shared.iter().rev() {
             self.touch(part.id, u64::from(part.tokens));
         }
-        self.shrink(room);
+        self.evict_to(room);
     }
 
     /// Lets go of the least recently used parts until at most `room` tokens are kept.
-    pub fn shrink(&mut self, room: u64) {
+    pub fn evict_to(&mut self, room: u64) {
         while self.oldest != NONE && (self.weight > room || self.nodes.len() > MOST_PARTS) {
             self.remove(self.oldest);
         }
--- a/crates/serving-model/src/reading.rs
+++ b/crates/serving-model/src/reading.rs
@@ -12,35 +12,35 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReading {
     /// When it came.
-    pub at: Micros,
+    pub received_at: Micros,
     /// Requests that run, of all senders.
     pub running: u32,
     /// Requests that wait, of all senders.
     pub waiting: u32,
     /// How many of those were ours when it came.
-    pub own: u32,
+    pub own_in_flight: u32,
 }
 
 impl LoadReading {
     /// How many requests of other senders are there now by this reading, running and waiting, against a usual level.
-    pub fn others(&self, now: Micros, usual: f64) -> f64 {
-        let usual_now = usual * half(now.saturating_sub(self.at), USUAL_HALF_LIFE);
-        usual_now + (self.told() - usual) * self.weight(now)
+    pub fn other_in_flight(&self, now: Micros, usual: f64) -> f64 {
+        let usual_now = usual * half(now.saturating_sub(self.received_at), USUAL_HALF_LIFE);
+        usual_now + (self.reported_others() - usual) * self.weight(now)
     }
 
     /// How many requests of other senders it told of.
-    pub fn told(&self) -> f64 {
-        f64::from(self.running.saturating_add(self.waiting).saturating_sub(self.own))
+    pub fn reported_others(&self) -> f64 {
+        f64::from(self.running.saturating_add(self.waiting).saturating_sub(self.own_in_flight))
     }
 
     /// How many requests wait there by this reading.
-    pub fn waiting(&self, now: Micros) -> f64 {
+    pub fn decayed_waiting(&self, now: Micros) -> f64 {
         f64::from(self.waiting) * self.weight(now)
     }
 
     /// How much the reading counts now: 1 when it came, then less and less.
     pub fn weight(&self, now: Micros) -> f64 {
-        half(now.saturating_sub(self.at), HALF_LIFE)
+        half(now.saturating_sub(self.received_at), HALF_LIFE)
     }
 }
 
--- a/crates/serving-model/src/server.rs
+++ b/crates/serving-model/src/server.rs
@@ -1,7 +1,7 @@
 //! One server: what of ours waits and runs there, what it keeps, and how long a new request would wait.
 
 use crate::reading::half;
-use crate::{KeptParts, LoadReading, Micros, PromptPart, Speed};
+use crate::{LoadReading, Micros, PrefixCache, PromptPart, SpeedEstimate};
 
 /// Priorities go from 0, the most urgent, to this one.
 const LAST_PRIORITY: usize = 9;
@@ -29,14 +29,14 @@
 
 /// What kind of server it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct ServerCapacity {
     /// Requests worked on at once.
     pub slots: u32,
     /// Tokens of memory for running requests and kept parts; 0 for a server without an engine.
     pub kv_tokens: u64,
 }
 
-impl Shape {
+impl ServerCapacity {
     /// Whether a model runs there.
     pub fn has_engine(&self) -> bool {
         self.kv_tokens > 0
@@ -49,22 +49,22 @@
 
 /// What a request asks of a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Workload<'a> {
+pub struct RequestProfile<'a> {
     /// The parts of its prompt in order.
     pub parts: &'a [PromptPart],
     /// Tokens of the prompt.
-    pub tokens_in: u32,
+    pub prompt_tokens: u32,
     /// Tokens to be made at most.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
     /// From 0, most urgent, to 9; larger figures count as 9.
     pub priority: u32,
 }
 
 /// What one request of ours takes at a server, from sending to its end.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Work {
+pub struct InFlightRequest {
     sent_at: Micros,
-    prefill: u32,
+    prefill_tokens: u32,
     /// Tokens of ours to be read before it; at a plain server, how many times its work its time was to be.
     ahead: f32,
     tokens: u32,
@@ -72,7 +72,7 @@
     started: bool,
 }
 
-impl Work {
+impl InFlightRequest {
     /// Whether its first token has come.
     pub fn has_started(&self) -> bool {
         self.started
@@ -81,32 +81,32 @@
 
 /// What of one process is at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct OwnLoad {
+pub struct LocalLoad {
     /// Requests sent there and not ended.
     pub requests: u32,
     /// Tokens to be read for those that have not begun, in the unit asked for.
-    pub unread: u32,
+    pub pending_prefill: u32,
 }
 
 /// What is expected of a request at one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// Until its first token, or its answer at a plain server.
-    pub first_us: Micros,
+    pub first_response_us: Micros,
     /// The part of it by which a free server of usual speed would be faster.
     pub queue_us: Micros,
     /// Prompt tokens that it would read there.
-    pub prefill: u32,
+    pub prefill_tokens: u32,
     /// Places taken there now, of `slots`, by all senders; may exceed it.
-    pub taken: f64,
+    pub fleet_in_flight: f64,
     /// Whether its memory has no room for the request beside those that run.
     pub memory_full: bool,
 }
 
 /// The state of one server as far as it can be known. `nodes` is always the number of processes that send to it.
 pub struct ServerModel {
-    shape: Shape,
-    kept: KeptParts,
+    shape: ServerCapacity,
+    kept: PrefixCache,
     /// Tokens of ours left to read, by priority, as of `drained_at`.
     unread: [f64; LAST_PRIORITY + 1],
     /// What was to be read for requests of ours that have no token yet; bounds `unread`.
@@ -127,17 +127,17 @@
     /// Tokens of other senders to be read there, as last told, and when.
     others_unread: Option<(Micros, u32)>,
     /// What was reported of our own, the last time and the time before.
-    reported: [OwnLoad; 2],
+    reported: [LocalLoad; 2],
     /// Tokens that one of `reported` stands for.
     unread_unit: u32,
 }
 
 impl ServerModel {
     /// A server of which nothing is known yet.
-    pub fn new(shape: Shape) -> ServerModel {
+    pub fn new(shape: ServerCapacity) -> ServerModel {
         ServerModel {
             shape,
-            kept: KeptParts::default(),
+            kept: PrefixCache::default(),
             unread: [0.0; LAST_PRIORITY + 1],
             unstarted: [0.0; LAST_PRIORITY + 1],
             drained_at: 0,
@@ -150,20 +150,20 @@
             reading: None,
             others: None,
             others_unread: None,
-            reported: [OwnLoad::default(); 2],
+            reported: [LocalLoad::default(); 2],
             unread_unit: 1,
         }
     }
 
     /// Its slots and memory.
-    pub fn shape(&self) -> Shape {
+    pub fn capacity(&self) -> ServerCapacity {
         self.shape
     }
 
     /// Takes over new slots or memory; what is known stays.
-    pub fn set_shape(&mut self, shape: Shape) {
+    pub fn set_capacity(&mut self, shape: ServerCapacity) {
         self.shape = shape;
-        self.kept.shrink(shape.kv_tokens);
+        self.kept.evict_to(shape.kv_tokens);
     }
 
     /// Requests of ours that are there.
@@ -177,7 +177,7 @@
     }
 
     /// The parts it is believed to keep.
-    pub fn kept(&self) -> &KeptParts {
+    pub fn prefix_cache(&self) -> &PrefixCache {
         &self.kept
     }
 
@@ -189,13 +189,13 @@
     }
 
     /// The largest relative latency over the priorities.
-    pub fn slowest_latency(&self, now: Micros) -> f64 {
+    pub fn max_relative_latency(&self, now: Micros) -> f64 {
         let all = (0..=LAST_PRIORITY as u32).map(|priority| self.relative_latency(now, priority));
         all.fold(0.0, f64::max)
     }
 
     /// Requests of all senders there, running and waiting.
-    pub fn taken(&self, now: Micros, nodes: u32) -> f64 {
+    pub fn fleet_in_flight(&self, now: Micros, nodes: u32) -> f64 {
         f64::from(self.in_flight) + self.others(now, nodes)
     }
 
@@ -208,7 +208,7 @@
         {
             return f64::from(others);
         }
-        self.reading.map_or(0.0, |reading| reading.others(now, self.usual_others)).max(0.0)
+        self.reading.map_or(0.0, |reading| reading.other_in_flight(now, self.usual_others)).max(0.0)
     }
 
     /// Takes in how many requests of all senders were there a moment ago, and how many tokens were to be read for them,
@@ -217,13 +217,14 @@
         // The sums hold what was reported of ours before they were made.
         let own = self.reported[1];
         self.others = Some((now, requests.saturating_sub(own.requests)));
-        self.others_unread = Some((now, unread.saturating_sub(own.unread.saturating_mul(self.unread_unit))));
+        self.others_unread =
+            Some((now, unread.saturating_sub(own.pending_prefill.saturating_mul(self.unread_unit))));
     }
 
     /// Notes that our own load is reported now, with tokens in that unit; true if it has changed since the last time.
-    pub fn report_load(&mut self, unit: u32) -> (OwnLoad, bool) {
+    pub fn report_load(&mut self, unit: u32) -> (LocalLoad, bool) {
         let unread = self.unstarted.iter().sum::<f64>() / f64::from(unit.max(1));
-        let load = OwnLoad { requests: self.in_flight, unread: unread.round() as u32 };
+        let load = LocalLoad { requests: self.in_flight, pending_prefill: unread.round() as u32 };
         let before = self.reported[0];
         self.reported = [load, before];
         self.unread_unit = unit;
@@ -236,67 +237,68 @@
         &self,
         now: Micros,
         nodes: u32,
-        speed: &Speed,
-        request: &Workload<'_>,
+        speed: &SpeedEstimate,
+        request: &RequestProfile<'_>,
         assumed: u32,
     ) -> Estimate {
         let others = self.others(now, nodes);
-        let taken = f64::from(self.in_flight) + others;
+        let fleet_in_flight = f64::from(self.in_flight) + others;
         let latency = self.relative_latency(now, request.priority);
         if !self.shape.has_engine() {
-            return self.estimate_plain(taken, speed.work_ms * latency);
+            return self.estimate_plain(fleet_in_flight, speed.service_time_ms * latency);
         }
-        let kept = self.kept.leading(request.parts).max(assumed).min(request.tokens_in);
-        let prefill = request.tokens_in - kept;
+        let kept = self.kept.cached_prefix_tokens(request.parts).max(assumed).min(request.prompt_tokens);
+        let prefill_tokens = request.prompt_tokens - kept;
         let ahead = self.ahead(now, speed, request.priority, others);
-        let batch = 1.0 + SLOWER_EACH * taken;
-        let beyond = waiting_beyond(taken + 1.0 - self.shape.places());
-        let slot_ms = beyond * speed.work_ms / self.shape.places();
-        let alone_ms = speed.first_ms(f64::from(prefill));
-        let first_ms = ((alone_ms + speed.prefill_ms(ahead)) * batch * latency + slot_ms).min(LONGEST_MS);
+        let batch = 1.0 + SLOWER_EACH * fleet_in_flight;
+        let beyond = waiting_beyond(fleet_in_flight + 1.0 - self.shape.places());
+        let slot_ms = beyond * speed.service_time_ms / self.shape.places();
+        let alone_ms = speed.first_token_ms(f64::from(prefill_tokens));
+        let first_token_ms =
+            ((alone_ms + speed.prefill_ms(ahead)) * batch * latency + slot_ms).min(LONGEST_MS);
         let held = self.tokens as f64 + others * self.usual_tokens;
-        let own = f64::from(prefill.saturating_add(request.tokens_out));
+        let own = f64::from(prefill_tokens.saturating_add(request.max_output_tokens));
         let memory_full = held + own > self.shape.kv_tokens as f64 * MEMORY_USED;
-        let first_us = (first_ms * 1_000.0) as Micros;
-        let queue_us = ((first_ms - alone_ms).max(0.0) * 1_000.0) as Micros;
-        Estimate { first_us, queue_us, prefill, taken, memory_full }
+        let first_response_us = (first_token_ms * 1_000.0) as Micros;
+        let queue_us = ((first_token_ms - alone_ms).max(0.0) * 1_000.0) as Micros;
+        Estimate { first_response_us, queue_us, prefill_tokens, fleet_in_flight, memory_full }
     }
 
-    fn estimate_plain(&self, taken: f64, work_ms: f64) -> Estimate {
+    fn estimate_plain(&self, fleet_in_flight: f64, service_time_ms: f64) -> Estimate {
         // Below its slots a server that has less is still the better one.
-        let spread = (taken / self.shape.places()).min(1.0) * PLAIN_SPREAD;
-        let rounds = self.rounds(taken);
-        let first_us = (work_ms * (rounds + spread) * 1_000.0) as Micros;
-        let queue_us = (work_ms * (rounds - 1.0) * 1_000.0) as Micros;
-        Estimate { first_us, queue_us, prefill: 0, taken, memory_full: false }
+        let spread = (fleet_in_flight / self.shape.places()).min(1.0) * PLAIN_SPREAD;
+        let rounds = self.rounds(fleet_in_flight);
+        let first_response_us = (service_time_ms * (rounds + spread) * 1_000.0) as Micros;
+        let queue_us = (service_time_ms * (rounds - 1.0) * 1_000.0) as Micros;
+        Estimate { first_response_us, queue_us, prefill_tokens: 0, fleet_in_flight, memory_full: false }
     }
 
     /// How many times a plain request's work its time is, beside so many others.
-    fn rounds(&self, taken: f64) -> f64 {
-        1.0 + ((taken + 1.0 - self.shape.places()) / self.shape.places()).max(0.0)
+    fn rounds(&self, fleet_in_flight: f64) -> f64 {
+        1.0 + ((fleet_in_flight + 1.0 - self.shape.places()) / self.shape.places()).max(0.0)
     }
 
     /// Tokens read there before those of a request of this priority.
-    fn ahead(&self, now: Micros, speed: &Speed, priority: u32, others: f64) -> f64 {
+    fn ahead(&self, now: Micros, speed: &SpeedEstimate, priority: u32, others: f64) -> f64 {
         let until = (priority as usize).min(LAST_PRIORITY);
-        let drained = speed.prefill * now.saturating_sub(self.drained_at) as f64 / 1_000.0;
+        let drained = speed.prefill_tokens_per_ms * now.saturating_sub(self.drained_at) as f64 / 1_000.0;
         let own = (self.unread[..=until].iter().sum::<f64>() - drained).max(0.0);
-        let waiting = self.reading.map_or(0.0, |reading| reading.waiting(now)).min(others);
+        let waiting = self.reading.map_or(0.0, |reading| reading.decayed_waiting(now)).min(others);
         own + self.others_unread(now, speed).unwrap_or(waiting * self.usual_prefill)
     }
 
     /// Tokens of other senders that are still to be read there, as far as that was told lately.
-    fn others_unread(&self, now: Micros, speed: &Speed) -> Option<f64> {
+    fn others_unread(&self, now: Micros, speed: &SpeedEstimate) -> Option<f64> {
         let (at, unread) = self.others_unread.filter(|(at, _)| now < at + OTHERS_FOR)?;
-        let read = speed.prefill * now.saturating_sub(at) as f64 / 1_000.0;
+        let read = speed.prefill_tokens_per_ms * now.saturating_sub(at) as f64 / 1_000.0;
         Some((f64::from(unread) - read).max(0.0))
     }
 
     /// Reads what the server must have read since it was last looked at, the most urgent first.
-    fn drain(&mut self, now: Micros, speed: &Speed) {
+    fn drain(&mut self, now: Micros, speed: &SpeedEstimate) {
         let span = now.saturating_sub(self.drained_at) as f64 / 1_000.0;
         self.drained_at = self.drained_at.max(now);
-        let mut read = speed.prefill * span;
+        let mut read = speed.prefill_tokens_per_ms * span;
         for left in &mut self.unread {
             let part = left.min(read);
             *left -= part;
@@ -305,50 +307,68 @@
     }
 
     /// Notes that a request is sent there, of which this was expected.
-    pub fn sent(
+    pub fn record_sent(
         &mut self,
         now: Micros,
         nodes: u32,
-        speed: &Speed,
-        request: &Workload<'_>,
+        speed: &SpeedEstimate,
+        request: &RequestProfile<'_>,
         estimate: &Estimate,
-    ) -> Work {
+    ) -> InFlightRequest {
         self.drain(now, speed);
         self.in_flight += 1;
         let priority = (request.priority as usize).min(LAST_PRIORITY);
         if !self.shape.has_engine() {
-            let ahead = self.rounds(estimate.taken) as f32;
-            return Work { sent_at: now, ahead, priority: priority as u8, ..Work::default() };
+            let ahead = self.rounds(estimate.fleet_in_flight) as f32;
+            return InFlightRequest {
+                sent_at: now,
+                ahead,
+                priority: priority as u8,
+                ..InFlightRequest::default()
+            };
         }
-        let prefill = f64::from(estimate.prefill);
-        let tokens = estimate.prefill.saturating_add(request.tokens_out);
+        let prefill_tokens = f64::from(estimate.prefill_tokens);
+        let tokens = estimate.prefill_tokens.saturating_add(request.max_output_tokens);
         let ahead = self.unread[..=priority].iter().sum::<f64>() as f32;
-        self.unread[priority] += prefill;
-        self.unstarted[priority] += prefill;
+        self.unread[priority] += prefill_tokens;
+        self.unstarted[priority] += prefill_tokens;
         self.tokens += u64::from(tokens);
-        self.usual_prefill += (prefill - self.usual_prefill) * STEP;
+        self.usual_prefill += (prefill_tokens - self.usual_prefill) * STEP;
         self.usual_tokens += (f64::from(tokens) - self.usual_tokens) * STEP;
         let room = self.shape.kv_tokens.saturating_sub(self.tokens / 2);
-        self.kept.used(request.parts, room, nodes);
+        self.kept.record_use(request.parts, room, nodes);
         let priority = priority as u8;
-        Work { sent_at: now, prefill: estimate.prefill, ahead, tokens, priority, started: false }
+        InFlightRequest {
+            sent_at: now,
+            prefill_tokens: estimate.prefill_tokens,
+            ahead,
+            tokens,
+            priority,
+            started: false,
+        }
     }
 
     /// Notes the first token of a request, and learns from it.
-    pub fn first_event(&mut self, now: Micros, speed: &mut Speed, work: &mut Work) {
+    pub fn record_first_event(&mut self, now: Micros, speed: &mut SpeedEstimate, work: &mut InFlightRequest) {
         if std::mem::replace(&mut work.started, true) || !self.shape.has_engine() {
             return;
         }
         self.drain(now, speed);
         self.was_read(work);
-        let tokens = f64::from(work.prefill) + f64::from(work.ahead);
+        let tokens = f64::from(work.prefill_tokens) + f64::from(work.ahead);
         let took_ms = now.saturating_sub(work.sent_at) as f64 / 1_000.0;
-        self.observe_latency(now, work.priority, took_ms / speed.first_ms(tokens));
-        speed.observe_first(tokens, took_ms);
+        self.observe_latency(now, work.priority, took_ms / speed.first_token_ms(tokens));
+        speed.observe_first_token(tokens, took_ms);
     }
 
     /// Notes the end of a request. `served` says whether its whole time may be learned from.
-    pub fn ended(&mut self, now: Micros, speed: &mut Speed, work: &Work, served: bool) {
+    pub fn record_end(
+        &mut self,
+        now: Micros,
+        speed: &mut SpeedEstimate,
+        work: &InFlightRequest,
+        served: bool,
+    ) {
         self.drain(now, speed);
         if !work.started {
             self.was_read(work);
@@ -360,12 +380,12 @@
         }
         let took_ms = now.saturating_sub(work.sent_at) as f64 / 1_000.0;
         if self.shape.has_engine() {
-            speed.observe_whole(took_ms);
+            speed.observe_service_time(took_ms);
             return;
         }
         let own_ms = took_ms / f64::from(work.ahead.max(1.0));
-        self.observe_latency(now, work.priority, own_ms / speed.work_ms);
-        speed.observe_whole(own_ms);
+        self.observe_latency(now, work.priority, own_ms / speed.service_time_ms);
+        speed.observe_service_time(own_ms);
     }
 
     fn observe_latency(&mut self, now: Micros, priority: u8, seen: f64) {
@@ -376,9 +396,9 @@
     }
 
     /// Takes a request's tokens out of what is left to read.
-    fn was_read(&mut self, work: &Work) {
+    fn was_read(&mut self, work: &InFlightRequest) {
         let priority = usize::from(work.priority);
-        let unstarted = (self.unstarted[priority] - f64::from(work.prefill)).max(0.0);
+        let unstarted = (self.unstarted[priority] - f64::from(work.prefill_tokens)).max(0.0);
         self.unstarted[priority] = unstarted;
         self.unread[priority] = self.unread[priority].min(unstarted);
     }
@@ -386,10 +406,10 @@
     /// Takes in a load reading of all senders.
     pub fn observe_load(&mut self, now: Micros, running: u32, waiting: u32) {
         let own = self.in_flight;
-        let reading = LoadReading { at: now, running, waiting, own };
-        self.usual_others += (reading.told() - self.usual_others) * STEP * 2.0;
+        let reading = LoadReading { received_at: now, running, waiting, own_in_flight: own };
+        self.usual_others += (reading.reported_others() - self.usual_others) * STEP * 2.0;
         self.reading = Some(reading);
-        self.others = Some((now, reading.told() as u32));
+        self.others = Some((now, reading.reported_others() as u32));
     }
 }
 
--- a/crates/serving-model/src/speed.rs
+++ b/crates/serving-model/src/speed.rs
@@ -23,35 +23,40 @@
 /// What is believed of the speed of a service's servers. What makes one of them slower or faster than the others is
 /// kept with that server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Speed {
+pub struct SpeedEstimate {
     /// Prompt tokens read a millisecond.
-    pub prefill: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Milliseconds to the first token that no prompt causes.
     pub fixed_ms: f64,
     /// Milliseconds of a whole request, from sending to its end.
-    pub work_ms: f64,
+    pub service_time_ms: f64,
     answers: f64,
 }
 
-impl Default for Speed {
-    fn default() -> Speed {
-        Speed { prefill: PREFILL_START, fixed_ms: FIXED_START, work_ms: WORK_START, answers: 0.0 }
+impl Default for SpeedEstimate {
+    fn default() -> SpeedEstimate {
+        SpeedEstimate {
+            prefill_tokens_per_ms: PREFILL_START,
+            fixed_ms: FIXED_START,
+            service_time_ms: WORK_START,
+            answers: 0.0,
+        }
     }
 }
 
-impl Speed {
+impl SpeedEstimate {
     /// Milliseconds for reading that many tokens.
     pub fn prefill_ms(&self, tokens: f64) -> f64 {
-        tokens / self.prefill
+        tokens / self.prefill_tokens_per_ms
     }
 
     /// Milliseconds to a first token behind that many tokens to be read.
-    pub fn first_ms(&self, tokens: f64) -> f64 {
+    pub fn first_token_ms(&self, tokens: f64) -> f64 {
         self.fixed_ms + self.prefill_ms(tokens)
     }
 
     /// Learns from a first token that came `took_ms` after sending, where `tokens` were to be read before it.
-    pub fn observe_first(&mut self, tokens: f64, took_ms: f64) {
+    pub fn observe_first_token(&mut self, tokens: f64, took_ms: f64) {
         if tokens < LEAST_PREFILL {
             let fixed = (took_ms - self.prefill_ms(tokens)).clamp(0.0, FIXED_MOST);
             self.fixed_ms += (fixed - self.fixed_ms) * STEP;
@@ -59,17 +64,18 @@
         }
         let reading = (took_ms - self.fixed_ms).max(tokens / PREFILL_RANGE.1);
         // A slow answer may have waited for others' work: it says far less than a quick one.
-        let seen = (tokens / reading).clamp(self.prefill / 2.0, self.prefill * 2.0);
-        let step = if seen > self.prefill { STEP } else { SLOWER_STEP };
-        let moved = self.prefill + (seen - self.prefill) * step;
-        self.prefill = moved.clamp(PREFILL_RANGE.0, PREFILL_RANGE.1);
+        let seen =
+            (tokens / reading).clamp(self.prefill_tokens_per_ms / 2.0, self.prefill_tokens_per_ms * 2.0);
+        let step = if seen > self.prefill_tokens_per_ms { STEP } else { SLOWER_STEP };
+        let moved = self.prefill_tokens_per_ms + (seen - self.prefill_tokens_per_ms) * step;
+        self.prefill_tokens_per_ms = moved.clamp(PREFILL_RANGE.0, PREFILL_RANGE.1);
     }
 
     /// Learns from a whole request that took so long.
-    pub fn observe_whole(&mut self, took_ms: f64) {
+    pub fn observe_service_time(&mut self, took_ms: f64) {
         self.answers += 1.0;
         let seen = took_ms.clamp(WORK_RANGE.0, WORK_RANGE.1);
         // The first answers replace what was only guessed.
-        self.work_ms += (seen - self.work_ms) * STEP.max(1.0 / self.answers);
+        self.service_time_ms += (seen - self.service_time_ms) * STEP.max(1.0 / self.answers);
     }
 }
