--- a/crates/grants/src/allocator.rs
+++ b/crates/grants/src/allocator.rs
@@ -1,132 +1,141 @@
 //! Divides tenants' quotas among the nodes that reported demand; runs at the leader only.
 //!
-//! Each tenant has one bucket for the fleet, filled at its rate. Nodes may let pass what was issued to them out of it.
-//! What is issued is told as a *ceiling* on the sum that a node has let pass since its start, so that a grant that is
-//! lost, late or repeated does no harm. A new leader first asks the nodes what passed in the window: see [`Takeover`].
+//! Each tenant has one token bucket for the whole fleet, filled at its rate. Nodes may admit the units that
+//! were issued to them from the bucket. Issued units are expressed as a *ceiling* on the total that a node
+//! has admitted since its start, so that a grant that is lost, late or duplicated does no harm. A new leader
+//! first asks the nodes what they admitted in the last window: see [`Takeover`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunelink_protocol::{GrantUpdate, HeldTenant, NodeDemand, TenantDemand, TenantGrant};
 
-use crate::account::{Account, Granted, Supply};
-use crate::bounds::{FLOOR_PART, LAPSE, OVERDRAFT_PART};
-use crate::bucket::{Bucket, Inherited};
-use crate::takeover::{Inheritance, Takeover};
+use crate::bounds::{FLOOR_SHARE, OVERDRAFT_SHARE, RATE_LAPSE_US};
+use crate::bucket::{Bucket, InheritedUsage};
+use crate::node_tenant::{BucketSupply, IssuedGrant, NodeTenant};
+use crate::takeover::{InheritedState, Takeover};
 use crate::{MILLISECOND, Micros, QuotaBounds, SECOND, TenantQuota};
 
-/// For how long a grant holds, in milliseconds.
-const VALID_MS: u64 = 1_500;
-/// After this long without a report a node may be cut off: what it may use meanwhile is set aside for it.
-const SILENT_AFTER: Micros = 700 * MILLISECOND;
-/// For how long after a report a grant may hold that answers it, with what clocks may drift.
-const KEPT_FOR: Micros = VALID_MS * MILLISECOND * 102 / 100;
-/// For how long a silent node counts for the floors: it may be cut off and serve on.
-const COUNTED_FOR: Micros = 30 * 1_000 * MILLISECOND;
-/// Part of a bucket's level that is lent, where that is a request for each node.
-const LENT_PART: f64 = 0.95;
-/// In how many seconds a bucket's debt is paid back: short, as the demand told lags behind one that rises.
-const DEBT_TIME_S: f64 = 0.4;
-/// In how many seconds a bucket's level is spent by what passes beyond ceilings.
-const LEVEL_TIME_S: f64 = 2.0;
+/// How long a grant is valid, in milliseconds.
+const GRANT_VALID_MS: u64 = 1_500;
+/// A node without a report for this long may be partitioned, and what it may use is reserved for it; in
+/// microseconds.
+const SILENCE_TIMEOUT_US: Micros = 700 * MILLISECOND;
+/// The longest time after a report for which a grant that answers it may be valid, allowing for clock drift;
+/// in microseconds.
+const MAX_GRANT_LIFETIME_US: Micros = GRANT_VALID_MS * MILLISECOND * 102 / 100;
+/// How long a silent node counts for the division of the floors, in microseconds: it may be partitioned and
+/// still serve.
+const NODE_RETENTION_US: Micros = 30 * 1_000 * MILLISECOND;
+/// Share of a bucket's level that is lent to the nodes if it covers a request per node.
+const CREDIT_SHARE: f64 = 0.95;
+/// Time in which a bucket's debt is repaid, in seconds. Short, because the reported demand lags behind a
+/// rising one.
+const DEBT_REPAYMENT_S: f64 = 0.4;
+/// Time in which a bucket's level is spent by admissions beyond ceilings, in seconds.
+const SPARE_SPENDING_S: f64 = 2.0;
 
-/// What is known of one node.
+/// State of one node.
 #[derive(Debug, Default)]
 struct Node {
     reported_at: Micros,
-    /// How old the proxy was when it made its last report, in milliseconds.
+    /// Age of the proxy process at its last report, in milliseconds.
     age_ms: u64,
-    /// Whether it has refused to hear older leaders, and what it held then is counted.
-    is_settled: bool,
-    accounts: BTreeMap<String, Account>,
+    /// Whether the node rejects earlier leaders, and what it could admit at that point has been accounted
+    /// for.
+    is_synced: bool,
+    tenants: BTreeMap<String, NodeTenant>,
 }
 
-/// Divides tenants' quotas by demand. A new leader makes a new one.
+/// Divides tenants' quotas by demand. Each new leader creates a new allocator.
 #[derive(Debug)]
 pub struct Allocator {
     bounds: QuotaBounds,
     term: u64,
-    began_at: Micros,
-    /// Until what passed before is known.
+    started_at: Micros,
+    /// The collection of histories; `None` once it has finished.
     takeover: Option<Takeover>,
-    /// What was inherited, while nodes are missing that leaders before this one knew of.
-    incomplete: Option<Inheritance>,
-    inherited_all: bool,
-    settled_at: Micros,
-    /// Nodes that leaders before this one knew of.
-    nodes_told: u32,
+    /// The inherited state, while nodes are missing that earlier leaders knew.
+    incomplete_takeover: Option<InheritedState>,
+    inherited_complete: bool,
+    takeover_completed_at: Micros,
+    /// Number of nodes that earlier leaders knew.
+    inherited_node_count: u32,
     nodes: BTreeMap<String, Node>,
     buckets: BTreeMap<String, Bucket>,
-    /// Number of the last grants. It also tells which node is the first to be issued to.
+    /// Number of the last round of grants. Also selects the node that is issued to first.
     round: u64,
 }
 
 impl Allocator {
-    /// The allocator of the leader of `term`. It grants nothing until the nodes have told what passed before.
+    /// Creates the allocator for the leader of `term`. It grants nothing until the nodes have reported their
+    /// histories.
     pub fn new(bounds: QuotaBounds, term: u64, now: Micros) -> Self {
         Self {
             bounds,
             term,
-            began_at: now,
-            takeover: Some(Takeover::begin(now)),
-            incomplete: None,
-            inherited_all: false,
-            settled_at: now,
-            nodes_told: 0,
+            started_at: now,
+            takeover: Some(Takeover::start(now)),
+            incomplete_takeover: None,
+            inherited_complete: false,
+            takeover_completed_at: now,
+            inherited_node_count: 0,
             nodes: BTreeMap::new(),
             buckets: BTreeMap::new(),
             round: 0,
         }
     }
 
-    /// Takes in what a node asked for and let pass; an empty report is a sign of life.
-    pub fn observe_report(&mut self, now: Micros, name: &str, demand: &NodeDemand) {
+    /// Records a node's demand and admissions. An empty report is a heartbeat.
+    pub fn observe_report(&mut self, now: Micros, name: &str, report: &NodeDemand) {
         let node = self.nodes.entry(name.to_owned()).or_default();
         node.reported_at = now;
-        if demand.age_ms > 0 {
-            node.age_ms = demand.age_ms;
+        if report.age_ms > 0 {
+            node.age_ms = report.age_ms;
         }
-        for account in node.accounts.values_mut() {
-            (account.is_told, account.rate_per_s) = (false, 0.0);
+        for state in node.tenants.values_mut() {
+            (state.is_reported, state.rate_per_s) = (false, 0.0);
         }
         if let Some(takeover) = &mut self.takeover {
-            return takeover.report(self.term, name, demand);
+            return takeover.observe_report(self.term, name, report);
         }
-        let hears_this_term = demand.term == self.term;
-        let is_sign_of_life = demand.tenants.is_empty();
-        if !hears_this_term && !is_sign_of_life {
-            // Another start of the proxy, or one that older leaders may still reach.
-            node.is_settled = false;
+        let is_current_term = report.term == self.term;
+        let is_heartbeat = report.tenants.is_empty();
+        if !is_current_term && !is_heartbeat {
+            // The proxy has restarted, or earlier leaders may still reach it.
+            node.is_synced = false;
         }
-        if !hears_this_term || !node.is_settled && !demand.has_history {
+        if !is_current_term || !node.is_synced && !report.has_history {
             return;
         }
-        let started_at = now.saturating_sub(demand.age_ms.saturating_mul(MILLISECOND));
-        // Where not all was inherited, what nodes held at the beginning counts as spent already.
-        let is_charged = node.is_settled || self.inherited_all || started_at > self.began_at;
-        let is_late = !std::mem::replace(&mut node.is_settled, true);
-        for told in demand.tenants.iter().filter(|told| is_sane(told)) {
-            let beyond = node.take(told, demand.round, is_charged);
-            if let Some(bucket) = self.buckets.get_mut(&told.tenant) {
-                bucket.level -= beyond;
-                if is_late {
-                    bucket.heard_late(told.granted_rate);
+        let process_started_at = now.saturating_sub(report.age_ms.saturating_mul(MILLISECOND));
+        // If the inherited state is incomplete, what nodes could admit at the takeover counts as spent
+        // already.
+        let charges_holdings =
+            node.is_synced || self.inherited_complete || process_started_at > self.started_at;
+        let is_first_sync = !std::mem::replace(&mut node.is_synced, true);
+        for demand in report.tenants.iter().filter(|demand| is_valid(demand)) {
+            let excess = node.observe_tenant(demand, report.round, charges_holdings);
+            if let Some(bucket) = self.buckets.get_mut(&demand.tenant) {
+                bucket.level -= excess;
+                if is_first_sync {
+                    bucket.record_late_sync(demand.granted_rate);
                 }
             }
         }
-        if let Some(inheritance) = self.incomplete.as_mut().filter(|_| is_late) {
-            inheritance.add_late(demand);
+        if let Some(inherited_state) = self.incomplete_takeover.as_mut().filter(|_| is_first_sync) {
+            inherited_state.add_late_report(report);
         }
     }
 
-    /// Asks a node what passed there in the window, before any has reported.
+    /// The message that asks a node what it admitted in the last window, before any node has reported.
     pub fn history_request(&self) -> GrantUpdate {
-        GrantUpdate { asks_history: true, ..self.blank(0, 0) }
+        GrantUpdate { asks_history: true, ..self.empty_update(0, 0) }
     }
 
-    /// Grants without any tenant.
-    fn blank(&self, nodes: u32, configuration_version: u64) -> GrantUpdate {
+    /// A grant update without tenants.
+    fn empty_update(&self, nodes: u32, configuration_version: u64) -> GrantUpdate {
         GrantUpdate {
-            valid_ms: VALID_MS,
+            valid_ms: GRANT_VALID_MS,
             nodes,
             configuration_version,
             tenants: Vec::new(),
@@ -138,127 +147,144 @@
         }
     }
 
-    /// The parts of all nodes that reported lately; while the leader is new, questions to them.
+    /// Grants for all nodes that reported recently, and history requests to those that have not reported
+    /// their history to this leader.
     pub fn allocate(
         &mut self,
         now: Micros,
         quotas: &[TenantQuota],
         configuration_version: u64,
     ) -> Vec<(String, GrantUpdate)> {
-        self.nodes.retain(|_, node| node.reported_at + COUNTED_FOR > now);
-        let limited: Vec<_> = quotas.iter().filter(|quota| quota.rate_per_s > 0.0).collect();
-        let heard = self.nodes.len();
-        if let Some(inheritance) = self.takeover.as_mut().and_then(|new| new.settle(now, heard)) {
-            self.take_over(now, &limited, inheritance);
+        self.nodes.retain(|_, node| node.reported_at + NODE_RETENTION_US > now);
+        let limited_quotas: Vec<_> = quotas.iter().filter(|quota| quota.rate_per_s > 0.0).collect();
+        let reporting_count = self.nodes.len();
+        if let Some(inherited_state) =
+            self.takeover.as_mut().and_then(|takeover| takeover.finish(now, reporting_count))
+        {
+            self.take_over(now, &limited_quotas, inherited_state);
         }
-        self.complete(now, &limited);
+        self.complete_takeover(now, &limited_quotas);
         self.round += 1;
-        let blank = self.blank(self.node_count(now), configuration_version);
-        let grants = if self.takeover.is_none() { self.grant_all(now, &limited, &blank) } else { Vec::new() };
-        let unsettled = self.nodes.iter().filter(|(_, node)| !node.is_settled && !node.is_silent(now));
-        let questions = unsettled.map(|(name, node)| {
+        let empty_update = self.empty_update(self.node_count(now), configuration_version);
+        let grants = if self.takeover.is_none() {
+            self.grant_all(now, &limited_quotas, &empty_update)
+        } else {
+            Vec::new()
+        };
+        let unsynced = self.nodes.iter().filter(|(_, node)| !node.is_synced && !node.is_silent(now));
+        let history_requests = unsynced.map(|(name, node)| {
             let asked_age_ms = node.age_ms;
-            (name.clone(), GrantUpdate { asks_history: true, asked_age_ms, ..blank.clone() })
+            (name.clone(), GrantUpdate { asks_history: true, asked_age_ms, ..empty_update.clone() })
         });
-        grants.into_iter().chain(questions).collect()
+        grants.into_iter().chain(history_requests).collect()
     }
 
-    /// Nodes that may let requests pass.
+    /// Number of nodes that may admit requests.
     fn node_count(&self, now: Micros) -> u32 {
-        let told = if now < self.began_at + COUNTED_FOR { self.nodes_told } else { 0 };
-        told.max(self.nodes.len() as u32)
+        let inherited = if now < self.started_at + NODE_RETENTION_US { self.inherited_node_count } else { 0 };
+        inherited.max(self.nodes.len() as u32)
     }
 
-    /// Begins with what was inherited. All that may have been spent out of sight counts as spent.
-    fn take_over(&mut self, now: Micros, limited: &[&TenantQuota], mut inheritance: Inheritance) {
+    /// Starts with the inherited state. Everything that may have been spent unseen counts as spent.
+    fn take_over(
+        &mut self,
+        now: Micros,
+        limited_quotas: &[&TenantQuota],
+        mut inherited_state: InheritedState,
+    ) {
         self.takeover = None;
-        self.settled_at = now;
-        self.nodes_told = inheritance.nodes_told;
-        self.inherited_all = inheritance.is_complete;
-        for (name, demand) in std::mem::take(&mut inheritance.answers) {
+        self.takeover_completed_at = now;
+        self.inherited_node_count = inherited_state.known_node_count;
+        self.inherited_complete = inherited_state.is_complete;
+        for (name, report) in std::mem::take(&mut inherited_state.reports) {
             let Some(node) = self.nodes.get_mut(&name) else { continue };
-            node.is_settled = true;
-            for told in demand.tenants.iter().filter(|told| is_sane(told)) {
-                node.take(told, 0, false);
+            node.is_synced = true;
+            for demand in report.tenants.iter().filter(|demand| is_valid(demand)) {
+                node.observe_tenant(demand, 0, false);
             }
         }
-        let nothing = Inherited::default();
-        for quota in limited {
-            let inherited = inheritance.tenants.get(&quota.name).unwrap_or(&nothing);
-            let level = inherited.level(quota, &self.bounds, inheritance.known_for);
-            // What was lent out of a bucket was in it.
-            let level = if self.inherited_all { level } else { level.min(inherited.lent) };
-            let unheard_per_s = (quota.rate_per_s - inherited.granted_rate).max(0.0);
-            self.buckets.insert(quota.name.clone(), Bucket::taken_over(level, unheard_per_s, now));
+        let no_usage = InheritedUsage::default();
+        for quota in limited_quotas {
+            let usage = inherited_state.tenants.get(&quota.name).unwrap_or(&no_usage);
+            let level = usage.level(quota, &self.bounds, inherited_state.history_span);
+            // Units that were lent from a bucket were in it.
+            let level = if self.inherited_complete { level } else { level.min(usage.credit) };
+            let missing_rate_per_s = (quota.rate_per_s - usage.granted_rate).max(0.0);
+            self.buckets.insert(quota.name.clone(), Bucket::from_takeover(level, missing_rate_per_s, now));
         }
-        self.incomplete = Some(inheritance).filter(|inheritance| !inheritance.is_complete);
+        self.incomplete_takeover =
+            Some(inherited_state).filter(|inherited_state| !inherited_state.is_complete);
     }
 
-    /// Once all missing nodes have told, what counted as spent out of sight is known.
-    fn complete(&mut self, now: Micros, limited: &[&TenantQuota]) {
-        let Some(inheritance) = &mut self.incomplete else { return };
-        let is_over = now >= self.settled_at + (self.bounds.window_s * SECOND) as Micros;
-        let settled = self.nodes.values().filter(|node| node.is_settled).count();
-        let is_complete = settled == self.nodes.len() && settled >= inheritance.nodes_told as usize;
+    /// Corrects the bucket levels once all missing nodes have reported, as their real usage is then known.
+    fn complete_takeover(&mut self, now: Micros, limited_quotas: &[&TenantQuota]) {
+        let Some(inherited_state) = &mut self.incomplete_takeover else { return };
+        let window_elapsed = now >= self.takeover_completed_at + (self.bounds.window_s * SECOND) as Micros;
+        let synced_count = self.nodes.values().filter(|node| node.is_synced).count();
+        let is_complete =
+            synced_count == self.nodes.len() && synced_count >= inherited_state.known_node_count as usize;
         if is_complete {
             let youngest_ms = self.nodes.values().map(|node| node.age_ms).min().unwrap_or(0);
-            let known_for = youngest_ms.saturating_mul(MILLISECOND);
-            for quota in limited {
+            let history_span = youngest_ms.saturating_mul(MILLISECOND);
+            for quota in limited_quotas {
                 let Some(bucket) = self.buckets.get_mut(&quota.name) else { continue };
-                let accounts = || self.nodes.values().filter_map(|node| node.accounts.get(&quota.name));
-                let passed_since = accounts().map(Account::passed_since_inherited).sum();
-                let held = accounts().map(Account::unused).sum();
-                let inherited = inheritance.tenants.entry(quota.name.clone()).or_default();
-                inherited.update(passed_since, held);
-                bucket.level = bucket.level.max(inherited.level(quota, &self.bounds, known_for));
+                let states = || self.nodes.values().filter_map(|node| node.tenants.get(&quota.name));
+                let admitted_since = states().map(NodeTenant::admitted_since_takeover).sum();
+                let unused = states().map(NodeTenant::unused_units).sum();
+                let usage = inherited_state.tenants.entry(quota.name.clone()).or_default();
+                usage.update(admitted_since, unused);
+                bucket.level = bucket.level.max(usage.level(quota, &self.bounds, history_span));
             }
-            self.inherited_all = true;
+            self.inherited_complete = true;
         }
-        if is_complete || is_over {
-            self.incomplete = None;
+        if is_complete || window_elapsed {
+            self.incomplete_takeover = None;
         }
     }
 
-    /// The grants of all settled nodes in touch.
+    /// The grants for all reachable nodes whose history is known.
     fn grant_all(
         &mut self,
         now: Micros,
-        limited: &[&TenantQuota],
-        blank: &GrantUpdate,
+        limited_quotas: &[&TenantQuota],
+        empty_update: &GrantUpdate,
     ) -> Vec<(String, GrantUpdate)> {
         let mut tenants: BTreeMap<String, Vec<TenantGrant>> = BTreeMap::new();
-        let mut held = Vec::new();
+        let mut over_quota = Vec::new();
         let any_silent = self.nodes.values().any(|node| node.is_silent(now));
         let known = self.known_tenants();
-        for quota in limited {
-            self.fill(now, quota, any_silent);
+        for quota in limited_quotas {
+            self.fill_bucket(now, quota, any_silent);
             if !known.contains(&quota.name) {
                 continue;
             }
-            let (pass_share, grants) = self.issue(now, quota);
+            let (pass_share, grants) = self.issue_grants(now, quota);
             if pass_share < 1.0 {
-                held.push(HeldTenant { tenant: quota.name.clone(), pass_share });
+                over_quota.push(HeldTenant { tenant: quota.name.clone(), pass_share });
             }
             for (node, grant) in grants {
                 tenants.entry(node).or_default().push(grant);
             }
         }
-        let names: BTreeSet<&str> = limited.iter().map(|quota| quota.name.as_str()).collect();
+        let names: BTreeSet<&str> = limited_quotas.iter().map(|quota| quota.name.as_str()).collect();
         self.buckets.retain(|name, _| names.contains(name.as_str()));
-        let in_touch = self.nodes.iter().filter(|(_, node)| node.is_settled && !node.is_silent(now));
-        in_touch
+        let reachable = self.nodes.iter().filter(|(_, node)| node.is_synced && !node.is_silent(now));
+        reachable
             .map(|(name, node)| {
                 let tenants = tenants.remove(name).unwrap_or_default();
                 let asked_age_ms = node.age_ms;
-                (name.clone(), GrantUpdate { tenants, held: held.clone(), asked_age_ms, ..blank.clone() })
+                (
+                    name.clone(),
+                    GrantUpdate { tenants, held: over_quota.clone(), asked_age_ms, ..empty_update.clone() },
+                )
             })
             .collect()
     }
 
-    /// Tenants that a node has told of.
+    /// Tenants that any node has reported.
     fn known_tenants(&self) -> BTreeSet<String> {
         let mut known = BTreeSet::new();
-        for name in self.nodes.values().flat_map(|node| node.accounts.keys()) {
+        for name in self.nodes.values().flat_map(|node| node.tenants.keys()) {
             if !known.contains(name) {
                 known.insert(name.clone());
             }
@@ -266,98 +292,100 @@
         known
     }
 
-    /// Fills a tenant's bucket with what its rate leaves beside what silent and unheard nodes may use.
-    fn fill(&mut self, now: Micros, quota: &TenantQuota, any_silent: bool) {
+    /// Fills a tenant's bucket with what its rate leaves after the allowance of silent and missing nodes.
+    fn fill_bucket(&mut self, now: Micros, quota: &TenantQuota, any_silent: bool) {
         let depth = self.bounds.depth(quota);
         let count = self.node_count(now);
-        let floor = FLOOR_PART * quota.rate_per_s / f64::from(count.max(1));
-        let bucket = self.buckets.entry(quota.name.clone()).or_insert_with(|| Bucket::begin(depth, now));
-        let unheard = count.saturating_sub(self.nodes.len() as u32);
-        let mut set_aside = f64::from(unheard) * floor;
-        if unheard > 0 && now < self.settled_at + KEPT_FOR + LAPSE {
-            set_aside = set_aside.max(bucket.unheard_per_s);
+        let floor_per_s = FLOOR_SHARE * quota.rate_per_s / f64::from(count.max(1));
+        let bucket =
+            self.buckets.entry(quota.name.clone()).or_insert_with(|| Bucket::for_new_limit(depth, now));
+        let missing_nodes = count.saturating_sub(self.nodes.len() as u32);
+        let mut reserved_per_s = f64::from(missing_nodes) * floor_per_s;
+        if missing_nodes > 0 && now < self.takeover_completed_at + MAX_GRANT_LIFETIME_US + RATE_LAPSE_US {
+            reserved_per_s = reserved_per_s.max(bucket.missing_rate_per_s);
         }
         let filled_at = bucket.filled_at();
-        let mut late = 0.0;
-        // Almost always none is silent: then no node is looked at for each tenant.
-        let looked_at = if any_silent { self.nodes.len() } else { 0 };
-        for node in self.nodes.values_mut().take(looked_at).filter(|node| node.is_silent(now)) {
-            let rate = node.may_use(now, quota, floor);
-            set_aside += rate;
-            late += node.set_aside(now, filled_at, quota, rate);
+        let mut late_reserve = 0.0;
+        // There are rarely silent nodes; without any, the nodes need not be checked for each tenant.
+        let checked_count = if any_silent { self.nodes.len() } else { 0 };
+        for node in self.nodes.values_mut().take(checked_count).filter(|node| node.is_silent(now)) {
+            let rate_per_s = node.max_rate_per_s(now, quota, floor_per_s);
+            reserved_per_s += rate_per_s;
+            late_reserve += node.reserve(now, filled_at, quota, rate_per_s);
         }
-        bucket.fill(now, quota.rate_per_s, depth, set_aside);
-        bucket.level -= late;
+        bucket.fill(now, quota.rate_per_s, depth, reserved_per_s);
+        bucket.level -= late_reserve;
     }
 
-    /// Raises the ceilings of the nodes in touch that told of the tenant by what the bucket holds, in proportion to what
-    /// each lacks; and gives the part of the requests beyond ceilings that may pass.
-    fn issue(&mut self, now: Micros, quota: &TenantQuota) -> (f64, Vec<(String, TenantGrant)>) {
+    /// Distributes the bucket's level: raises the ceilings of the reachable nodes that reported the tenant,
+    /// in proportion to their shortfalls. Returns the share of requests beyond ceilings that may be admitted,
+    /// and the grants by node.
+    fn issue_grants(&mut self, now: Micros, quota: &TenantQuota) -> (f64, Vec<(String, TenantGrant)>) {
         let depth = self.bounds.depth(quota);
         let nodes = self.nodes.len() as f64;
         let Some(bucket) = self.buckets.get_mut(&quota.name) else { return (1.0, Vec::new()) };
-        let mut accounts = Vec::new();
+        let mut active = Vec::new();
         let mut others = Vec::new();
         for (name, node) in &mut self.nodes {
-            let is_in_touch = node.is_settled && !node.is_silent(now);
-            let Some(account) = node.accounts.get_mut(&quota.name) else { continue };
-            let wants = is_in_touch && account.is_told;
-            if wants { accounts.push((name, account)) } else { others.push((name, account)) }
+            let is_reachable = node.is_synced && !node.is_silent(now);
+            let Some(state) = node.tenants.get_mut(&quota.name) else { continue };
+            let is_active = is_reachable && state.is_reported;
+            if is_active { active.push((name, state)) } else { others.push((name, state)) }
         }
-        // What was issued and not used is part of what may pass beyond the rate.
-        let everyone = || accounts.iter().chain(&others);
-        let unused: f64 = everyone().map(|(_, account)| account.unused()).sum();
-        let mut lent: f64 = everyone().map(|(_, account)| account.lent()).sum();
-        // Any node may be the next to get a request, also one that told of none.
-        let largest = accounts.iter().map(|(_, account)| account.request_units).fold(0.0, f64::max);
-        let is_crowded = depth * OVERDRAFT_PART < largest * nodes;
-        let most = if is_crowded { depth - self.bounds.margin(quota) } else { depth };
-        bucket.level = bucket.level.min(most - unused);
-        let demand: f64 = accounts.iter().map(|(_, account)| account.rate_per_s).sum();
-        let spare = bucket.level * if is_crowded { OVERDRAFT_PART } else { LENT_PART };
-        let count = accounts.len().max(1) as f64;
-        let spare_each = spare / count;
-        let is_plenty = spare_each >= largest;
-        // All nodes together may exceed what was issued by no more than the bounds allow.
-        let chance = bucket.level + self.bounds.margin(quota);
-        let supply = Supply { spare_each, is_plenty, is_crowded };
-        let pass_share = if is_plenty { 1.0 } else { pass_share(quota.rate_per_s, spare, demand) };
+        // Issued and unused units are part of what may be admitted beyond the rate.
+        let all_states = || active.iter().chain(&others);
+        let unused: f64 = all_states().map(|(_, state)| state.unused_units()).sum();
+        let mut credit: f64 = all_states().map(|(_, state)| state.credit()).sum();
+        // Any node may get the next request, even one that reported no demand.
+        let largest_request = active.iter().map(|(_, state)| state.request_units).fold(0.0, f64::max);
+        let is_oversubscribed = depth * OVERDRAFT_SHARE < largest_request * nodes;
+        let max_level = if is_oversubscribed { depth - self.bounds.margin(quota) } else { depth };
+        bucket.level = bucket.level.min(max_level - unused);
+        let demand: f64 = active.iter().map(|(_, state)| state.rate_per_s).sum();
+        let spare = bucket.level * if is_oversubscribed { OVERDRAFT_SHARE } else { CREDIT_SHARE };
+        let count = active.len().max(1) as f64;
+        let spare_per_node = spare / count;
+        let covers_each_node = spare_per_node >= largest_request;
+        // All nodes together may exceed their issued units by no more than the limits allow.
+        let max_overdraft = bucket.level + self.bounds.margin(quota);
+        let supply = BucketSupply { spare_per_node, covers_each_node, is_oversubscribed };
+        let pass_share = if covers_each_node { 1.0 } else { pass_share(quota.rate_per_s, spare, demand) };
 
-        let lacking: f64 = accounts.iter().map(|(_, account)| account.lacks(&supply)).sum();
-        let mut budget = (bucket.level - lent).max(0.0);
-        let part = if lacking > 0.0 { (budget / lacking).min(1.0) } else { 0.0 };
-        let rate_each = (quota.rate_per_s - bucket.set_aside_per_s).max(0.0) / demand.max(1.0);
-        // Where there is less than a request for each, some get a whole one, by turns.
-        let turn = self.round as usize % accounts.len().max(1);
-        accounts.rotate_left(turn);
-        let grants = accounts.iter_mut().map(|(name, account)| {
-            let lacks = account.lacks(&supply);
-            let issued = lacks.min((lacks * part).max(account.request_units)).min(budget);
+        let total_shortfall: f64 = active.iter().map(|(_, state)| state.shortfall(&supply)).sum();
+        let mut budget = (bucket.level - credit).max(0.0);
+        let share = if total_shortfall > 0.0 { (budget / total_shortfall).min(1.0) } else { 0.0 };
+        let rate_per_demand = (quota.rate_per_s - bucket.reserved_per_s).max(0.0) / demand.max(1.0);
+        // If the bucket has less than one request per node, some nodes get a whole request, in rotation.
+        let offset = self.round as usize % active.len().max(1);
+        active.rotate_left(offset);
+        let grants = active.iter_mut().map(|(name, state)| {
+            let shortfall = state.shortfall(&supply);
+            let issued = shortfall.min((shortfall * share).max(state.request_units)).min(budget);
             budget -= issued;
             bucket.level -= issued;
-            let ceiling = account.issue(&supply, issued);
-            // What is lent to the others as far as is known stays theirs.
-            lent -= account.lent();
-            let wanted = if is_plenty || is_crowded { spare_each } else { 0.0 };
-            let lend = wanted.min(bucket.level - lent).max(0.0);
-            let rate_per_s = rate_each * account.rate_per_s;
-            account.grant(Granted { round: self.round, ceiling, lent: lend, rate_per_s });
-            lent += account.lent();
-            let by_chance = account.chance_overdraft(pass_share, largest);
-            let by_chance = match (is_crowded, pass_share >= 1.0) {
-                (true, _) => by_chance,
-                (false, true) => by_chance.min(chance / nodes),
+            let ceiling = state.issue(&supply, issued);
+            // The credit that other nodes may still have is not available to this one.
+            credit -= state.credit();
+            let credit_target = if covers_each_node || is_oversubscribed { spare_per_node } else { 0.0 };
+            let new_credit = credit_target.min(bucket.level - credit).max(0.0);
+            let rate_per_s = rate_per_demand * state.rate_per_s;
+            state.record_grant(IssuedGrant { round: self.round, ceiling, credit: new_credit, rate_per_s });
+            credit += state.credit();
+            let overdraft = state.probabilistic_overdraft(pass_share, largest_request);
+            let overdraft = match (is_oversubscribed, pass_share >= 1.0) {
+                (true, _) => overdraft,
+                (false, true) => overdraft.min(max_overdraft / nodes),
                 (false, false) => 0.0,
             };
             let grant = TenantGrant {
                 tenant: quota.name.clone(),
                 ceiling,
-                overdraft: lend.max(by_chance),
+                overdraft: new_credit.max(overdraft),
                 rate_per_s,
-                incarnation: account.incarnation,
+                incarnation: state.incarnation,
                 pass_share,
-                spare: lend,
-                counted: account.passed,
+                spare: new_credit,
+                counted: state.admitted,
             };
             (name.clone(), grant)
         });
@@ -367,48 +395,54 @@
 
 impl Node {
     fn is_silent(&self, now: Micros) -> bool {
-        self.reported_at + SILENT_AFTER <= now
+        self.reported_at + SILENCE_TIMEOUT_US <= now
     }
 
-    /// Takes in what it tells of one tenant; what it used or holds beyond what was issued to it is returned. Not charged
-    /// is what counts as issued before.
-    fn take(&mut self, told: &TenantDemand, round: u64, is_charged: bool) -> f64 {
+    /// Records a node's report of one tenant. Returns the units used or usable beyond what was issued. If
+    /// `charges_holdings` is false, an unknown incarnation's units count as issued before.
+    fn observe_tenant(&mut self, demand: &TenantDemand, round: u64, charges_holdings: bool) -> f64 {
         let known =
-            self.accounts.get(&told.tenant).is_some_and(|known| known.incarnation == told.incarnation);
-        if !known && !is_charged {
-            self.accounts.insert(told.tenant.clone(), Account::taken_over(told));
+            self.tenants.get(&demand.tenant).is_some_and(|known| known.incarnation == demand.incarnation);
+        if !known && !charges_holdings {
+            self.tenants.insert(demand.tenant.clone(), NodeTenant::from_takeover(demand));
             return 0.0;
         }
-        self.accounts.entry(told.tenant.clone()).or_default().take(told, round)
+        self.tenants.entry(demand.tenant.clone()).or_default().observe_report(demand, round)
     }
 
-    /// Units a second that a silent node may be using: what it was granted last until that lapses, then its floor.
-    fn may_use(&self, now: Micros, quota: &TenantQuota, floor: f64) -> f64 {
-        let granted = self.accounts.get(&quota.name).map_or(0.0, Account::granted_rate);
-        if self.reported_at + KEPT_FOR + LAPSE > now { granted.max(floor) } else { floor }
+    /// Units per second that a silent node may be using: the last granted rate until it lapses, then the
+    /// floor.
+    fn max_rate_per_s(&self, now: Micros, quota: &TenantQuota, floor_per_s: f64) -> f64 {
+        let granted = self.tenants.get(&quota.name).map_or(0.0, NodeTenant::granted_rate);
+        if self.reported_at + MAX_GRANT_LIFETIME_US + RATE_LAPSE_US > now {
+            granted.max(floor_per_s)
+        } else {
+            floor_per_s
+        }
     }
 
-    /// Notes what is set aside for it since the bucket was filled. What it may have used between its last report and
-    /// then is returned: that was filled for others.
-    fn set_aside(&mut self, now: Micros, filled_at: Micros, quota: &TenantQuota, rate: f64) -> f64 {
+    /// Reserves units for a silent node since the bucket was last filled. Returns what the node may have used
+    /// between its last report and that filling, when the units were available to others, and its credit.
+    fn reserve(&mut self, now: Micros, filled_at: Micros, quota: &TenantQuota, rate_per_s: f64) -> f64 {
         let span_s = |from: Micros, until: Micros| until.saturating_sub(from) as f64 / SECOND;
-        let Some(account) = self.accounts.get_mut(&quota.name) else { return 0.0 };
-        let late = if account.set_aside == 0.0 { rate * span_s(self.reported_at, filled_at) } else { 0.0 };
-        account.set_aside += late + rate * span_s(filled_at.max(self.reported_at), now);
-        late + account.give_up_lent()
+        let Some(state) = self.tenants.get_mut(&quota.name) else { return 0.0 };
+        let late_reserve =
+            if state.reserved == 0.0 { rate_per_s * span_s(self.reported_at, filled_at) } else { 0.0 };
+        state.reserved += late_reserve + rate_per_s * span_s(filled_at.max(self.reported_at), now);
+        late_reserve + state.write_off_credit()
     }
 }
 
-/// Part of a demand that may pass so that the bucket's level is spent within [`LEVEL_TIME_S`], or its debt paid back
-/// within [`DEBT_TIME_S`].
+/// Share of the demand that may be admitted so that the bucket's level is spent within [`SPARE_SPENDING_S`],
+/// or its debt repaid within [`DEBT_REPAYMENT_S`].
 fn pass_share(rate_per_s: f64, spare: f64, demand: f64) -> f64 {
-    let time_s = if spare > 0.0 { LEVEL_TIME_S } else { DEBT_TIME_S };
+    let time_s = if spare > 0.0 { SPARE_SPENDING_S } else { DEBT_REPAYMENT_S };
     ((rate_per_s + spare / time_s) / demand.max(1.0)).clamp(0.0, 1.0)
 }
 
-/// Whether the figures told can be added up.
-pub(crate) fn is_sane(told: &TenantDemand) -> bool {
-    let amounts = [told.passed, told.request_units, told.counted, told.held, told.lent];
-    let figures = amounts.into_iter().chain([told.rate_per_s, told.granted_rate]);
-    figures.chain(told.history.iter().copied()).all(|figure| figure.is_finite() && figure >= 0.0)
+/// Whether the reported figures are finite and not negative, so that they can be added up.
+pub(crate) fn is_valid(demand: &TenantDemand) -> bool {
+    let amounts = [demand.passed, demand.request_units, demand.counted, demand.held, demand.lent];
+    let values = amounts.into_iter().chain([demand.rate_per_s, demand.granted_rate]);
+    values.chain(demand.history.iter().copied()).all(|value| value.is_finite() && value >= 0.0)
 }
--- a/crates/grants/src/gate.rs
+++ b/crates/grants/src/gate.rs
@@ -1,499 +1,522 @@
-//! Lets requests pass within a node's part of each tenant's quota.
+//! Admits requests within a node's share of each tenant's quota.
 
 use std::collections::HashMap;
 
 use dunelink_protocol::{GrantUpdate, NodeDemand, TenantDemand, TenantGrant};
 
-use crate::account::SPARSE_REQUESTS;
-use crate::bounds::{FLOOR_PART, LAPSE};
-use crate::history::{self, History};
+use crate::bounds::{FLOOR_SHARE, RATE_LAPSE_US};
+use crate::history::{self, AdmissionHistory};
+use crate::node_tenant::SPARSE_OVERDRAFT_REQUESTS;
 use crate::{MILLISECOND, Micros, QuotaBounds, SECOND, TenantQuota};
 
-/// Nodes assumed before the first grant tells their number.
-const NODES_ASSUMED: u32 = 64;
-/// Part of a node's part of the depth that it may save up out of its floor. Small: what it used before it restarted is
-/// forgotten.
-const FLOOR_DEPTH_PART: f64 = 0.25;
-/// Time constant of the demand's average.
-const DEMAND_TIME: Micros = 700 * MILLISECOND;
-/// Demand below this many units a second is left out of reports.
-const LEAST_DEMAND: f64 = 0.01;
-/// With so many tenants at most all are told of, also those without demand.
-const TENANTS_ALL_TOLD: usize = 64;
-/// Requests that a node may save up out of its floor.
-const SAVED_REQUESTS: f64 = 2.0;
-/// How far one request moves the average of their sizes.
-const SIZE_STEP: f64 = 0.02;
-/// Bounds of the time told to a client that is over its quota.
-const RETRY_AFTER_LEAST: Micros = 100 * MILLISECOND;
-const RETRY_AFTER_MOST: Micros = 5_000 * MILLISECOND;
-/// The most while it is this node that lacks a grant rather than the tenant that is over its quota: the leader, or a new
-/// one, issues about so long after it heard.
-const RETRY_AFTER_UNGRANTED: Micros = 500 * MILLISECOND;
-
-/// A request is over its tenant's quota; it may come back after this many microseconds.
+/// Number of nodes assumed before the first grant.
+const INITIAL_NODE_COUNT: u32 = 64;
+/// Share of a node's part of the bucket depth that it may accumulate from its floor. Small, because a
+/// restarted node does not know what it used before.
+const FLOOR_DEPTH_SHARE: f64 = 0.25;
+/// Time constant of the moving average of the demand, in microseconds.
+const DEMAND_TIME_CONSTANT_US: Micros = 700 * MILLISECOND;
+/// A demand of fewer units per second is left out of reports.
+const MIN_REPORTED_DEMAND_PER_S: f64 = 0.01;
+/// Up to this number of tenants, all are reported, including those without demand.
+const MAX_TENANTS_ALL_REPORTED: usize = 64;
+/// Number of requests that a node may accumulate from its floor.
+const MAX_SAVED_REQUESTS: f64 = 2.0;
+/// Weight of one request in the moving average of the request size.
+const REQUEST_SIZE_STEP: f64 = 0.02;
+/// Minimum and maximum retry time for a client whose tenant is over its quota, in microseconds.
+const MIN_RETRY_AFTER_US: Micros = 100 * MILLISECOND;
+const MAX_RETRY_AFTER_US: Micros = 5_000 * MILLISECOND;
+/// Maximum retry time while this node lacks a grant but the tenant is not over its quota, in microseconds.
+/// The leader, or a new one, issues units within about this time after it receives a report.
+const MAX_UNGRANTED_RETRY_AFTER_US: Micros = 500 * MILLISECOND;
+
+/// A request exceeds its tenant's quota. The client may retry after this many microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryAfter(pub Micros);
 
-/// What came of an update.
+/// The effect of a grant update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// Nothing: it is of a leader that is none any more, or a question that was answered.
+    /// None: the update is from an earlier leader, or a history request that was already answered.
     Ignored,
-    /// A new leader asks what passed: the next report answers.
+    /// A new leader requests the history, which the next report will contain.
     HistoryRequested,
     /// The grants are in force.
     Applied,
 }
 
-/// Grants that claim to hold for longer than this, in milliseconds, hold for this long.
-const VALID_MOST_MS: u64 = 60_000;
-/// Ages told in grants beyond this are cut, in milliseconds: they are no process's.
-const MAX_AGE_MS: u64 = 1 << 42;
-/// Without a new grant for so long the leader may be gone: no more passes beyond a ceiling than all nodes may use
-/// without a word between them, and the node goes on at the rate that it was granted last.
-const FRESH_FOR: Micros = 400 * MILLISECOND;
-/// Steps of the sequence that decides which requests beyond a ceiling pass: the fraction of the golden ratio, whose
-/// multiples lie evenly between 0 and 1.
-const GOLDEN_STEP: f64 = 0.618_033_988_749_895;
-
-/// What the allocator granted.
+/// Upper bound of a grant's validity, in milliseconds.
+const MAX_GRANT_VALID_MS: u64 = 60_000;
+/// Upper bound of the process age in a grant update, in milliseconds. No process is older.
+const MAX_PROCESS_AGE_MS: u64 = 1 << 42;
+/// A grant older than this is no longer fresh, in microseconds: the leader may have failed. The node then
+/// admits beyond its ceiling only what all nodes may use without coordination, and continues at the last
+/// granted rate.
+const GRANT_FRESH_US: Micros = 400 * MILLISECOND;
+/// Step of the sequence that selects which requests beyond a ceiling are admitted: the fractional part of the
+/// golden ratio, whose multiples modulo 1 are evenly distributed.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
+
+/// What the allocator granted for one tenant.
 #[derive(Debug, Default, Clone, Copy)]
 struct Grant {
     fresh_until: Micros,
-    until: Micros,
+    valid_until: Micros,
     ceiling: f64,
     overdraft: f64,
     overdraft_requests: f64,
-    spare: f64,
+    credit: f64,
     rate_per_s: f64,
     pass_share: f64,
-    /// Whether the tenant asks all nodes together for more than it may.
-    is_over: bool,
+    /// Whether the tenant's demand over all nodes exceeds its quota.
+    is_over_quota: bool,
 }
 
 impl Grant {
-    /// What is granted of a tenant that this node has told of.
-    fn told(now: Micros, until: Micros, told: &TenantGrant) -> Self {
+    /// The grant for a tenant that this node has reported.
+    fn from_update(now: Micros, valid_until: Micros, grant: &TenantGrant) -> Self {
         Self {
-            fresh_until: until.min(now + FRESH_FOR),
-            until,
-            ceiling: told.ceiling,
-            overdraft: told.overdraft,
+            fresh_until: valid_until.min(now + GRANT_FRESH_US),
+            valid_until,
+            ceiling: grant.ceiling,
+            overdraft: grant.overdraft,
             overdraft_requests: 0.0,
-            spare: told.spare,
-            rate_per_s: told.rate_per_s,
-            pass_share: told.pass_share,
-            is_over: told.pass_share < 1.0,
+            credit: grant.spare,
+            rate_per_s: grant.rate_per_s,
+            pass_share: grant.pass_share,
+            is_over_quota: grant.pass_share < 1.0,
         }
     }
 
-    /// What is granted of a tenant that this node need not tell of: its next requests pass, as many as chance may bring
-    /// until it has told of them.
-    fn untold(&self, now: Micros, until: Micros, pass_share: f64) -> Self {
+    /// The grant for a tenant that this node need not report: its next requests are admitted, as many as may
+    /// arrive at random before the node reports them.
+    fn for_unreported(&self, now: Micros, valid_until: Micros, pass_share: f64) -> Self {
         Self {
-            fresh_until: until.min(now + FRESH_FOR),
-            until,
+            fresh_until: valid_until.min(now + GRANT_FRESH_US),
+            valid_until,
             ceiling: self.ceiling,
             overdraft: 0.0,
-            overdraft_requests: SPARSE_REQUESTS,
-            spare: 0.0,
+            overdraft_requests: SPARSE_OVERDRAFT_REQUESTS,
+            credit: 0.0,
             rate_per_s: 0.0,
             pass_share,
-            is_over: pass_share < 1.0,
+            is_over_quota: pass_share < 1.0,
         }
     }
 
-    /// Units by which the ceiling may be exceeded, with requests of that size.
+    /// Units by which the ceiling may be exceeded, for requests of this size.
     fn overdraft(&self, request_units: f64) -> f64 {
         self.overdraft + self.overdraft_requests * request_units
     }
 
-    /// What is left of a grant once a new leader has asked what passed: `ceiling`, and what the leader before it has lent
-    /// out of its bucket, as the new one is told. Where that is less than a request, chance decides as before.
-    fn asked(now: Micros, ceiling: f64, spare: f64, request_units: f64, before: &Self) -> Self {
-        let is_by_chance = before.is_by_chance(request_units);
+    /// The grant that remains in force after a new leader requested the history: `ceiling`, and the unused
+    /// credit that the earlier leader granted and that is reported to the new one. If the credit is less than
+    /// a request, requests are admitted by probability as before.
+    fn after_history_request(
+        now: Micros,
+        ceiling: f64,
+        credit: f64,
+        request_units: f64,
+        previous: &Self,
+    ) -> Self {
+        let is_probabilistic = previous.is_probabilistic(request_units);
         Self {
-            fresh_until: now + FRESH_FOR,
-            until: before.until,
+            fresh_until: now + GRANT_FRESH_US,
+            valid_until: previous.valid_until,
             ceiling,
-            overdraft: if is_by_chance { spare.max(request_units) } else { spare },
+            overdraft: if is_probabilistic { credit.max(request_units) } else { credit },
             overdraft_requests: 0.0,
-            spare,
-            rate_per_s: before.rate_per_s,
-            pass_share: if is_by_chance { spare / request_units.max(1.0) } else { 0.0 },
-            is_over: before.is_over,
+            credit,
+            rate_per_s: previous.rate_per_s,
+            pass_share: if is_probabilistic { credit / request_units.max(1.0) } else { 0.0 },
+            is_over_quota: previous.is_over_quota,
         }
     }
 
-    /// Whether less is kept for this node than a request, so that chance decides what passes beyond the ceiling.
-    fn is_by_chance(&self, request_units: f64) -> bool {
-        self.overdraft > self.spare && self.spare < request_units
+    /// Whether the credit is less than a request, so that requests beyond the ceiling are admitted by
+    /// probability.
+    fn is_probabilistic(&self, request_units: f64) -> bool {
+        self.overdraft > self.credit && self.credit < request_units
     }
 
-    /// Until then its rate holds without a renewal.
-    fn lapses_at(&self) -> Micros {
-        if self.until == 0 { 0 } else { self.until + LAPSE }
+    /// The time until which the granted rate applies without renewal.
+    fn rate_lapses_at(&self) -> Micros {
+        if self.valid_until == 0 { 0 } else { self.valid_until + RATE_LAPSE_US }
     }
 }
 
-/// One tenant's part at this node.
+/// State of one tenant at this node.
 #[derive(Debug)]
-struct Account {
+struct TenantState {
     quota: TenantQuota,
     grant: Grant,
-    /// Units let pass since the start.
-    passed: f64,
-    /// Units that a leader has told to have taken in.
-    counted: f64,
-    /// What passed in the window.
-    history: History,
-    /// Units that may pass without a grant, out of the floor; below zero after a request larger than what was left.
+    /// Units admitted since the process started.
+    admitted: f64,
+    /// Admitted units that a leader has confirmed to have counted.
+    acknowledged: f64,
+    /// Units admitted in the last window.
+    history: AdmissionHistory,
+    /// Units that may be admitted without a grant, from the floor. Negative after a request larger than the
+    /// remainder.
     floor_level: f64,
     floor_filled_at: Micros,
-    /// Units of a request, an average.
-    request_units: f64,
+    /// Moving average of the request size, in units.
+    mean_request_units: f64,
     demand: Demand,
-    /// Between 0 and 1: the last of the sequence that decides which requests pass beyond the ceiling.
-    draw: f64,
+    /// The last value of the sequence that selects which requests beyond the ceiling are admitted; between 0
+    /// and 1.
+    admission_sequence: f64,
 }
 
-/// Units asked for, averaged over [`DEMAND_TIME`].
+/// Moving average of the demand, with the time constant [`DEMAND_TIME_CONSTANT_US`].
 #[derive(Debug, Default)]
 struct Demand {
     rate_per_s: f64,
-    counted_at: Micros,
+    updated_at: Micros,
 }
 
-/// Lets requests pass within this node's grants, and within its floors while it has none.
+/// Admits requests within this node's grants, and within its floors while it has none.
 #[derive(Debug)]
 pub struct QuotaGate {
     bounds: QuotaBounds,
     incarnation: u64,
-    /// The newest term whose leader was heard; grants of older ones are refused.
+    /// The highest term of a leader that sent an update. Updates of earlier terms are rejected.
     term: u64,
-    /// Number of the last grants taken.
+    /// Number of the last round of grants that was applied.
     round: u64,
-    /// Whether the leader of that term still asks what passed in the window.
-    is_asked: bool,
-    /// When the process began.
-    began_at: Micros,
+    /// Whether the leader of `term` still requests the history of the last window.
+    history_requested: bool,
+    /// When the process started.
+    started_at: Micros,
     nodes: u32,
-    /// Whether `nodes` was told by a leader.
-    knows_nodes: bool,
+    /// Whether a leader has sent the value of `nodes`.
+    has_node_count: bool,
     /// See [`Self::take_shortage`].
-    is_short: bool,
-    accounts: HashMap<String, Account>,
+    has_shortage: bool,
+    tenants: HashMap<String, TenantState>,
 }
 
 impl QuotaGate {
-    /// A gate without tenants: everything passes until [`Self::set_tenants`]. `incarnation` has to be another one at
-    /// each start of the program, which is at `now`: it tells grants for this start from others.
+    /// Creates a gate without tenants, which admits everything until [`Self::set_tenants`]. `incarnation`
+    /// must differ at each start of the process, which is at `now`: it distinguishes grants for this process
+    /// from those for an earlier one.
     pub fn new(bounds: QuotaBounds, incarnation: u64, now: Micros) -> Self {
         Self {
             bounds,
             incarnation,
             term: 0,
             round: 0,
-            is_asked: false,
-            began_at: now,
-            nodes: NODES_ASSUMED,
-            knows_nodes: false,
-            is_short: false,
-            accounts: HashMap::new(),
+            history_requested: false,
+            started_at: now,
+            nodes: INITIAL_NODE_COUNT,
+            has_node_count: false,
+            has_shortage: false,
+            tenants: HashMap::new(),
         }
     }
 
-    /// Takes over the tenants of a configuration. What passed is kept of those that stay.
+    /// Replaces the tenants by those of a configuration. Tenants that remain keep their state.
     pub fn set_tenants(&mut self, now: Micros, tenants: &[TenantQuota]) {
-        let mut before = std::mem::take(&mut self.accounts);
+        let mut previous = std::mem::take(&mut self.tenants);
         for quota in tenants.iter().filter(|quota| quota.rate_per_s > 0.0) {
-            let mut account = before
+            let mut state = previous
                 .remove(&quota.name)
-                .unwrap_or_else(|| Account::new(now, quota.clone(), self.incarnation));
-            account.fill_floor(now, &self.bounds, self.nodes);
-            account.quota = quota.clone();
-            self.accounts.insert(quota.name.clone(), account);
+                .unwrap_or_else(|| TenantState::new(now, quota.clone(), self.incarnation));
+            state.fill_floor(now, &self.bounds, self.nodes);
+            state.quota = quota.clone();
+            self.tenants.insert(quota.name.clone(), state);
         }
     }
 
-    /// Takes in grants, or a new leader's question.
+    /// Applies grants, or a new leader's request for the history.
     pub fn apply(&mut self, now: Micros, update: &GrantUpdate) -> ApplyOutcome {
         if update.term < self.term {
             return ApplyOutcome::Ignored;
         }
-        for account in self.accounts.values_mut() {
-            account.fill_floor(now, &self.bounds, self.nodes);
+        for state in self.tenants.values_mut() {
+            state.fill_floor(now, &self.bounds, self.nodes);
         }
-        let is_first_question = update.asks_history && update.term > self.term;
-        (self.term, self.round, self.is_asked) = (update.term, update.round, update.asks_history);
-        if is_first_question {
-            self.accounts.values_mut().for_each(|account| account.answer(now));
+        let is_first_request = update.asks_history && update.term > self.term;
+        (self.term, self.round, self.history_requested) = (update.term, update.round, update.asks_history);
+        if is_first_request {
+            self.tenants.values_mut().for_each(|state| state.freeze_for_history(now));
             return ApplyOutcome::HistoryRequested;
         }
         if update.asks_history {
             return ApplyOutcome::Ignored;
         }
         self.nodes = update.nodes.max(1);
-        self.knows_nodes = true;
-        let until = self.until(now, update);
-        let told = update.tenants.iter().filter(|told| told.incarnation == self.incarnation && is_sane(told));
-        let told: HashMap<&str, &TenantGrant> = told.map(|told| (told.tenant.as_str(), told)).collect();
-        let held = update.held.iter().map(|held| (held.tenant.as_str(), held.pass_share));
-        let held: HashMap<&str, f64> = held.collect();
-        for (name, account) in &mut self.accounts {
-            if let Some(told) = told.get(name.as_str()) {
-                // The floor was told as held: the ceiling takes its place.
-                account.floor_level = account.floor_level.min(0.0);
-                account.counted = told.counted;
-                account.grant = Grant::told(now, until, told);
+        self.has_node_count = true;
+        let valid_until = self.grant_expiry(now, update);
+        let granted =
+            update.tenants.iter().filter(|grant| grant.incarnation == self.incarnation && is_valid(grant));
+        let granted: HashMap<&str, &TenantGrant> =
+            granted.map(|grant| (grant.tenant.as_str(), grant)).collect();
+        let over_quota = update.held.iter().map(|limited| (limited.tenant.as_str(), limited.pass_share));
+        let over_quota: HashMap<&str, f64> = over_quota.collect();
+        for (name, state) in &mut self.tenants {
+            if let Some(grant) = granted.get(name.as_str()) {
+                // The floor's units were reported as usable, so the ceiling now includes them.
+                state.floor_level = state.floor_level.min(0.0);
+                state.acknowledged = grant.counted;
+                state.grant = Grant::from_update(now, valid_until, grant);
             } else {
-                let pass_share = held.get(name.as_str()).copied().unwrap_or(1.0);
-                account.grant = account.grant.untold(now, until, pass_share);
+                let pass_share = over_quota.get(name.as_str()).copied().unwrap_or(1.0);
+                state.grant = state.grant.for_unreported(now, valid_until, pass_share);
             }
         }
         ApplyOutcome::Applied
     }
 
-    /// Until when grants hold: the time counts from the report that they answer, so that none holds for longer because it
-    /// came late.
-    fn until(&self, now: Micros, update: &GrantUpdate) -> Micros {
-        let valid = update.valid_ms.min(VALID_MOST_MS) * MILLISECOND;
-        let asked_at = self.began_at + update.asked_age_ms.min(MAX_AGE_MS) * MILLISECOND;
-        asked_at.min(now) + valid
+    /// The time until which grants are valid. It is measured from the report that they answer, so that a late
+    /// grant is not valid for longer.
+    fn grant_expiry(&self, now: Micros, update: &GrantUpdate) -> Micros {
+        let valid_us = update.valid_ms.min(MAX_GRANT_VALID_MS) * MILLISECOND;
+        let reported_at = self.started_at + update.asked_age_ms.min(MAX_PROCESS_AGE_MS) * MILLISECOND;
+        reported_at.min(now) + valid_us
     }
 
-    /// Lets a request of `units` pass, or tells when it may come back.
+    /// Admits a request of `units`, or returns when the client may retry.
     ///
     /// # Errors
     ///
     /// The tenant is over its quota at this node.
     pub fn admit(&mut self, now: Micros, tenant: &str, units: f64) -> Result<(), RetryAfter> {
-        let Some(account) = self.accounts.get_mut(tenant) else { return Ok(()) };
-        account.demand.add(now, units);
-        account.observe_size(units);
-        account.fill_floor(now, &self.bounds, self.nodes);
-        let room = account.room(now);
-        if room >= account.needed() || account.may_exceed(now, room) {
-            account.pass(now, units);
-            self.is_short |= !account.has_another(now);
-            account.history.add(now, units, history::parts(&self.bounds));
+        let Some(state) = self.tenants.get_mut(tenant) else { return Ok(()) };
+        state.demand.add(now, units);
+        state.observe_size(units);
+        state.fill_floor(now, &self.bounds, self.nodes);
+        let room = state.room(now);
+        if room >= state.required_room() || state.may_exceed_ceiling(now, room) {
+            state.record_admission(now, units);
+            self.has_shortage |= !state.has_room_for_another(now);
+            state.history.add(now, units, history::interval_count(&self.bounds));
             return Ok(());
         }
-        self.is_short |= !account.is_over(now);
-        let rate = account.rate(now, self.nodes).max(1.0);
-        let wait = (account.needed() - room) / rate * SECOND;
-        Err(RetryAfter((wait as Micros).clamp(RETRY_AFTER_LEAST, account.retry_after_most(now))))
+        self.has_shortage |= !state.is_over_quota(now);
+        let rate = state.rate(now, self.nodes).max(1.0);
+        let wait = (state.required_room() - room) / rate * SECOND;
+        Err(RetryAfter((wait as Micros).clamp(MIN_RETRY_AFTER_US, state.max_retry_after(now))))
     }
 
-    /// Whether a tenant within its quota has less left here than a request needs, since this was asked last: the allocator
-    /// had better hear of it soon.
+    /// Whether, since the last call, a tenant within its quota had less left here than a request needs. The
+    /// allocator should then get a report soon.
     pub fn take_shortage(&mut self) -> bool {
-        std::mem::take(&mut self.is_short)
+        std::mem::take(&mut self.has_shortage)
     }
 
-    /// Gives back the units of a request that was let pass but never reached a server.
+    /// Returns the units of a request that was admitted but never reached a server.
     pub fn refund(&mut self, tenant: &str, units: f64) {
-        if let Some(account) = self.accounts.get_mut(tenant) {
-            account.passed = (account.passed - units).max(0.0);
+        if let Some(state) = self.tenants.get_mut(tenant) {
+            state.admitted = (state.admitted - units).max(0.0);
         }
     }
 
-    /// Demand by tenant, for the next report.
+    /// The demand by tenant for the next report to the leader.
     pub fn demand_report(&mut self, now: Micros) -> NodeDemand {
         let (bounds, nodes) = (self.bounds, self.nodes);
-        self.accounts.values_mut().for_each(|account| account.fill_floor(now, &bounds, nodes));
-        let parts = if self.is_asked { history::parts(&self.bounds) } else { 0 };
+        self.tenants.values_mut().for_each(|state| state.fill_floor(now, &bounds, nodes));
+        let intervals = if self.history_requested { history::interval_count(&self.bounds) } else { 0 };
         let incarnation = self.incarnation;
-        let told = self.accounts.iter().map(|(name, account)| account.told(now, name, incarnation, parts));
-        // Few tenants are told of before they ask for anything, so that their first requests find a grant of their own.
-        let few = self.accounts.len() <= TENANTS_ALL_TOLD;
-        let is_due = |told: &TenantDemand| {
-            few || told.rate_per_s >= LEAST_DEMAND || told.passed != told.counted || !told.history.is_empty()
+        let reports =
+            self.tenants.iter().map(|(name, state)| state.demand_report(now, name, incarnation, intervals));
+        // If there are few tenants, they are reported before they have any demand, so that their first
+        // requests find a grant.
+        let reports_all = self.tenants.len() <= MAX_TENANTS_ALL_REPORTED;
+        let is_included = |demand: &TenantDemand| {
+            reports_all
+                || demand.rate_per_s >= MIN_REPORTED_DEMAND_PER_S
+                || demand.passed != demand.counted
+                || !demand.history.is_empty()
         };
         NodeDemand {
             term: self.term,
-            age_ms: now.saturating_sub(self.began_at) / MILLISECOND,
-            nodes: if self.knows_nodes { self.nodes } else { 0 },
+            age_ms: now.saturating_sub(self.started_at) / MILLISECOND,
+            nodes: if self.has_node_count { self.nodes } else { 0 },
             round: self.round,
-            has_history: self.is_asked,
-            tenants: told.filter(is_due).collect(),
+            has_history: self.history_requested,
+            tenants: reports.filter(is_included).collect(),
         }
     }
 }
 
-impl Account {
-    /// An account without grants. The sequence of each start of each node begins elsewhere.
+impl TenantState {
+    /// Creates the state of a tenant without grants. The admission sequence starts at a different point in
+    /// each process.
     fn new(now: Micros, quota: TenantQuota, incarnation: u64) -> Self {
         Self {
             quota,
             grant: Grant::default(),
-            passed: 0.0,
-            counted: 0.0,
-            history: History::default(),
+            admitted: 0.0,
+            acknowledged: 0.0,
+            history: AdmissionHistory::default(),
             floor_level: 0.0,
             floor_filled_at: now,
-            request_units: 0.0,
-            demand: Demand { rate_per_s: 0.0, counted_at: now },
-            draw: incarnation as f64 / u64::MAX as f64,
+            mean_request_units: 0.0,
+            demand: Demand { rate_per_s: 0.0, updated_at: now },
+            admission_sequence: incarnation as f64 / u64::MAX as f64,
         }
     }
 
-    /// What is told of it, with so many parts of its history.
-    fn told(&self, now: Micros, name: &str, incarnation: u64, parts: usize) -> TenantDemand {
+    /// The report of this tenant, with the last `intervals` intervals of its history.
+    fn demand_report(&self, now: Micros, name: &str, incarnation: u64, intervals: usize) -> TenantDemand {
         TenantDemand {
             tenant: name.to_owned(),
             rate_per_s: self.demand.rate(now),
-            passed: self.passed,
-            request_units: self.request_units,
+            passed: self.admitted,
+            request_units: self.mean_request_units,
             incarnation,
-            counted: self.counted,
-            held: self.held(),
-            granted_rate: if now < self.grant.lapses_at() { self.grant.rate_per_s } else { 0.0 },
-            history: if parts > 0 { self.history.told(now, parts) } else { Vec::new() },
-            lent: if parts > 0 { self.lent(now) } else { 0.0 },
+            counted: self.acknowledged,
+            held: self.unused_units(),
+            granted_rate: if now < self.grant.rate_lapses_at() { self.grant.rate_per_s } else { 0.0 },
+            history: if intervals > 0 { self.history.recent(now, intervals) } else { Vec::new() },
+            lent: if intervals > 0 { self.unused_credit(now) } else { 0.0 },
         }
     }
 
-    /// Units that may pass without another grant, but for what may pass beyond the ceiling.
-    fn held(&self) -> f64 {
-        (self.grant.ceiling - self.passed).max(0.0) + self.floor_level.max(0.0)
+    /// Units that may be admitted without another grant, excluding those beyond the ceiling.
+    fn unused_units(&self) -> f64 {
+        (self.grant.ceiling - self.admitted).max(0.0) + self.floor_level.max(0.0)
     }
 
-    /// Units beyond the ceiling that a leader has lent out of its bucket.
-    fn lent(&self, now: Micros) -> f64 {
-        let spare = if now < self.grant.until { self.grant.spare.max(0.0) } else { 0.0 };
-        (self.grant.ceiling + spare - self.passed).clamp(0.0, spare)
+    /// Units beyond the ceiling that a leader has lent to this node and that are unused.
+    fn unused_credit(&self, now: Micros) -> f64 {
+        let credit = if now < self.grant.valid_until { self.grant.credit.max(0.0) } else { 0.0 };
+        (self.grant.ceiling + credit - self.admitted).clamp(0.0, credit)
     }
 
-    /// A new leader asks what passed: all that is held becomes the ceiling, and nothing accrues until it has had time to
-    /// grant.
-    fn answer(&mut self, now: Micros) {
-        let lent = self.lent(now);
-        let ceiling = self.passed + self.held();
-        self.grant = Grant::asked(now, ceiling, lent, self.request_units, &self.grant);
+    /// Prepares for a new leader's history request: all unused units become part of the ceiling, and nothing
+    /// accrues until the leader has had time to grant.
+    fn freeze_for_history(&mut self, now: Micros) {
+        let credit = self.unused_credit(now);
+        let ceiling = self.admitted + self.unused_units();
+        self.grant = Grant::after_history_request(now, ceiling, credit, self.mean_request_units, &self.grant);
         self.floor_level = self.floor_level.min(0.0);
     }
 
-    /// Units a second at this time.
+    /// Current rate in units per second.
     fn rate(&self, now: Micros, nodes: u32) -> f64 {
-        if now < self.grant.lapses_at() { self.grant.rate_per_s } else { self.floor_rate(nodes) }
+        if now < self.grant.rate_lapses_at() { self.grant.rate_per_s } else { self.floor_rate(nodes) }
     }
 
     fn floor_rate(&self, nodes: u32) -> f64 {
-        self.quota.rate_per_s * FLOOR_PART / f64::from(nodes)
+        self.quota.rate_per_s * FLOOR_SHARE / f64::from(nodes)
     }
 
-    /// The most that the floor's level rises to: two requests, however many nodes there are.
+    /// Maximum level of the floor: its share of the bucket depth, but at least [`MAX_SAVED_REQUESTS`]
+    /// requests, however many nodes there are.
     fn floor_depth(&self, bounds: &QuotaBounds, nodes: u32) -> f64 {
-        (bounds.depth(&self.quota) / f64::from(nodes) * FLOOR_DEPTH_PART)
-            .max(self.request_units * SAVED_REQUESTS)
+        (bounds.depth(&self.quota) / f64::from(nodes) * FLOOR_DEPTH_SHARE)
+            .max(self.mean_request_units * MAX_SAVED_REQUESTS)
     }
 
-    /// Adds to the floor's level what has accrued without a valid grant: at the rate granted last until that lapses, at
-    /// the floor's from then on.
+    /// Adds to the floor's level what has accrued without a valid grant: at the last granted rate until that
+    /// lapses, then at the floor's rate.
     fn fill_floor(&mut self, now: Micros, bounds: &QuotaBounds, nodes: u32) {
         let since = |from: Micros, until: Micros| until.saturating_sub(from) as f64 / SECOND;
-        let lapses_at = self.grant.lapses_at();
-        let at_grant = since(self.floor_filled_at.max(self.grant.fresh_until), now.min(lapses_at));
-        let at_floor = since(self.floor_filled_at.max(lapses_at).max(self.grant.fresh_until), now);
-        let accrued = at_grant * self.grant.rate_per_s + at_floor * self.floor_rate(nodes);
+        let rate_lapses_at = self.grant.rate_lapses_at();
+        let granted_s = since(self.floor_filled_at.max(self.grant.fresh_until), now.min(rate_lapses_at));
+        let floor_s = since(self.floor_filled_at.max(rate_lapses_at).max(self.grant.fresh_until), now);
+        let accrued = granted_s * self.grant.rate_per_s + floor_s * self.floor_rate(nodes);
         let depth = self.floor_depth(bounds, nodes);
         self.floor_level = (self.floor_level + accrued).min(depth.max(self.floor_level));
         self.floor_filled_at = now.max(self.floor_filled_at);
     }
 
-    /// Units that may pass now without exceeding the ceiling.
+    /// Units that may be admitted now without exceeding the ceiling.
     fn room(&self, now: Micros) -> f64 {
         let floor = self.floor_level.max(0.0);
-        if now < self.grant.until {
-            return self.grant.ceiling - self.passed + floor;
+        if now < self.grant.valid_until {
+            return self.grant.ceiling - self.admitted + floor;
         }
-        // What was issued stays issued.
-        self.floor_level + (self.grant.ceiling - self.passed).max(0.0)
+        // Issued units remain issued after the grant has expired.
+        self.floor_level + (self.grant.ceiling - self.admitted).max(0.0)
     }
 
-    /// Whether another request would pass without exceeding what is kept for this node.
-    fn has_another(&self, now: Micros) -> bool {
-        let spare = if now < self.grant.until { self.grant.spare } else { 0.0 };
-        self.room(now) + spare >= self.needed()
+    /// Whether another request could be admitted within the ceiling and the credit.
+    fn has_room_for_another(&self, now: Micros) -> bool {
+        let credit = if now < self.grant.valid_until { self.grant.credit } else { 0.0 };
+        self.room(now) + credit >= self.required_room()
     }
 
-    /// Whether a request passes beyond the ceiling: as many do as the allocator says, or, once its word is old, as what
-    /// is spare for this node allows.
-    fn may_exceed(&mut self, now: Micros, room: f64) -> bool {
-        let request = self.request_units;
+    /// Whether a request is admitted beyond the ceiling: with a fresh grant, at the share that the allocator
+    /// set; with an older one, as this node's credit allows.
+    fn may_exceed_ceiling(&mut self, now: Micros, room: f64) -> bool {
+        let request = self.mean_request_units;
         let (share, overdraft) = match now {
             _ if now < self.grant.fresh_until => (self.grant.pass_share, self.grant.overdraft(request)),
-            _ if now < self.grant.until && self.grant.is_by_chance(request) => {
-                (self.grant.spare / request.max(1.0), self.grant.spare.max(request))
+            _ if now < self.grant.valid_until && self.grant.is_probabilistic(request) => {
+                (self.grant.credit / request.max(1.0), self.grant.credit.max(request))
             }
-            _ if now < self.grant.until => (0.0, 0.0),
+            _ if now < self.grant.valid_until => (0.0, 0.0),
             _ => return false,
         };
-        if now < self.grant.until && room + self.grant.spare >= self.needed() {
-            // It is kept for this node.
+        if now < self.grant.valid_until && room + self.grant.credit >= self.required_room() {
+            // The credit covers the request.
             return true;
         }
-        if room + overdraft < self.needed() {
+        if room + overdraft < self.required_room() {
             return false;
         }
-        self.draw = (self.draw + GOLDEN_STEP).fract();
-        self.draw < share
+        self.admission_sequence = (self.admission_sequence + GOLDEN_RATIO_FRACTION).fract();
+        self.admission_sequence < share
     }
 
-    /// Whether the whole tenant is over its quota, as far as is known.
-    fn is_over(&self, now: Micros) -> bool {
-        self.grant.is_over && now < self.grant.until
+    /// Whether the tenant as a whole is over its quota, as far as is known.
+    fn is_over_quota(&self, now: Micros) -> bool {
+        self.grant.is_over_quota && now < self.grant.valid_until
     }
 
-    /// The longest time that a refused client is told to stay away.
-    fn retry_after_most(&self, now: Micros) -> Micros {
-        if self.is_over(now) { RETRY_AFTER_MOST } else { RETRY_AFTER_UNGRANTED }
+    /// Maximum retry time for a refused client.
+    fn max_retry_after(&self, now: Micros) -> Micros {
+        if self.is_over_quota(now) { MAX_RETRY_AFTER_US } else { MAX_UNGRANTED_RETRY_AFTER_US }
     }
 
-    /// The room at which a request passes, whatever its own size: else small ones would take what a large one waits
-    /// for. What a large one takes beyond that is made up for before the next passes.
-    fn needed(&self) -> f64 {
-        self.request_units
+    /// The room at which a request is admitted, whatever its own size. Otherwise small requests would use up
+    /// what a large one waits for. The excess of a large request is made up for before the next request is
+    /// admitted.
+    fn required_room(&self) -> f64 {
+        self.mean_request_units
     }
 
-    /// Counts a request's units as passed. Without a valid grant they come out of what was issued before and then out
-    /// of the floor, else out of the floor first: that is not renewed while there are grants. What comes out of the
-    /// floor raises the ceiling, because the allocator has set it aside.
-    fn pass(&mut self, now: Micros, units: f64) {
-        let from_floor = if now < self.grant.until {
+    /// Counts the units of an admitted request. Without a valid grant they are taken from the issued units
+    /// first and then from the floor; with one, from the floor first, which is not refilled while there are
+    /// grants. Units taken from the floor raise the ceiling, because the allocator has reserved them.
+    fn record_admission(&mut self, now: Micros, units: f64) {
+        let from_floor = if now < self.grant.valid_until {
             units.min(self.floor_level.max(0.0))
         } else {
-            units - units.min((self.grant.ceiling - self.passed).max(0.0))
+            units - units.min((self.grant.ceiling - self.admitted).max(0.0))
         };
         self.floor_level -= from_floor;
         self.grant.ceiling += from_floor;
-        self.passed += units;
+        self.admitted += units;
     }
 
-    /// Takes a request's units into their average.
+    /// Updates the moving average of the request size.
     fn observe_size(&mut self, units: f64) {
-        let step = if self.request_units == 0.0 { 1.0 } else { SIZE_STEP };
-        self.request_units += (units - self.request_units) * step;
+        let step = if self.mean_request_units == 0.0 { 1.0 } else { REQUEST_SIZE_STEP };
+        self.mean_request_units += (units - self.mean_request_units) * step;
     }
 }
 
 impl Demand {
-    /// The average now: it decays while nothing is asked.
+    /// The current average, which decays while there are no requests.
     fn rate(&self, now: Micros) -> f64 {
-        let passed = now.saturating_sub(self.counted_at) as f64 / DEMAND_TIME as f64;
-        self.rate_per_s * (-passed).exp()
+        let elapsed = now.saturating_sub(self.updated_at) as f64 / DEMAND_TIME_CONSTANT_US as f64;
+        self.rate_per_s * (-elapsed).exp()
     }
 
     fn add(&mut self, now: Micros, units: f64) {
-        let time_s = DEMAND_TIME as f64 / SECOND;
+        let time_s = DEMAND_TIME_CONSTANT_US as f64 / SECOND;
         self.rate_per_s = self.rate(now) + units / time_s;
-        self.counted_at = now;
+        self.updated_at = now;
     }
 }
 
-fn is_sane(told: &TenantGrant) -> bool {
-    let figures = [told.ceiling, told.overdraft, told.rate_per_s, told.pass_share, told.spare, told.counted];
-    figures.iter().all(|figure| figure.is_finite())
+fn is_valid(grant: &TenantGrant) -> bool {
+    let values =
+        [grant.ceiling, grant.overdraft, grant.rate_per_s, grant.pass_share, grant.spare, grant.counted];
+    values.iter().all(|value| value.is_finite())
 }
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -1,31 +1,33 @@
-//! Quotas and retry budgets divided among nodes by short leases; no I/O.
+//! Quotas and retry budgets, divided among nodes by short leases; no I/O.
 //!
-//! A tenant's quota holds for the sum of all nodes. One allocator has a bucket for each tenant, filled at its rate, and
-//! issues out of it to the nodes by demand, for a short time. A node whose grant has run out has its *floor*, an equal
-//! part of half of the rate; for nodes that fell silent the allocator sets theirs aside. So the sum stays within rate
-//! and depth of the bucket, whoever is in touch with whom.
+//! A tenant's quota limits the sum over all nodes. One allocator keeps a token bucket per tenant, filled at
+//! the tenant's rate, and issues units from it to the nodes by demand, for a short time. A node whose grant
+//! has expired falls back to its *floor*, an equal share of half the rate. The allocator reserves the floors
+//! of silent nodes. So the sum stays within the rate and depth of the bucket, whichever nodes can reach the
+//! leader.
 //!
-//! With many nodes there is less than one request for each to be issued ahead. So while a tenant as a whole is well
-//! within its quota, each node may exceed what was issued to it by a request, which it reports.
+//! With many nodes, the bucket holds less than one request for each. So while a tenant as a whole is well
+//! within its quota, each node may exceed its issued units by a request, which it reports.
 //!
-//! What has passed outlives a leader without a log: each node keeps it for a window. A new leader has all nodes refuse
-//! those before it, takes over what they tell, and counts as spent what a missing node could have spent.
+//! Quota usage is not stored in the replicated log. Each node remembers what it admitted in the last window.
+//! A new leader makes all nodes reject the grants of earlier leaders, collects their histories, and counts
+//! what a missing node could have spent as spent.
 //!
-//! The retry budget needs no grants: a node's repeats are bounded by a ratio of its own requests, so that the sum
-//! over all nodes keeps the same ratio; only the small constant part is divided.
+//! The retry budget needs no grants: each node limits its retries to a ratio of its own requests, so the sum
+//! over all nodes keeps the same ratio. Only the small constant part is divided.
 //!
-//! - [`Allocator`]: divides quotas; at the leader.
-//! - [`QuotaGate`]: lets requests pass within floor and grant; at each proxy.
-//! - [`RetryBudget`]: bounds repeats; at each proxy.
+//! - [`Allocator`]: divides the quotas; runs at the leader.
+//! - [`QuotaGate`]: admits requests within floor and grant; runs at each proxy.
+//! - [`RetryBudget`]: limits retries; runs at each proxy.
 
 #![forbid(unsafe_code)]
 
-mod account;
 mod allocator;
 mod bounds;
 mod bucket;
 mod gate;
 mod history;
+mod node_tenant;
 mod retry;
 mod takeover;
 
@@ -34,10 +36,10 @@
 pub use gate::{ApplyOutcome, QuotaGate, RetryAfter};
 pub use retry::RetryBudget;
 
-/// A time on the steady clock, or a span, in microseconds.
+/// A monotonic time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Microseconds in a second.
+/// Microseconds per second.
 const SECOND: f64 = 1_000_000.0;
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 const MILLISECOND: Micros = 1_000;
--- a/crates/grants/src/takeover.rs
+++ b/crates/grants/src/takeover.rs
@@ -1,87 +1,92 @@
-//! How a new leader finds out what passed under those before it.
+//! How a new leader determines what the nodes admitted under earlier leaders.
 //!
-//! Nothing of quotas is in the log. Each node keeps what it let pass in the window, and tells a new leader once it has
-//! refused to hear older ones. Where a node is missing, or has lost its past in a restart, all that could have been spent
-//! out of sight counts as spent.
+//! Quota usage is not stored in the replicated log. Each node remembers what it admitted in the last window,
+//! and reports it to a new leader once it rejects the grants of earlier leaders. If a node is missing, or
+//! lost its history in a restart, everything that could have been spent unseen counts as spent.
 
 use std::collections::BTreeMap;
 
 use dunelink_protocol::NodeDemand;
 
-use crate::allocator::is_sane;
-use crate::bucket::Inherited;
+use crate::allocator::is_valid;
+use crate::bucket::InheritedUsage;
 use crate::{MILLISECOND, Micros};
 
-/// After this long the nodes in touch have answered a new leader. It begins with those: agents whose control machine is
-/// gone may need a second more, and are taken in as they come.
-const REPORTED_WITHIN: Micros = 200 * MILLISECOND;
+/// How long a new leader collects histories before it starts to grant, in microseconds. The reachable nodes
+/// have answered by then. Agents that lost their control machine may need a second longer; they are added as
+/// they report.
+const COLLECTION_PERIOD_US: Micros = 200 * MILLISECOND;
 
-/// A new leader's first moments.
+/// The collection of histories by a new leader.
 #[derive(Debug)]
 pub(crate) struct Takeover {
-    began_at: Micros,
-    /// The most nodes that any node was told of.
-    nodes_told: u32,
-    /// By node.
-    answers: BTreeMap<String, NodeDemand>,
+    started_at: Micros,
+    /// The highest number of nodes that any node was informed of.
+    known_node_count: u32,
+    /// The latest history of each node, by name.
+    reports: BTreeMap<String, NodeDemand>,
 }
 
-/// What a new leader begins with.
+/// The state that a new leader starts with.
 #[derive(Debug)]
-pub(crate) struct Inheritance {
-    /// What each node told, by its name.
-    pub(crate) answers: BTreeMap<String, NodeDemand>,
-    pub(crate) tenants: BTreeMap<String, Inherited>,
-    /// Whether all nodes that anybody knows of have told.
+pub(crate) struct InheritedState {
+    /// The history that each node reported, by name.
+    pub(crate) reports: BTreeMap<String, NodeDemand>,
+    pub(crate) tenants: BTreeMap<String, InheritedUsage>,
+    /// Whether all known nodes have reported.
     pub(crate) is_complete: bool,
-    /// For how long every node has known what it let pass.
-    pub(crate) known_for: Micros,
-    /// Nodes that those before it knew of.
-    pub(crate) nodes_told: u32,
+    /// The time span for which every node knows what it admitted.
+    pub(crate) history_span: Micros,
+    /// The number of nodes that earlier leaders knew.
+    pub(crate) known_node_count: u32,
 }
 
 impl Takeover {
-    pub(crate) fn begin(now: Micros) -> Self {
-        Self { began_at: now, nodes_told: 0, answers: BTreeMap::new() }
+    pub(crate) fn start(now: Micros) -> Self {
+        Self { started_at: now, known_node_count: 0, reports: BTreeMap::new() }
     }
 
-    /// Takes in a node's report. A later one replaces it.
-    pub(crate) fn report(&mut self, term: u64, name: &str, demand: &NodeDemand) {
-        self.nodes_told = self.nodes_told.max(demand.nodes);
-        if demand.term == term && demand.has_history {
-            self.answers.insert(name.to_owned(), demand.clone());
+    /// Records a node's report. It replaces an earlier one.
+    pub(crate) fn observe_report(&mut self, term: u64, name: &str, report: &NodeDemand) {
+        self.known_node_count = self.known_node_count.max(report.nodes);
+        if report.term == term && report.has_history {
+            self.reports.insert(name.to_owned(), report.clone());
         }
     }
 
-    /// What is inherited, once the nodes in touch have had time to answer; `heard` nodes have reported.
-    pub(crate) fn settle(&mut self, now: Micros, heard: usize) -> Option<Inheritance> {
-        if now < self.began_at + REPORTED_WITHIN || self.answers.is_empty() {
+    /// The inherited state, once the reachable nodes have had time to answer. `reporting_count` is the number
+    /// of nodes that have reported.
+    pub(crate) fn finish(&mut self, now: Micros, reporting_count: usize) -> Option<InheritedState> {
+        if now < self.started_at + COLLECTION_PERIOD_US || self.reports.is_empty() {
             return None;
         }
-        let all_answered = self.answers.len() >= heard && heard >= self.nodes_told as usize;
-        let youngest_ms = self.answers.values().map(|answer| answer.age_ms).min().unwrap_or(0);
-        let mut tenants: BTreeMap<String, Inherited> = BTreeMap::new();
-        for told in self.answers.values().flat_map(|answer| &answer.tenants).filter(|told| is_sane(told)) {
-            let inherited = tenants.entry(told.tenant.clone()).or_default();
-            inherited.add(told);
+        let all_reported =
+            self.reports.len() >= reporting_count && reporting_count >= self.known_node_count as usize;
+        let youngest_ms = self.reports.values().map(|report| report.age_ms).min().unwrap_or(0);
+        let mut tenants: BTreeMap<String, InheritedUsage> = BTreeMap::new();
+        for demand in
+            self.reports.values().flat_map(|report| &report.tenants).filter(|demand| is_valid(demand))
+        {
+            let usage = tenants.entry(demand.tenant.clone()).or_default();
+            usage.add(demand);
         }
-        let answers = std::mem::take(&mut self.answers);
-        Some(Inheritance {
-            answers,
+        let reports = std::mem::take(&mut self.reports);
+        Some(InheritedState {
+            reports,
             tenants,
-            is_complete: all_answered,
-            known_for: youngest_ms.saturating_mul(MILLISECOND),
-            nodes_told: self.nodes_told,
+            is_complete: all_reported,
+            history_span: youngest_ms.saturating_mul(MILLISECOND),
+            known_node_count: self.known_node_count,
         })
     }
 }
 
-impl Inheritance {
-    /// Adds what a node tells that was missing.
-    pub(crate) fn add_late(&mut self, demand: &NodeDemand) {
-        self.nodes_told = self.nodes_told.max(demand.nodes);
-        for told in demand.tenants.iter().filter(|told| is_sane(told)) {
-            self.tenants.entry(told.tenant.clone()).or_default().add(told);
+impl InheritedState {
+    /// Adds the report of a node that was missing.
+    pub(crate) fn add_late_report(&mut self, report: &NodeDemand) {
+        self.known_node_count = self.known_node_count.max(report.nodes);
+        for demand in report.tenants.iter().filter(|demand| is_valid(demand)) {
+            self.tenants.entry(demand.tenant.clone()).or_default().add(demand);
         }
     }
 }
--- a/crates/grants/tests/support/mod.rs
+++ b/crates/grants/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Gates of many nodes before one leader after another, with messages between them that take time.
+//! Simulation of the quota gates of many nodes and of successive leaders, with delayed messages between them.
 
 #![allow(dead_code)] // Each test file uses a part.
 
@@ -8,18 +8,18 @@
 use dunelink_protocol::{GrantUpdate, NodeDemand};
 
 pub(crate) const SECOND: u64 = 1_000_000;
-/// Time between two steps of the world.
-pub(crate) const STEP: u64 = 5_000;
-/// Time between two exchanges with the leader, unless [`Fleet::exchange_every`] is set; what it answers arrives one
-/// exchange later. Slower than that of the programs.
-const EXCHANGE: u64 = 250_000;
-/// About that of the programs.
-pub(crate) const USUAL_EXCHANGE: u64 = 125_000;
-/// Units of a request.
-pub(crate) const REQUEST: f64 = 9_000.0;
+/// Time step of the simulation.
+pub(crate) const TIME_STEP_US: u64 = 5_000;
+/// Default interval between two exchanges with the leader; its answers arrive one exchange later. Longer than
+/// in production.
+const DEFAULT_EXCHANGE_INTERVAL_US: u64 = 250_000;
+/// Approximate interval between two exchanges in production.
+pub(crate) const PRODUCTION_EXCHANGE_INTERVAL_US: u64 = 125_000;
+/// Units of one request.
+pub(crate) const REQUEST_UNITS: f64 = 9_000.0;
 pub(crate) const BOUNDS: QuotaBounds = QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 110_000.0 };
 
-/// A tenant with a limit.
+/// The quota of a tenant.
 pub(crate) fn quota(name: &str, rate_per_s: f64) -> TenantQuota {
     TenantQuota { name: name.to_owned(), rate_per_s, burst: rate_per_s }
 }
@@ -30,58 +30,58 @@
     pub(crate) term: u64,
 }
 
-/// Nodes with gates before a leader; requests of [`REQUEST`] units arrive at random.
+/// Nodes with quota gates, and a leader. Requests of [`REQUEST_UNITS`] arrive at random.
 pub(crate) struct Fleet {
     pub(crate) quotas: Vec<TenantQuota>,
     pub(crate) gates: Vec<QuotaGate>,
-    /// Nothing while nobody leads.
+    /// `None` while there is no leader.
     pub(crate) leader: Option<Leader>,
     term: u64,
-    /// What a leader answered, on its way.
-    on_its_way: Vec<(usize, GrantUpdate)>,
-    /// What leaders granted that lead no more, and when it arrives.
-    late: Vec<(u64, Vec<(usize, GrantUpdate)>)>,
-    /// When a request of each tenant passed.
-    passed: HashMap<usize, Vec<u64>>,
-    pub(crate) refused: usize,
-    /// Requests of the first tenant whose clients ask again at another node, and when.
-    returning: Vec<u64>,
-    /// Whether a refused client of the first tenant asks again, once.
-    pub(crate) repeats: bool,
+    /// Grants that the leader has sent, to be delivered at the next exchange.
+    in_transit: Vec<(usize, GrantUpdate)>,
+    /// Grants of former leaders that arrive late, with the time of arrival.
+    delayed_grants: Vec<(u64, Vec<(usize, GrantUpdate)>)>,
+    /// The times at which requests were admitted, by tenant.
+    admitted_at: HashMap<usize, Vec<u64>>,
+    pub(crate) refused_count: usize,
+    /// The times at which refused clients of the first tenant retry at another node.
+    retries_due: Vec<u64>,
+    /// Whether a refused client of the first tenant retries once.
+    pub(crate) clients_retry: bool,
     pub(crate) random: fastrand::Rng,
     pub(crate) now: u64,
-    /// Time between two exchanges with the leader.
-    pub(crate) exchange_every: u64,
+    /// Interval between two exchanges with the leader.
+    pub(crate) exchange_interval: u64,
 }
 
 impl Fleet {
-    /// All start at the same time, with a leader.
+    /// Creates nodes that all start at the same time, with a leader.
     pub(crate) fn new(seed: u64, nodes: usize, quotas: Vec<TenantQuota>) -> Self {
         let mut fleet = Self {
             quotas,
             gates: Vec::new(),
             leader: None,
             term: 0,
-            on_its_way: Vec::new(),
-            late: Vec::new(),
-            passed: HashMap::new(),
-            refused: 0,
-            returning: Vec::new(),
-            repeats: false,
+            in_transit: Vec::new(),
+            delayed_grants: Vec::new(),
+            admitted_at: HashMap::new(),
+            refused_count: 0,
+            retries_due: Vec::new(),
+            clients_retry: false,
             random: fastrand::Rng::with_seed(seed),
             now: SECOND,
-            exchange_every: EXCHANGE,
+            exchange_interval: DEFAULT_EXCHANGE_INTERVAL_US,
         };
         for node in 0..nodes {
             let gate = fleet.new_gate();
             fleet.gates.insert(node, gate);
         }
-        fleet.elect();
+        fleet.elect_leader();
         fleet
     }
 
-    /// All start at the same time, and one tenant has a limit.
-    pub(crate) fn of_one(seed: u64, nodes: usize, rate_per_s: f64) -> Self {
+    /// The same with a single tenant.
+    pub(crate) fn with_one_tenant(seed: u64, nodes: usize, rate_per_s: f64) -> Self {
         Self::new(seed, nodes, vec![quota("bureau", rate_per_s)])
     }
 
@@ -91,54 +91,54 @@
         gate
     }
 
-    /// A proxy starts anew: it has forgotten what it let pass.
+    /// Restarts a proxy, which loses its state.
     pub(crate) fn restart(&mut self, node: usize) {
         self.gates[node] = self.new_gate();
     }
 
-    /// All proxies and the leader start anew.
+    /// Restarts all proxies and the leader.
     pub(crate) fn restart_all(&mut self) {
         (0..self.gates.len()).for_each(|node| self.restart(node));
-        self.on_its_way.clear();
-        self.elect();
+        self.in_transit.clear();
+        self.elect_leader();
     }
 
-    /// Another leader begins; the one before is returned.
-    pub(crate) fn elect(&mut self) -> Option<Leader> {
+    /// Starts a new leader, and returns the previous one.
+    pub(crate) fn elect_leader(&mut self) -> Option<Leader> {
         self.term += 1;
         let allocator = Allocator::new(BOUNDS, self.term, self.now);
         self.leader.replace(Leader { allocator, term: self.term })
     }
 
-    /// Plays `seconds` with a demand of the first tenant of `times` its rate, uneven over nodes; `in_touch` tells which
-    /// nodes reach the leader.
-    pub(crate) fn play(&mut self, seconds: u64, times: f64, in_touch: impl Fn(usize) -> bool) {
-        self.play_until(self.now + seconds * SECOND, times, in_touch);
+    /// Simulates `seconds` in which the first tenant's demand is `demand_factor` times its rate, unevenly
+    /// spread over the nodes. `is_reachable` tells which nodes reach the leader.
+    pub(crate) fn run_for(&mut self, seconds: u64, demand_factor: f64, is_reachable: impl Fn(usize) -> bool) {
+        self.run_until(self.now + seconds * SECOND, demand_factor, is_reachable);
     }
 
-    /// The same until a time.
-    pub(crate) fn play_until(&mut self, end: u64, times: f64, in_touch: impl Fn(usize) -> bool) {
+    /// The same until the time `end`.
+    pub(crate) fn run_until(&mut self, end: u64, demand_factor: f64, is_reachable: impl Fn(usize) -> bool) {
         let weights: Vec<f64> = (0..self.gates.len()).map(|i| 1.0 + (i % 3) as f64).collect();
         let total: f64 = weights.iter().sum();
-        let per_s = self.quotas[0].rate_per_s * times / REQUEST;
+        let per_s = self.quotas[0].rate_per_s * demand_factor / REQUEST_UNITS;
         while self.now < end {
-            self.now += STEP;
+            self.now += TIME_STEP_US;
             for (node, weight) in weights.iter().enumerate() {
-                if self.random.f64() < per_s * weight / total * STEP as f64 / SECOND as f64 {
+                if self.random.f64() < per_s * weight / total * TIME_STEP_US as f64 / SECOND as f64 {
                     self.request(0, node);
                 }
             }
-            self.step(&in_touch);
+            self.step(&is_reachable);
         }
     }
 
-    /// Plays `seconds` with requests of tenant `i` at `per_s(i)` a second, at any node.
-    pub(crate) fn play_tenants(&mut self, seconds: u64, per_s: impl Fn(usize) -> f64) {
+    /// Simulates `seconds` with `per_s(i)` requests per second of tenant `i`, at random nodes.
+    pub(crate) fn run_tenants_for(&mut self, seconds: u64, per_s: impl Fn(usize) -> f64) {
         let end = self.now + seconds * SECOND;
         while self.now < end {
-            self.now += STEP;
+            self.now += TIME_STEP_US;
             for tenant in 0..self.quotas.len() {
-                if self.random.f64() < per_s(tenant) * STEP as f64 / SECOND as f64 {
+                if self.random.f64() < per_s(tenant) * TIME_STEP_US as f64 / SECOND as f64 {
                     let node = self.random.usize(..self.gates.len());
                     self.request(tenant, node);
                 }
@@ -147,40 +147,40 @@
         }
     }
 
-    pub(crate) fn step(&mut self, in_touch: &impl Fn(usize) -> bool) {
-        self.ask_again();
+    pub(crate) fn step(&mut self, is_reachable: &impl Fn(usize) -> bool) {
+        self.send_due_retries();
         let now = self.now;
-        let due: Vec<_> = self.late.extract_if(.., |(at, _)| *at <= now).collect();
+        let due: Vec<_> = self.delayed_grants.extract_if(.., |(at, _)| *at <= now).collect();
         due.into_iter().for_each(|(_, updates)| self.deliver(updates));
-        if self.now.is_multiple_of(self.exchange_every) {
-            self.exchange(in_touch);
+        if self.now.is_multiple_of(self.exchange_interval) {
+            self.exchange(is_reachable);
         }
     }
 
     fn request(&mut self, tenant: usize, node: usize) {
-        match self.gates[node].admit(self.now, &self.quotas[tenant].name, REQUEST) {
-            Ok(()) => self.passed.entry(tenant).or_default().push(self.now),
-            Err(after) if self.repeats => self.returning.push(self.now + after.0),
-            Err(_) => self.refused += 1,
+        match self.gates[node].admit(self.now, &self.quotas[tenant].name, REQUEST_UNITS) {
+            Ok(()) => self.admitted_at.entry(tenant).or_default().push(self.now),
+            Err(after) if self.clients_retry => self.retries_due.push(self.now + after.0),
+            Err(_) => self.refused_count += 1,
         }
     }
 
-    /// Requests that were refused and come back, once, at any node.
-    fn ask_again(&mut self) {
+    /// Sends the due retries of refused requests to random nodes.
+    fn send_due_retries(&mut self) {
         let now = self.now;
-        let due: Vec<u64> = self.returning.extract_if(.., |at| *at <= now).collect();
+        let due: Vec<u64> = self.retries_due.extract_if(.., |at| *at <= now).collect();
         for _ in due {
             let node = self.random.usize(..self.gates.len());
-            match self.gates[node].admit(now, &self.quotas[0].name, REQUEST) {
-                Ok(()) => self.passed.entry(0).or_default().push(now),
-                Err(_) => self.refused += 1,
+            match self.gates[node].admit(now, &self.quotas[0].name, REQUEST_UNITS) {
+                Ok(()) => self.admitted_at.entry(0).or_default().push(now),
+                Err(_) => self.refused_count += 1,
             }
         }
     }
 
-    pub(crate) fn exchange(&mut self, in_touch: &impl Fn(usize) -> bool) {
-        for (node, update) in std::mem::take(&mut self.on_its_way) {
-            if in_touch(node) {
+    pub(crate) fn exchange(&mut self, is_reachable: &impl Fn(usize) -> bool) {
+        for (node, update) in std::mem::take(&mut self.in_transit) {
+            if is_reachable(node) {
                 self.gates[node].apply(self.now, &update);
             }
         }
@@ -190,70 +190,70 @@
             .gates
             .iter_mut()
             .enumerate()
-            .filter(|(node, _)| in_touch(*node))
+            .filter(|(node, _)| is_reachable(*node))
             .map(|(node, gate)| (node, gate.demand_report(now)))
             .collect();
-        self.on_its_way = leader.exchange(now, &self.quotas, reports);
+        self.in_transit = leader.exchange(now, &self.quotas, reports);
     }
 
-    /// Delivers grants at once, as they come late from a leader that is none any more.
+    /// Delivers grants at once, as those of a former leader that arrive late.
     pub(crate) fn deliver(&mut self, updates: Vec<(usize, GrantUpdate)>) {
         for (node, update) in updates {
             self.gates[node].apply(self.now, &update);
         }
     }
 
-    /// The same after a delay.
-    pub(crate) fn deliver_later(&mut self, delay: u64, updates: Vec<(usize, GrantUpdate)>) {
-        self.late.push((self.now + delay, updates));
+    /// Delivers grants after a delay.
+    pub(crate) fn deliver_after(&mut self, delay: u64, updates: Vec<(usize, GrantUpdate)>) {
+        self.delayed_grants.push((self.now + delay, updates));
     }
 
-    pub(crate) fn forget(&mut self) {
-        self.passed.clear();
-        self.refused = 0;
+    pub(crate) fn reset_counts(&mut self) {
+        self.admitted_at.clear();
+        self.refused_count = 0;
     }
 
-    /// How many requests passed.
-    pub(crate) fn count(&self) -> usize {
-        self.passed.values().map(Vec::len).sum()
+    /// Number of requests admitted.
+    pub(crate) fn admitted_count(&self) -> usize {
+        self.admitted_at.values().map(Vec::len).sum()
     }
 
-    /// Units of a tenant that passed after a time.
-    pub(crate) fn passed_after(&self, tenant: usize, after: u64) -> f64 {
-        let passed = self.passed.get(&tenant).map_or(&[][..], Vec::as_slice);
-        passed.iter().filter(|at| **at > after).count() as f64 * REQUEST
+    /// Units of a tenant admitted after a time.
+    pub(crate) fn admitted_units_after(&self, tenant: usize, after: u64) -> f64 {
+        let admitted_at = self.admitted_at.get(&tenant).map_or(&[][..], Vec::as_slice);
+        admitted_at.iter().filter(|at| **at > after).count() as f64 * REQUEST_UNITS
     }
 
-    pub(crate) fn refused_part(&self) -> f64 {
-        self.refused as f64 / (self.refused + self.count()).max(1) as f64
+    pub(crate) fn refused_share(&self) -> f64 {
+        self.refused_count as f64 / (self.refused_count + self.admitted_count()).max(1) as f64
     }
 
-    /// What passed of a tenant in its worst window, as a part of what is allowed.
-    pub(crate) fn worst_part(&self, tenant: usize) -> f64 {
+    /// Units of a tenant admitted in its worst window, as a share of the allowed units.
+    pub(crate) fn worst_window_share(&self, tenant: usize) -> f64 {
         let window = (BOUNDS.window_s * SECOND as f64) as u64;
-        let Some(passed) = self.passed.get(&tenant) else { return 0.0 };
-        let (mut oldest, mut most) = (0, 0);
-        for (newest, end) in passed.iter().enumerate() {
-            while passed[oldest] + window <= *end {
+        let Some(admitted_at) = self.admitted_at.get(&tenant) else { return 0.0 };
+        let (mut oldest, mut max_count) = (0, 0);
+        for (newest, end) in admitted_at.iter().enumerate() {
+            while admitted_at[oldest] + window <= *end {
                 oldest += 1;
             }
-            most = most.max(newest + 1 - oldest);
+            max_count = max_count.max(newest + 1 - oldest);
         }
         let quota = &self.quotas[tenant];
         let allowed =
             (quota.rate_per_s * BOUNDS.window_s + quota.burst) * (1.0 + BOUNDS.overshoot) + BOUNDS.slack;
-        most as f64 * REQUEST / allowed
+        max_count as f64 * REQUEST_UNITS / allowed
     }
 
-    /// The quota of a tenant was kept in every window.
-    pub(crate) fn assert_within(&self, tenant: usize) {
-        let part = self.worst_part(tenant);
-        assert!(part <= 1.0, "{part} of what is allowed passed in a window");
+    /// Asserts that a tenant kept its quota in every window.
+    pub(crate) fn assert_within_quota(&self, tenant: usize) {
+        let share = self.worst_window_share(tenant);
+        assert!(share <= 1.0, "{share} of the allowed units were admitted in a window");
     }
 }
 
 impl Leader {
-    /// Takes in reports; what it grants is returned.
+    /// Takes in reports, and returns the grants.
     pub(crate) fn exchange(
         &mut self,
         now: u64,
@@ -264,6 +264,6 @@
             self.allocator.observe_report(now, &node.to_string(), &demand);
         }
         let updates = self.allocator.allocate(now, quotas, self.term);
-        updates.into_iter().map(|(node, update)| (node.parse().expect("a number"), update)).collect()
+        updates.into_iter().map(|(node, update)| (node.parse().expect("invalid node name"), update)).collect()
     }
 }
--- a/crates/routing/src/api.rs
+++ b/crates/routing/src/api.rs
@@ -1,168 +1,173 @@
-//! What goes into the router and what comes out of it.
+//! The inputs and the results of the router.
 
 use std::net::SocketAddr;
 
 use dunelink_serving_model::{Micros, PromptPart};
 
-/// The engine of a service that runs a model.
+/// The inference engine of a service that runs a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Requests that run at once on one server.
+    /// Requests that one server runs concurrently.
     pub slots: u32,
-    /// Tokens of memory that running requests and kept prompt parts share.
+    /// Capacity of the KV cache of one server, in tokens. Running requests and cached prompt parts share it.
     pub kv_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Maximum number of tokens in one event of a stream.
     pub max_tokens_per_event: u32,
 }
 
-/// A service as the configuration has it.
+/// A service, as the configuration defines it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceSpec {
-    /// Its name; unique.
+    /// Unique name of the service.
     pub name: String,
-    /// Connections that one server accepts from all processes together; 0 for no bound.
+    /// Maximum number of connections that one server accepts from all processes together; 0 for no limit.
     pub max_connections: u32,
-    /// Its engine, where it runs a model.
+    /// The inference engine; `None` for a service that runs no model.
     pub engine: Option<EngineSpec>,
 }
 
-/// One entry of the platform's list.
+/// One entry of the server list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerInfo {
-    /// The id of this incarnation.
+    /// Identifies one incarnation of the server: a restarted server has another id.
     pub id: String,
-    /// The service that it belongs to.
+    /// Name of the service that the server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// The availability zone of the server.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Requests that the server processes concurrently; 0 if unknown.
     pub slots: u32,
-    /// Whether it takes requests; false while it drains.
+    /// Whether the server accepts new requests; false while it is draining.
     pub ready: bool,
-    /// How much longer it stays slow from its start, in milliseconds.
+    /// Remaining time until the server is warm, in milliseconds; 0 if it is warm.
     pub cold_remaining_ms: u64,
 }
 
-/// Names a server for as long as its id is listed; never used for another one afterwards until some thousand
-/// others had its place.
+/// Identifies a server for as long as its id is listed. After its removal, the handle is reused only once
+/// several thousand other servers have occupied the same table entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerHandle(pub u32);
 
-/// Names one sending of a request to a server, from the decision to its end.
+/// Identifies one attempt to send a request to a server, from the decision until the attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
-/// What is asked of the router.
+/// A request to be routed.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingRequest<'a> {
     /// The service that the route leads to.
     pub service: &'a str,
-    /// The tenant that holds the request's key; none on public routes.
+    /// The tenant that the request's API key belongs to; `None` on public routes.
     pub tenant: Option<&'a str>,
-    /// The parts of the prompt in order; empty where there is none.
+    /// The parts of the prompt in order; empty if there is no prompt.
     pub parts: &'a [PromptPart],
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens to be made at most.
+    /// Maximum number of tokens to generate.
     pub max_output_tokens: u32,
-    /// From 0, the most urgent, to 9; larger figures count as 9.
+    /// From 0, the most urgent, to 9. Larger values count as 9.
     pub priority: u32,
-    /// The time within which a first event or an answer earns its full worth.
+    /// Latency objective for the first event of a stream, or for the response of a request that does not
+    /// stream.
     pub target_latency: Micros,
-    /// Until the client's deadline or the route's time-out, whichever comes first.
+    /// Time left until the client's deadline or the route's timeout, whichever is earlier.
     pub remaining: Micros,
-    /// Servers that must not be chosen: those tried before.
+    /// Servers that must not be chosen because they were tried before.
     pub excluded: &'a [ServerHandle],
-    /// Whether nothing was sent for this request yet.
+    /// Whether nothing has been sent for this request yet.
     pub is_first_attempt: bool,
 }
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The service has no server that takes requests.
+    /// The service has no server that accepts requests.
     NoServer,
-    /// Every server that takes requests was tried already.
+    /// Every server that accepts requests has already been tried.
     AllTried,
-    /// No server can begin in the time that is left, and their places are taken.
+    /// No server can start the request in the remaining time, and all slots are taken.
     Overloaded,
 }
 
-/// What is to be done with a request.
+/// The routing decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to that server; `attempt` is to be ended by [`crate::Router::ended`], also if it is never sent.
+    /// Send the request to `server`. The caller must end `attempt` by [`crate::Router::record_outcome`], even
+    /// if the request is never sent.
     Send {
-        /// The server.
+        /// The chosen server.
         server: ServerHandle,
-        /// The sending.
+        /// The attempt that starts with this decision.
         attempt: AttemptId,
     },
-    /// Nothing has room now, but something may soon: ask again. The caller bounds the sum of the waits.
+    /// No server has capacity now, but one may soon: call the router again. The caller bounds the total
+    /// waiting time.
     Wait {
-        /// After this long.
+        /// Time to wait before the next call.
         retry_in: Micros,
     },
-    /// Answer 503 with that time to come back.
+    /// Answer with status 503 and a `Retry-After` time.
     Refuse {
-        /// When the client may come back.
+        /// Time after which the client may retry.
         retry_after: Micros,
-        /// Why.
+        /// Why the request is refused.
         reason: RefusalReason,
     },
 }
 
-/// What became of an attempt.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A complete answer, whatever its status below 500.
+    /// The server sent a complete response with a status below 500.
     Served,
-    /// The server said that it did not run it, and is full or leaving.
+    /// The server reported that it did not run the request because it is full or draining.
     Rejected,
-    /// Another server listens at the address now.
+    /// Another server listens on the address now.
     WrongInstance,
-    /// The server answered with a failure of its own.
+    /// The server responded with an error of its own.
     ServerError,
-    /// A reset, a cut or bytes that are no answer.
+    /// The connection was reset, the response was truncated, or the bytes received were not a valid response.
     Broken,
-    /// No connection came up; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     ConnectFailed,
-    /// No answer in time.
+    /// No response arrived in time.
     TimedOut,
-    /// The client left, or the attempt was given up for reasons that say nothing of the server.
+    /// The client disconnected, or the attempt was abandoned for reasons that do not concern the server.
     Cancelled,
 }
 
-/// What is set when the router is built.
+/// Settings that are fixed when the router is created.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouterSettings {
-    /// The zone that this process runs in.
+    /// The availability zone that this process runs in.
     pub zone: String,
 }
 
-/// One line about a server, for operators.
+/// The state of one server, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerStatus {
-    /// Its id.
+    /// Id of the server.
     pub id: String,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
-    /// Its zone.
+    /// Its availability zone.
     pub zone: String,
-    /// The label that claimed it; none in the unlabelled pool or while it drains.
+    /// The label whose pool the server belongs to; `None` in the unlabelled pool and while the server is
+    /// draining.
     pub label: Option<usize>,
-    /// Whether it takes requests by the list.
+    /// Whether the server list marks the server as accepting requests.
     pub ready: bool,
-    /// For how much longer it is ejected, in microseconds; 0 if it is not.
+    /// Remaining time of its ejection, in microseconds; 0 if it is not ejected.
     pub ejected_for: Micros,
-    /// Requests of this process there.
+    /// Requests that this process has in flight at the server.
     pub in_flight: u32,
-    /// Requests of all processes there, as estimated.
+    /// Estimated number of requests that all processes have in flight at the server.
     pub fleet_in_flight: f64,
-    /// Tokens of memory that the prompt parts take which it is believed to keep.
+    /// Tokens of its memory that the cached prompt parts are estimated to occupy.
     pub cached_tokens: u64,
-    /// How long its answers take against those of its service, for the priority for which that is longest.
+    /// Its latency relative to the expectation for its service (1 is as expected), for the priority with the
+    /// highest ratio.
     pub relative_latency: f64,
 }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,181 +1,186 @@
-//! Outlier ejection: a server that fails real requests is left alone for a while, then probed by single requests.
+//! Outlier ejection: a server that fails requests receives none for a while, and is then probed with single
+//! requests.
 
 use dunelink_serving_model::Micros;
 
 use crate::{AttemptId, Outcome};
 
-/// The first cool-down; it doubles with each further ejection.
-const COOL_DOWN: Micros = 1_000_000;
-/// The longest cool-down.
-const COOL_DOWN_MOST: Micros = 16_000_000;
-/// Failed connections in a row that eject.
-const CONNECTS: u32 = 2;
-/// Broken answers in a row that eject.
-const BREAKS: u32 = 3;
-/// The failing part of recent answers that ejects, and how many answers it takes to tell.
-const FAILING_PART: f64 = 0.5;
-const FAILING_FROM: f64 = 6.0;
-/// How far one answer moves the failing part.
-const STEP: f64 = 0.15;
-/// Good answers after which earlier ejections are forgotten.
-const FORGIVEN_AFTER: u32 = 10;
-/// How long a server that said it is full is left alone at first; doubles while it goes on saying so.
-const FULL_FOR: Micros = 40_000;
-/// The longest such time.
-const FULL_MOST: Micros = 640_000;
-/// How long a word of other processes stands if it is not renewed.
-const SUSPECTED_FOR: Micros = 3_000_000;
-
-/// What is known of one server's failures.
+/// Duration of the first ejection, in microseconds. It doubles with each further ejection.
+const INITIAL_EJECTION_US: Micros = 1_000_000;
+/// Maximum duration of an ejection, in microseconds.
+const MAX_EJECTION_US: Micros = 16_000_000;
+/// Consecutive connection failures that eject a server.
+const CONNECT_FAILURES_TO_EJECT: u32 = 2;
+/// Consecutive broken responses that eject a server.
+const BROKEN_RESPONSES_TO_EJECT: u32 = 3;
+/// The recent failure rate that ejects a server, and the number of responses needed for it to count.
+const FAILURE_RATE_TO_EJECT: f64 = 0.5;
+const MIN_RESPONSES_TO_EJECT: f64 = 6.0;
+/// Weight of one response in the moving average of the failure rate.
+const FAILURE_RATE_STEP: f64 = 0.15;
+/// Consecutive successes that reset the duration of the next ejection.
+const SUCCESSES_TO_RESET_BACKOFF: u32 = 10;
+/// How long a server gets no requests after it first reports that it is full, in microseconds. Doubles with
+/// each further consecutive report.
+const INITIAL_FULL_BACKOFF_US: Micros = 40_000;
+/// Maximum duration of this backoff, in microseconds.
+const MAX_FULL_BACKOFF_US: Micros = 640_000;
+/// How long a suspicion reported by other processes counts unless it is renewed, in microseconds.
+const SUSPICION_TTL_US: Micros = 3_000_000;
+
+/// Failure statistics of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    connects_failed: u32,
-    broken: u32,
-    good: u32,
-    failing: f64,
-    answers: f64,
+    connect_failures: u32,
+    broken_responses: u32,
+    successes: u32,
+    failure_rate: f64,
+    responses: f64,
     ejections: u32,
-    /// Ejected until then; it then needs a good probe.
-    until: Option<Micros>,
+    /// End of the current ejection. Stays set until a probe succeeds.
+    ejected_until: Option<Micros>,
     probe: Option<AttemptId>,
     full_until: Micros,
-    full_in_row: u32,
-    /// The failing part of what other processes saw, and until when that stands.
-    suspected: f64,
+    consecutive_full: u32,
+    /// The failure rate that other processes observed, and the time until which it counts.
+    suspected_failure_rate: f64,
     suspected_until: Micros,
 }
 
 impl Health {
-    /// Whether it is to be left alone: in its cool-down, or a probe is out.
+    /// Whether the server must get no requests: it is ejected, or a probe is in flight.
     pub(crate) fn is_ejected(&self, now: Micros) -> bool {
-        self.until.is_some_and(|until| now < until || self.probe.is_some())
+        self.ejected_until.is_some_and(|until| now < until || self.probe.is_some())
     }
 
-    /// Whether its next request is a probe.
+    /// Whether the next request to the server is a probe.
     pub(crate) fn needs_probe(&self) -> bool {
-        self.until.is_some() && self.probe.is_none()
+        self.ejected_until.is_some() && self.probe.is_none()
     }
 
-    /// How much longer its cool-down lasts.
+    /// Remaining time of the ejection; 0 if there is none.
     pub(crate) fn ejected_for(&self, now: Micros) -> Micros {
-        self.until.map_or(0, |until| until.saturating_sub(now))
+        self.ejected_until.map_or(0, |until| until.saturating_sub(now))
     }
 
-    /// Whether it said lately that it is full.
+    /// Whether the server recently reported that it is full.
     pub(crate) fn is_full(&self, now: Micros) -> bool {
         now < self.full_until
     }
 
-    /// When it stops being full by its own word.
+    /// The end of the backoff after the server reported that it is full.
     pub(crate) fn full_until(&self) -> Micros {
         self.full_until
     }
 
-    /// The failing part of its recent answers, by what this process or others saw; few answers say little.
-    pub(crate) fn failing(&self, now: Micros) -> f64 {
-        let own = self.failing * self.answers / (self.answers + FAILING_FROM);
-        if now < self.suspected_until { own.max(self.suspected) } else { own }
+    /// The recent failure rate, the higher of what this process and others observed. With few responses, this
+    /// process's own rate is scaled down.
+    pub(crate) fn failure_rate(&self, now: Micros) -> f64 {
+        let own = self.failure_rate * self.responses / (self.responses + MIN_RESPONSES_TO_EJECT);
+        if now < self.suspected_until { own.max(self.suspected_failure_rate) } else { own }
     }
 
-    /// Takes in what other processes saw: the failing part of its answers.
-    pub(crate) fn suspect(&mut self, now: Micros, failed_share: f64) {
-        self.suspected = failed_share;
-        self.suspected_until = now + SUSPECTED_FOR;
+    /// Records the failure rate that other processes observed.
+    pub(crate) fn observe_suspicion(&mut self, now: Micros, failed_share: f64) {
+        self.suspected_failure_rate = failed_share;
+        self.suspected_until = now + SUSPICION_TTL_US;
     }
 
-    /// Notes that a request is sent; it probes a server whose cool-down has passed.
-    pub(crate) fn sent(&mut self, now: Micros, attempt: AttemptId) {
+    /// Records that a request is sent. It is a probe if the server's ejection has run out.
+    pub(crate) fn record_sent(&mut self, now: Micros, attempt: AttemptId) {
         if self.needs_probe() && !self.is_ejected(now) {
             self.probe = Some(attempt);
         }
     }
 
-    /// A sign of life: an event or a head came.
-    pub(crate) fn alive(&mut self) {
-        (self.connects_failed, self.broken) = (0, 0);
-        (self.full_in_row, self.full_until) = (0, 0);
-        if self.until.is_some() && self.probe.is_some() {
+    /// Records that an event or a response head arrived.
+    pub(crate) fn record_response(&mut self) {
+        (self.connect_failures, self.broken_responses) = (0, 0);
+        (self.consecutive_full, self.full_until) = (0, 0);
+        if self.ejected_until.is_some() && self.probe.is_some() {
             self.recover();
         }
     }
 
     fn recover(&mut self) {
-        (self.until, self.probe) = (None, None);
-        (self.failing, self.answers) = (0.0, 0.0);
-        self.good = 0;
+        (self.ejected_until, self.probe) = (None, None);
+        (self.failure_rate, self.responses) = (0.0, 0.0);
+        self.successes = 0;
     }
 
-    /// Takes in an outcome; true if the server should be ejected for it.
-    pub(crate) fn ended(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) -> bool {
-        let probed = self.probe == Some(attempt);
-        let failed = match outcome {
-            Outcome::Served => return self.served(),
+    /// Records an outcome. Returns whether the server should be ejected for it.
+    pub(crate) fn record_outcome(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) -> bool {
+        let was_probe = self.probe == Some(attempt);
+        let ejects = match outcome {
+            Outcome::Served => return self.record_success(),
             Outcome::Rejected => {
-                self.full_until = now + (FULL_FOR << self.full_in_row.min(4)).min(FULL_MOST);
-                self.full_in_row += 1;
-                self.release_probe(probed);
+                self.full_until =
+                    now + (INITIAL_FULL_BACKOFF_US << self.consecutive_full.min(4)).min(MAX_FULL_BACKOFF_US);
+                self.consecutive_full += 1;
+                self.release_probe(was_probe);
                 return false;
             }
             Outcome::Cancelled => {
-                self.release_probe(probed);
+                self.release_probe(was_probe);
                 return false;
             }
             Outcome::ConnectFailed => {
-                self.connects_failed += 1;
-                self.connects_failed >= CONNECTS
+                self.connect_failures += 1;
+                self.connect_failures >= CONNECT_FAILURES_TO_EJECT
             }
             Outcome::WrongInstance => true,
             Outcome::Broken | Outcome::TimedOut => {
-                self.broken += 1;
-                self.broken >= BREAKS
+                self.broken_responses += 1;
+                self.broken_responses >= BROKEN_RESPONSES_TO_EJECT
             }
             Outcome::ServerError => false,
         };
-        self.good = 0;
-        self.count(1.0);
-        let mostly = self.answers >= FAILING_FROM && self.failing >= FAILING_PART;
-        if probed {
+        self.successes = 0;
+        self.update_failure_rate(1.0);
+        let fails_often =
+            self.responses >= MIN_RESPONSES_TO_EJECT && self.failure_rate >= FAILURE_RATE_TO_EJECT;
+        if was_probe {
             self.probe = None;
         }
-        probed || failed || mostly
+        was_probe || ejects || fails_often
     }
 
-    fn served(&mut self) -> bool {
-        self.alive();
-        self.count(0.0);
-        self.good += 1;
-        if self.good >= FORGIVEN_AFTER {
+    fn record_success(&mut self) -> bool {
+        self.record_response();
+        self.update_failure_rate(0.0);
+        self.successes += 1;
+        if self.successes >= SUCCESSES_TO_RESET_BACKOFF {
             self.ejections = 0;
         }
         false
     }
 
-    fn release_probe(&mut self, probed: bool) {
-        if probed {
+    fn release_probe(&mut self, was_probe: bool) {
+        if was_probe {
             self.probe = None;
         }
     }
 
-    fn count(&mut self, failed: f64) {
-        self.answers = (self.answers + 1.0).min(100.0);
-        let step = STEP.max(1.0 / self.answers);
-        self.failing += (failed - self.failing) * step;
+    fn update_failure_rate(&mut self, failed: f64) {
+        self.responses = (self.responses + 1.0).min(100.0);
+        let step = FAILURE_RATE_STEP.max(1.0 / self.responses);
+        self.failure_rate += (failed - self.failure_rate) * step;
     }
 
-    /// Ejects it for a time that doubles with each ejection.
+    /// Ejects the server for a time that doubles with each ejection.
     pub(crate) fn eject(&mut self, now: Micros) {
-        if self.until.is_some_and(|until| now < until) {
+        if self.ejected_until.is_some_and(|until| now < until) {
             return;
         }
-        let span = (COOL_DOWN << self.ejections.min(8)).min(COOL_DOWN_MOST);
-        self.until = Some(now + span);
+        let span = (INITIAL_EJECTION_US << self.ejections.min(8)).min(MAX_EJECTION_US);
+        self.ejected_until = Some(now + span);
         self.ejections += 1;
-        (self.connects_failed, self.broken) = (0, 0);
-        // The cool-down stands for these; they must not keep its probe away.
-        (self.failing, self.answers) = (0.0, 0.0);
+        (self.connect_failures, self.broken_responses) = (0, 0);
+        // The ejection accounts for these responses; they must not deter the probe that follows it.
+        (self.failure_rate, self.responses) = (0.0, 0.0);
     }
 
-    /// Gives it back to its pool at once.
+    /// Returns the server to its pool at once.
     pub(crate) fn readmit(&mut self) {
         self.recover();
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,10 +1,10 @@
-//! Which model server takes a request: label pools, prefix homes, admission; no I/O.
+//! Selects the model server for each request: label pools, prefix affinity, admission control; no I/O.
 //!
-//! [`Router`] is told which services and servers exist, what became of each attempt and what servers said of their
-//! load, and answers for each request: send it to this server, ask again soon, or refuse it. The design of the label
-//! pools and the comparison of two members decide on the ordinary path; the two that are compared are the homes of
-//! the request's prompt prefix, so that a prefix is read at few servers. All processes of the fleet derive the same
-//! pools and the same homes from the same list.
+//! [`Router`] receives the services, the list of servers, the outcome of each attempt and the loads that
+//! servers report. For each request it decides to send it to a server, to wait, or to refuse it. It picks the
+//! better of two members of the tenant's label pool. For a request with a prompt, the two are the homes of
+//! its prefix, so that few servers need to process the same prefix. All processes of the fleet derive the
+//! same pools and homes from the same server list.
 
 mod api;
 mod attempts;
--- a/crates/routing/src/locality.rs
+++ b/crates/routing/src/locality.rs
@@ -1,4 +1,4 @@
-//! Where a prompt belongs: its homes by rendezvous hashing, the same at every process of the fleet.
+//! Prefix affinity: the homes of a prompt by rendezvous hashing, the same at every process of the fleet.
 
 use std::collections::HashMap;
 
@@ -6,52 +6,54 @@
 
 use crate::ServerHandle;
 
-/// A shared prefix of fewer tokens is not worth a home of its own: the session's part decides then.
-const WORTH_A_HOME: u32 = 500;
-/// Keys whose rates are remembered at most.
-const MOST_KEYS: usize = 1_024;
-/// Over how long a key's rate is told.
-const RATE_SPAN: f64 = 5_000_000.0;
-/// How much of a server one home of a key may take before the key has another one.
-const HOME_LOAD: f64 = 0.35;
+/// A shared prefix with fewer tokens gets no homes of its own; the session's part decides instead.
+const MIN_SHARED_PREFIX_TOKENS: u32 = 500;
+/// Maximum number of keys whose request rates are stored.
+const MAX_KEYS: usize = 1_024;
+/// Time constant of the average of a key's request rate, in microseconds.
+const RATE_TIME_CONSTANT_US: f64 = 5_000_000.0;
+/// The share of a server's capacity that one home of a key may use before the key gets another home.
+const MAX_HOME_LOAD: f64 = 0.35;
 
-/// What the homes of a request follow from.
+/// The figures that determine the homes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Locality {
-    /// What the homes are ranked by.
+    /// The key that the homes are ranked by.
     pub(crate) key: u64,
-    /// What one of several homes is picked by.
-    pub(crate) order: u64,
-    /// Tokens that other requests of this key read as well.
-    pub(crate) shared: u32,
-    /// Tokens before the key's part: requests of other keys read them too, so that every server keeps them soon.
-    pub(crate) common: u32,
-    /// Whether the key is the last part: a session's, or that of a single request.
+    /// Picks among several homes of the key.
+    pub(crate) spread_key: u64,
+    /// Number of prompt tokens that other requests with this key share.
+    pub(crate) shared_tokens: u32,
+    /// Number of tokens before the key's part. Requests with other keys share them too, so every server soon
+    /// has them cached.
+    pub(crate) common_tokens: u32,
+    /// Whether the key is the last part, which belongs to a session or to a single request.
     pub(crate) is_session: bool,
 }
 
-/// All parts but the last belong to several requests, the last one to the request or its session.
+/// Derives the locality of a prompt. All parts but the last are shared by several requests; the last one
+/// belongs to the request or its session. `None` for an empty prompt.
 pub(crate) fn locality(parts: &[PromptPart]) -> Option<Locality> {
     let (last, before) = parts.split_last()?;
-    let shared = before.iter().fold(0u32, |sum, part| sum.saturating_add(part.tokens));
-    let (order, common) = (last.id, shared);
+    let shared_tokens = before.iter().fold(0u32, |sum, part| sum.saturating_add(part.tokens));
+    let (spread_key, common_tokens) = (last.id, shared_tokens);
     match before.last() {
-        Some(subject) if shared >= WORTH_A_HOME => {
-            let common = shared.saturating_sub(subject.tokens);
-            Some(Locality { key: subject.id, order, shared, common, is_session: false })
+        Some(subject) if shared_tokens >= MIN_SHARED_PREFIX_TOKENS => {
+            let common_tokens = shared_tokens.saturating_sub(subject.tokens);
+            Some(Locality { key: subject.id, spread_key, shared_tokens, common_tokens, is_session: false })
         }
-        // A session's own part may be new: only what was sent from here is known to be kept.
+        // A session's own part may be new: only what this process sent is known to be cached.
         _ => Some(Locality {
             key: last.id,
-            order,
-            shared: shared.saturating_add(last.tokens),
-            common,
+            spread_key,
+            shared_tokens: shared_tokens.saturating_add(last.tokens),
+            common_tokens,
             is_session: true,
         }),
     }
 }
 
-/// A cheap, well mixed hash of two numbers that are well mixed themselves.
+/// A cheap mixing hash of two numbers that are well distributed themselves.
 pub(crate) fn mix(a: u64, b: u64) -> u64 {
     let mut x = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
@@ -59,92 +61,107 @@
     x ^ (x >> 32)
 }
 
-/// The positions of the `want` highest ranking members for a key, best first. Looks at each member once.
-pub(crate) fn homes(members: &[(u64, u32)], key: u64, want: usize, found: &mut Vec<(u64, u32)>) {
-    found.clear();
-    for &(hash, slot) in members {
+/// Ranks the members for a key in a single pass and stores the `count` best, as pairs of rank and server
+/// index, best first.
+pub(crate) fn homes(members: &[(u64, u32)], key: u64, count: usize, ranked: &mut Vec<(u64, u32)>) {
+    ranked.clear();
+    for &(hash, index) in members {
         let rank = mix(key, hash);
-        if found.len() == want && found.last().is_some_and(|(least, _)| rank <= *least) {
+        if ranked.len() == count && ranked.last().is_some_and(|(least, _)| rank <= *least) {
             continue;
         }
-        let at = found.partition_point(|(other, _)| *other > rank);
-        found.insert(at, (rank, slot));
-        found.truncate(want);
+        let position = ranked.partition_point(|(other, _)| *other > rank);
+        ranked.insert(position, (rank, index));
+        ranked.truncate(count);
     }
 }
 
 #[derive(Clone, Copy)]
-struct Rate {
+struct KeyRate {
     count: f64,
     service_time_ms: f64,
-    at: Micros,
-    last: Option<ServerHandle>,
+    updated_at: Micros,
+    last_server: Option<ServerHandle>,
 }
 
-impl Rate {
+impl KeyRate {
     fn count_at(&self, now: Micros) -> f64 {
-        self.count * (-(now.saturating_sub(self.at) as f64) / RATE_SPAN).exp()
+        self.count * (-(now.saturating_sub(self.updated_at) as f64) / RATE_TIME_CONSTANT_US).exp()
     }
 }
 
-/// How often each key was asked for lately, bounded in memory.
+/// Recent request rate of each key, for a bounded number of keys.
 #[derive(Default)]
 pub(crate) struct KeyRates {
-    rates: HashMap<u64, Rate>,
+    rates: HashMap<u64, KeyRate>,
 }
 
-/// What is known of a key.
+/// The load of one key.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KeyLoad {
-    /// Requests a second at this process.
-    pub(crate) per_s: f64,
-    /// Servers' worth of work at this process.
-    pub(crate) load: f64,
-    /// Where this process sent the last request of a session's key.
-    pub(crate) last: Option<ServerHandle>,
+    /// Requests per second.
+    pub(crate) requests_per_s: f64,
+    /// Work per second as a multiple of one server's capacity.
+    pub(crate) server_load: f64,
+    /// The server that this process sent the key's last request to, if the key belongs to a session.
+    pub(crate) last_server: Option<ServerHandle>,
 }
 
 impl KeyRates {
-    /// Counts a request of a key that takes a server that long.
-    pub(crate) fn count(&mut self, now: Micros, key: u64, service_time_ms: f64) -> KeyLoad {
-        if self.rates.len() >= MOST_KEYS && !self.rates.contains_key(&key) {
-            self.forget(now);
+    /// Records a request with this key that takes a server `service_time_ms`. Returns the load at this
+    /// process.
+    pub(crate) fn record(&mut self, now: Micros, key: u64, service_time_ms: f64) -> KeyLoad {
+        if self.rates.len() >= MAX_KEYS && !self.rates.contains_key(&key) {
+            self.evict_least_used(now);
         }
-        let rate = self.rates.entry(key).or_insert(Rate { count: 0.0, service_time_ms, at: now, last: None });
+        let rate = self.rates.entry(key).or_insert(KeyRate {
+            count: 0.0,
+            service_time_ms,
+            updated_at: now,
+            last_server: None,
+        });
         let before = rate.count_at(now);
         rate.count = before + 1.0;
         rate.service_time_ms += (service_time_ms - rate.service_time_ms) / rate.count.max(1.0);
-        rate.at = now;
-        // The first requests of a key say little of its rate: one of them is not counted.
-        let per_s = before * 1_000_000.0 / RATE_SPAN;
-        KeyLoad { per_s, load: per_s * rate.service_time_ms / 1_000.0, last: rate.last }
+        rate.updated_at = now;
+        // The first requests of a key say little about its rate: one of them is not counted.
+        let requests_per_s = before * 1_000_000.0 / RATE_TIME_CONSTANT_US;
+        KeyLoad {
+            requests_per_s,
+            server_load: requests_per_s * rate.service_time_ms / 1_000.0,
+            last_server: rate.last_server,
+        }
     }
 
-    /// What is known of a key, without counting a request.
+    /// The load of a key at this process, without recording a request.
     pub(crate) fn load(&self, now: Micros, key: u64) -> KeyLoad {
         let Some(rate) = self.rates.get(&key) else { return KeyLoad::default() };
-        let per_s = rate.count_at(now) * 1_000_000.0 / RATE_SPAN;
-        KeyLoad { per_s, load: per_s * rate.service_time_ms / 1_000.0, last: rate.last }
+        let requests_per_s = rate.count_at(now) * 1_000_000.0 / RATE_TIME_CONSTANT_US;
+        KeyLoad {
+            requests_per_s,
+            server_load: requests_per_s * rate.service_time_ms / 1_000.0,
+            last_server: rate.last_server,
+        }
     }
 
-    /// Notes where a request of a key is sent.
-    pub(crate) fn sent(&mut self, key: u64, server: ServerHandle) {
+    /// Records the server that a request with this key is sent to.
+    pub(crate) fn record_server(&mut self, key: u64, server: ServerHandle) {
         if let Some(rate) = self.rates.get_mut(&key) {
-            rate.last = Some(server);
+            rate.last_server = Some(server);
         }
     }
 
-    /// Forgets the least asked for half.
-    fn forget(&mut self, now: Micros) {
+    /// Evicts the half of the keys with the lowest counts.
+    fn evict_least_used(&mut self, now: Micros) {
         let mut counts: Vec<f64> = self.rates.values().map(|rate| rate.count_at(now)).collect();
-        let middle = counts.len() / 2;
-        let (_, bound, _) = counts.select_nth_unstable_by(middle, f64::total_cmp);
+        let median = counts.len() / 2;
+        let (_, bound, _) = counts.select_nth_unstable_by(median, f64::total_cmp);
         let bound = *bound;
         self.rates.retain(|_, rate| rate.count_at(now) > bound);
     }
 }
 
-/// How many homes a key of that load has in the whole fleet.
+/// Number of homes of a key in the fleet, given its load over all processes.
 pub(crate) fn home_count(fleet_load: f64, members: usize) -> usize {
-    ((fleet_load / HOME_LOAD).ceil().max(1.0) as usize).min(members.max(1))
+    ((fleet_load / MAX_HOME_LOAD).ceil().max(1.0) as usize).min(members.max(1))
 }
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -1,66 +1,71 @@
-//! The label pools of one service, the same at every process that holds the same list.
+//! The label pools of one service. All processes with the same server list derive the same pools.
 
 use cherryusher::labels;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Ready servers that a label claims at least, where there are so many.
-pub(crate) const POOL_LEAST: usize = 4;
-/// Servers for each label. A pool has to be large against the part that one tenant has of all traffic, also at several
-/// times its usual: with 24 servers each, four pools of 35 had servers 2.5 times as busy as the mean, and 12% of
-/// requests failed (run 01e7839d); with one pool 0.4% did (run 40f5736b).
-const SERVERS_EACH_LABEL: usize = 240;
-/// From this many servers on, tenantless requests of a service that has some get servers of their own.
-const UNLABELLED_FROM: usize = 16;
-/// Their part of the servers then.
-const UNLABELLED_PART: usize = 4;
+/// Minimum number of ready servers in the pool of a label, if the service has that many.
+pub(crate) const MIN_POOL_SIZE: usize = 4;
+/// Servers per label. A pool must be large compared with the share of all traffic that one tenant sends, even
+/// at several times its usual rate: with four pools of 35 servers (24 servers per label), some servers were
+/// 2.5 times as busy as the mean and 12% of the requests failed; with a single pool 0.4% failed.
+const SERVERS_PER_LABEL: usize = 240;
+/// From this number of servers on, a service with tenantless requests reserves servers for them.
+const MIN_SERVERS_FOR_UNLABELLED: usize = 16;
+/// The reserved servers are the number of ready servers divided by this.
+const UNLABELLED_DIVISOR: usize = 4;
 
-/// A member of a pool: the hash of its id, and its place.
+/// A member of a pool: the hash of the server's id, and its index in the server table.
 pub(crate) type Member = (u64, u32);
 
 /// The pools of one service.
 #[derive(Default)]
 pub(crate) struct Pools {
-    /// One a label.
+    /// One pool for each label.
     pub(crate) labelled: Vec<Vec<Member>>,
-    /// Those that no label claims.
+    /// The servers that no label claims.
     pub(crate) unlabelled: Vec<Member>,
     /// All ready servers.
     pub(crate) ready: Vec<Member>,
 }
 
-/// How many labels a service of that many servers has: a power of two, so that few changes of the list change it.
+/// The number of labels of a service with that many servers: a power of two, so that it rarely changes with
+/// the list.
 fn label_count(servers: usize) -> usize {
-    let most = (servers / SERVERS_EACH_LABEL).max(1);
-    1 << most.ilog2()
+    let max_labels = (servers / SERVERS_PER_LABEL).max(1);
+    1 << max_labels.ilog2()
 }
 
 impl Pools {
-    /// Builds the pools. `listed` counts the draining servers too; `tenantless` says whether the service has
-    /// requests without a tenant.
-    pub(crate) fn build(mut ready: Vec<Member>, listed: usize, tenantless: bool) -> Pools {
+    /// Builds the pools. `listed` includes the draining servers; `has_tenantless` tells whether the service
+    /// receives requests without a tenant.
+    pub(crate) fn build(mut ready: Vec<Member>, listed: usize, has_tenantless: bool) -> Pools {
         ready.sort_unstable();
         let labels = label_count(listed);
-        let kept_back =
-            if tenantless && ready.len() >= UNLABELLED_FROM { ready.len() / UNLABELLED_PART } else { 0 };
-        let size = ((ready.len() - kept_back) / labels).max(POOL_LEAST);
-        let mut free = ready.clone();
+        let reserved = if has_tenantless && ready.len() >= MIN_SERVERS_FOR_UNLABELLED {
+            ready.len() / UNLABELLED_DIVISOR
+        } else {
+            0
+        };
+        let size = ((ready.len() - reserved) / labels).max(MIN_POOL_SIZE);
+        let mut unclaimed = ready.clone();
         let mut labelled = Vec::with_capacity(labels);
         for label in 0..labels {
-            let rest_too = kept_back == 0 && label + 1 == labels;
-            let size = if rest_too { free.len() } else { size.min(free.len()) };
-            labelled.push(labels::claim(&mut free, label, size, |(hash, _)| *hash));
+            let takes_rest = reserved == 0 && label + 1 == labels;
+            let size = if takes_rest { unclaimed.len() } else { size.min(unclaimed.len()) };
+            labelled.push(labels::claim(&mut unclaimed, label, size, |(hash, _)| *hash));
         }
-        free.sort_unstable();
-        Pools { labelled, unlabelled: free, ready }
+        unclaimed.sort_unstable();
+        Pools { labelled, unlabelled: unclaimed, ready }
     }
 
-    /// The pool that a server of that label is in.
-    pub(crate) fn pool_of(&self, label: Option<usize>) -> &[Member] {
+    /// The pool that a server with this label belongs to.
+    pub(crate) fn pool_of_label(&self, label: Option<usize>) -> &[Member] {
         label.and_then(|label| self.labelled.get(label)).unwrap_or(&self.unlabelled)
     }
 
-    /// The pool of a tenant's label, or the unlabelled one; an empty pool borrows from all ready servers.
-    pub(crate) fn pool(&self, tenant: Option<&str>) -> &[Member] {
+    /// The pool of a tenant's label, or the unlabelled pool for `None`. If that pool is empty, all ready
+    /// servers.
+    pub(crate) fn pool_for_tenant(&self, tenant: Option<&str>) -> &[Member] {
         let own = match tenant {
             Some(tenant) => {
                 let labels = self.labelled.len().max(1) as u16;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,213 +1,222 @@
-//! The router: its state, and what changes it from outside.
+//! The state of the router, and the updates it receives.
 
 use std::collections::HashMap;
 
 use dunelink_serving_model::{Micros, ServerCapacity, SpeedEstimate};
 
-use crate::attempts::Attempts;
+use crate::attempts::AttemptTable;
 use crate::locality::KeyRates;
 use crate::pools::{Member, Pools};
-use crate::servers::{Server, Servers};
+use crate::servers::{Server, ServerTable};
 use crate::{AttemptId, Outcome, RouterSettings, ServerHandle, ServerInfo, ServiceSpec};
 
-/// So long after a sign of life was due a server counts as silent.
-const SILENT_FROM: Micros = 300_000;
-/// So long after it a request that ends without an event ejects the server.
-const SILENT_FOR: Micros = 1_000_000;
+/// A server counts as silent this long after a response was due, in microseconds.
+const SILENCE_GRACE_US: Micros = 300_000;
+/// A request that ends without an event this long after a response was due ejects the server; in
+/// microseconds.
+const SILENCE_EJECTION_US: Micros = 1_000_000;
 
-/// One service: what the configuration says of it, if it does, and its pools.
+/// One service: its configuration, if there is one, its pools and its estimated speed.
 pub(crate) struct Service {
     pub(crate) spec: Option<ServiceSpec>,
-    pub(crate) tenantless: bool,
+    pub(crate) has_tenantless: bool,
     pub(crate) pools: Pools,
     pub(crate) speed: SpeedEstimate,
 }
 
-/// Decides which server takes each request of one process.
+/// Selects the server for each request of one process.
 pub struct Router {
     pub(crate) settings: RouterSettings,
     pub(crate) random: fastrand::Rng,
-    pub(crate) nodes: u32,
+    pub(crate) fleet_size: u32,
     pub(crate) services: Vec<Service>,
-    pub(crate) by_name: HashMap<String, usize>,
-    pub(crate) servers: Servers,
-    pub(crate) attempts: Attempts,
+    pub(crate) service_by_name: HashMap<String, usize>,
+    pub(crate) servers: ServerTable,
+    pub(crate) attempts: AttemptTable,
     pub(crate) keys: KeyRates,
-    /// Kept between decisions so that none of them allocates.
-    pub(crate) found: Vec<(u64, u32)>,
-    pub(crate) candidates: Vec<crate::choose::Candidate>,
+    /// Buffers reused by all decisions, so that a decision allocates nothing.
+    pub(crate) home_buffer: Vec<(u64, u32)>,
+    pub(crate) candidate_buffer: Vec<crate::choose::Candidate>,
 }
 
 impl Router {
-    /// A router that knows no service and no server yet. `seed` moves only its random draws.
+    /// Creates a router without services and servers. `seed` affects only its random choices.
     pub fn new(settings: RouterSettings, seed: u64) -> Router {
         Router {
             settings,
             random: fastrand::Rng::with_seed(seed),
-            nodes: 1,
+            fleet_size: 1,
             services: Vec::new(),
-            by_name: HashMap::new(),
-            servers: Servers::default(),
-            attempts: Attempts::default(),
+            service_by_name: HashMap::new(),
+            servers: ServerTable::default(),
+            attempts: AttemptTable::default(),
             keys: KeyRates::default(),
-            found: Vec::new(),
-            candidates: Vec::new(),
+            home_buffer: Vec::new(),
+            candidate_buffer: Vec::new(),
         }
     }
 
-    /// Takes over the services of a configuration; what is known of their servers stays.
+    /// Replaces the services by those of a configuration. The state of their servers is kept.
     pub fn set_services(&mut self, _now: Micros, specs: &[ServiceSpec]) {
         self.services.iter_mut().for_each(|service| service.spec = None);
         for spec in specs {
-            let at = self.service_index(&spec.name);
-            self.services[at].spec = Some(spec.clone());
+            let index = self.service_index(&spec.name);
+            self.services[index].spec = Some(spec.clone());
         }
         let services = &self.services;
         for (_, server) in self.servers.iter_mut() {
-            let shape = shape_of(services[server.service].spec.as_ref(), &server.info);
-            if server.model.capacity() != shape {
-                server.model.set_capacity(shape);
+            let capacity = capacity_of(services[server.service].spec.as_ref(), &server.info);
+            if server.model.capacity() != capacity {
+                server.model.set_capacity(capacity);
             }
         }
     }
 
-    /// Says which services have requests without a tenant: those that a public route leads to. Only from many
-    /// servers on these get servers of their own. Every process must say the same.
+    /// Sets the services that receive requests without a tenant, which are those that a public route leads
+    /// to. These requests get servers of their own only if the service has many servers. Every process must
+    /// set the same services.
     pub fn set_tenantless_services(&mut self, names: &[&str]) {
         let mut changed = Vec::new();
-        for (name, &at) in &self.by_name {
-            let tenantless = names.contains(&name.as_str());
-            if self.services[at].tenantless != tenantless {
-                self.services[at].tenantless = tenantless;
-                changed.push(at);
+        for (name, &index) in &self.service_by_name {
+            let has_tenantless = names.contains(&name.as_str());
+            if self.services[index].has_tenantless != has_tenantless {
+                self.services[index].has_tenantless = has_tenantless;
+                changed.push(index);
             }
         }
-        self.rebuild(changed);
+        self.rebuild_pools(changed);
     }
 
-    /// Takes over the whole list of servers.
+    /// Replaces the list of servers.
     pub fn update_servers(&mut self, now: Micros, servers: &[ServerInfo]) {
         let mut changed = Vec::new();
-        self.servers.begin_list();
+        self.servers.begin_listing();
         for info in servers {
             let service = self.service_index(&info.service);
-            let shape = shape_of(self.services[service].spec.as_ref(), info);
-            if self.servers.list(now, info, service, shape) {
+            let capacity = capacity_of(self.services[service].spec.as_ref(), info);
+            if self.servers.upsert(now, info, service, capacity) {
                 changed.push(service);
             }
         }
-        changed.extend(self.servers.end_list());
-        self.rebuild(changed);
+        changed.extend(self.servers.finish_listing());
+        self.rebuild_pools(changed);
     }
 
-    /// Says how many processes of the fleet send to the same servers, this one included.
-    pub fn set_fleet_size(&mut self, nodes: u32) {
-        self.nodes = nodes.max(1);
+    /// Sets the number of processes that send requests to the same servers, including this one.
+    pub fn set_fleet_size(&mut self, fleet_size: u32) {
+        self.fleet_size = fleet_size.max(1);
     }
 
-    /// What the list says of a server; none if it is not listed any more.
+    /// The list entry of a server; `None` once the server is no longer listed.
     pub fn server(&self, handle: ServerHandle) -> Option<&ServerInfo> {
         self.servers.get(handle).map(|server| &*server.info)
     }
 
-    /// Whether a server is still listed and ready. To be asked right before the first byte is sent.
+    /// Whether a server is still listed and ready. The caller must check this right before it sends the first
+    /// byte.
     pub fn is_usable(&self, handle: ServerHandle) -> bool {
         self.servers.get(handle).is_some_and(|server| server.info.ready)
     }
 
-    /// How long a server has given no sign of life beyond the time when one was due; 0 while it is not silent.
-    /// What may be repeated need not wait for it.
+    /// How long a response from the server has been overdue, beyond a grace period; 0 if the server is not
+    /// silent. An idempotent request need not wait for a silent server.
     pub fn silent_for(&self, now: Micros, handle: ServerHandle) -> Micros {
-        self.servers.get(handle).map_or(0, |server| silence(now, server))
+        self.servers.get(handle).map_or(0, |server| silence_us(now, server))
     }
 
-    /// How many attempts are out.
+    /// The number of attempts in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts.len()
     }
 
     fn service_index(&mut self, name: &str) -> usize {
-        if let Some(&at) = self.by_name.get(name) {
-            return at;
+        if let Some(&index) = self.service_by_name.get(name) {
+            return index;
         }
         self.services.push(Service {
             spec: None,
-            tenantless: false,
+            has_tenantless: false,
             pools: Pools::default(),
             speed: SpeedEstimate::default(),
         });
-        self.by_name.insert(name.to_owned(), self.services.len() - 1);
+        self.service_by_name.insert(name.to_owned(), self.services.len() - 1);
         self.services.len() - 1
     }
 
-    /// Builds the pools of these services anew.
-    fn rebuild(&mut self, mut services: Vec<usize>) {
+    /// Rebuilds the pools of the given services.
+    fn rebuild_pools(&mut self, mut services: Vec<usize>) {
         services.sort_unstable();
         services.dedup();
-        for at in services {
-            let own = || self.servers.iter().filter(|(_, server)| server.service == at);
+        for index in services {
+            let members = || self.servers.iter().filter(|(_, server)| server.service == index);
             let ready: Vec<Member> =
-                own().filter(|(_, s)| s.info.ready).map(|(place, s)| (s.hash, place)).collect();
-            let pools = Pools::build(ready, own().count(), self.services[at].tenantless);
-            for (_, server) in self.servers.iter_mut().filter(|(_, server)| server.service == at) {
+                members().filter(|(_, s)| s.info.ready).map(|(index, s)| (s.hash, index)).collect();
+            let pools = Pools::build(ready, members().count(), self.services[index].has_tenantless);
+            for (_, server) in self.servers.iter_mut().filter(|(_, server)| server.service == index) {
                 server.label = None;
             }
             for (label, pool) in pools.labelled.iter().enumerate() {
-                for (_, place) in pool {
-                    if let Some(server) = self.servers.at_mut(*place) {
+                for (_, index) in pool {
+                    if let Some(server) = self.servers.by_index_mut(*index) {
                         server.label = Some(label);
                     }
                 }
             }
-            self.services[at].pools = pools;
+            self.services[index].pools = pools;
         }
     }
 
-    /// Notes that the request's bytes are sent now; its decision may have been a while ago.
+    /// Records that the bytes of the request are sent now, which may be a while after the decision.
     pub fn record_sent(&mut self, now: Micros, attempt: AttemptId) {
-        let Some(out) = self.attempts.get(attempt) else { return };
-        if let Some(server) = self.servers.get_mut(out.server) {
-            let due = out.due.max(now);
-            server.sign_due.get_or_insert(due);
+        let Some(in_flight) = self.attempts.get(attempt) else { return };
+        if let Some(server) = self.servers.get_mut(in_flight.server) {
+            let due = in_flight.first_event_due.max(now);
+            server.response_due.get_or_insert(due);
         }
     }
 
-    /// Notes the first event of an answer, or its head where it is no stream.
+    /// Records the first event of a stream, or the head of a response that is no stream.
     pub fn record_first_event(&mut self, now: Micros, attempt: AttemptId) {
-        let Some(out) = self.attempts.get(attempt) else { return };
-        let Some(server) = self.servers.get_mut(out.server) else { return };
-        server.model.record_first_event(now, &mut self.services[server.service].speed, &mut out.work);
-        server.health.alive();
-        server.sign_due = None;
+        let Some(in_flight) = self.attempts.get(attempt) else { return };
+        let Some(server) = self.servers.get_mut(in_flight.server) else { return };
+        server.model.record_first_event(
+            now,
+            &mut self.services[server.service].speed,
+            &mut in_flight.request,
+        );
+        server.health.record_response();
+        server.response_due = None;
     }
 
-    /// Notes that more events of a stream came.
+    /// Records that further events of a stream arrived.
     pub fn record_progress(&mut self, _now: Micros, attempt: AttemptId, _events: u32) {
-        let Some(out) = self.attempts.get(attempt) else { return };
-        if let Some(server) = self.servers.get_mut(out.server) {
-            server.sign_due = None;
+        let Some(in_flight) = self.attempts.get(attempt) else { return };
+        if let Some(server) = self.servers.get_mut(in_flight.server) {
+            server.response_due = None;
         }
     }
 
-    /// Notes the end of an attempt. Each decision to send needs exactly one.
+    /// Records how an attempt ended. Must be called exactly once for each decision to send.
     pub fn record_outcome(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
-        let Some(out) = self.attempts.remove(attempt) else { return };
-        let Some(server) = self.servers.get_mut(out.server) else { return };
+        let Some(in_flight) = self.attempts.remove(attempt) else { return };
+        let Some(server) = self.servers.get_mut(in_flight.server) else { return };
         let speed = &mut self.services[server.service].speed;
-        server.model.record_end(now, speed, &out.work, outcome == Outcome::Served);
-        let silent = server.sign_due.is_some_and(|due| now > due + SILENT_FOR) && !out.work.has_started();
-        // A client that left a silent server says what a time-out says.
-        let outcome = if outcome == Outcome::Cancelled && silent { Outcome::TimedOut } else { outcome };
-        let answered = matches!(outcome, Outcome::Served | Outcome::Rejected | Outcome::ServerError);
-        if answered || server.model.in_flight() == 0 {
-            server.sign_due = None;
+        server.model.record_end(now, speed, &in_flight.request, outcome == Outcome::Served);
+        let is_silent = server.response_due.is_some_and(|due| now > due + SILENCE_EJECTION_US)
+            && !in_flight.request.has_started();
+        // A client that disconnects from a silent server is evidence of a timeout.
+        let outcome = if outcome == Outcome::Cancelled && is_silent { Outcome::TimedOut } else { outcome };
+        let has_answered = matches!(outcome, Outcome::Served | Outcome::Rejected | Outcome::ServerError);
+        if has_answered || server.model.in_flight() == 0 {
+            server.response_due = None;
         }
-        if server.health.ended(now, attempt, outcome) || (silent && !answered) {
-            self.eject(now, out.server);
+        if server.health.record_outcome(now, attempt, outcome) || (is_silent && !has_answered) {
+            self.eject(now, in_flight.server);
         }
     }
 
-    /// Takes in `X-Dunelink-Server-Load`. The slots are those of the list.
+    /// Records the content of `X-Dunelink-Server-Load`. The number of slots is taken from the server list
+    /// instead.
     pub fn observe_load(
         &mut self,
         now: Micros,
@@ -221,57 +230,64 @@
         }
     }
 
-    /// Takes in how many requests of the whole fleet were at a server a moment ago, those of this process included.
-    /// A server that is not listed is left out.
-    pub fn observe_fleet_load(&mut self, now: Micros, server: &str, requests: u32, unread: u32) {
+    /// Records how many requests the whole fleet, including this process, recently had in flight at a server,
+    /// and their prompt tokens still to be processed. An unlisted server is ignored.
+    pub fn observe_fleet_load(&mut self, now: Micros, server: &str, requests: u32, pending_prefill: u32) {
         if let Some(server) = self.servers.by_id_mut(server) {
-            server.model.observe_fleet_load(now, requests, unread);
+            server.model.observe_fleet_load(now, requests, pending_prefill);
         }
     }
 
-    /// Tells the requests of this process at servers: at all that have some, else at those where their number has
-    /// changed since the last call.
-    pub fn report_loads(&mut self, whole: bool, unit: u32, mut tell: impl FnMut(&str, u32, u32)) {
+    /// Reports the requests that this process has in flight at each server: for all servers with any if
+    /// `include_all` is set, else for the servers whose figures changed since the last call.
+    pub fn report_loads(
+        &mut self,
+        include_all: bool,
+        prefill_unit: u32,
+        mut report: impl FnMut(&str, u32, u32),
+    ) {
         for (_, server) in self.servers.iter_mut() {
-            let (load, has_changed) = server.model.report_load(unit);
-            let is_told = if whole { load.requests > 0 } else { has_changed };
-            if is_told {
-                tell(&server.info.id, load.requests, load.pending_prefill);
+            let (load, has_changed) = server.model.report_load(prefill_unit);
+            let is_reported = if include_all { load.requests > 0 } else { has_changed };
+            if is_reported {
+                report(&server.info.id, load.requests, load.pending_prefill);
             }
         }
     }
 
-    /// Takes in that other processes find a server failing: the failing part of its answers, 0 to 1. For three seconds
-    /// it counts as if this process had seen that; it is compared by it, and never ejected for it. A server that is
-    /// not listed is left out.
+    /// Records that other processes see a server fail: the failure rate they observed, 0 to 1. For three
+    /// seconds it counts in comparisons as if this process had observed it; it never ejects the server. An
+    /// unlisted server is ignored.
     pub fn observe_suspicion(&mut self, now: Micros, server: &str, failed_share: f32) {
-        let share = if failed_share.is_finite() { f64::from(failed_share.clamp(0.0, 1.0)) } else { 0.0 };
+        let failure_rate =
+            if failed_share.is_finite() { f64::from(failed_share.clamp(0.0, 1.0)) } else { 0.0 };
         if let Some(server) = self.servers.by_id_mut(server) {
-            server.health.suspect(now, share);
+            server.health.observe_suspicion(now, failure_rate);
         }
     }
 
-    /// Ejects a server, unless half of its service would then be ejected.
+    /// Ejects a server, unless more than half of its pool would then be ejected.
     pub(crate) fn eject(&mut self, now: Micros, handle: ServerHandle) {
         let Some(server) = self.servers.get(handle) else { return };
-        let pool = self.services[server.service].pools.pool_of(server.label);
-        let is_other = |place: u32| self.servers.handle(place) != handle;
-        let is_ejected = |place: u32| self.servers.at(place).is_some_and(|s| s.health.ejected_for(now) > 0);
-        let ejected = pool.iter().filter(|(_, place)| is_other(*place) && is_ejected(*place)).count();
-        let bounded = (ejected + 1) * 2 <= pool.len();
+        let pool = self.services[server.service].pools.pool_of_label(server.label);
+        let is_other = |index: u32| self.servers.handle(index) != handle;
+        let is_ejected =
+            |index: u32| self.servers.by_index(index).is_some_and(|s| s.health.ejected_for(now) > 0);
+        let ejected = pool.iter().filter(|(_, index)| is_other(*index) && is_ejected(*index)).count();
+        let is_within_limit = (ejected + 1) * 2 <= pool.len();
         if let Some(server) = self.servers.get_mut(handle) {
-            if bounded { server.health.eject(now) } else { server.health.readmit() }
+            if is_within_limit { server.health.eject(now) } else { server.health.readmit() }
         }
     }
 }
 
-/// How long a server has been silent.
-pub(crate) fn silence(now: Micros, server: &Server) -> Micros {
-    server.sign_due.map_or(0, |due| now.saturating_sub(due + SILENT_FROM))
+/// How long a response from the server has been overdue, beyond the grace period.
+pub(crate) fn silence_us(now: Micros, server: &Server) -> Micros {
+    server.response_due.map_or(0, |due| now.saturating_sub(due + SILENCE_GRACE_US))
 }
 
-/// What the list and the configuration say of a server's size.
-fn shape_of(spec: Option<&ServiceSpec>, info: &ServerInfo) -> ServerCapacity {
+/// The capacity of a server according to the server list and the configuration.
+fn capacity_of(spec: Option<&ServiceSpec>, info: &ServerInfo) -> ServerCapacity {
     let engine = spec.and_then(|spec| spec.engine);
     let slots = if info.slots > 0 { info.slots } else { engine.map_or(1, |engine| engine.slots) };
     ServerCapacity { slots, kv_tokens: engine.map_or(0, |engine| engine.kv_tokens) }
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens in whatever order.
+//! Invariants of the router for random sequences of events.
 
 mod support;
 
@@ -8,15 +8,15 @@
 
 #[derive(Debug, TypeGenerator)]
 enum Step {
-    Choose { subject: u8, own: u8, tenant: Option<u8>, plain: bool, tokens: u16 },
-    Sent(u8),
-    First(u8),
-    Progressed(u8),
+    Choose { document: u8, own: u8, tenant: Option<u8>, plain: bool, tokens: u16 },
+    RecordSent(u8),
+    FirstEvent(u8),
+    Progress(u8),
     End { which: u8, outcome: u8 },
-    Load { which: u8, running: u8, waiting: u8 },
-    List { first: u8, count: u8, draining: u8, cold: bool },
-    Fleet(u8),
-    Later(u16),
+    ObserveLoad { which: u8, running: u8, waiting: u8 },
+    UpdateServers { first: u8, count: u8, draining: u8, cold: bool },
+    SetFleetSize(u8),
+    Advance(u16),
 }
 
 const OUTCOMES: [Outcome; 8] = [
@@ -40,68 +40,78 @@
     all
 }
 
-fn play(steps: &[Step]) {
+fn run_steps(steps: &[Step]) {
     let mut router = router(3, &list(0, 12, 0, false));
-    let mut out: Vec<(ServerHandle, AttemptId)> = Vec::new();
+    let mut in_flight: Vec<(ServerHandle, AttemptId)> = Vec::new();
     let mut now = 0;
     for step in steps {
-        let pick = |which: &u8| out.get(usize::from(*which) % out.len().max(1)).copied();
+        let pick = |which: &u8| in_flight.get(usize::from(*which) % in_flight.len().max(1)).copied();
         match step {
-            Step::Choose { subject, own, tenant, plain: is_plain, tokens } => {
+            Step::Choose { document, own, tenant, plain: is_plain, tokens } => {
                 let tenant = tenant.map(|tenant| tenant.to_string());
-                let parts = prompt(u64::from(*subject), u64::from(*own));
-                let base = if *is_plain { plain() } else { request(&parts) };
+                let parts = prompt(u64::from(*document), u64::from(*own));
+                let base = if *is_plain { plain_request() } else { request(&parts) };
                 let prompt_tokens = if *is_plain { 0 } else { u32::from(*tokens) };
                 let excluded: Vec<ServerHandle> = pick(own).map(|(server, _)| server).into_iter().collect();
-                let asked =
+                let routing_request =
                     RoutingRequest { tenant: tenant.as_deref(), prompt_tokens, excluded: &excluded, ..base };
-                match router.choose(now, &asked) {
+                match router.choose(now, &routing_request) {
                     Decision::Send { server, attempt } => {
-                        assert!(router.is_usable(server), "a server that takes requests");
-                        assert!(!excluded.contains(&server), "not one that was tried");
-                        assert_eq!(router.server(server).expect("listed").service, asked.service);
-                        assert!(out.iter().all(|(_, other)| *other != attempt), "a number of its own");
-                        out.push((server, attempt));
+                        assert!(router.is_usable(server), "the chosen server must be usable");
+                        assert!(!excluded.contains(&server), "an excluded server must not be chosen");
+                        assert_eq!(
+                            router.server(server).expect("unlisted server").service,
+                            routing_request.service
+                        );
+                        assert!(
+                            in_flight.iter().all(|(_, other)| *other != attempt),
+                            "attempt ids must be unique"
+                        );
+                        in_flight.push((server, attempt));
+                    }
+                    Decision::Wait { retry_in } => {
+                        assert!(retry_in > 0 && retry_in < routing_request.remaining)
+                    }
+                    Decision::Refuse { retry_after, .. } => {
+                        assert!(retry_after * 3 <= routing_request.remaining)
                     }
-                    Decision::Wait { retry_in } => assert!(retry_in > 0 && retry_in < asked.remaining),
-                    Decision::Refuse { retry_after, .. } => assert!(retry_after * 3 <= asked.remaining),
                 }
             }
-            Step::Sent(which) => {
+            Step::RecordSent(which) => {
                 pick(which).into_iter().for_each(|(_, attempt)| router.record_sent(now, attempt))
             }
-            Step::First(which) => {
+            Step::FirstEvent(which) => {
                 pick(which).into_iter().for_each(|(_, attempt)| router.record_first_event(now, attempt));
             }
-            Step::Progressed(which) => {
+            Step::Progress(which) => {
                 pick(which).into_iter().for_each(|(_, attempt)| router.record_progress(now, attempt, 1));
             }
             Step::End { which, outcome } => {
                 if let Some((_, attempt)) = pick(which) {
-                    out.retain(|(_, other)| *other != attempt);
+                    in_flight.retain(|(_, other)| *other != attempt);
                     router.record_outcome(now, attempt, OUTCOMES[usize::from(*outcome) % OUTCOMES.len()]);
-                    // An end that is told twice changes nothing.
+                    // A second outcome of the same attempt has no effect.
                     router.record_outcome(now, attempt, Outcome::Broken);
                 }
             }
-            Step::Load { which, running, waiting } => {
+            Step::ObserveLoad { which, running, waiting } => {
                 if let Some((server, _)) = pick(which) {
                     router.observe_load(now, server, u32::from(*running), u32::from(*waiting), 64);
                 }
             }
-            Step::List { first, count, draining, cold } => {
+            Step::UpdateServers { first, count, draining, cold } => {
                 router.update_servers(now, &list(*first, *count, *draining, *cold));
             }
-            Step::Fleet(nodes) => router.set_fleet_size(u32::from(*nodes)),
-            Step::Later(ms) => now += Micros::from(*ms) * MS,
+            Step::SetFleetSize(nodes) => router.set_fleet_size(u32::from(*nodes)),
+            Step::Advance(ms) => now += Micros::from(*ms) * MS,
         }
-        check_state(&router, now, &out);
+        check_state(&router, now, &in_flight);
     }
 }
 
-fn check_state(router: &Router, now: Micros, out: &[(ServerHandle, AttemptId)]) {
-    assert_eq!(router.attempts_in_flight(), out.len());
-    let listed = out.iter().filter(|(server, _)| router.server(*server).is_some()).count();
+fn check_state(router: &Router, now: Micros, in_flight: &[(ServerHandle, AttemptId)]) {
+    assert_eq!(router.attempts_in_flight(), in_flight.len());
+    let listed = in_flight.iter().filter(|(server, _)| router.server(*server).is_some()).count();
     let lines = router.status(now);
     assert_eq!(lines.iter().map(|line| line.in_flight as usize).sum::<usize>(), listed);
     assert!(lines.iter().all(|line| line.cached_tokens <= 380_000 && line.fleet_in_flight >= 0.0));
@@ -109,18 +119,18 @@
 }
 
 #[test]
-fn any_order_of_events_keeps_the_state_whole() {
-    check!().with_type::<Vec<Step>>().for_each(|steps| play(steps));
+fn any_event_order_keeps_state_consistent() {
+    check!().with_type::<Vec<Step>>().for_each(|steps| run_steps(steps));
 }
 
 #[test]
-fn a_request_is_sent_while_a_server_is_ready_and_idle() {
+fn request_is_sent_while_a_server_is_idle() {
     check!().with_type::<(u8, Vec<u8>)>().for_each(|(count, fails)| {
         let mut router = router(1, &servers("llm", u32::from(*count % 20) + 1));
         for (at, fail) in fails.iter().enumerate() {
             let parts = prompt(u64::from(*fail), at as u64);
             let now = at as Micros * S;
-            let (_, attempt) = sent(router.choose(now, &request(&parts)));
+            let (_, attempt) = expect_sent(router.choose(now, &request(&parts)));
             let outcome = OUTCOMES[usize::from(*fail) % OUTCOMES.len()];
             router.record_outcome(
                 now,
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Servers, requests and routers as the tests need them.
+//! Builders of servers, requests and routers for the tests.
 #![allow(dead_code, unreachable_pub)]
 
 use dunelink_routing::*;
@@ -11,7 +11,7 @@
     ServerInfo {
         id: format!("i-{service}-{number}"),
         service: service.into(),
-        address: format!("10.0.{}.{}:80", number / 250, number % 250 + 1).parse().expect("an address"),
+        address: format!("10.0.{}.{}:80", number / 250, number % 250 + 1).parse().expect("invalid address"),
         zone: "a".into(),
         slots: 64,
         ready: true,
@@ -23,7 +23,7 @@
     (0..count).map(|number| server(service, number)).collect()
 }
 
-/// The model service `llm` and the plain service `api`.
+/// The model service `llm`, and the service `api` without an engine.
 pub fn specs() -> Vec<ServiceSpec> {
     let engine = EngineSpec { slots: 64, kv_tokens: 380_000, max_tokens_per_event: 6 };
     vec![
@@ -39,11 +39,11 @@
     router
 }
 
-/// A long prompt: a shared system prompt, a shared subject, and a part of its own.
-pub fn prompt(subject: u64, own: u64) -> [PromptPart; 3] {
+/// A long prompt: a shared system prompt, a shared document, and a part of the request's own.
+pub fn prompt(document: u64, own: u64) -> [PromptPart; 3] {
     [
         PromptPart { id: 0x5c1e_07a2_0000_0001, tokens: 2_500 },
-        PromptPart { id: subject.wrapping_mul(0x9e37_79b9_7f4a_7c15), tokens: 3_800 },
+        PromptPart { id: document.wrapping_mul(0x9e37_79b9_7f4a_7c15), tokens: 3_800 },
         PromptPart { id: own.wrapping_mul(0xc2b2_ae3d_27d4_eb4f) | 1, tokens: 2_900 },
     ]
 }
@@ -63,7 +63,7 @@
     }
 }
 
-pub fn plain<'a>() -> RoutingRequest<'a> {
+pub fn plain_request<'a>() -> RoutingRequest<'a> {
     RoutingRequest {
         service: "api",
         prompt_tokens: 0,
@@ -74,18 +74,18 @@
     }
 }
 
-/// The server and the attempt, where the decision is to send.
-pub fn sent(decision: Decision) -> (ServerHandle, AttemptId) {
+/// The server and the attempt of a decision to send. Panics for other decisions.
+pub fn expect_sent(decision: Decision) -> (ServerHandle, AttemptId) {
     match decision {
         Decision::Send { server, attempt } => (server, attempt),
-        other => panic!("not sent: {other:?}"),
+        other => panic!("expected a decision to send, got {other:?}"),
     }
 }
 
-/// Chooses, plays a good answer at once, and gives the id of the server.
-pub fn served(router: &mut Router, now: Micros, request: &RoutingRequest<'_>) -> String {
-    let (server, attempt) = sent(router.choose(now, request));
-    let id = router.server(server).expect("a listed server").id.clone();
+/// Routes a request, records a successful response to it, and returns the id of the server.
+pub fn send_and_serve(router: &mut Router, now: Micros, request: &RoutingRequest<'_>) -> String {
+    let (server, attempt) = expect_sent(router.choose(now, request));
+    let id = router.server(server).expect("unlisted server").id.clone();
     router.record_sent(now, attempt);
     router.record_first_event(now + 60 * MS, attempt);
     router.record_outcome(now + 100 * MS, attempt, Outcome::Served);
--- a/crates/serving-model/src/lib.rs
+++ b/crates/serving-model/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a model server runs and keeps, estimated from what was sent to it; no I/O.
+//! Estimates what a model server is running and has cached, from the requests sent to it; no I/O.
 //!
-//! A server tells nobody which prompt parts it keeps, and its load is told late. [`ServerModel`] counts what this
-//! process sent, what the last load reading said, and what a server of that speed must have read since, and answers
-//! one question: how long would a request with these prompt parts wait for its first token there.
-//! All times are microseconds of the caller's steady clock.
+//! A server does not publish which prompt parts it has cached, and its load becomes known late.
+//! [`ServerModel`] combines the requests that this process sent, the last reported load, and the prefill that
+//! a server of that speed must have done since. It estimates how long a request with given prompt parts would
+//! wait for its first token at the server. All times are microseconds of the caller's monotonic clock.
 
 mod prefix_cache;
 mod reading;
@@ -15,5 +15,5 @@
 pub use server::{Estimate, InFlightRequest, LocalLoad, RequestProfile, ServerCapacity, ServerModel};
 pub use speed::SpeedEstimate;
 
-/// A time or a span in microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = u64;
--- a/crates/serving-model/src/prefix_cache.rs
+++ b/crates/serving-model/src/prefix_cache.rs
@@ -1,143 +1,153 @@
-//! Which prompt parts a server is believed to keep: the most recently used ones that fit into its memory.
+//! Estimated content of a server's prefix cache: the most recently used prompt parts that fit into its
+//! memory.
 
 use std::collections::HashMap;
 
-/// One part of a prompt, in the order in which the model reads them.
+/// One part of a prompt, in the order in which the model processes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// What names the part: equal for equal text.
+    /// Identifies the text of the part: equal texts have equal ids.
     pub id: u64,
-    /// How many tokens it has.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// Parts remembered for one server at most; those beyond it are forgotten first by age.
-const MOST_PARTS: usize = 512;
-/// The end of a chain of list positions.
-const NONE: u32 = u32::MAX;
+/// Maximum number of parts stored per server. Beyond it, the least recently used parts are evicted.
+const MAX_PARTS: usize = 512;
+/// Marks the end of the linked list.
+const END_OF_LIST: u32 = u32::MAX;
 
 #[derive(Clone, Copy)]
 struct Node {
     id: u64,
-    /// What it counts in memory, in tokens.
+    /// Tokens of memory that the part counts for.
     weight: u64,
     newer: u32,
     older: u32,
 }
 
-/// Prompt parts by last use, bounded by tokens and by number.
+/// Prompt parts in order of their last use, bounded by tokens and by number. A linked list stored in a
+/// vector.
 pub struct PrefixCache {
-    at: HashMap<u64, u32>,
+    index_by_id: HashMap<u64, u32>,
     nodes: Vec<Node>,
     newest: u32,
     oldest: u32,
-    weight: u64,
+    total_weight: u64,
 }
 
 impl Default for PrefixCache {
     fn default() -> PrefixCache {
-        PrefixCache { at: HashMap::new(), nodes: Vec::new(), newest: NONE, oldest: NONE, weight: 0 }
+        PrefixCache {
+            index_by_id: HashMap::new(),
+            nodes: Vec::new(),
+            newest: END_OF_LIST,
+            oldest: END_OF_LIST,
+            total_weight: 0,
+        }
     }
 }
 
 impl PrefixCache {
-    /// What the parts kept count in memory together, in tokens.
+    /// Tokens of memory that all cached parts count for.
     pub fn total_tokens(&self) -> u64 {
-        self.weight
+        self.total_weight
     }
 
-    /// How many parts are kept.
+    /// Number of cached parts.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether nothing is kept.
+    /// Whether no part is cached.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// How many tokens of the prompt need no reading: those of the leading parts that are all kept.
+    /// Number of prompt tokens that need no prefill: those of the leading parts that are all cached.
     pub fn cached_prefix_tokens(&self, parts: &[PromptPart]) -> u32 {
-        let kept = parts.iter().take_while(|part| self.at.contains_key(&part.id));
-        kept.fold(0, |sum, part| sum.saturating_add(part.tokens))
+        let cached = parts.iter().take_while(|part| self.index_by_id.contains_key(&part.id));
+        cached.fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
 
-    /// Notes that these parts were just used, and lets go of the least recently used ones beyond `room` tokens.
-    /// The last part counts `senders` times: each of so many processes sends parts of its own there, while the
-    /// parts before it are the same for all of them.
-    pub fn record_use(&mut self, parts: &[PromptPart], room: u64, senders: u32) {
+    /// Records that these parts were just used, and evicts the least recently used ones beyond
+    /// `capacity_tokens`. The last part counts `sender_count` times: each of that many processes sends last
+    /// parts of its own to the server, while the parts before it are the same for all of them.
+    pub fn record_use(&mut self, parts: &[PromptPart], capacity_tokens: u64, sender_count: u32) {
         let Some((last, shared)) = parts.split_last() else { return };
-        self.touch(last.id, u64::from(last.tokens) * u64::from(senders.max(1)));
-        // The first part is the most shared one: it is the last to give way.
+        self.touch(last.id, u64::from(last.tokens) * u64::from(sender_count.max(1)));
+        // The first part is the most widely shared one: it is evicted last.
         for part in shared.iter().rev() {
             self.touch(part.id, u64::from(part.tokens));
         }
-        self.evict_to(room);
+        self.evict_to(capacity_tokens);
     }
 
-    /// Lets go of the least recently used parts until at most `room` tokens are kept.
-    pub fn evict_to(&mut self, room: u64) {
-        while self.oldest != NONE && (self.weight > room || self.nodes.len() > MOST_PARTS) {
+    /// Evicts the least recently used parts until they count for at most `capacity_tokens`.
+    pub fn evict_to(&mut self, capacity_tokens: u64) {
+        while self.oldest != END_OF_LIST
+            && (self.total_weight > capacity_tokens || self.nodes.len() > MAX_PARTS)
+        {
             self.remove(self.oldest);
         }
     }
 
     fn touch(&mut self, id: u64, weight: u64) {
-        if let Some(&at) = self.at.get(&id) {
-            let before = std::mem::replace(&mut self.nodes[at as usize].weight, weight);
-            self.weight = self.weight - before + weight;
-            self.unlink(at);
-            self.link_newest(at);
+        if let Some(&index) = self.index_by_id.get(&id) {
+            let previous = std::mem::replace(&mut self.nodes[index as usize].weight, weight);
+            self.total_weight = self.total_weight - previous + weight;
+            self.unlink(index);
+            self.link_newest(index);
             return;
         }
-        let at = self.nodes.len() as u32;
-        self.nodes.push(Node { id, weight, newer: NONE, older: NONE });
-        self.at.insert(id, at);
-        self.weight += weight;
-        self.link_newest(at);
+        let index = self.nodes.len() as u32;
+        self.nodes.push(Node { id, weight, newer: END_OF_LIST, older: END_OF_LIST });
+        self.index_by_id.insert(id, index);
+        self.total_weight += weight;
+        self.link_newest(index);
     }
 
-    fn link_newest(&mut self, at: u32) {
-        let before = self.newest;
-        let node = &mut self.nodes[at as usize];
-        (node.newer, node.older) = (NONE, before);
-        match before {
-            NONE => self.oldest = at,
-            _ => self.nodes[before as usize].newer = at,
+    fn link_newest(&mut self, index: u32) {
+        let previous = self.newest;
+        let node = &mut self.nodes[index as usize];
+        (node.newer, node.older) = (END_OF_LIST, previous);
+        match previous {
+            END_OF_LIST => self.oldest = index,
+            _ => self.nodes[previous as usize].newer = index,
         }
-        self.newest = at;
+        self.newest = index;
     }
 
-    fn unlink(&mut self, at: u32) {
-        let Node { newer, older, .. } = self.nodes[at as usize];
+    fn unlink(&mut self, index: u32) {
+        let Node { newer, older, .. } = self.nodes[index as usize];
         match newer {
-            NONE => self.newest = older,
+            END_OF_LIST => self.newest = older,
             _ => self.nodes[newer as usize].older = older,
         }
         match older {
-            NONE => self.oldest = newer,
+            END_OF_LIST => self.oldest = newer,
             _ => self.nodes[older as usize].newer = newer,
         }
     }
 
-    /// Removes a node and moves the last one into its place.
-    fn remove(&mut self, at: u32) {
-        self.unlink(at);
-        let gone = self.nodes.swap_remove(at as usize);
-        self.at.remove(&gone.id);
-        self.weight -= gone.weight;
-        if at as usize == self.nodes.len() {
+    /// Removes a node and moves the last node of the vector to its index.
+    fn remove(&mut self, index: u32) {
+        self.unlink(index);
+        let removed = self.nodes.swap_remove(index as usize);
+        self.index_by_id.remove(&removed.id);
+        self.total_weight -= removed.weight;
+        if index as usize == self.nodes.len() {
             return;
         }
-        let Node { id, newer, older, .. } = self.nodes[at as usize];
-        self.at.insert(id, at);
+        let Node { id, newer, older, .. } = self.nodes[index as usize];
+        self.index_by_id.insert(id, index);
         match newer {
-            NONE => self.newest = at,
-            _ => self.nodes[newer as usize].older = at,
+            END_OF_LIST => self.newest = index,
+            _ => self.nodes[newer as usize].older = index,
         }
         match older {
-            NONE => self.oldest = at,
-            _ => self.nodes[older as usize].newer = at,
+            END_OF_LIST => self.oldest = index,
+            _ => self.nodes[older as usize].newer = index,
         }
     }
 }
--- a/crates/serving-model/src/reading.rs
+++ b/crates/serving-model/src/reading.rs
@@ -1,50 +1,51 @@
-//! The load that a server reported last, and what is left of it after a while.
+//! The load that a server reported last, and its weight as it ages.
 
 use crate::Micros;
 
-/// After this long half of what a reading said beyond the usual counts no more.
-const HALF_LIFE: f64 = 400_000.0;
-/// After this long without a reading half of what is usual counts no more: a server that nothing is sent to tells
-/// nothing, and must not seem busy for good.
-const USUAL_HALF_LIFE: f64 = 2_000_000.0;
+/// Half-life of the difference between a reading and the usual load, in microseconds.
+const EXCESS_HALF_LIFE_US: f64 = 400_000.0;
+/// Half-life of the usual load while there is no new reading, in microseconds. A server that gets no requests
+/// reports nothing, and must not seem busy forever.
+const USUAL_HALF_LIFE_US: f64 = 2_000_000.0;
 
-/// One reading of `X-Dunelink-Server-Load`.
+/// One value of the `X-Dunelink-Server-Load` header.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReading {
-    /// When it came.
+    /// When the reading was received.
     pub received_at: Micros,
-    /// Requests that run, of all senders.
+    /// Running requests of all senders.
     pub running: u32,
-    /// Requests that wait, of all senders.
+    /// Queued requests of all senders.
     pub waiting: u32,
-    /// How many of those were ours when it came.
+    /// Requests of this process in flight at the server when the reading was received.
     pub own_in_flight: u32,
 }
 
 impl LoadReading {
-    /// How many requests of other senders are there now by this reading, running and waiting, against a usual level.
+    /// Estimated number of requests that other senders have running or queued now, where `usual` is their
+    /// mean number.
     pub fn other_in_flight(&self, now: Micros, usual: f64) -> f64 {
-        let usual_now = usual * half(now.saturating_sub(self.received_at), USUAL_HALF_LIFE);
+        let usual_now = usual * decay(now.saturating_sub(self.received_at), USUAL_HALF_LIFE_US);
         usual_now + (self.reported_others() - usual) * self.weight(now)
     }
 
-    /// How many requests of other senders it told of.
+    /// Requests of other senders, running or queued, according to the reading.
     pub fn reported_others(&self) -> f64 {
         f64::from(self.running.saturating_add(self.waiting).saturating_sub(self.own_in_flight))
     }
 
-    /// How many requests wait there by this reading.
+    /// Estimated number of queued requests now.
     pub fn decayed_waiting(&self, now: Micros) -> f64 {
         f64::from(self.waiting) * self.weight(now)
     }
 
-    /// How much the reading counts now: 1 when it came, then less and less.
+    /// Weight of the reading now: 1 when it was received, then decaying to 0.
     pub fn weight(&self, now: Micros) -> f64 {
-        half(now.saturating_sub(self.received_at), HALF_LIFE)
+        decay(now.saturating_sub(self.received_at), EXCESS_HALF_LIFE_US)
     }
 }
 
-/// What is left after a time of something that halves with each half-life.
-pub(crate) fn half(age: Micros, half_life: f64) -> f64 {
-    (-(age as f64) / half_life).exp2()
+/// The share of a value that is left after `age`, given the half-life.
+pub(crate) fn decay(age: Micros, half_life_us: f64) -> f64 {
+    (-(age as f64) / half_life_us).exp2()
 }
