--- a/crates/serving-model/src/speed.rs
+++ b/crates/serving-model/src/speed.rs
@@ -1,81 +1,84 @@
-//! How fast the servers of a service are, learned from their answers.
+//! Estimated speed of the servers of a service, learned from their responses.
 
-/// Prompt tokens a millisecond that a server is taken to read before anything is known.
-const PREFILL_START: f64 = 50.0;
-/// The slowest and the fastest reading that is believed, tokens a millisecond.
-const PREFILL_RANGE: (f64, f64) = (2.0, 500.0);
-/// How far one answer moves what is believed.
-const STEP: f64 = 0.05;
-/// How far a slow answer moves what is believed of reading: the speed is that of a free server, and what a loaded
-/// one takes longer is kept with that server.
-const SLOWER_STEP: f64 = 0.003;
-/// Milliseconds from sending to the first token that no prompt causes, before anything is known.
-const FIXED_START: f64 = 15.0;
-/// The longest such time that is believed.
-const FIXED_MOST: f64 = 200.0;
-/// Fewer tokens than this say nothing of the speed of reading, but of the fixed part.
-const LEAST_PREFILL: f64 = 1_000.0;
-/// Milliseconds of a whole request before anything is known.
-const WORK_START: f64 = 30.0;
-/// The shortest and the longest whole request that is believed, milliseconds.
-const WORK_RANGE: (f64, f64) = (0.5, 60_000.0);
+/// Prefill speed before any response, in prompt tokens per millisecond.
+const INITIAL_PREFILL_TOKENS_PER_MS: f64 = 50.0;
+/// Minimum and maximum of the estimated prefill speed, in tokens per millisecond.
+const PREFILL_RANGE_TOKENS_PER_MS: (f64, f64) = (2.0, 500.0);
+/// Weight of one response in an estimate.
+const LEARNING_STEP: f64 = 0.05;
+/// Weight of a slow response in the estimated prefill speed. The estimate is the speed of an unloaded server;
+/// the delay that load adds is part of that server's relative latency.
+const SLOW_PREFILL_STEP: f64 = 0.003;
+/// Time to the first token that does not depend on the prompt, before any response; in milliseconds.
+const INITIAL_FIXED_MS: f64 = 15.0;
+/// Maximum estimate of that time, in milliseconds.
+const MAX_FIXED_MS: f64 = 200.0;
+/// A prefill of fewer tokens says nothing about the prefill speed, but only about the fixed time.
+const MIN_PREFILL_TOKENS: f64 = 1_000.0;
+/// Service time of a whole request before any response, in milliseconds.
+const INITIAL_SERVICE_TIME_MS: f64 = 30.0;
+/// Minimum and maximum service time that an estimate learns from, in milliseconds.
+const SERVICE_TIME_RANGE_MS: (f64, f64) = (0.5, 60_000.0);
 
-/// What is believed of the speed of a service's servers. What makes one of them slower or faster than the others is
-/// kept with that server.
+/// Estimated speed of a service's servers. The deviation of a single server is part of that server's relative
+/// latency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpeedEstimate {
-    /// Prompt tokens read a millisecond.
+    /// Prefill speed in prompt tokens per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Milliseconds to the first token that no prompt causes.
+    /// Time to the first token that does not depend on the prompt, in milliseconds.
     pub fixed_ms: f64,
-    /// Milliseconds of a whole request, from sending to its end.
+    /// Time from sending a request to its end, in milliseconds.
     pub service_time_ms: f64,
-    answers: f64,
+    response_count: f64,
 }
 
 impl Default for SpeedEstimate {
     fn default() -> SpeedEstimate {
         SpeedEstimate {
-            prefill_tokens_per_ms: PREFILL_START,
-            fixed_ms: FIXED_START,
-            service_time_ms: WORK_START,
-            answers: 0.0,
+            prefill_tokens_per_ms: INITIAL_PREFILL_TOKENS_PER_MS,
+            fixed_ms: INITIAL_FIXED_MS,
+            service_time_ms: INITIAL_SERVICE_TIME_MS,
+            response_count: 0.0,
         }
     }
 }
 
 impl SpeedEstimate {
-    /// Milliseconds for reading that many tokens.
+    /// Time to process that many prompt tokens, in milliseconds.
     pub fn prefill_ms(&self, tokens: f64) -> f64 {
         tokens / self.prefill_tokens_per_ms
     }
 
-    /// Milliseconds to a first token behind that many tokens to be read.
+    /// Time to the first token if that many prompt tokens are to be processed, in milliseconds.
     pub fn first_token_ms(&self, tokens: f64) -> f64 {
         self.fixed_ms + self.prefill_ms(tokens)
     }
 
-    /// Learns from a first token that came `took_ms` after sending, where `tokens` were to be read before it.
-    pub fn observe_first_token(&mut self, tokens: f64, took_ms: f64) {
-        if tokens < LEAST_PREFILL {
-            let fixed = (took_ms - self.prefill_ms(tokens)).clamp(0.0, FIXED_MOST);
-            self.fixed_ms += (fixed - self.fixed_ms) * STEP;
+    /// Learns from a first token that arrived `elapsed_ms` after sending, with `tokens` prompt tokens to
+    /// process before it.
+    pub fn observe_first_token(&mut self, tokens: f64, elapsed_ms: f64) {
+        if tokens < MIN_PREFILL_TOKENS {
+            let fixed_ms = (elapsed_ms - self.prefill_ms(tokens)).clamp(0.0, MAX_FIXED_MS);
+            self.fixed_ms += (fixed_ms - self.fixed_ms) * LEARNING_STEP;
             return;
         }
-        let reading = (took_ms - self.fixed_ms).max(tokens / PREFILL_RANGE.1);
-        // A slow answer may have waited for others' work: it says far less than a quick one.
-        let seen =
-            (tokens / reading).clamp(self.prefill_tokens_per_ms / 2.0, self.prefill_tokens_per_ms * 2.0);
-        let step = if seen > self.prefill_tokens_per_ms { STEP } else { SLOWER_STEP };
-        let moved = self.prefill_tokens_per_ms + (seen - self.prefill_tokens_per_ms) * step;
-        self.prefill_tokens_per_ms = moved.clamp(PREFILL_RANGE.0, PREFILL_RANGE.1);
+        let prefill_ms = (elapsed_ms - self.fixed_ms).max(tokens / PREFILL_RANGE_TOKENS_PER_MS.1);
+        // A slow response may have waited for other requests, so it says far less than a quick one.
+        let observed =
+            (tokens / prefill_ms).clamp(self.prefill_tokens_per_ms / 2.0, self.prefill_tokens_per_ms * 2.0);
+        let step = if observed > self.prefill_tokens_per_ms { LEARNING_STEP } else { SLOW_PREFILL_STEP };
+        let updated = self.prefill_tokens_per_ms + (observed - self.prefill_tokens_per_ms) * step;
+        self.prefill_tokens_per_ms =
+            updated.clamp(PREFILL_RANGE_TOKENS_PER_MS.0, PREFILL_RANGE_TOKENS_PER_MS.1);
     }
 
-    /// Learns from a whole request that took so long.
-    pub fn observe_service_time(&mut self, took_ms: f64) {
-        self.answers += 1.0;
-        let seen = took_ms.clamp(WORK_RANGE.0, WORK_RANGE.1);
-        // The first answers replace what was only guessed.
-        self.service_time_ms += (seen - self.service_time_ms) * STEP.max(1.0 / self.answers);
+    /// Learns from a request that took `elapsed_ms` in total.
+    pub fn observe_service_time(&mut self, elapsed_ms: f64) {
+        self.response_count += 1.0;
+        let observed = elapsed_ms.clamp(SERVICE_TIME_RANGE_MS.0, SERVICE_TIME_RANGE_MS.1);
+        // The first responses replace the initial guess.
+        self.service_time_ms +=
+            (observed - self.service_time_ms) * LEARNING_STEP.max(1.0 / self.response_count);
     }
 }
--- a/crates/serving-model/tests/server.rs
+++ b/crates/serving-model/tests/server.rs
@@ -1,4 +1,4 @@
-//! One server's model: what it keeps, how long a request waits, what is learned, what is bounded.
+//! The model of one server: its cache, the expected latency, what it learns, and its limits.
 
 use bolero::{TypeGenerator, check};
 use dunelink_serving_model::*;
@@ -6,11 +6,11 @@
 const MS: Micros = 1_000;
 const SHAPE: ServerCapacity = ServerCapacity { slots: 64, kv_tokens: 380_000 };
 
-fn parts(subject: u64, own: u64) -> [PromptPart; 2] {
-    [PromptPart { id: subject, tokens: 6_000 }, PromptPart { id: own + 1_000_000, tokens: 3_000 }]
+fn parts(document: u64, own: u64) -> [PromptPart; 2] {
+    [PromptPart { id: document, tokens: 6_000 }, PromptPart { id: own + 1_000_000, tokens: 3_000 }]
 }
 
-fn work<'a>(parts: &'a [PromptPart]) -> RequestProfile<'a> {
+fn profile<'a>(parts: &'a [PromptPart]) -> RequestProfile<'a> {
     let prompt_tokens = parts.iter().map(|part| part.tokens).sum();
     RequestProfile { parts, prompt_tokens, max_output_tokens: 60, priority: 1 }
 }
@@ -20,50 +20,53 @@
     speed: &mut SpeedEstimate,
     now: Micros,
     parts: &[PromptPart],
-    took: Micros,
+    latency: Micros,
 ) {
-    let request = work(parts);
+    let request = profile(parts);
     let estimate = model.estimate(now, 1, speed, &request, 0);
     let mut sent = model.record_sent(now, 1, speed, &request, &estimate);
-    model.record_first_event(now + took, speed, &mut sent);
-    model.record_end(now + took, speed, &sent, true);
+    model.record_first_event(now + latency, speed, &mut sent);
+    model.record_end(now + latency, speed, &sent, true);
 }
 
 #[test]
-fn a_prefix_that_was_read_is_not_read_again() {
+fn processed_prefix_is_cached() {
     let mut speed = SpeedEstimate::default();
     let mut model = ServerModel::new(SHAPE);
-    assert_eq!(model.estimate(0, 1, &SpeedEstimate::default(), &work(&parts(1, 1)), 0).prefill_tokens, 9_000);
+    assert_eq!(
+        model.estimate(0, 1, &SpeedEstimate::default(), &profile(&parts(1, 1)), 0).prefill_tokens,
+        9_000
+    );
     serve(&mut model, &mut speed, 0, &parts(1, 1), 170 * MS);
     assert_eq!(
-        model.estimate(MS, 1, &SpeedEstimate::default(), &work(&parts(1, 2)), 0).prefill_tokens,
+        model.estimate(MS, 1, &SpeedEstimate::default(), &profile(&parts(1, 2)), 0).prefill_tokens,
         3_000
     );
     assert_eq!(
-        model.estimate(MS, 1, &SpeedEstimate::default(), &work(&parts(2, 1)), 0).prefill_tokens,
+        model.estimate(MS, 1, &SpeedEstimate::default(), &profile(&parts(2, 1)), 0).prefill_tokens,
         9_000
     );
     assert_eq!(
-        model.estimate(MS, 1, &SpeedEstimate::default(), &work(&parts(2, 2)), 6_000).prefill_tokens,
+        model.estimate(MS, 1, &SpeedEstimate::default(), &profile(&parts(2, 2)), 6_000).prefill_tokens,
         3_000
     );
 }
 
 #[test]
-fn a_part_counts_only_if_all_before_it_are_kept() {
+fn part_counts_only_behind_a_cached_prefix() {
     let mut speed = SpeedEstimate::default();
     let mut model = ServerModel::new(SHAPE);
     serve(&mut model, &mut speed, 0, &[PromptPart { id: 7, tokens: 500 }], 20 * MS);
     let chain = [PromptPart { id: 8, tokens: 100 }, PromptPart { id: 7, tokens: 500 }];
-    assert_eq!(model.estimate(MS, 1, &SpeedEstimate::default(), &work(&chain), 0).prefill_tokens, 600);
+    assert_eq!(model.estimate(MS, 1, &SpeedEstimate::default(), &profile(&chain), 0).prefill_tokens, 600);
 }
 
 #[test]
-fn what_is_unused_longest_gives_way_and_memory_is_bounded() {
+fn least_recently_used_parts_are_evicted() {
     let mut speed = SpeedEstimate::default();
     let mut model = ServerModel::new(SHAPE);
-    for subject in 0..5_000 {
-        serve(&mut model, &mut speed, subject * 200 * MS, &parts(subject, subject), 100 * MS);
+    for document in 0..5_000 {
+        serve(&mut model, &mut speed, document * 200 * MS, &parts(document, document), 100 * MS);
         assert!(model.prefix_cache().total_tokens() <= SHAPE.kv_tokens);
         assert!(model.prefix_cache().len() <= 512);
     }
@@ -72,47 +75,47 @@
 }
 
 #[test]
-fn parts_of_other_senders_take_memory_too() {
-    let mut kept = PrefixCache::default();
+fn parts_of_other_senders_take_memory() {
+    let mut cache = PrefixCache::default();
     for own in 0..100 {
-        kept.record_use(&parts(1, own), 100_000, 8);
+        cache.record_use(&parts(1, own), 100_000, 8);
     }
-    // Each last part stands for those of eight senders: four fit beside the shared one.
-    assert_eq!(kept.len(), 4);
-    assert_eq!(kept.cached_prefix_tokens(&parts(1, 99)), 9_000);
+    // Each last part counts for eight senders: four fit beside the shared part.
+    assert_eq!(cache.len(), 4);
+    assert_eq!(cache.cached_prefix_tokens(&parts(1, 99)), 9_000);
 }
 
 #[test]
-fn work_ahead_delays_and_is_read_with_time() {
+fn queued_prefill_delays_until_processed() {
     let mut model = ServerModel::new(SHAPE);
-    let idle = model.estimate(0, 1, &SpeedEstimate::default(), &work(&parts(1, 1)), 0).first_response_us;
+    let idle = model.estimate(0, 1, &SpeedEstimate::default(), &profile(&parts(1, 1)), 0).first_response_us;
     for own in 0..10 {
         let parts = parts(own + 10, own);
-        let request = work(&parts);
+        let request = profile(&parts);
         let estimate = model.estimate(0, 1, &SpeedEstimate::default(), &request, 0);
         model.record_sent(0, 1, &SpeedEstimate::default(), &request, &estimate);
     }
-    let busy = model.estimate(0, 1, &SpeedEstimate::default(), &work(&parts(1, 1)), 0).first_response_us;
+    let busy = model.estimate(0, 1, &SpeedEstimate::default(), &profile(&parts(1, 1)), 0).first_response_us;
     assert!(busy > idle * 8, "{idle} µs idle, {busy} µs behind ten prompts");
     let later =
-        model.estimate(2_000 * MS, 1, &SpeedEstimate::default(), &work(&parts(1, 1)), 0).first_response_us;
-    assert!(later < idle * 2, "{later} µs once the ten must have been read");
+        model.estimate(2_000 * MS, 1, &SpeedEstimate::default(), &profile(&parts(1, 1)), 0).first_response_us;
+    assert!(later < idle * 2, "{later} µs after the ten prompts must have been processed");
 }
 
 #[test]
-fn the_speed_of_reading_is_learned() {
+fn prefill_speed_is_learned() {
     let mut speed = SpeedEstimate::default();
     let mut model = ServerModel::new(SHAPE);
     for at in 0..400 {
-        // 9,000 tokens in 115 ms: 90 tokens a millisecond after the fixed part.
+        // 9,000 tokens in 115 ms are 90 tokens per millisecond after the fixed time.
         serve(&mut model, &mut speed, at * 1_000 * MS, &parts(at, at), 115 * MS);
     }
     let speed = speed.prefill_tokens_per_ms;
-    assert!((80.0..100.0).contains(&speed), "{speed} tokens a millisecond");
+    assert!((80.0..100.0).contains(&speed), "{speed} tokens per millisecond");
 }
 
 #[test]
-fn a_server_that_is_slower_than_its_service_counts_as_such_until_it_was_not_asked_for_long() {
+fn slow_server_estimate_decays_without_requests() {
     let mut speed = SpeedEstimate::default();
     let (mut slow, mut usual) = (ServerModel::new(SHAPE), ServerModel::new(SHAPE));
     for at in 0..40 {
@@ -120,59 +123,59 @@
         serve(&mut usual, &mut speed, at * 1_000 * MS, &parts(at, at), 200 * MS);
         serve(&mut usual, &mut speed, at * 1_000 * MS, &parts(at + 500, at), 200 * MS);
     }
-    let (slow_then, usual_then) =
+    let (slow_latency, usual_latency) =
         (slow.relative_latency(40_000 * MS, 1), usual.relative_latency(40_000 * MS, 1));
-    assert!(slow_then > usual_then * 2.0, "{slow_then} and {usual_then}");
+    assert!(slow_latency > usual_latency * 2.0, "relative latencies {slow_latency} and {usual_latency}");
     assert!(slow.relative_latency(80_000 * MS, 1) < 1.1);
 }
 
 #[test]
-fn a_request_too_large_for_what_is_left_of_memory_is_told() {
+fn oversized_request_reports_full_memory() {
     let mut model = ServerModel::new(SHAPE);
     let parts = [PromptPart { id: 1, tokens: 290_000 }];
-    let request = work(&parts);
+    let request = profile(&parts);
     let estimate = model.estimate(0, 1, &SpeedEstimate::default(), &request, 0);
     assert!(!estimate.memory_full);
     model.record_sent(0, 1, &SpeedEstimate::default(), &request, &estimate);
     let other = [PromptPart { id: 2, tokens: 20_000 }];
-    assert!(model.estimate(0, 1, &SpeedEstimate::default(), &work(&other), 0).memory_full);
+    assert!(model.estimate(0, 1, &SpeedEstimate::default(), &profile(&other), 0).memory_full);
 }
 
 #[test]
-fn a_reading_counts_less_and_less_and_so_does_what_was_usual() {
+fn reading_and_usual_load_decay() {
     let mut model = ServerModel::new(SHAPE);
     for at in 0..100 {
         model.observe_load(at * 10 * MS, 40, 20);
     }
-    let told = model.fleet_in_flight(1_000 * MS, 8);
-    assert!((50.0..=60.0).contains(&told), "{told}");
+    let reported = model.fleet_in_flight(1_000 * MS, 8);
+    assert!((50.0..=60.0).contains(&reported), "{reported}");
     assert!(
         model.fleet_in_flight(30_000 * MS, 8) < 1.0,
-        "nothing is told of a server that nothing is sent to"
+        "the usual load of a server without requests must decay"
     );
-    assert!(model.fleet_in_flight(1_000 * MS, 1) < 0.5, "one process has no others");
+    assert!(model.fleet_in_flight(1_000 * MS, 1) < 0.5, "a single process has no other senders");
 }
 
 #[derive(Debug, TypeGenerator)]
 enum Step {
-    Send { subject: u8, own: u8, tokens: u16, out: u16, priority: u8 },
-    First(u8),
+    Send { document: u8, own: u8, tokens: u16, output_tokens: u16, priority: u8 },
+    FirstEvent(u8),
     End(u8, bool),
-    Load(u8, u8),
-    Later(u16),
+    ObserveLoad(u8, u8),
+    Advance(u16),
 }
 
 #[test]
-fn counts_never_drift() {
+fn counters_return_to_zero() {
     check!().with_type::<Vec<Step>>().for_each(|steps| {
         let mut speed = SpeedEstimate::default();
         let mut model = ServerModel::new(SHAPE);
-        let mut out: Vec<InFlightRequest> = Vec::new();
+        let mut in_flight: Vec<InFlightRequest> = Vec::new();
         let mut now = 0;
         for step in steps {
             match step {
-                Step::Send { subject, own, tokens, out: max_output_tokens, priority } => {
-                    let parts = parts(u64::from(*subject), u64::from(*own));
+                Step::Send { document, own, tokens, output_tokens: max_output_tokens, priority } => {
+                    let parts = parts(u64::from(*document), u64::from(*own));
                     let (prompt_tokens, max_output_tokens) =
                         (u32::from(*tokens), u32::from(*max_output_tokens));
                     let request = RequestProfile {
@@ -183,38 +186,39 @@
                     };
                     let estimate = model.estimate(now, 8, &speed, &request, 0);
                     assert!(estimate.prefill_tokens <= prompt_tokens && estimate.fleet_in_flight >= 0.0);
-                    out.push(model.record_sent(now, 8, &speed, &request, &estimate));
+                    in_flight.push(model.record_sent(now, 8, &speed, &request, &estimate));
                 }
-                Step::First(which) => {
-                    let at = usize::from(*which) % out.len().max(1);
-                    out.get_mut(at)
+                Step::FirstEvent(which) => {
+                    let at = usize::from(*which) % in_flight.len().max(1);
+                    in_flight
+                        .get_mut(at)
                         .into_iter()
-                        .for_each(|work| model.record_first_event(now, &mut speed, work));
+                        .for_each(|request| model.record_first_event(now, &mut speed, request));
                 }
                 Step::End(which, served) => {
-                    if !out.is_empty() {
-                        let work = out.swap_remove(usize::from(*which) % out.len());
-                        model.record_end(now, &mut speed, &work, *served);
+                    if !in_flight.is_empty() {
+                        let request = in_flight.swap_remove(usize::from(*which) % in_flight.len());
+                        model.record_end(now, &mut speed, &request, *served);
                     }
                 }
-                Step::Load(running, waiting) => {
+                Step::ObserveLoad(running, waiting) => {
                     model.observe_load(now, u32::from(*running), u32::from(*waiting));
                 }
-                Step::Later(ms) => now += u64::from(*ms) * MS,
+                Step::Advance(ms) => now += u64::from(*ms) * MS,
             }
-            assert_eq!(model.in_flight() as usize, out.len());
+            assert_eq!(model.in_flight() as usize, in_flight.len());
             assert!(model.prefix_cache().total_tokens() <= SHAPE.kv_tokens);
             assert!(speed.prefill_tokens_per_ms > 0.0);
         }
-        out.iter().for_each(|work| model.record_end(now, &mut speed, work, false));
+        in_flight.iter().for_each(|request| model.record_end(now, &mut speed, request, false));
         assert_eq!((model.in_flight(), model.running_tokens()), (0, 0));
-        let idle = model.estimate(now, 1, &speed, &work(&parts(999_999, 0)), 0);
+        let idle = model.estimate(now, 1, &speed, &profile(&parts(999_999, 0)), 0);
         assert!(idle.first_response_us < 300_000 * MS, "{idle:?}");
     });
 }
 
 #[test]
-fn absurd_figures_of_servers_and_clients_do_not_overflow() {
+fn extreme_values_do_not_overflow() {
     let mut model = ServerModel::new(SHAPE);
     let parts = [PromptPart { id: 1, tokens: u32::MAX }];
     let huge = RequestProfile { parts: &parts, prompt_tokens: u32::MAX, max_output_tokens: 1, priority: 1 };
@@ -225,7 +229,7 @@
     model.report_load(512);
     model.observe_fleet_load(0, 255, 255 * 512);
     model.observe_load(0, u32::MAX, u32::MAX);
-    let busy = model.estimate(0, 2, &speed, &work(&[PromptPart { id: 2, tokens: 10 }]), 0);
+    let busy = model.estimate(0, 2, &speed, &profile(&[PromptPart { id: 2, tokens: 10 }]), 0);
     assert!(
         busy.first_response_us > 1_000 * MS && busy.first_response_us < Micros::MAX / 1_000,
         "{}",
