--- a/crates/grants/src/allocator.rs
+++ b/crates/grants/src/allocator.rs
@@ -26,7 +26,7 @@
 /// How long a silent node counts for the division of the floors, in microseconds: it may be partitioned and
 /// still serve.
 const NODE_RETENTION_US: Micros = 30 * 1_000 * MILLISECOND;
-/// Share of a bucket's level that is lent to the nodes if it covers a request per node.
+/// Share of a bucket's level that is offered to the nodes as credit if it covers a request per node.
 const CREDIT_SHARE: f64 = 0.95;
 /// Time in which a bucket's debt is repaid, in seconds. Short, because the reported demand lags behind a
 /// rising one.
@@ -207,7 +207,7 @@
         for quota in limited_quotas {
             let usage = inherited_state.tenants.get(&quota.name).unwrap_or(&no_usage);
             let level = usage.level(quota, &self.bounds, inherited_state.history_span);
-            // Units that were lent from a bucket were in it.
+            // Credit that was offered from a bucket was in it.
             let level = if self.inherited_complete { level } else { level.min(usage.credit) };
             let missing_rate_per_s = (quota.rate_per_s - usage.granted_rate).max(0.0);
             self.buckets.insert(quota.name.clone(), Bucket::from_takeover(level, missing_rate_per_s, now));
--- a/crates/grants/src/gate.rs
+++ b/crates/grants/src/gate.rs
@@ -61,13 +61,21 @@
 /// What the allocator granted for one tenant.
 #[derive(Debug, Default, Clone, Copy)]
 struct Grant {
+    /// The end of its freshness: see [`GRANT_FRESH_US`].
     fresh_until: Micros,
+    /// The end of its validity; 0 before the first grant.
     valid_until: Micros,
+    /// The total of admitted units that this node may reach.
     ceiling: f64,
+    /// Units by which the ceiling may be exceeded while the grant is fresh.
     overdraft: f64,
+    /// The same in requests of the mean size, in addition.
     overdraft_requests: f64,
+    /// Units beyond the ceiling that are kept for this node alone.
     credit: f64,
+    /// Units per second that accrue when the grant is no longer fresh.
     rate_per_s: f64,
+    /// Share of the requests beyond the ceiling that are admitted, 0 to 1.
     pass_share: f64,
     /// Whether the tenant's demand over all nodes exceeds its quota.
     is_over_quota: bool,
@@ -380,7 +388,7 @@
         (self.grant.ceiling - self.admitted).max(0.0) + self.floor_level.max(0.0)
     }
 
-    /// Units beyond the ceiling that a leader has lent to this node and that are unused.
+    /// Unused units of the credit beyond the ceiling.
     fn unused_credit(&self, now: Micros) -> f64 {
         let credit = if now < self.grant.valid_until { self.grant.credit.max(0.0) } else { 0.0 };
         (self.grant.ceiling + credit - self.admitted).clamp(0.0, credit)
--- a/crates/grants/src/node_tenant.rs
+++ b/crates/grants/src/node_tenant.rs
@@ -103,7 +103,7 @@
     pub(crate) fn observe_report(&mut self, demand: &TenantDemand, round: u64) -> f64 {
         let mut written_off = 0.0;
         if self.incarnation != demand.incarnation {
-            // What was issued and lent to the previous incarnation counts as spent.
+            // What was issued and offered as credit to the previous incarnation counts as spent.
             written_off = self.credit();
             *self = Self { incarnation: demand.incarnation, ..Self::default() };
         }
--- a/crates/routing/src/choose.rs
+++ b/crates/routing/src/choose.rs
@@ -55,6 +55,7 @@
 /// A server that can take the request.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
+    /// Index in the server table.
     index: u32,
     /// Score for the comparison of candidates, in microseconds; the lowest wins.
     cost: Micros,
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -39,6 +39,7 @@
     ejections: u32,
     /// End of the current ejection. Stays set until a probe succeeds.
     ejected_until: Option<Micros>,
+    /// The probe in flight, if any.
     probe: Option<AttemptId>,
     full_until: Micros,
     consecutive_full: u32,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -28,6 +28,7 @@
 pub struct Router {
     pub(crate) settings: RouterSettings,
     pub(crate) random: fastrand::Rng,
+    /// Processes that send requests to the same servers, including this one.
     pub(crate) fleet_size: u32,
     pub(crate) services: Vec<Service>,
     pub(crate) service_by_name: HashMap<String, usize>,
--- a/crates/routing/src/servers.rs
+++ b/crates/routing/src/servers.rs
@@ -21,11 +21,15 @@
     pub(crate) hash: u64,
     pub(crate) model: ServerModel,
     pub(crate) health: Health,
+    /// Index of the service in the router.
     pub(crate) service: usize,
+    /// The label whose pool the server belongs to; `None` in the unlabelled pool.
     pub(crate) label: Option<usize>,
+    /// When the server will be warm; 0 if it is.
     pub(crate) cold_until: Micros,
     /// The time by which a response was due to the requests sent since the last one; `None` if none is due.
     pub(crate) response_due: Option<Micros>,
+    /// Whether the list that is being applied contains the server.
     listed: bool,
 }
 
--- a/crates/serving-model/src/server.rs
+++ b/crates/serving-model/src/server.rs
@@ -71,6 +71,7 @@
     /// Prompt tokens of this process that the server had to process first. At a plain server: the expected
     /// latency as a multiple of the service time.
     ahead: f32,
+    /// Memory that the request takes beside the cached part of its prompt, in tokens.
     tokens: u32,
     priority: u8,
     started: bool,
