--- a/crates/agent/src/downstream.rs
+++ b/crates/agent/src/downstream.rs
@@ -106,8 +106,8 @@
 async fn greet(socket: TcpStream) -> Result<(LinkReader, LinkWriter), DownstreamError> {
     let (mut reader, writer) = accept(socket, SILENCE)?;
     let hello: Hello = reader.read_within(HELLO_PATIENCE).await?;
-    if hello.protocol != PROTOCOL_VERSION {
-        return Err(DownstreamError::Protocol(hello.protocol));
+    if hello.protocol_version != PROTOCOL_VERSION {
+        return Err(DownstreamError::Protocol(hello.protocol_version));
     }
     if hello.link != LinkKind::Proxy {
         return Err(DownstreamError::Kind(hello.link));
@@ -139,7 +139,7 @@
 }
 
 async fn write(shared: &Shared, mut writer: LinkWriter) -> Result<Infallible, DownstreamError> {
-    let mut source = FeedSource::from_nothing();
+    let mut source = FeedSource::for_empty_reader();
     loop {
         while let Some(message) = next_message(shared, &mut source) {
             writer.queue(&message);
@@ -154,7 +154,7 @@
 
 fn next_message(shared: &Shared, source: &mut FeedSource) -> Option<FeedMessage> {
     let now = shared.clock.now();
-    source.next(&shared.lock().feed, TICK_MIN, now)
+    source.next_message(&shared.lock().feed, TICK_MIN, now)
 }
 
 /// Large messages are sent one by one, so that only one waits in memory.
--- a/crates/agent/src/link_feed.rs
+++ b/crates/agent/src/link_feed.rs
@@ -2,7 +2,7 @@
 //! leaves something out.
 
 use dunelink_feed::{Change, FeedError, FeedReader, FeedState};
-use dunelink_protocol::{FeedMessage, Tick};
+use dunelink_protocol::{FeedMessage, Heartbeat};
 
 /// Shortest time between two subscriptions, in microseconds. A source that tells of something newer for this long
 /// without sending it is asked again.
@@ -59,11 +59,11 @@
     ) -> Result<(Change, bool), FeedError> {
         let part = matches!(message, FeedMessage::Configuration(_) | FeedMessage::Roster(_));
         let message = self.aged(message, now);
-        let change = self.reader.take(state, message, now)?;
+        let change = self.reader.apply(state, message, now)?;
         match change {
             Change::Resubscribe => self.gap = true,
             Change::Roster => self.gap = false,
-            Change::Tick(tick) => self.compare(state, &tick, now),
+            Change::Heartbeat(tick) => self.compare(state, &tick, now),
             _ => {}
         }
         if part && !self.gap {
@@ -90,15 +90,15 @@
         let held_up = self.held_up.as_ref().filter(|held_up| now < held_up.until);
         let held_up_ms = held_up.map_or(0, |held_up| held_up.micros / MICROS);
         match message {
-            FeedMessage::Tick(tick) => {
+            FeedMessage::Heartbeat(tick) => {
                 let confirmed_age_ms = tick.confirmed_age_ms.saturating_add(held_up_ms);
-                FeedMessage::Tick(Tick { confirmed_age_ms, ..tick })
+                FeedMessage::Heartbeat(Heartbeat { confirmed_age_ms, ..tick })
             }
             other => other,
         }
     }
 
-    fn compare(&mut self, state: &FeedState, tick: &Tick, now: u64) {
+    fn compare(&mut self, state: &FeedState, tick: &Heartbeat, now: u64) {
         let held = state.position();
         let behind = tick.configuration_version > held.configuration_version || tick.roster > held.roster;
         self.behind_since = if behind { self.behind_since.or(Some(now)) } else { None };
--- a/crates/agent/src/reports.rs
+++ b/crates/agent/src/reports.rs
@@ -19,7 +19,7 @@
         if let Some(before) = self.report.take() {
             report.observations = join(before.observations, report.observations);
             let later = std::mem::replace(&mut report.loads, before.loads);
-            report.loads.add(later);
+            report.loads.merge(later);
         }
         report.loads.servers.truncate(ENTRIES);
         report.demand.has_history &= report.demand.tenants.len() <= ENTRIES;
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -32,7 +32,7 @@
     /// The message that opens a connection to a control machine.
     pub fn hello(&self) -> Hello {
         Hello {
-            protocol: PROTOCOL_VERSION,
+            protocol_version: PROTOCOL_VERSION,
             link: LinkKind::Agent,
             node: self.node.clone(),
             ip: self.ip.to_string(),
@@ -193,12 +193,14 @@
                 inner.sources.directory.learn(members, is_current);
                 return;
             }
-            Change::Tick(tick) => {
+            Change::Heartbeat(tick) => {
                 if inner.sources.ticked(link, &tick, now) {
                     self.sources_changed.notify_one();
                 }
             }
-            Change::Configuration => info!(self.log, "configuration"; "version" => inner.feed.version()),
+            Change::Configuration => {
+                info!(self.log, "configuration"; "version" => inner.feed.configuration_version())
+            }
             Change::Roster | Change::Grants | Change::Suspicions | Change::Loads => {}
         }
         self.feed_changed.notify_one();
@@ -223,5 +225,5 @@
 }
 
 fn addresses(members: &[ControlMember]) -> Vec<SocketAddr> {
-    members.iter().filter_map(|member| member.internal.parse().ok()).collect()
+    members.iter().filter_map(|member| member.internal_address.parse().ok()).collect()
 }
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use dunelink_protocol::Tick;
+use dunelink_protocol::Heartbeat;
 
 use crate::directory::Directory;
 
@@ -146,7 +146,7 @@
     }
 
     /// Notes a sign of life received at `now`. True if [`Self::poll`] is to be called because of it.
-    pub fn ticked(&mut self, id: LinkId, tick: &Tick, now: u64) -> bool {
+    pub fn ticked(&mut self, id: LinkId, tick: &Heartbeat, now: u64) -> bool {
         let lonely = self.links.len() == 1;
         let Some(link) = self.links.iter_mut().find(|link| link.id == id) else { return false };
         let was_current = link.is_current(now);
--- a/crates/agent/tests/arguments_and_reports.rs
+++ b/crates/agent/tests/arguments_and_reports.rs
@@ -8,8 +8,8 @@
 use dunelink_agent::{Arguments, Command};
 use dunelink_feed::{Change, FeedState};
 use dunelink_protocol::{
-    FeedMessage, NodeDemand, NodeLoads, ProxyReport, RosterOffset, RosterUpdate, ServerLoad,
-    ServerObservation, TenantDemand, Tick,
+    FeedMessage, Heartbeat, NodeDemand, NodeLoads, ProxyReport, RosterOffset, RosterUpdate, ServerLoad,
+    ServerObservation, TenantDemand,
 };
 use dunelink_runtime::log::Format;
 
@@ -34,10 +34,10 @@
     let demand = demand.iter().map(|(tenant, rate)| TenantDemand {
         tenant: (*tenant).into(),
         rate_per_s: *rate,
-        passed: 0.0,
-        request_units: 1.0,
+        admitted: 0.0,
+        mean_request_units: 1.0,
         incarnation: 1,
-        counted: 0.0,
+        acknowledged: 0.0,
         ..TenantDemand::default()
     });
     let observations = observations.iter().map(|(server, served, failed)| ServerObservation {
@@ -73,7 +73,12 @@
 
 fn tick(version: u64, sequence: u64) -> FeedMessage {
     let roster = RosterOffset { epoch: 0, sequence };
-    FeedMessage::Tick(Tick { confirmed_age_ms: 0, configuration_version: version, roster, roster_age_ms: 0 })
+    FeedMessage::Heartbeat(Heartbeat {
+        confirmed_age_ms: 0,
+        configuration_version: version,
+        roster,
+        roster_age_ms: 0,
+    })
 }
 
 #[test]
@@ -110,7 +115,7 @@
     let mut feed = LinkFeed::new(SECOND);
     let mut age = |now: u64| {
         let taken = feed.take(&mut state, tick(0, 0), now).expect("well-formed");
-        let (Change::Tick(taken), _) = taken else { panic!("a sign of life") };
+        let (Change::Heartbeat(taken), _) = taken else { panic!("a sign of life") };
         taken.confirmed_age_ms
     };
     assert_eq!(age(SECOND + 250_000), 0);
@@ -122,9 +127,12 @@
 #[test]
 fn loads_of_waiting_reports_are_joined() {
     let loads = |is_whole, requests: &[(u32, u32)]| {
-        let load =
-            |(server, requests): &(u32, u32)| ServerLoad { server: *server, requests: *requests, unread: 0 };
-        NodeLoads { is_whole, servers: requests.iter().map(load).collect() }
+        let load = |(server, requests): &(u32, u32)| ServerLoad {
+            server_key: *server,
+            in_flight: *requests,
+            pending_prompt_units: 0,
+        };
+        NodeLoads { is_full: is_whole, servers: requests.iter().map(load).collect() }
     };
     let mut pending = PendingReport::default();
     pending.add(ProxyReport { loads: loads(true, &[(1, 2), (2, 2)]), ..ProxyReport::default() });
--- a/crates/agent/tests/choice_of_sources.rs
+++ b/crates/agent/tests/choice_of_sources.rs
@@ -4,7 +4,7 @@
 
 use dunelink_agent::directory::Directory;
 use dunelink_agent::sources::{Action, CONFIRMED, DOUBT, LinkId, SILENCE, Sources};
-use dunelink_protocol::{RosterOffset, Tick};
+use dunelink_protocol::{Heartbeat, RosterOffset};
 
 const START: u64 = 1_000_000;
 
@@ -18,9 +18,9 @@
     Sources::new(directory, fastrand::Rng::with_seed(7))
 }
 
-fn tick(confirmed_age_ms: u64) -> Tick {
+fn tick(confirmed_age_ms: u64) -> Heartbeat {
     let roster = RosterOffset::default();
-    Tick { confirmed_age_ms, configuration_version: 1, roster, roster_age_ms: 0 }
+    Heartbeat { confirmed_age_ms, configuration_version: 1, roster, roster_age_ms: 0 }
 }
 
 fn dialed(actions: &[Action]) -> Option<(LinkId, SocketAddr)> {
--- a/crates/agent/tests/feed_to_proxy.rs
+++ b/crates/agent/tests/feed_to_proxy.rs
@@ -12,10 +12,10 @@
     let demand = vec![TenantDemand {
         tenant: "t".into(),
         rate_per_s,
-        passed: 0.0,
-        request_units: 1.0,
+        admitted: 0.0,
+        mean_request_units: 1.0,
         incarnation: 1,
-        counted: 0.0,
+        acknowledged: 0.0,
         ..TenantDemand::default()
     }];
     ProxyReport { demand: NodeDemand { tenants: demand, ..NodeDemand::default() }, ..ProxyReport::default() }
@@ -39,7 +39,7 @@
         RosterUpdate { base: Some(base), offset, changed: vec![server("b")], removed: vec!["a".into()] };
     served.send(FeedMessage::Roster(change.clone())).await;
     assert_eq!(proxy.roster().await, change);
-    served.send(FeedMessage::Tick(tick(3, 10))).await;
+    served.send(FeedMessage::Heartbeat(tick(3, 10))).await;
     let told = proxy.tick(|told| told.confirmed_age_ms < 1_000).await;
     assert_eq!((told.configuration_version, told.roster), (3, offset));
 }
@@ -49,7 +49,7 @@
     let control = Control::first().await;
     let agent = Running::start(&[&control]);
     let mut proxy = agent.proxy().await;
-    let FeedMessage::Tick(told) = proxy.next().await else { panic!("a sign of life comes first") };
+    let FeedMessage::Heartbeat(told) = proxy.next().await else { panic!("a sign of life comes first") };
     assert_eq!(told.configuration_version, 0);
     assert_eq!(told.confirmed_age_ms, u64::MAX / 2);
 }
@@ -114,17 +114,17 @@
         rate_per_s: 5.0,
         ceiling: 9.0,
         overdraft: 2.0,
-        spare: 2.0,
+        reserved: 2.0,
         incarnation: 1,
         pass_share: 0.5,
-        counted: 0.0,
+        acknowledged: 0.0,
     }];
     let grants = GrantUpdate {
         valid_ms: 60_000,
-        nodes: 2,
+        node_count: 2,
         configuration_version: 1,
         tenants,
-        held: Vec::new(),
+        throttled: Vec::new(),
         ..GrantUpdate::default()
     };
     served.send(FeedMessage::Grants(grants.clone())).await;
--- a/crates/agent/tests/hostile_peers.rs
+++ b/crates/agent/tests/hostile_peers.rs
@@ -44,7 +44,7 @@
 async fn a_hello_of_another_kind_or_protocol_is_closed() {
     let control = Control::first().await;
     let agent = Running::start(&[&control]);
-    let other_protocol = Hello { protocol: PROTOCOL_VERSION + 1, ..agent.hello(LinkKind::Proxy) };
+    let other_protocol = Hello { protocol_version: PROTOCOL_VERSION + 1, ..agent.hello(LinkKind::Proxy) };
     for hello in [agent.hello(LinkKind::Agent), agent.hello(LinkKind::Replica), other_protocol] {
         let (mut reader, mut writer) = agent.connect(agent.ip).await;
         soon(writer.write(&hello)).await.expect("written");
--- a/crates/agent/tests/site/mod.rs
+++ b/crates/agent/tests/site/mod.rs
@@ -11,8 +11,8 @@
 use dunelink_agent::Agent;
 use dunelink_protocol::hello::PROTOCOL_VERSION;
 use dunelink_protocol::{
-    AgentMessage, ConfigurationChunk, FeedMessage, Hello, LinkKind, RosterOffset, RosterUpdate, ServerEntry,
-    Subscribe, Tick,
+    AgentMessage, ConfigurationChunk, FeedMessage, FeedPosition, Heartbeat, Hello, LinkKind, RosterOffset,
+    RosterUpdate, ServerEntry,
 };
 use dunelink_runtime::{LinkReader, LinkWriter, accept};
 use dunelink_settings::Boot;
@@ -78,7 +78,7 @@
 /// A connection of the agent to a control machine.
 pub(crate) struct Served {
     pub(crate) hello: Hello,
-    pub(crate) subscribe: Subscribe,
+    pub(crate) subscribe: FeedPosition,
     pub(crate) reader: LinkReader,
     pub(crate) writer: LinkWriter,
 }
@@ -99,7 +99,7 @@
     }
 
     /// Sends signs of life for ever; gives the number sent when the agent closes the connection.
-    pub(crate) fn keep_ticking(mut self, tick: Tick) -> JoinHandle<u64> {
+    pub(crate) fn keep_ticking(mut self, tick: Heartbeat) -> JoinHandle<u64> {
         tokio::spawn(async move {
             let mut sent = 0;
             let mut period = tokio::time::interval(Duration::from_millis(100));
@@ -107,7 +107,7 @@
                 tokio::select! {
                     read = self.reader.read::<AgentMessage>() => if read.is_err() { return sent },
                     _ = period.tick() => {
-                        if self.writer.write(&FeedMessage::Tick(tick)).await.is_err() { return sent }
+                        if self.writer.write(&FeedMessage::Heartbeat(tick)).await.is_err() { return sent }
                         sent += 1;
                     }
                 }
@@ -162,7 +162,7 @@
 
     pub(crate) fn hello(&self, link: LinkKind) -> Hello {
         let ip = self.ip.to_string();
-        Hello { protocol: PROTOCOL_VERSION, link, node: "front".into(), ip, zone: "z".into() }
+        Hello { protocol_version: PROTOCOL_VERSION, link, node: "front".into(), ip, zone: "z".into() }
     }
 
     /// Connects from `source`, again and again until the agent listens.
@@ -226,9 +226,9 @@
     }
 
     /// The next sign of life that `wanted` accepts.
-    pub(crate) async fn tick(&mut self, wanted: impl Fn(&Tick) -> bool) -> Tick {
+    pub(crate) async fn tick(&mut self, wanted: impl Fn(&Heartbeat) -> bool) -> Heartbeat {
         self.until(|message| match message {
-            FeedMessage::Tick(tick) if wanted(&tick) => Some(tick),
+            FeedMessage::Heartbeat(tick) if wanted(&tick) => Some(tick),
             _ => None,
         })
         .await
@@ -255,9 +255,9 @@
     })
 }
 
-pub(crate) fn tick(version: u64, confirmed_age_ms: u64) -> Tick {
+pub(crate) fn tick(version: u64, confirmed_age_ms: u64) -> Heartbeat {
     let roster = RosterOffset::default();
-    Tick { confirmed_age_ms, configuration_version: version, roster, roster_age_ms: 0 }
+    Heartbeat { confirmed_age_ms, configuration_version: version, roster, roster_age_ms: 0 }
 }
 
 pub(crate) fn server(id: &str) -> ServerEntry {
@@ -269,8 +269,8 @@
         slots: 4,
         ready: true,
         cold_remaining_ms: 0,
-        software: "v1".into(),
-        weights: None,
+        software_version: "v1".into(),
+        weights_version: None,
     }
 }
 
--- a/crates/agent/tests/sources_over_loopback.rs
+++ b/crates/agent/tests/sources_over_loopback.rs
@@ -18,8 +18,10 @@
 }
 
 fn members(machines: &[&Control]) -> FeedMessage {
-    let member =
-        |control: &&Control| ControlMember { internal: control.address.to_string(), zone: "z".into() };
+    let member = |control: &&Control| ControlMember {
+        internal_address: control.address.to_string(),
+        zone: "z".into(),
+    };
     FeedMessage::Members(machines.iter().map(member).collect())
 }
 
@@ -55,7 +57,7 @@
     let learned = Control::beside(&seed).await;
     let _agent = Running::start(&[&seed]);
     let mut served = seed.accept().await;
-    served.send(FeedMessage::Tick(tick(1, 0))).await;
+    served.send(FeedMessage::Heartbeat(tick(1, 0))).await;
     served.send(members(&[&learned])).await;
     drop(served);
     drop(seed);
--- a/crates/control/examples/scale/hollow.rs
+++ b/crates/control/examples/scale/hollow.rs
@@ -206,7 +206,7 @@
             self.totals.bytes_in[kind(&message)].fetch_add(bytes, Ordering::Relaxed);
             self.totals.messages_in.fetch_add(1, Ordering::Relaxed);
             let now = self.began.elapsed().as_micros() as u64;
-            let change = reader.take(&mut self.state, message, now).map_err(std::io::Error::other)?;
+            let change = reader.apply(&mut self.state, message, now).map_err(std::io::Error::other)?;
             self.follow_change(change, out);
         }
     }
@@ -214,7 +214,7 @@
     fn follow_change(&self, change: Change, out: &mut BytesMut) {
         match change {
             Change::Configuration => {
-                let version = self.state.version();
+                let version = self.state.configuration_version();
                 self.totals.versions[self.number].store(version, Ordering::Relaxed);
                 let mut reached = self.totals.reached.lock().unwrap_or_else(PoisonError::into_inner);
                 reached.push((version, Instant::now()));
@@ -232,7 +232,7 @@
 
     fn hello(&self) -> Hello {
         Hello {
-            protocol: PROTOCOL_VERSION,
+            protocol_version: PROTOCOL_VERSION,
             link: LinkKind::Agent,
             node: format!("front-{}", self.number),
             ip: format!("10.1.{}.{}", self.number / 250, self.number % 250 + 1),
@@ -248,10 +248,10 @@
         let demand = (0..load.active).map(|nth| TenantDemand {
             tenant: tenant(nth),
             rate_per_s: RATE + fastrand::f64(),
-            passed,
-            request_units: 212.7,
+            admitted: passed,
+            mean_request_units: 212.7,
             incarnation: self.number as u64 + 0x5eed_0000_0000,
-            counted: 0.0,
+            acknowledged: 0.0,
             ..TenantDemand::default()
         });
         let observations = (0..load.observed).map(|nth| ServerObservation {
@@ -273,7 +273,7 @@
     match message {
         FeedMessage::Configuration(_) => 0,
         FeedMessage::Roster(_) => 1,
-        FeedMessage::Tick(_) => 2,
+        FeedMessage::Heartbeat(_) => 2,
         FeedMessage::Grants(_) => 3,
         FeedMessage::Members(_) => 4,
         FeedMessage::Suspicions(_) => 5,
--- a/crates/control/examples/scale/node_costs.rs
+++ b/crates/control/examples/scale/node_costs.rs
@@ -44,19 +44,19 @@
         tenant: quota.name.clone(),
         ceiling: 1_000.0,
         overdraft: 0.0,
-        spare: 0.0,
+        reserved: 0.0,
         rate_per_s: 350.0,
         incarnation: 7,
         pass_share: 1.0,
-        counted: 0.0,
+        acknowledged: 0.0,
     };
     let tenants = quotas.iter().take(active).map(grant).collect();
     GrantUpdate {
         valid_ms: 1_500,
-        nodes: 450,
+        node_count: 450,
         configuration_version: 1,
         tenants,
-        held: Vec::new(),
+        throttled: Vec::new(),
         ..GrantUpdate::default()
     }
 }
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -128,7 +128,7 @@
 }
 
 /// Decodes what the store held. Contents that don't decode count as damaged.
-pub fn read_back(stored: dunelink_storage::Recovered) -> Opened {
+pub fn read_back(stored: dunelink_storage::RecoveredState) -> Opened {
     let mut damaged = stored.damaged;
     let mut keep = |readable: bool| damaged |= !readable;
     let identity: Option<Identity> = stored.metadata.as_deref().and_then(|bytes| {
--- a/crates/control/src/feed_server.rs
+++ b/crates/control/src/feed_server.rs
@@ -68,7 +68,7 @@
     let peer = socket.peer_addr()?.ip();
     let (mut reader, writer) = accept(socket, SILENCE)?;
     let hello: Hello = reader.read_within(HELLO_PATIENCE).await?;
-    if hello.protocol != PROTOCOL_VERSION {
+    if hello.protocol_version != PROTOCOL_VERSION {
         return Ok(());
     }
     match hello.link {
--- a/crates/control/src/feed_session.rs
+++ b/crates/control/src/feed_session.rs
@@ -1,7 +1,7 @@
 //! What one agent is sent next.
 
 use dunelink_feed::{FeedSource, FeedState};
-use dunelink_protocol::{ControlMember, FeedMessage, GrantUpdate, Subscribe};
+use dunelink_protocol::{ControlMember, FeedMessage, FeedPosition, GrantUpdate};
 
 /// Time between two signs of life, in microseconds.
 pub const TICK_PERIOD: u64 = 250_000;
@@ -20,7 +20,7 @@
 
 impl FeedSession {
     /// Serves an agent that stands where `subscribe` tells.
-    pub fn new(subscribe: &Subscribe) -> Self {
+    pub fn new(subscribe: &FeedPosition) -> Self {
         Self { source: FeedSource::new(subscribe), members: Vec::new(), grants: None, ticked_at: None }
     }
 
@@ -33,7 +33,7 @@
     pub fn next(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
         if self.ticked_at.is_none_or(|at| now + TICK_EARLY >= at + TICK_PERIOD) {
             self.ticked_at = Some(now);
-            return Some(FeedMessage::Tick(state.tick(now)));
+            return Some(FeedMessage::Heartbeat(state.heartbeat(now)));
         }
         if state.members != self.members && !state.members.is_empty() {
             self.members.clone_from(&state.members);
@@ -43,8 +43,8 @@
             return Some(FeedMessage::Grants(grants));
         }
         // Its own ticks tell of changes only: the regular ones are sent above, also between parts of a configuration.
-        let message = self.source.next(state, u64::MAX, now);
-        if let Some(FeedMessage::Tick(_)) = message {
+        let message = self.source.next_message(state, u64::MAX, now);
+        if let Some(FeedMessage::Heartbeat(_)) = message {
             self.ticked_at = Some(now);
         }
         message
--- a/crates/control/src/list.rs
+++ b/crates/control/src/list.rs
@@ -48,8 +48,8 @@
         slots: value.get("slots").as_u64().map_or(1, |slots| u32::try_from(slots).unwrap_or(u32::MAX)),
         ready: value.get("state").as_str().is_none_or(|state| state == "ready"),
         cold_remaining_ms: value.get("coldRemainingMs").as_f64().unwrap_or(0.0).max(0.0) as u64,
-        software: value.get("version").as_str().unwrap_or_default().to_owned(),
-        weights,
+        software_version: value.get("version").as_str().unwrap_or_default().to_owned(),
+        weights_version: weights,
     })
 }
 
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -34,13 +34,13 @@
 
 impl Sum {
     fn add(&mut self, load: &ServerLoad) {
-        self.requests = self.requests.saturating_add(load.requests);
-        self.unread = self.unread.saturating_add(load.unread);
+        self.requests = self.requests.saturating_add(load.in_flight);
+        self.unread = self.unread.saturating_add(load.pending_prompt_units);
     }
 
     fn subtract(&mut self, load: &ServerLoad) {
-        self.requests = self.requests.saturating_sub(load.requests);
-        self.unread = self.unread.saturating_sub(load.unread);
+        self.requests = self.requests.saturating_sub(load.in_flight);
+        self.unread = self.unread.saturating_sub(load.pending_prompt_units);
     }
 }
 
@@ -69,16 +69,16 @@
         }
         let Some(counts) = self.nodes.get_mut(node) else { return };
         counts.reported_at = now;
-        if loads.is_whole {
+        if loads.is_full {
             subtract(&mut self.sums, std::mem::take(&mut counts.servers));
         }
         for load in loads.servers {
-            let is_empty = load.requests == 0 && load.unread == 0;
+            let is_empty = load.in_flight == 0 && load.pending_prompt_units == 0;
             let before = match is_empty {
-                true => counts.servers.remove(&load.server),
-                false => counts.servers.insert(load.server, load),
+                true => counts.servers.remove(&load.server_key),
+                false => counts.servers.insert(load.server_key, load),
             };
-            let sum = self.sums.entry(load.server).or_default();
+            let sum = self.sums.entry(load.server_key).or_default();
             sum.add(&load);
             if let Some(before) = before {
                 sum.subtract(&before);
@@ -101,7 +101,12 @@
         let (requests, unread): (Vec<u8>, Vec<u8>) =
             sums.map(|sum| (in_a_byte(sum.requests), in_a_byte(sum.unread))).unzip();
         self.next_first = first + requests.len();
-        Some(FleetLoads { roster: offset, first: first as u32, requests, unread })
+        Some(FleetLoads {
+            roster: offset,
+            first_server: first as u32,
+            in_flight: requests,
+            pending_prompt_units: unread,
+        })
     }
 
     fn forget(&mut self, now: u64) {
@@ -119,7 +124,7 @@
 
 fn subtract(sums: &mut HashMap<u32, Sum>, servers: BTreeMap<u32, ServerLoad>) {
     for load in servers.into_values() {
-        if let Some(sum) = sums.get_mut(&load.server) {
+        if let Some(sum) = sums.get_mut(&load.server_key) {
             sum.subtract(&load);
         }
     }
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -157,7 +157,7 @@
 
     /// Feeds the configuration in force, unless a newer one was fed.
     fn feed_configuration(&mut self, effects: &mut Vec<Effect>) {
-        if self.state.version() > self.feed.version() {
+        if self.state.version() > self.feed.configuration_version() {
             let bytes = self.state.body().clone();
             self.feed.configuration = Some(Configuration { version: self.state.version(), bytes });
             effects.push(Effect::FeedChanged);
@@ -187,7 +187,10 @@
             .replica
             .membership()
             .all()
-            .map(|member| ControlMember { internal: member.internal.to_string(), zone: zone_of(member) })
+            .map(|member| ControlMember {
+                internal_address: member.internal.to_string(),
+                zone: zone_of(member),
+            })
             .collect();
         if members != self.feed.members {
             self.feed.members = members;
--- a/crates/control/src/node/leading.rs
+++ b/crates/control/src/node/leading.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use dunelink_grants::{Allocator, TenantQuota};
-use dunelink_protocol::{RosterOffset, RosterUpdate, ServerEntry, Tick};
+use dunelink_protocol::{Heartbeat, RosterOffset, RosterUpdate, ServerEntry};
 use dunelink_replication::{Member, ReplicaId};
 use slog::{info, warn};
 
@@ -271,20 +271,20 @@
         let Some(offset) = roster.offset().filter(|offset| self.leading.is_some() && held < *offset) else {
             return;
         };
-        let update = roster.since(held, now).or_else(|| roster.whole(now));
+        let update = roster.changes_since(held, now).or_else(|| roster.full_update(now));
         let age_ms = self.feed.freshness.roster_age_ms(now);
         self.send(member, PeerMessage::Roster(RosterNews { offset, age_ms, update }), effects);
     }
 
     /// The roster held shows the platform's list as it was `age_ms` ago.
     fn roster_is(&mut self, age_ms: u64, now: u64) {
-        let tick = Tick {
-            confirmed_age_ms: dunelink_feed::NEVER_MS,
+        let tick = Heartbeat {
+            confirmed_age_ms: dunelink_feed::NEVER_CONFIRMED_MS,
             configuration_version: 0,
             roster: self.feed.roster.offset().unwrap_or_default(),
             roster_age_ms: age_ms,
         };
-        self.feed.freshness.take(&tick, true, now);
+        self.feed.freshness.update(&tick, true, now);
     }
 }
 
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -11,9 +11,9 @@
 use std::net::{IpAddr, SocketAddr};
 
 use bytes::Bytes;
-use dunelink_feed::{FeedState, NEVER_MS};
+use dunelink_feed::{FeedState, NEVER_CONFIRMED_MS};
 use dunelink_grants::QuotaBounds;
-use dunelink_protocol::{GrantUpdate, ProxyReport, RosterOffset, ServerEntry, Tick};
+use dunelink_protocol::{GrantUpdate, Heartbeat, ProxyReport, RosterOffset, ServerEntry};
 use dunelink_replication::{Input, Member, Record, Recovered, Replica, ReplicaId, Settings};
 use slog::{Logger, info};
 
@@ -312,17 +312,17 @@
         let confirmed_age_ms = if self.holds_lease(now) {
             0
         } else {
-            self.proof.confirmed_at.map_or(NEVER_MS, |at| now.saturating_sub(at) / MILLISECOND)
+            self.proof.confirmed_at.map_or(NEVER_CONFIRMED_MS, |at| now.saturating_sub(at) / MILLISECOND)
         };
-        let tick = Tick {
+        let tick = Heartbeat {
             confirmed_age_ms,
             configuration_version: self.state.version(),
             roster: RosterOffset::default(),
-            roster_age_ms: NEVER_MS,
+            roster_age_ms: NEVER_CONFIRMED_MS,
         };
-        self.feed.freshness.take(&tick, false, now);
+        self.feed.freshness.update(&tick, false, now);
         if self.is_cut_off(now) {
-            self.feed.freshness.lose_proof();
+            self.feed.freshness.clear_confirmation();
         }
     }
 
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -221,7 +221,7 @@
 
 fn hello(boot: &Boot) -> Hello {
     Hello {
-        protocol: PROTOCOL_VERSION,
+        protocol_version: PROTOCOL_VERSION,
         link: LinkKind::Replica,
         node: boot.node_name.clone(),
         ip: boot.ip.to_string(),
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -40,7 +40,7 @@
             loads: NodeLoads::default(),
         });
         entry.demand = report.demand;
-        entry.loads.add(report.loads);
+        entry.loads.merge(report.loads);
         for seen in report.observations {
             sum_up(&mut entry.observations, seen);
         }
--- a/crates/control/tests/agent_sessions.rs
+++ b/crates/control/tests/agent_sessions.rs
@@ -3,12 +3,12 @@
 use bytes::Bytes;
 use dunelink_control::feed_session::{FeedSession, TICK_PERIOD};
 use dunelink_feed::{Configuration, FeedState};
-use dunelink_protocol::{ControlMember, FeedMessage, GrantUpdate, RosterOffset, Subscribe};
+use dunelink_protocol::{ControlMember, FeedMessage, FeedPosition, GrantUpdate, RosterOffset};
 
 const START: u64 = 1_000_000;
 
 fn empty_handed() -> FeedSession {
-    FeedSession::new(&Subscribe { configuration_version: 0, roster: RosterOffset::default() })
+    FeedSession::new(&FeedPosition { configuration_version: 0, roster: RosterOffset::default() })
 }
 
 fn configuration(version: u64, length: usize) -> Configuration {
@@ -30,14 +30,14 @@
 
 #[test]
 fn a_new_agent_gets_a_sign_of_life_first_and_then_everything() {
-    let member = ControlMember { internal: "192.0.2.1:7680".to_owned(), zone: "east".to_owned() };
+    let member = ControlMember { internal_address: "192.0.2.1:7680".to_owned(), zone: "east".to_owned() };
     let state = FeedState {
         configuration: Some(configuration(3, 10)),
         members: vec![member.clone()],
         ..FeedState::default()
     };
     let messages = drain(&mut empty_handed(), &state, START);
-    assert!(matches!(messages[0], FeedMessage::Tick(_)));
+    assert!(matches!(messages[0], FeedMessage::Heartbeat(_)));
     assert!(messages.contains(&FeedMessage::Members(vec![member])));
     assert_eq!(chunks(&messages), [(3, 0)]);
 }
@@ -48,7 +48,7 @@
     let mut session = empty_handed();
     drain(&mut session, &FeedState::default(), START);
     assert!(matches!(session.next(&state, START + 1), Some(FeedMessage::Configuration(_))));
-    assert!(matches!(session.next(&state, START + TICK_PERIOD), Some(FeedMessage::Tick(_))));
+    assert!(matches!(session.next(&state, START + TICK_PERIOD), Some(FeedMessage::Heartbeat(_))));
     assert!(matches!(session.next(&state, START + TICK_PERIOD + 1), Some(FeedMessage::Configuration(_))));
 }
 
@@ -72,7 +72,7 @@
     assert!(drain(&mut session, &state, START + 1).is_empty());
     assert_eq!(session.due(), START + TICK_PERIOD);
     let later = drain(&mut session, &state, START + TICK_PERIOD);
-    assert!(matches!(later[..], [FeedMessage::Tick(_)]));
+    assert!(matches!(later[..], [FeedMessage::Heartbeat(_)]));
 }
 
 #[test]
@@ -82,10 +82,10 @@
     drain(&mut session, &state, START);
     let grant = |version| GrantUpdate {
         valid_ms: 1_500,
-        nodes: 3,
+        node_count: 3,
         configuration_version: version,
         tenants: Vec::new(),
-        held: Vec::new(),
+        throttled: Vec::new(),
         ..GrantUpdate::default()
     };
     session.grant(grant(1));
--- a/crates/control/tests/cluster/machine.rs
+++ b/crates/control/tests/cluster/machine.rs
@@ -8,7 +8,7 @@
 use dunelink_control::start::{Start, replication_settings};
 use dunelink_grants::QuotaBounds;
 use dunelink_replication::{Member, ReplicaId};
-use dunelink_storage::simulated::{Fate, Fault, SimulatedDisk};
+use dunelink_storage::simulated::{CrashOutcome, Fault, SimulatedDisk};
 use dunelink_storage::{Limits, LogStore};
 use fastrand::Rng;
 use std::net::SocketAddr;
@@ -168,7 +168,7 @@
     pub(crate) fn kill(&mut self, random: &mut Rng) {
         let Some(mut process) = self.process.take() else { return };
         if process.disk_busy {
-            self.disk.inner.fail_at(self.disk.inner.operations() + random.u64(0..8), Fault::PowerLoss);
+            self.disk.inner.fail_at(self.disk.inner.operation_count() + random.u64(0..8), Fault::PowerLoss);
             process.turn();
         }
         self.disk.inner = self.disk.inner.fork();
@@ -180,9 +180,9 @@
     pub(crate) fn lose_power(&mut self, random: &mut Rng) {
         self.kill(random);
         self.disk.inner.lose_power(|_| match random.u32(0..3) {
-            0 => Fate::Kept,
-            1 => Fate::Lost,
-            _ => Fate::Torn(random.usize(0..200)),
+            0 => CrashOutcome::Kept,
+            1 => CrashOutcome::Lost,
+            _ => CrashOutcome::Torn(random.usize(0..200)),
         });
     }
 
--- a/crates/control/tests/cluster/world.rs
+++ b/crates/control/tests/cluster/world.rs
@@ -261,7 +261,7 @@
     fn watch_feed(&mut self, at: usize) {
         let Some(process) = &mut self.machines[at].process else { return };
         let feed = process.node.feed();
-        let fed = feed.version();
+        let fed = feed.configuration_version();
         assert!(fed >= process.fed, "machine {at} feeds {fed} after {}", process.fed);
         process.fed = fed;
         let body = feed.configuration.as_ref().map(|configuration| &configuration.bytes);
@@ -281,7 +281,7 @@
             let told = age.saturating_mul(1_020).saturating_add(FED_SLACK);
             let current_at = self.now.checked_sub(told);
             let body = feed.configuration.as_ref().map(|configuration| &configuration.bytes);
-            self.checks.fed(at, feed.version(), body, current_at);
+            self.checks.fed(at, feed.configuration_version(), body, current_at);
         }
     }
 }
--- a/crates/control/tests/disk_thread.rs
+++ b/crates/control/tests/disk_thread.rs
@@ -150,9 +150,9 @@
 #[test]
 fn contents_without_an_identity_or_that_do_not_decode_are_damaged() {
     let entries = vec![StoredEntry { index: 1, bytes: encode(&entry(1, 1)) }];
-    let nameless = dunelink_storage::Recovered { entries, ..Default::default() };
+    let nameless = dunelink_storage::RecoveredState { entries, ..Default::default() };
     assert!(read_back(nameless).damaged);
-    let unreadable = dunelink_storage::Recovered { metadata: Some(vec![0xff]), ..Default::default() };
+    let unreadable = dunelink_storage::RecoveredState { metadata: Some(vec![0xff]), ..Default::default() };
     assert!(read_back(unreadable).damaged);
-    assert!(!read_back(dunelink_storage::Recovered::default()).damaged);
+    assert!(!read_back(dunelink_storage::RecoveredState::default()).damaged);
 }
--- a/crates/control/tests/engine_tasks.rs
+++ b/crates/control/tests/engine_tasks.rs
@@ -28,7 +28,7 @@
     let node = Node::new(settings, member(1), None, Recovered::default(), 1, clock.now(), log.clone());
     let (disk, _orders) = std::sync::mpsc::channel();
     let hello = Hello {
-        protocol: 1,
+        protocol_version: 1,
         link: LinkKind::Replica,
         node: "core-1".to_owned(),
         ip: "127.0.0.1".to_owned(),
@@ -104,10 +104,10 @@
         let other = engine.register("front-2".to_owned());
         let update = dunelink_protocol::GrantUpdate {
             valid_ms: 1_500,
-            nodes: 2,
+            node_count: 2,
             configuration_version: 3,
             tenants: Vec::new(),
-            held: Vec::new(),
+            throttled: Vec::new(),
             ..dunelink_protocol::GrantUpdate::default()
         };
         engine.act(|_, _, effects| {
--- a/crates/control/tests/list_changes.rs
+++ b/crates/control/tests/list_changes.rs
@@ -16,8 +16,8 @@
         slots: 4,
         ready: true,
         cold_remaining_ms: 0,
-        software: "v1".to_owned(),
-        weights: Some(2),
+        software_version: "v1".to_owned(),
+        weights_version: Some(2),
     }
 }
 
--- a/crates/control/tests/load_sums.rs
+++ b/crates/control/tests/load_sums.rs
@@ -21,8 +21,8 @@
         slots: 12,
         ready: true,
         cold_remaining_ms: 0,
-        software: "v1".into(),
-        weights: None,
+        software_version: "v1".into(),
+        weights_version: None,
     };
     let changed = (0..servers).map(entry).collect();
     let offset = RosterOffset { epoch: 1, sequence: 0 };
@@ -35,11 +35,11 @@
 
 fn loads(is_whole: bool, servers: &[(usize, u32, u32)]) -> NodeLoads {
     let load = |(number, requests, unread): &(usize, u32, u32)| ServerLoad {
-        server: server_key(&id(*number)),
-        requests: *requests,
-        unread: *unread,
+        server_key: server_key(&id(*number)),
+        in_flight: *requests,
+        pending_prompt_units: *unread,
     };
-    NodeLoads { is_whole, servers: servers.iter().map(load).collect() }
+    NodeLoads { is_full: is_whole, servers: servers.iter().map(load).collect() }
 }
 
 fn told(sums: &mut LoadSums, now: u64, roster: &Roster) -> FleetLoads {
@@ -53,11 +53,11 @@
     sums.report(SECOND, "b", loads(true, &[(0, 3, 1)]));
     sums.report(2 * SECOND, "a", loads(false, &[(1, 4, 2)]));
     let first = told(&mut sums, 3 * SECOND, &roster);
-    assert_eq!((first.requests, first.unread), (vec![5, 4, 0], vec![6, 2, 0]));
+    assert_eq!((first.in_flight, first.pending_prompt_units), (vec![5, 4, 0], vec![6, 2, 0]));
     sums.report(3 * SECOND, "a", loads(false, &[(0, 0, 0)]));
     sums.report(3 * SECOND, "b", loads(true, &[(2, 300, 0)]));
     let next = told(&mut sums, 4 * SECOND, &roster);
-    assert_eq!((next.requests, next.unread), (vec![0, 4, 255], vec![0, 2, 0]));
+    assert_eq!((next.in_flight, next.pending_prompt_units), (vec![0, 4, 255], vec![0, 2, 0]));
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let (roster, mut sums) = (roster(1), LoadSums::new(0));
     sums.report(SECOND, "a", loads(true, &[(0, 7, 0)]));
     sums.report(3 * SECOND, "b", loads(true, &[(0, 2, 0)]));
-    assert_eq!(told(&mut sums, 5 * SECOND, &roster).requests, [2]);
+    assert_eq!(told(&mut sums, 5 * SECOND, &roster).in_flight, [2]);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     sums.report(10 * SECOND, "a", loads(false, &[(0, 7, 0)]));
     assert_eq!(sums.due(12 * SECOND, &roster), None);
     sums.report(12 * SECOND, "a", loads(true, &[(0, 7, 0)]));
-    assert_eq!(told(&mut sums, 13 * SECOND, &roster).requests, [7]);
+    assert_eq!(told(&mut sums, 13 * SECOND, &roster).in_flight, [7]);
 }
 
 #[test]
@@ -84,22 +84,22 @@
     let mut all = Vec::new();
     for part in 0..3 {
         let told = told(&mut sums, 3 * SECOND + part * SECOND / 5, &roster);
-        assert_eq!(told.first as usize, all.len());
-        assert!(told.requests.len() + told.unread.len() <= 300);
-        all.extend(told.requests);
+        assert_eq!(told.first_server as usize, all.len());
+        assert!(told.in_flight.len() + told.pending_prompt_units.len() <= 300);
+        all.extend(told.in_flight);
     }
     assert_eq!((all.len(), all[0], all[399]), (400, 1, 9));
     sums.report(4 * SECOND, "a", loads(false, &[]));
-    assert_eq!(told(&mut sums, 4 * SECOND, &roster).first, 0);
+    assert_eq!(told(&mut sums, 4 * SECOND, &roster).first_server, 0);
 }
 
 #[test]
 fn what_a_node_told_before_stands_until_a_whole_replaces_it() {
     let mut all = loads(true, &[(0, 1, 0), (1, 2, 0)]);
-    all.add(loads(false, &[(1, 3, 1), (2, 1, 0)]));
+    all.merge(loads(false, &[(1, 3, 1), (2, 1, 0)]));
     let mut expected = loads(true, &[(0, 1, 0), (1, 3, 1), (2, 1, 0)]);
-    expected.servers.sort_by_key(|load| load.server);
+    expected.servers.sort_by_key(|load| load.server_key);
     assert_eq!(all, expected);
-    all.add(loads(true, &[(2, 5, 0)]));
+    all.merge(loads(true, &[(2, 5, 0)]));
     assert_eq!(all, loads(true, &[(2, 5, 0)]));
 }
--- a/crates/control/tests/node_group.rs
+++ b/crates/control/tests/node_group.rs
@@ -5,7 +5,7 @@
 use dunelink_control::message::{ListRead, PeerMessage};
 use dunelink_control::node::Effect;
 use dunelink_control::orders::Reply;
-use dunelink_feed::NEVER_MS;
+use dunelink_feed::NEVER_CONFIRMED_MS;
 use dunelink_protocol::{NodeDemand, ProxyReport, ServerEntry, TenantDemand};
 
 use group::{Group, control, internal};
@@ -27,8 +27,8 @@
         slots: 1,
         ready: true,
         cold_remaining_ms: 0,
-        software: String::new(),
-        weights: None,
+        software_version: String::new(),
+        weights_version: None,
     }
 }
 
@@ -48,7 +48,7 @@
     assert_eq!(group.ask(leader, 0, &body(3, "k")), Reply::Taken);
     group.run_until("all have it", |group| versions(group) == [3, 3, 3]);
     let follower = group.follower();
-    assert_eq!(group.node(follower).feed().version(), 3);
+    assert_eq!(group.node(follower).feed().configuration_version(), 3);
 }
 
 #[test]
@@ -198,10 +198,10 @@
     TenantDemand {
         tenant: "t".to_owned(),
         rate_per_s: 5.0,
-        passed: 0.0,
-        request_units: 1.0,
+        admitted: 0.0,
+        mean_request_units: 1.0,
         incarnation: 1,
-        counted: 0.0,
+        acknowledged: 0.0,
         ..TenantDemand::default()
     }
 }
@@ -212,7 +212,7 @@
     let (leader, follower) = (group.leader().expect("a leader"), group.follower());
     let age = |group: &mut Group, at| {
         group.act(at, |node, now, _| node.refresh(now));
-        group.node(at).feed().tick(group.now).confirmed_age_ms
+        group.node(at).feed().heartbeat(group.now).confirmed_age_ms
     };
     group.run(500);
     assert_eq!(age(&mut group, leader), 0);
@@ -236,12 +236,12 @@
                 group.run(50);
                 group.act(alone, |node, now, _| node.refresh(now));
             }
-            group.node(alone).feed().tick(group.now).confirmed_age_ms
+            group.node(alone).feed().heartbeat(group.now).confirmed_age_ms
         };
         assert!(refreshed(&mut group, 500) <= 200);
         group.machines.iter_mut().for_each(|(address, machine)| machine.up = *address == alone);
         assert!(refreshed(&mut group, 400) <= 600, "an election takes as long");
-        assert_eq!(refreshed(&mut group, 1_000), NEVER_MS);
+        assert_eq!(refreshed(&mut group, 1_000), NEVER_CONFIRMED_MS);
         group.machines.values_mut().for_each(|machine| machine.up = true);
         assert!(refreshed(&mut group, 3_000) <= 200);
     }
--- a/crates/feed/src/configuration.rs
+++ b/crates/feed/src/configuration.rs
@@ -38,7 +38,7 @@
 /// Parts of a version come in order; the first part begins it anew. A part of a newer version abandons the older
 /// one; parts of versions older than what is being assembled, or not newer than what is held, are ignored.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct ConfigurationAssembler {
     partial: Option<Partial>,
 }
 
@@ -49,14 +49,18 @@
     bytes: Vec<u8>,
 }
 
-impl Assembly {
+impl ConfigurationAssembler {
     /// Takes a part; gives the configuration that it completes. `held` is the version held already, 0 for none.
     ///
     /// # Errors
     ///
     /// The part is too large or does not follow the one before it; nothing is assembled any more.
-    pub fn take(&mut self, chunk: ConfigurationChunk, held: u64) -> Result<Option<Configuration>, FeedError> {
-        self.forget(held);
+    pub fn accept(
+        &mut self,
+        chunk: ConfigurationChunk,
+        held: u64,
+    ) -> Result<Option<Configuration>, FeedError> {
+        self.discard_up_to(held);
         if chunk.version <= held
             || self.partial.as_ref().is_some_and(|partial| chunk.version < partial.version)
         {
@@ -75,7 +79,7 @@
     }
 
     /// Gives up what is being assembled if it is not newer than `held`.
-    pub fn forget(&mut self, held: u64) {
+    pub fn discard_up_to(&mut self, held: u64) {
         if self.partial.as_ref().is_some_and(|partial| partial.version <= held) {
             self.partial = None;
         }
@@ -106,7 +110,7 @@
             || chunk.bytes.is_empty()
             || expected + chunk.bytes.len() as u64 > self.total_bytes;
         if misfit {
-            return Err(FeedError::ConfigurationMisfit { version });
+            return Err(FeedError::ConfigurationChunkMismatch { version });
         }
         if self.bytes.is_empty() {
             self.bytes.reserve_exact(self.total_bytes as usize);
--- a/crates/feed/src/error.rs
+++ b/crates/feed/src/error.rs
@@ -33,7 +33,7 @@
     },
     /// A part of a configuration is empty, goes beyond its end or changes its length.
     #[error("configuration {version}: a part does not fit its total length: connect and subscribe anew")]
-    ConfigurationMisfit {
+    ConfigurationChunkMismatch {
         /// Version of the configuration.
         version: u64,
     },
--- a/crates/feed/src/freshness.rs
+++ b/crates/feed/src/freshness.rs
@@ -1,9 +1,9 @@
 //! How far what is held can be trusted.
 
-use dunelink_protocol::Tick;
+use dunelink_protocol::Heartbeat;
 
 /// Age in milliseconds that stands for "never confirmed". Receivers may add to it without overflow.
-pub const NEVER_MS: u64 = u64::MAX / 2;
+pub const NEVER_CONFIRMED_MS: u64 = u64::MAX / 2;
 /// Microseconds in a millisecond.
 const MICROS: u64 = 1_000;
 
@@ -18,7 +18,7 @@
 impl Freshness {
     /// Takes a sign of life received at `now`. Older proofs never replace newer ones. `roster_held` tells whether
     /// the roster held is at least the one that the sign speaks of: only then is its age that of the roster held.
-    pub fn take(&mut self, tick: &Tick, roster_held: bool, now: u64) {
+    pub fn update(&mut self, tick: &Heartbeat, roster_held: bool, now: u64) {
         self.confirmed_at = self.confirmed_at.max(moment(now, tick.confirmed_age_ms));
         self.known_version = self.known_version.max(tick.configuration_version);
         if roster_held {
@@ -27,16 +27,16 @@
     }
 
     /// Forgets the proof: what is held may be current, but nobody is there any more who could tell.
-    pub fn lose_proof(&mut self) {
+    pub fn clear_confirmation(&mut self) {
         self.confirmed_at = None;
     }
 
-    /// Age of the last proof that the state was current, in milliseconds; [`NEVER_MS`] if there was none.
+    /// Age of the last proof that the state was current, in milliseconds; [`NEVER_CONFIRMED_MS`] if there was none.
     pub fn confirmed_age_ms(&self, now: u64) -> u64 {
         age(self.confirmed_at, now)
     }
 
-    /// Time since the platform's list was last read, in milliseconds; [`NEVER_MS`] if it is unknown.
+    /// Time since the platform's list was last read, in milliseconds; [`NEVER_CONFIRMED_MS`] if it is unknown.
     pub fn roster_age_ms(&self, now: u64) -> u64 {
         age(self.list_read_at, now)
     }
@@ -55,7 +55,7 @@
 }
 
 fn age(moment: Option<i64>, now: u64) -> u64 {
-    let Some(moment) = moment else { return NEVER_MS };
+    let Some(moment) = moment else { return NEVER_CONFIRMED_MS };
     let passed = i128::from(now) - i128::from(moment);
     u64::try_from(passed).unwrap_or(0) / MICROS
 }
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -18,10 +18,10 @@
 pub mod source;
 pub mod state;
 
-pub use configuration::{Assembly, CHUNK_BYTES, Configuration, MAX_CONFIGURATION_BYTES};
+pub use configuration::{CHUNK_BYTES, Configuration, ConfigurationAssembler, MAX_CONFIGURATION_BYTES};
 pub use error::FeedError;
-pub use freshness::{Freshness, NEVER_MS};
+pub use freshness::{Freshness, NEVER_CONFIRMED_MS};
 pub use reader::{Change, FeedReader};
-pub use roster::{Listed, MAX_SERVERS, Roster};
+pub use roster::{MAX_SERVERS, Roster, RosterEntry};
 pub use source::FeedSource;
-pub use state::{FeedState, Numbered};
+pub use state::{FeedState, Versioned};
--- a/crates/feed/src/reader.rs
+++ b/crates/feed/src/reader.rs
@@ -1,14 +1,14 @@
 //! The reading end of one connection.
 
-use dunelink_protocol::{FeedMessage, Tick};
+use dunelink_protocol::{FeedMessage, Heartbeat};
 
-use crate::roster::Applied;
-use crate::{Assembly, FeedError, FeedState};
+use crate::roster::UpdateOutcome;
+use crate::{ConfigurationAssembler, FeedError, FeedState};
 
 /// Takes the messages of one connection into a state.
 #[derive(Debug, Default)]
 pub struct FeedReader {
-    assembly: Assembly,
+    assembly: ConfigurationAssembler,
 }
 
 /// What a message changed.
@@ -21,7 +21,7 @@
     /// The roster.
     Roster,
     /// The freshness: a sign of life, as received.
-    Tick(Tick),
+    Heartbeat(Heartbeat),
     /// The grants.
     Grants,
     /// The list of control machines.
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// The message breaks the rules of the feed; the state is as before, and the connection is of no use.
-    pub fn take(
+    pub fn apply(
         &mut self,
         state: &mut FeedState,
         message: FeedMessage,
@@ -53,21 +53,21 @@
     ) -> Result<Change, FeedError> {
         match message {
             FeedMessage::Configuration(chunk) => {
-                let Some(configuration) = self.assembly.take(chunk, state.version())? else {
+                let Some(configuration) = self.assembly.accept(chunk, state.configuration_version())? else {
                     return Ok(Change::Nothing);
                 };
                 state.configuration = Some(configuration);
                 Ok(Change::Configuration)
             }
             FeedMessage::Roster(update) => Ok(match state.roster.apply(update, now)? {
-                Applied::Moved => Change::Roster,
-                Applied::Old => Change::Nothing,
-                Applied::Gap => Change::Resubscribe,
+                UpdateOutcome::Applied => Change::Roster,
+                UpdateOutcome::Stale => Change::Nothing,
+                UpdateOutcome::Gap => Change::Resubscribe,
             }),
-            FeedMessage::Tick(tick) => {
+            FeedMessage::Heartbeat(tick) => {
                 let roster_held = state.roster.offset().is_some_and(|held| held >= tick.roster);
-                state.freshness.take(&tick, roster_held, now);
-                Ok(Change::Tick(tick))
+                state.freshness.update(&tick, roster_held, now);
+                Ok(Change::Heartbeat(tick))
             }
             FeedMessage::Grants(grants) => {
                 state.grants.set(grants, now);
--- a/crates/feed/src/roster.rs
+++ b/crates/feed/src/roster.rs
@@ -19,27 +19,27 @@
 #[derive(Debug, Default)]
 pub struct Roster {
     offset: Option<RosterOffset>,
-    servers: BTreeMap<String, Listed>,
+    servers: BTreeMap<String, RosterEntry>,
     recent: VecDeque<Step>,
     remembered_ids: usize,
 }
 
 /// A server and when it was heard of.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct RosterEntry {
     /// What the list tells of it.
     pub entry: ServerEntry,
     /// When that was received, in microseconds.
-    pub received_at: u64,
+    pub received_at_us: u64,
 }
 
 /// What became of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Applied {
+pub enum UpdateOutcome {
     /// The roster is now at the update's position.
-    Moved,
+    Applied,
     /// The roster is at that position or beyond it already.
-    Old,
+    Stale,
     /// The update follows a position that the roster is not at: the whole roster has to be asked for.
     Gap,
 }
@@ -51,11 +51,11 @@
     ids: Vec<String>,
 }
 
-impl Listed {
+impl RosterEntry {
     /// The entry as it is to be passed on at `now`: what was left of the slow start is counted down.
     pub fn entry_at(&self, now: u64) -> ServerEntry {
         let mut entry = self.entry.clone();
-        let passed_ms = now.saturating_sub(self.received_at) / MICROS;
+        let passed_ms = now.saturating_sub(self.received_at_us) / MICROS;
         entry.cold_remaining_ms = entry.cold_remaining_ms.saturating_sub(passed_ms);
         entry
     }
@@ -68,12 +68,12 @@
     }
 
     /// The servers, by id.
-    pub fn servers(&self) -> impl Iterator<Item = &Listed> {
+    pub fn servers(&self) -> impl Iterator<Item = &RosterEntry> {
         self.servers.values()
     }
 
     /// The server with this id.
-    pub fn get(&self, id: &str) -> Option<&Listed> {
+    pub fn get(&self, id: &str) -> Option<&RosterEntry> {
         self.servers.get(id)
     }
 
@@ -92,12 +92,12 @@
     /// # Errors
     ///
     /// The update leads backwards, or to a roster that is too large; nothing is changed.
-    pub fn apply(&mut self, update: RosterUpdate, now: u64) -> Result<Applied, FeedError> {
+    pub fn apply(&mut self, update: RosterUpdate, now: u64) -> Result<UpdateOutcome, FeedError> {
         if let Some(base) = update.base.filter(|base| update.offset <= *base) {
             return Err(FeedError::RosterBackwards { base, offset: update.offset });
         }
         if self.offset.is_some_and(|held| update.offset <= held) {
-            return Ok(Applied::Old);
+            return Ok(UpdateOutcome::Stale);
         }
         let servers = update.changed.len() + update.base.map_or(0, |_| self.servers.len());
         if servers > MAX_SERVERS {
@@ -106,20 +106,20 @@
         match update.base {
             None => self.replace(update, now),
             Some(base) if self.offset == Some(base) => self.change(base, update, now),
-            Some(_) => return Ok(Applied::Gap),
+            Some(_) => return Ok(UpdateOutcome::Gap),
         }
-        Ok(Applied::Moved)
+        Ok(UpdateOutcome::Applied)
     }
 
     /// The whole roster as an update, at `now`; nothing before the first one.
-    pub fn whole(&self, now: u64) -> Option<RosterUpdate> {
+    pub fn full_update(&self, now: u64) -> Option<RosterUpdate> {
         let offset = self.offset?;
         let changed = self.servers.values().map(|listed| listed.entry_at(now)).collect();
         Some(RosterUpdate { base: None, offset, changed, removed: Vec::new() })
     }
 
     /// What a reader that stands at `base` lacks, at `now`; nothing if the changes since are not remembered.
-    pub fn since(&self, base: RosterOffset, now: u64) -> Option<RosterUpdate> {
+    pub fn changes_since(&self, base: RosterOffset, now: u64) -> Option<RosterUpdate> {
         let offset = self.offset?;
         let first = self.recent.iter().position(|step| step.base == base)?;
         let ids: BTreeSet<&String> = self.recent.range(first..).flat_map(|step| &step.ids).collect();
@@ -155,7 +155,7 @@
 
     fn insert(&mut self, entries: Vec<ServerEntry>, now: u64) {
         for entry in entries {
-            self.servers.insert(entry.id.clone(), Listed { entry, received_at: now });
+            self.servers.insert(entry.id.clone(), RosterEntry { entry, received_at_us: now });
         }
     }
 
--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -1,6 +1,6 @@
 //! The serving end of one connection.
 
-use dunelink_protocol::{FeedMessage, GrantUpdate, RosterOffset, Subscribe};
+use dunelink_protocol::{FeedMessage, FeedPosition, GrantUpdate, RosterOffset};
 
 use crate::{Configuration, FeedState};
 
@@ -41,7 +41,7 @@
 
 impl FeedSource {
     /// Serves a reader that stands where `subscribe` tells.
-    pub fn new(subscribe: &Subscribe) -> Self {
+    pub fn new(subscribe: &FeedPosition) -> Self {
         let roster = Some(subscribe.roster).filter(|offset| *offset != RosterOffset::default());
         Self {
             configuration_version: subscribe.configuration_version,
@@ -55,13 +55,13 @@
     }
 
     /// Serves a reader that has nothing.
-    pub fn from_nothing() -> Self {
-        Self::new(&Subscribe { configuration_version: 0, roster: RosterOffset::default() })
+    pub fn for_empty_reader() -> Self {
+        Self::new(&FeedPosition { configuration_version: 0, roster: RosterOffset::default() })
     }
 
     /// The next message to send at `now`; nothing if the reader has everything. A sign of life is due when what it
     /// tells has changed, or `tick_period` microseconds after the one before.
-    pub fn next(&mut self, state: &FeedState, tick_period: u64, now: u64) -> Option<FeedMessage> {
+    pub fn next_message(&mut self, state: &FeedState, tick_period: u64, now: u64) -> Option<FeedMessage> {
         self.next_configuration(state)
             .or_else(|| self.next_roster(state, now))
             .or_else(|| self.next_grants(state, now))
@@ -91,41 +91,41 @@
         if self.roster.is_some_and(|sent| sent >= newest) {
             return None;
         }
-        let changes = self.roster.and_then(|base| state.roster.since(base, now));
-        let update = changes.or_else(|| state.roster.whole(now))?;
+        let changes = self.roster.and_then(|base| state.roster.changes_since(base, now));
+        let update = changes.or_else(|| state.roster.full_update(now))?;
         self.roster = Some(newest);
         Some(FeedMessage::Roster(update))
     }
 
     fn next_grants(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
-        if self.grants == state.grants.number() {
+        if self.grants == state.grants.version() {
             return None;
         }
-        self.grants = state.grants.number();
+        self.grants = state.grants.version();
         let (grants, received_at) = state.grants.get()?;
         remaining(grants, received_at, now).map(FeedMessage::Grants)
     }
 
     fn next_suspicions(&mut self, state: &FeedState) -> Option<FeedMessage> {
-        if self.suspicions == state.suspicions.number() {
+        if self.suspicions == state.suspicions.version() {
             return None;
         }
-        self.suspicions = state.suspicions.number();
+        self.suspicions = state.suspicions.version();
         let (suspicions, _) = state.suspicions.get()?;
         Some(FeedMessage::Suspicions(suspicions.clone()))
     }
 
     fn next_loads(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
-        if self.loads == state.loads.number() {
+        if self.loads == state.loads.version() {
             return None;
         }
-        self.loads = state.loads.number();
+        self.loads = state.loads.version();
         let (loads, received_at) = state.loads.get()?;
         (now < received_at + LOADS_FOR).then(|| FeedMessage::Loads(loads.clone()))
     }
 
     fn next_tick(&mut self, state: &FeedState, period: u64, now: u64) -> Option<FeedMessage> {
-        let tick = state.tick(now);
+        let tick = state.heartbeat(now);
         let told = self.tick.as_ref().is_some_and(|sent| {
             sent.configuration_version == tick.configuration_version
                 && sent.roster == tick.roster
@@ -136,7 +136,7 @@
         }
         let (configuration_version, roster) = (tick.configuration_version, tick.roster);
         self.tick = Some(SentTick { at: now, configuration_version, roster });
-        Some(FeedMessage::Tick(tick))
+        Some(FeedMessage::Heartbeat(tick))
     }
 }
 
--- a/crates/feed/src/state.rs
+++ b/crates/feed/src/state.rs
@@ -1,7 +1,7 @@
 //! The newest of everything that is fed.
 
 use dunelink_protocol::{
-    ControlMember, FleetLoads, GrantUpdate, RosterOffset, ServerSuspicion, Subscribe, Tick,
+    ControlMember, FeedPosition, FleetLoads, GrantUpdate, Heartbeat, RosterOffset, ServerSuspicion,
 };
 
 use crate::{Configuration, Freshness, Roster};
@@ -16,30 +16,30 @@
     /// How far configuration and roster can be trusted.
     pub freshness: Freshness,
     /// Grants, as received.
-    pub grants: Numbered<GrantUpdate>,
+    pub grants: Versioned<GrantUpdate>,
     /// Servers suspected, as received.
-    pub suspicions: Numbered<Vec<ServerSuspicion>>,
+    pub suspicions: Versioned<Vec<ServerSuspicion>>,
     /// Requests of the fleet at servers, as received.
-    pub loads: Numbered<FleetLoads>,
+    pub loads: Versioned<FleetLoads>,
     /// Control machines, as last told.
     pub members: Vec<ControlMember>,
 }
 
 /// The latest value of a kind, numbered so that a receiver can tell whether it has been sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Numbered<T> {
+pub struct Versioned<T> {
     number: u64,
     received_at: u64,
     value: Option<T>,
 }
 
-impl<T> Default for Numbered<T> {
+impl<T> Default for Versioned<T> {
     fn default() -> Self {
         Self { number: 0, received_at: 0, value: None }
     }
 }
 
-impl<T> Numbered<T> {
+impl<T> Versioned<T> {
     /// Replaces the value by one received at `now`.
     pub fn set(&mut self, value: T, now: u64) {
         self.number += 1;
@@ -48,7 +48,7 @@
     }
 
     /// Number of the value; 0 before the first.
-    pub fn number(&self) -> u64 {
+    pub fn version(&self) -> u64 {
         self.number
     }
 
@@ -60,20 +60,20 @@
 
 impl FeedState {
     /// Version of the configuration held; 0 for none.
-    pub fn version(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |configuration| configuration.version)
     }
 
     /// Where this state stands, for a new subscription.
-    pub fn position(&self) -> Subscribe {
-        Subscribe { configuration_version: self.version(), roster: self.roster_offset() }
+    pub fn position(&self) -> FeedPosition {
+        FeedPosition { configuration_version: self.configuration_version(), roster: self.roster_offset() }
     }
 
     /// The sign of life that passes this state's freshness on, at `now`.
-    pub fn tick(&self, now: u64) -> Tick {
-        Tick {
+    pub fn heartbeat(&self, now: u64) -> Heartbeat {
+        Heartbeat {
             confirmed_age_ms: self.freshness.confirmed_age_ms(now),
-            configuration_version: self.freshness.known_version().max(self.version()),
+            configuration_version: self.freshness.known_version().max(self.configuration_version()),
             roster: self.roster_offset(),
             roster_age_ms: self.freshness.roster_age_ms(now),
         }
--- a/crates/feed/tests/rosters.rs
+++ b/crates/feed/tests/rosters.rs
@@ -1,6 +1,6 @@
 //! The roster by position: whole, changes on the right and the wrong base, epochs, and what is given out.
 
-use dunelink_feed::roster::Applied;
+use dunelink_feed::roster::UpdateOutcome;
 use dunelink_feed::{FeedError, Roster};
 use dunelink_protocol::{RosterOffset, RosterUpdate, ServerEntry};
 
@@ -15,8 +15,8 @@
         slots: 4,
         ready: true,
         cold_remaining_ms,
-        software: "v1".into(),
-        weights: None,
+        software_version: "v1".into(),
+        weights_version: None,
     }
 }
 
@@ -40,14 +40,14 @@
 
 fn filled() -> Roster {
     let mut roster = Roster::default();
-    assert_eq!(roster.apply(whole(at(2, 5), &["a", "b"]), NOW), Ok(Applied::Moved));
+    assert_eq!(roster.apply(whole(at(2, 5), &["a", "b"]), NOW), Ok(UpdateOutcome::Applied));
     roster
 }
 
 #[test]
 fn changes_on_the_right_base_are_applied() {
     let mut roster = filled();
-    assert_eq!(roster.apply(change(at(2, 5), at(2, 6), &["c"], &["a"]), NOW), Ok(Applied::Moved));
+    assert_eq!(roster.apply(change(at(2, 5), at(2, 6), &["c"], &["a"]), NOW), Ok(UpdateOutcome::Applied));
     assert_eq!(ids(&roster), ["b", "c"]);
     assert_eq!(roster.offset(), Some(at(2, 6)));
 }
@@ -55,22 +55,22 @@
 #[test]
 fn changes_on_another_base_ask_for_the_whole() {
     let mut roster = filled();
-    assert_eq!(roster.apply(change(at(2, 6), at(2, 7), &["c"], &[]), NOW), Ok(Applied::Gap));
-    assert_eq!(roster.apply(change(at(2, 4), at(2, 7), &["c"], &[]), NOW), Ok(Applied::Gap));
-    assert_eq!(Roster::default().apply(change(at(2, 4), at(2, 5), &[], &[]), NOW), Ok(Applied::Gap));
+    assert_eq!(roster.apply(change(at(2, 6), at(2, 7), &["c"], &[]), NOW), Ok(UpdateOutcome::Gap));
+    assert_eq!(roster.apply(change(at(2, 4), at(2, 7), &["c"], &[]), NOW), Ok(UpdateOutcome::Gap));
+    assert_eq!(Roster::default().apply(change(at(2, 4), at(2, 5), &[], &[]), NOW), Ok(UpdateOutcome::Gap));
     assert_eq!(ids(&roster), ["a", "b"]);
-    assert_eq!(roster.apply(whole(at(2, 7), &["c"]), NOW), Ok(Applied::Moved));
+    assert_eq!(roster.apply(whole(at(2, 7), &["c"]), NOW), Ok(UpdateOutcome::Applied));
     assert_eq!(ids(&roster), ["c"]);
 }
 
 #[test]
 fn nothing_goes_back() {
     let mut roster = filled();
-    assert_eq!(roster.apply(whole(at(1, 90), &["x"]), NOW), Ok(Applied::Old), "an older epoch");
-    assert_eq!(roster.apply(whole(at(2, 5), &["x"]), NOW), Ok(Applied::Old));
-    assert_eq!(roster.apply(change(at(2, 3), at(2, 4), &["x"], &["a"]), NOW), Ok(Applied::Old));
+    assert_eq!(roster.apply(whole(at(1, 90), &["x"]), NOW), Ok(UpdateOutcome::Stale), "an older epoch");
+    assert_eq!(roster.apply(whole(at(2, 5), &["x"]), NOW), Ok(UpdateOutcome::Stale));
+    assert_eq!(roster.apply(change(at(2, 3), at(2, 4), &["x"], &["a"]), NOW), Ok(UpdateOutcome::Stale));
     assert_eq!(ids(&roster), ["a", "b"]);
-    assert_eq!(roster.apply(whole(at(3, 0), &["x"]), NOW), Ok(Applied::Moved), "a new epoch");
+    assert_eq!(roster.apply(whole(at(3, 0), &["x"]), NOW), Ok(UpdateOutcome::Applied), "a new epoch");
     let backwards = change(at(9, 5), at(9, 5), &[], &[]);
     let error = FeedError::RosterBackwards { base: at(9, 5), offset: at(9, 5) };
     assert_eq!(roster.apply(backwards, NOW), Err(error));
@@ -81,17 +81,17 @@
     let mut roster = filled();
     for (sequence, changed, removed) in [(6, "c", "a"), (7, "d", "c"), (8, "d", "x")] {
         let update = change(at(2, sequence - 1), at(2, sequence), &[changed], &[removed]);
-        assert_eq!(roster.apply(update, NOW), Ok(Applied::Moved));
+        assert_eq!(roster.apply(update, NOW), Ok(UpdateOutcome::Applied));
     }
-    let since = roster.since(at(2, 5), NOW).expect("remembered");
+    let since = roster.changes_since(at(2, 5), NOW).expect("remembered");
     assert_eq!((since.base, since.offset), (Some(at(2, 5)), at(2, 8)));
     assert_eq!(since.changed, [server("d", 0)]);
     assert_eq!(since.removed, ["a", "c", "x"]);
-    assert_eq!(roster.since(at(2, 4), NOW), None);
-    assert_eq!(roster.since(at(2, 8), NOW), None, "nothing came after it");
-    assert_eq!(roster.whole(NOW).expect("there is one").changed, [server("b", 0), server("d", 0)]);
+    assert_eq!(roster.changes_since(at(2, 4), NOW), None);
+    assert_eq!(roster.changes_since(at(2, 8), NOW), None, "nothing came after it");
+    assert_eq!(roster.full_update(NOW).expect("there is one").changed, [server("b", 0), server("d", 0)]);
     roster.apply(whole(at(3, 0), &["a"]), NOW).expect("fits");
-    assert_eq!(roster.since(at(2, 7), NOW), None, "a whole roster ends what was remembered");
+    assert_eq!(roster.changes_since(at(2, 7), NOW), None, "a whole roster ends what was remembered");
 }
 
 #[test]
@@ -99,10 +99,10 @@
     let mut roster = filled();
     for sequence in 6..200 {
         let update = change(at(2, sequence - 1), at(2, sequence), &["c"], &[]);
-        assert_eq!(roster.apply(update, NOW), Ok(Applied::Moved));
+        assert_eq!(roster.apply(update, NOW), Ok(UpdateOutcome::Applied));
     }
-    assert_eq!(roster.since(at(2, 5), NOW), None);
-    assert!(roster.since(at(2, 190), NOW).is_some());
+    assert_eq!(roster.changes_since(at(2, 5), NOW), None);
+    assert!(roster.changes_since(at(2, 190), NOW).is_some());
 }
 
 #[test]
@@ -110,7 +110,7 @@
     let mut roster = Roster::default();
     let update = RosterUpdate { changed: vec![server("a", 900), server("b", 100)], ..whole(at(1, 0), &[]) };
     roster.apply(update, NOW).expect("fits");
-    let later = roster.whole(NOW + 400_000).expect("there is one");
+    let later = roster.full_update(NOW + 400_000).expect("there is one");
     let left: Vec<u64> = later.changed.iter().map(|entry| entry.cold_remaining_ms).collect();
     assert_eq!(left, [500, 0]);
 }
@@ -143,7 +143,7 @@
     if follower.offset() == leader.offset() {
         return;
     }
-    let since = follower.offset().and_then(|base| leader.since(base, NOW));
-    let update = since.or_else(|| leader.whole(NOW)).expect("there is one");
-    assert_eq!(follower.apply(update, NOW), Ok(Applied::Moved));
+    let since = follower.offset().and_then(|base| leader.changes_since(base, NOW));
+    let update = since.or_else(|| leader.full_update(NOW)).expect("there is one");
+    assert_eq!(follower.apply(update, NOW), Ok(UpdateOutcome::Applied));
 }
--- a/crates/grants/src/account.rs
+++ b/crates/grants/src/account.rs
@@ -88,10 +88,10 @@
     pub(crate) fn taken_over(told: &TenantDemand) -> Self {
         let mut account = Self { incarnation: told.incarnation, ..Self::default() };
         account.update(told);
-        account.inherited = told.passed;
-        account.ceiling = told.passed + told.held;
-        let (ceiling, rate_per_s) = (account.ceiling, told.granted_rate);
-        account.grants.send(Granted { round: 0, ceiling, lent: told.lent, rate_per_s });
+        account.inherited = told.admitted;
+        account.ceiling = told.admitted + told.available;
+        let (ceiling, rate_per_s) = (account.ceiling, told.granted_rate_per_s);
+        account.grants.send(Granted { round: 0, ceiling, lent: told.borrowed, rate_per_s });
         account
     }
 
@@ -106,7 +106,7 @@
         }
         self.update(told);
         self.grants.taken(round);
-        let reached = self.passed + told.held;
+        let reached = self.passed + told.available;
         let beyond = (reached - self.ceiling).max(0.0);
         let returned = self.lower(reached);
         (beyond - std::mem::take(&mut self.set_aside)).max(0.0) + lost - returned
@@ -157,8 +157,8 @@
     fn update(&mut self, told: &TenantDemand) {
         self.is_told = true;
         self.rate_per_s = told.rate_per_s;
-        self.request_units = told.request_units;
-        self.passed = told.passed;
+        self.request_units = told.mean_request_units;
+        self.passed = told.admitted;
     }
 
     /// Units let pass since the node told its history.
--- a/crates/grants/src/allocator.rs
+++ b/crates/grants/src/allocator.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunelink_protocol::{GrantUpdate, HeldTenant, NodeDemand, TenantDemand, TenantGrant};
+use dunelink_protocol::{GrantUpdate, NodeDemand, TenantDemand, TenantGrant, ThrottledTenant};
 
 use crate::account::{Account, Granted, Supply};
 use crate::bounds::{FLOOR_PART, LAPSE, OVERDRAFT_PART};
@@ -82,8 +82,8 @@
     pub fn report(&mut self, now: Micros, name: &str, demand: &NodeDemand) {
         let node = self.nodes.entry(name.to_owned()).or_default();
         node.reported_at = now;
-        if demand.age_ms > 0 {
-            node.age_ms = demand.age_ms;
+        if demand.uptime_ms > 0 {
+            node.age_ms = demand.uptime_ms;
         }
         for account in node.accounts.values_mut() {
             (account.is_told, account.rate_per_s) = (false, 0.0);
@@ -100,7 +100,7 @@
         if !hears_this_term || !node.is_settled && !demand.has_history {
             return;
         }
-        let started_at = now.saturating_sub(demand.age_ms.saturating_mul(MILLISECOND));
+        let started_at = now.saturating_sub(demand.uptime_ms.saturating_mul(MILLISECOND));
         // Where not all was inherited, what nodes held at the beginning counts as spent already.
         let is_charged = node.is_settled || self.inherited_all || started_at > self.began_at;
         let is_late = !std::mem::replace(&mut node.is_settled, true);
@@ -109,7 +109,7 @@
             if let Some(bucket) = self.buckets.get_mut(&told.tenant) {
                 bucket.level -= beyond;
                 if is_late {
-                    bucket.heard_late(told.granted_rate);
+                    bucket.heard_late(told.granted_rate_per_s);
                 }
             }
         }
@@ -120,21 +120,21 @@
 
     /// Asks a node what passed there in the window, before any has reported.
     pub fn question(&self) -> GrantUpdate {
-        GrantUpdate { asks_history: true, ..self.blank(0, 0) }
+        GrantUpdate { requests_history: true, ..self.blank(0, 0) }
     }
 
     /// Grants without any tenant.
     fn blank(&self, nodes: u32, configuration_version: u64) -> GrantUpdate {
         GrantUpdate {
             valid_ms: VALID_MS,
-            nodes,
+            node_count: nodes,
             configuration_version,
             tenants: Vec::new(),
-            held: Vec::new(),
+            throttled: Vec::new(),
             term: self.term,
             round: self.round,
-            asked_age_ms: 0,
-            asks_history: false,
+            report_uptime_ms: 0,
+            requests_history: false,
         }
     }
 
@@ -157,8 +157,8 @@
         let grants = if self.takeover.is_none() { self.grant_all(now, &limited, &blank) } else { Vec::new() };
         let unsettled = self.nodes.iter().filter(|(_, node)| !node.is_settled && !node.is_silent(now));
         let questions = unsettled.map(|(name, node)| {
-            let asked_age_ms = node.age_ms;
-            (name.clone(), GrantUpdate { asks_history: true, asked_age_ms, ..blank.clone() })
+            let report_uptime_ms = node.age_ms;
+            (name.clone(), GrantUpdate { requests_history: true, report_uptime_ms, ..blank.clone() })
         });
         grants.into_iter().chain(questions).collect()
     }
@@ -237,7 +237,7 @@
             }
             let (pass_share, grants) = self.issue(now, quota);
             if pass_share < 1.0 {
-                held.push(HeldTenant { tenant: quota.name.clone(), pass_share });
+                held.push(ThrottledTenant { tenant: quota.name.clone(), pass_share });
             }
             for (node, grant) in grants {
                 tenants.entry(node).or_default().push(grant);
@@ -249,8 +249,11 @@
         in_touch
             .map(|(name, node)| {
                 let tenants = tenants.remove(name).unwrap_or_default();
-                let asked_age_ms = node.age_ms;
-                (name.clone(), GrantUpdate { tenants, held: held.clone(), asked_age_ms, ..blank.clone() })
+                let report_uptime_ms = node.age_ms;
+                (
+                    name.clone(),
+                    GrantUpdate { tenants, throttled: held.clone(), report_uptime_ms, ..blank.clone() },
+                )
             })
             .collect()
     }
@@ -356,8 +359,8 @@
                 rate_per_s,
                 incarnation: account.incarnation,
                 pass_share,
-                spare: lend,
-                counted: account.passed,
+                reserved: lend,
+                acknowledged: account.passed,
             };
             (name.clone(), grant)
         });
@@ -408,7 +411,7 @@
 
 /// Whether the figures told can be added up.
 pub(crate) fn is_sane(told: &TenantDemand) -> bool {
-    let amounts = [told.passed, told.request_units, told.counted, told.held, told.lent];
-    let figures = amounts.into_iter().chain([told.rate_per_s, told.granted_rate]);
+    let amounts = [told.admitted, told.mean_request_units, told.acknowledged, told.available, told.borrowed];
+    let figures = amounts.into_iter().chain([told.rate_per_s, told.granted_rate_per_s]);
     figures.chain(told.history.iter().copied()).all(|figure| figure.is_finite() && figure >= 0.0)
 }
--- a/crates/grants/src/bucket.rs
+++ b/crates/grants/src/bucket.rs
@@ -78,10 +78,10 @@
         for (sum, units) in self.passed.iter_mut().zip(history) {
             *sum += units;
         }
-        self.held += told.held;
-        self.lent += told.lent;
-        self.granted_rate += told.granted_rate;
-        self.largest = self.largest.max(told.request_units);
+        self.held += told.available;
+        self.lent += told.borrowed;
+        self.granted_rate += told.granted_rate_per_s;
+        self.largest = self.largest.max(told.mean_request_units);
         self.nodes += 1.0;
     }
 
--- a/crates/grants/src/gate.rs
+++ b/crates/grants/src/gate.rs
@@ -81,7 +81,7 @@
             ceiling: told.ceiling,
             overdraft: told.overdraft,
             overdraft_requests: 0.0,
-            spare: told.spare,
+            spare: told.reserved,
             rate_per_s: told.rate_per_s,
             pass_share: told.pass_share,
             is_over: told.pass_share < 1.0,
@@ -225,27 +225,27 @@
         for account in self.accounts.values_mut() {
             account.fill_floor(now, &self.bounds, self.nodes);
         }
-        let is_first_question = update.asks_history && update.term > self.term;
-        (self.term, self.round, self.is_asked) = (update.term, update.round, update.asks_history);
+        let is_first_question = update.requests_history && update.term > self.term;
+        (self.term, self.round, self.is_asked) = (update.term, update.round, update.requests_history);
         if is_first_question {
             self.accounts.values_mut().for_each(|account| account.answer(now));
             return Applied::Question;
         }
-        if update.asks_history {
+        if update.requests_history {
             return Applied::Nothing;
         }
-        self.nodes = update.nodes.max(1);
+        self.nodes = update.node_count.max(1);
         self.knows_nodes = true;
         let until = self.until(now, update);
         let told = update.tenants.iter().filter(|told| told.incarnation == self.incarnation && is_sane(told));
         let told: HashMap<&str, &TenantGrant> = told.map(|told| (told.tenant.as_str(), told)).collect();
-        let held = update.held.iter().map(|held| (held.tenant.as_str(), held.pass_share));
+        let held = update.throttled.iter().map(|held| (held.tenant.as_str(), held.pass_share));
         let held: HashMap<&str, f64> = held.collect();
         for (name, account) in &mut self.accounts {
             if let Some(told) = told.get(name.as_str()) {
                 // The floor was told as held: the ceiling takes its place.
                 account.floor_level = account.floor_level.min(0.0);
-                account.counted = told.counted;
+                account.counted = told.acknowledged;
                 account.grant = Grant::told(now, until, told);
             } else {
                 let pass_share = held.get(name.as_str()).copied().unwrap_or(1.0);
@@ -259,7 +259,7 @@
     /// came late.
     fn until(&self, now: Micros, update: &GrantUpdate) -> Micros {
         let valid = update.valid_ms.min(VALID_MOST_MS) * MILLISECOND;
-        let asked_at = self.began_at + update.asked_age_ms.min(MAX_AGE_MS) * MILLISECOND;
+        let asked_at = self.began_at + update.report_uptime_ms.min(MAX_AGE_MS) * MILLISECOND;
         asked_at.min(now) + valid
     }
 
@@ -309,12 +309,14 @@
         // Few tenants are told of before they ask for anything, so that their first requests find a grant of their own.
         let few = self.accounts.len() <= TENANTS_ALL_TOLD;
         let is_due = |told: &TenantDemand| {
-            few || told.rate_per_s >= LEAST_DEMAND || told.passed != told.counted || !told.history.is_empty()
+            few || told.rate_per_s >= LEAST_DEMAND
+                || told.admitted != told.acknowledged
+                || !told.history.is_empty()
         };
         NodeDemand {
             term: self.term,
-            age_ms: now.saturating_sub(self.began_at) / MILLISECOND,
-            nodes: if self.knows_nodes { self.nodes } else { 0 },
+            uptime_ms: now.saturating_sub(self.began_at) / MILLISECOND,
+            node_count: if self.knows_nodes { self.nodes } else { 0 },
             round: self.round,
             has_history: self.is_asked,
             tenants: told.filter(is_due).collect(),
@@ -344,14 +346,14 @@
         TenantDemand {
             tenant: name.to_owned(),
             rate_per_s: self.demand.rate(now),
-            passed: self.passed,
-            request_units: self.request_units,
+            admitted: self.passed,
+            mean_request_units: self.request_units,
             incarnation,
-            counted: self.counted,
-            held: self.held(),
-            granted_rate: if now < self.grant.lapses_at() { self.grant.rate_per_s } else { 0.0 },
+            acknowledged: self.counted,
+            available: self.held(),
+            granted_rate_per_s: if now < self.grant.lapses_at() { self.grant.rate_per_s } else { 0.0 },
             history: if parts > 0 { self.history.told(now, parts) } else { Vec::new() },
-            lent: if parts > 0 { self.lent(now) } else { 0.0 },
+            borrowed: if parts > 0 { self.lent(now) } else { 0.0 },
         }
     }
 
@@ -494,6 +496,7 @@
 }
 
 fn is_sane(told: &TenantGrant) -> bool {
-    let figures = [told.ceiling, told.overdraft, told.rate_per_s, told.pass_share, told.spare, told.counted];
+    let figures =
+        [told.ceiling, told.overdraft, told.rate_per_s, told.pass_share, told.reserved, told.acknowledged];
     figures.iter().all(|figure| figure.is_finite())
 }
--- a/crates/grants/src/history.rs
+++ b/crates/grants/src/history.rs
@@ -2,12 +2,12 @@
 
 use std::collections::VecDeque;
 
-use dunelink_protocol::report::HISTORY_PART_MS;
+use dunelink_protocol::report::HISTORY_INTERVAL_MS;
 
 use crate::{MILLISECOND, Micros, QuotaBounds, SECOND};
 
 /// Length of a part, in microseconds.
-pub(crate) const PART: Micros = HISTORY_PART_MS * MILLISECOND;
+pub(crate) const PART: Micros = HISTORY_INTERVAL_MS * MILLISECOND;
 
 /// Parts that are kept for a window: what lies in the oldest one may have left it already.
 pub(crate) fn parts(bounds: &QuotaBounds) -> usize {
--- a/crates/grants/src/takeover.rs
+++ b/crates/grants/src/takeover.rs
@@ -47,7 +47,7 @@
 
     /// Takes in a node's report. A later one replaces it.
     pub(crate) fn report(&mut self, term: u64, name: &str, demand: &NodeDemand) {
-        self.nodes_told = self.nodes_told.max(demand.nodes);
+        self.nodes_told = self.nodes_told.max(demand.node_count);
         if demand.term == term && demand.has_history {
             self.answers.insert(name.to_owned(), demand.clone());
         }
@@ -59,7 +59,7 @@
             return None;
         }
         let all_answered = self.answers.len() >= heard && heard >= self.nodes_told as usize;
-        let youngest_ms = self.answers.values().map(|answer| answer.age_ms).min().unwrap_or(0);
+        let youngest_ms = self.answers.values().map(|answer| answer.uptime_ms).min().unwrap_or(0);
         let mut tenants: BTreeMap<String, Inherited> = BTreeMap::new();
         for told in self.answers.values().flat_map(|answer| &answer.tenants).filter(|told| is_sane(told)) {
             let inherited = tenants.entry(told.tenant.clone()).or_default();
@@ -79,7 +79,7 @@
 impl Inheritance {
     /// Adds what a node tells that was missing.
     pub(crate) fn add_late(&mut self, demand: &NodeDemand) {
-        self.nodes_told = self.nodes_told.max(demand.nodes);
+        self.nodes_told = self.nodes_told.max(demand.node_count);
         for told in demand.tenants.iter().filter(|told| is_sane(told)) {
             self.tenants.entry(told.tenant.clone()).or_default().add(told);
         }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -5,7 +5,7 @@
 //! their number. The method is CYCLON (Voulgaris, Gavidia, van Steen: "CYCLON: Inexpensive Membership Management
 //! for Unstructured P2P Overlays", 2005).
 //!
-//! [`PeerSampler`] is a state machine: messages in, messages out. A caller runs [`PeerSampler::round`] at a steady
+//! [`PeerSampler`] is a state machine: messages in, messages out. A caller runs [`PeerSampler::begin_round`] at a steady
 //! pace and passes what arrives to [`PeerSampler::receive`].
 
 #![forbid(unsafe_code)]
@@ -14,6 +14,6 @@
 pub mod sampler;
 pub mod view;
 
-pub use message::{Descriptor, MAX_HOPS, Outgoing, PeerMessage, SHUFFLE_LENGTH};
+pub use message::{Descriptor, MAX_HOPS, OutgoingMessage, PeerMessage, SHUFFLE_LENGTH};
 pub use sampler::PeerSampler;
 pub use view::{VIEW_LENGTH, View};
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -56,7 +56,7 @@
 
 /// A message to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// Where to.
     pub to: SocketAddr,
     /// What.
--- a/crates/peers/src/sampler.rs
+++ b/crates/peers/src/sampler.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::{Descriptor, MAX_HOPS, Outgoing, PeerMessage, SHUFFLE_LENGTH, VIEW_LENGTH, View};
+use crate::{Descriptor, MAX_HOPS, OutgoingMessage, PeerMessage, SHUFFLE_LENGTH, VIEW_LENGTH, View};
 
 /// A view with fewer nodes than this asks an introducer again.
 const POOR_VIEW: usize = 4;
@@ -49,21 +49,21 @@
     }
 
     /// Notes that a node cannot be reached.
-    pub fn unreachable(&mut self, address: SocketAddr) {
+    pub fn mark_unreachable(&mut self, address: SocketAddr) {
         self.view.remove(address);
     }
 
     /// Begins a round: what to send. A peer that did not answer in the round before is gone from the view.
-    pub fn round(&mut self) -> Vec<Outgoing> {
+    pub fn begin_round(&mut self) -> Vec<OutgoingMessage> {
         self.pending = None;
         self.joins_left = JOINS_A_ROUND;
-        self.view.grow_older();
+        self.view.increment_ages();
         let join = self.join();
         self.shuffle().into_iter().chain(join).collect()
     }
 
     /// Takes a message that came from `from`: what to send for it.
-    pub fn receive(&mut self, from: SocketAddr, message: PeerMessage) -> Vec<Outgoing> {
+    pub fn receive(&mut self, from: SocketAddr, message: PeerMessage) -> Vec<OutgoingMessage> {
         match message {
             PeerMessage::Shuffle(received) => vec![self.answer(from, &received)],
             PeerMessage::ShuffleReply(received) => {
@@ -80,16 +80,16 @@
     }
 
     /// Takes the oldest peer out and offers it a part of the view in which this node stands in its place.
-    fn shuffle(&mut self) -> Option<Outgoing> {
+    fn shuffle(&mut self) -> Option<OutgoingMessage> {
         let peer = self.view.take_oldest()?.address;
         let sent = self.view.sample(SHUFFLE_LENGTH - 1, &mut self.random);
         let mut offered = sent.clone();
         offered.push(Descriptor::fresh(self.own));
         self.pending = Some(Exchange { peer, sent });
-        Some(Outgoing { to: peer, message: PeerMessage::Shuffle(offered) })
+        Some(OutgoingMessage { to: peer, message: PeerMessage::Shuffle(offered) })
     }
 
-    fn join(&mut self) -> Option<Outgoing> {
+    fn join(&mut self) -> Option<OutgoingMessage> {
         if self.view.entries().len() >= POOR_VIEW {
             return None;
         }
@@ -97,49 +97,49 @@
         let others: Vec<SocketAddr> =
             self.introducers.iter().copied().filter(|other| *other != own).collect();
         let to = self.random.choice(others)?;
-        Some(Outgoing { to, message: PeerMessage::Join })
+        Some(OutgoingMessage { to, message: PeerMessage::Join })
     }
 
-    fn answer(&mut self, from: SocketAddr, received: &[Descriptor]) -> Outgoing {
+    fn answer(&mut self, from: SocketAddr, received: &[Descriptor]) -> OutgoingMessage {
         let sent = self.view.sample(SHUFFLE_LENGTH, &mut self.random);
-        self.view.exchange(bounded(received), &sent);
-        Outgoing { to: from, message: PeerMessage::ShuffleReply(sent) }
+        self.view.merge(bounded(received), &sent);
+        OutgoingMessage { to: from, message: PeerMessage::ShuffleReply(sent) }
     }
 
     fn finish(&mut self, from: SocketAddr, received: &[Descriptor]) {
         let Some(exchange) = self.pending.take_if(|exchange| exchange.peer == from) else { return };
-        self.view.exchange(bounded(received), &exchange.sent);
+        self.view.merge(bounded(received), &exchange.sent);
         // Who answers is alive: it comes back if the exchange left room.
         self.view.add(Descriptor::fresh(from));
     }
 
     /// Sends the newcomer on walks to as many nodes as a view holds, so that it stands in as many views.
-    fn introduce(&mut self, newcomer: SocketAddr) -> Vec<Outgoing> {
+    fn introduce(&mut self, newcomer: SocketAddr) -> Vec<OutgoingMessage> {
         if self.joins_left == 0 || newcomer == self.own {
             return Vec::new();
         }
         self.joins_left -= 1;
         let starts = self.view.entries().iter().filter(|entry| entry.address != newcomer);
         let walk = PeerMessage::Walk { newcomer, hops: MAX_HOPS };
-        let mut walks: Vec<Outgoing> =
-            starts.map(|entry| Outgoing { to: entry.address, message: walk.clone() }).collect();
+        let mut walks: Vec<OutgoingMessage> =
+            starts.map(|entry| OutgoingMessage { to: entry.address, message: walk.clone() }).collect();
         if walks.len() < VIEW_LENGTH {
             self.view.add(Descriptor::fresh(newcomer));
             let welcome = PeerMessage::Welcome(Descriptor::fresh(self.own));
-            walks.push(Outgoing { to: newcomer, message: welcome });
+            walks.push(OutgoingMessage { to: newcomer, message: welcome });
         }
         walks
     }
 
     /// Passes a newcomer on, or takes it in at the end of its walk, in place of a node that it gets to know.
-    fn walk(&mut self, newcomer: SocketAddr, hops: u8) -> Option<Outgoing> {
+    fn walk(&mut self, newcomer: SocketAddr, hops: u8) -> Option<OutgoingMessage> {
         if newcomer == self.own {
             return None;
         }
         if let Some(hops) = hops.min(MAX_HOPS).checked_sub(1)
             && let Some(next) = self.next_hop(newcomer)
         {
-            return Some(Outgoing { to: next, message: PeerMessage::Walk { newcomer, hops } });
+            return Some(OutgoingMessage { to: next, message: PeerMessage::Walk { newcomer, hops } });
         }
         if self.view.contains(newcomer) {
             return None;
@@ -149,7 +149,7 @@
             false => self.view.take_random(&mut self.random),
         };
         self.view.add(Descriptor::fresh(newcomer));
-        replaced.map(|known| Outgoing { to: newcomer, message: PeerMessage::Welcome(known) })
+        replaced.map(|known| OutgoingMessage { to: newcomer, message: PeerMessage::Welcome(known) })
     }
 
     fn next_hop(&mut self, newcomer: SocketAddr) -> Option<SocketAddr> {
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -36,7 +36,7 @@
     }
 
     /// Counts a round on.
-    pub fn grow_older(&mut self) {
+    pub fn increment_ages(&mut self) {
         for entry in &mut self.entries {
             entry.age = entry.age.saturating_add(1);
         }
@@ -81,7 +81,7 @@
 
     /// Takes the other node's part of an exchange in. What is new finds room first where there is some, then in
     /// place of what was `sent` for it.
-    pub fn exchange(&mut self, received: &[Descriptor], sent: &[Descriptor]) {
+    pub fn merge(&mut self, received: &[Descriptor], sent: &[Descriptor]) {
         let mut given = sent.iter();
         for descriptor in received {
             if descriptor.address == self.own || self.contains(descriptor.address) {
--- a/crates/peers/tests/messages.rs
+++ b/crates/peers/tests/messages.rs
@@ -2,7 +2,9 @@
 
 use std::net::SocketAddr;
 
-use dunelink_peers::{Descriptor, MAX_HOPS, Outgoing, PeerMessage, PeerSampler, SHUFFLE_LENGTH, VIEW_LENGTH};
+use dunelink_peers::{
+    Descriptor, MAX_HOPS, OutgoingMessage, PeerMessage, PeerSampler, SHUFFLE_LENGTH, VIEW_LENGTH,
+};
 
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_000))
@@ -19,21 +21,21 @@
 
 #[test]
 fn a_node_that_knows_nobody_asks_an_introducer() {
-    assert_eq!(node(&[]).round(), []);
-    assert_eq!(node(&[0]).round(), [], "it does not ask itself");
-    assert_eq!(node(&[0, 4]).round(), [Outgoing { to: address(4), message: PeerMessage::Join }]);
+    assert_eq!(node(&[]).begin_round(), []);
+    assert_eq!(node(&[0]).begin_round(), [], "it does not ask itself");
+    assert_eq!(node(&[0, 4]).begin_round(), [OutgoingMessage { to: address(4), message: PeerMessage::Join }]);
 }
 
 #[test]
 fn the_oldest_peer_is_asked_and_is_gone_if_it_stays_silent() {
     let mut node = node(&[]);
     node.receive(address(1), PeerMessage::Shuffle(descriptors([1])));
-    node.round();
+    node.begin_round();
     assert!(node.view().is_empty(), "it was taken out for the exchange");
     node.receive(address(1), PeerMessage::ShuffleReply(descriptors([2])));
     assert!(node.view().contains(address(1)) && node.view().contains(address(2)));
-    let first = node.round();
-    let second = node.round();
+    let first = node.begin_round();
+    let second = node.begin_round();
     assert_eq!((first.len(), second.len()), (1, 1));
     assert_ne!(first[0].to, second[0].to);
     assert!(node.view().is_empty());
@@ -57,7 +59,7 @@
 fn an_unreachable_peer_is_forgotten() {
     let mut node = node(&[]);
     node.receive(address(1), PeerMessage::Shuffle(descriptors([1])));
-    node.unreachable(address(1));
+    node.mark_unreachable(address(1));
     assert_eq!(node.random_peer(), None);
 }
 
@@ -67,7 +69,7 @@
     let answered: Vec<bool> =
         (1..=10).map(|number| !node.receive(address(number), PeerMessage::Join).is_empty()).collect();
     assert_eq!(answered.iter().filter(|answered| **answered).count(), 4);
-    node.round();
+    node.begin_round();
     assert!(!node.receive(address(9), PeerMessage::Join).is_empty());
 }
 
@@ -110,10 +112,10 @@
                     node.receive(address(*from), PeerMessage::Welcome(descriptor))
                 }
                 5 => {
-                    node.unreachable(address(*value));
+                    node.mark_unreachable(address(*value));
                     Vec::new()
                 }
-                _ => node.round(),
+                _ => node.begin_round(),
             };
             assert!(sent.len() <= VIEW_LENGTH + 1);
             for one in sent {
--- a/crates/peers/tests/overlay.rs
+++ b/crates/peers/tests/overlay.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use dunelink_peers::{Outgoing, PeerMessage, PeerSampler, VIEW_LENGTH};
+use dunelink_peers::{OutgoingMessage, PeerMessage, PeerSampler, VIEW_LENGTH};
 
 const NODES: u16 = 450;
 
@@ -46,15 +46,16 @@
         let mut order: Vec<SocketAddr> = self.nodes.keys().copied().collect();
         self.random.shuffle(&mut order);
         for own in order {
-            let sent = self.nodes.get_mut(&own).map(PeerSampler::round).unwrap_or_default();
+            let sent = self.nodes.get_mut(&own).map(PeerSampler::begin_round).unwrap_or_default();
             self.deliver(own, sent);
         }
     }
 
     /// Messages to nodes that are gone are lost.
-    fn deliver(&mut self, from: SocketAddr, sent: Vec<Outgoing>) {
-        let mut waiting: VecDeque<(SocketAddr, Outgoing)> = sent.into_iter().map(|one| (from, one)).collect();
-        while let Some((from, Outgoing { to, message })) = waiting.pop_front() {
+    fn deliver(&mut self, from: SocketAddr, sent: Vec<OutgoingMessage>) {
+        let mut waiting: VecDeque<(SocketAddr, OutgoingMessage)> =
+            sent.into_iter().map(|one| (from, one)).collect();
+        while let Some((from, OutgoingMessage { to, message })) = waiting.pop_front() {
             let Some(node) = self.nodes.get_mut(&to) else { continue };
             self.delivered += 1;
             waiting.extend(node.receive(from, message).into_iter().map(|one| (to, one)));
@@ -149,10 +150,10 @@
     let mut overlay = Overlay::grown(5);
     let newcomer = address(NODES + 1);
     overlay.delivered = 0;
-    overlay.deliver(newcomer, vec![Outgoing { to: address(9), message: PeerMessage::Join }]);
+    overlay.deliver(newcomer, vec![OutgoingMessage { to: address(9), message: PeerMessage::Join }]);
     assert!(overlay.delivered <= 1 + VIEW_LENGTH as u64 * 6, "{} messages", overlay.delivered);
     let walk = PeerMessage::Walk { newcomer, hops: u8::MAX };
     overlay.delivered = 0;
-    overlay.deliver(newcomer, vec![Outgoing { to: address(9), message: walk }]);
+    overlay.deliver(newcomer, vec![OutgoingMessage { to: address(9), message: walk }]);
     assert!(overlay.delivered <= 6, "{} messages", overlay.delivered);
 }
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -15,7 +15,7 @@
     Roster(#[n(0)] RosterUpdate),
     /// Sign of life.
     #[n(2)]
-    Tick(#[n(0)] Tick),
+    Heartbeat(#[n(0)] Heartbeat),
     /// What this node may use of budgets that all nodes share.
     #[n(3)]
     Grants(#[n(0)] GrantUpdate),
@@ -102,15 +102,15 @@
     pub cold_remaining_ms: u64,
     /// Version of its software.
     #[n(7)]
-    pub software: String,
+    pub software_version: String,
     /// Version of the model's weights, if the list tells it.
     #[n(8)]
-    pub weights: Option<u64>,
+    pub weights_version: Option<u64>,
 }
 
 /// Sign of life of the sender, with how far what it feeds can be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Tick {
+pub struct Heartbeat {
     /// Age in milliseconds of the sender's last proof that its state is current: 0 at a leader that holds its
     /// lease, otherwise the time since such a leader was heard.
     #[n(0)]
@@ -134,7 +134,7 @@
     pub valid_ms: u64,
     /// Proxies that the budgets are divided among: the floor of each is one part in this many.
     #[n(1)]
-    pub nodes: u32,
+    pub node_count: u32,
     /// Version of the configuration that the grants were computed for.
     #[n(2)]
     pub configuration_version: u64,
@@ -144,24 +144,24 @@
     pub tenants: Vec<TenantGrant>,
     /// Tenants that ask for more than their quota in the whole fleet.
     #[n(4)]
-    pub held: Vec<HeldTenant>,
+    pub throttled: Vec<ThrottledTenant>,
     /// Term of the leader that grants. A node that has seen a newer one refuses the grants.
     #[n(5)]
     pub term: u64,
     /// Number of the grants within the term, rising; the node tells which it has taken.
     #[n(7)]
     pub round: u64,
-    /// [`NodeDemand::age_ms`](crate::NodeDemand::age_ms) of the last report that the leader has taken in.
+    /// [`NodeDemand::uptime_ms`](crate::NodeDemand::uptime_ms) of the last report that the leader has taken in.
     #[n(8)]
-    pub asked_age_ms: u64,
+    pub report_uptime_ms: u64,
     /// A new leader asks for what passed in the window; nothing is granted by this message.
     #[n(6)]
-    pub asks_history: bool,
+    pub requests_history: bool,
 }
 
 /// A tenant that asks for more than its quota.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct HeldTenant {
+pub struct ThrottledTenant {
     /// Name of the tenant.
     #[n(0)]
     pub tenant: String,
@@ -179,7 +179,7 @@
     /// The sum of units (tokens or requests) let pass since the proxy's start up to which it may go on.
     #[n(1)]
     pub ceiling: f64,
-    /// Units by which this node may exceed the ceiling while grants come. Beyond `spare` only as many requests pass as
+    /// Units by which this node may exceed the ceiling while grants come. Beyond `reserved` only as many requests pass as
     /// `pass_share` says.
     #[n(2)]
     pub overdraft: f64,
@@ -196,10 +196,10 @@
     /// Units kept for this node alone, though not issued to it: what it may use beyond its ceiling without harm, also
     /// once no more grants come.
     #[n(6)]
-    pub spare: f64,
+    pub reserved: f64,
     /// What the node let pass since its start as far as the leader has taken it in, in units.
     #[n(7)]
-    pub counted: f64,
+    pub acknowledged: f64,
 }
 
 /// A control machine.
@@ -207,7 +207,7 @@
 pub struct ControlMember {
     /// Address for internal connections.
     #[n(0)]
-    pub internal: String,
+    pub internal_address: String,
     /// Zone it is in.
     #[n(1)]
     pub zone: String,
--- a/crates/protocol/src/hello.rs
+++ b/crates/protocol/src/hello.rs
@@ -28,7 +28,7 @@
 pub struct Hello {
     /// [`PROTOCOL_VERSION`] of the sender.
     #[n(0)]
-    pub protocol: u32,
+    pub protocol_version: u32,
     /// What the connection is for.
     #[n(1)]
     pub link: LinkKind,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -18,12 +18,12 @@
 pub mod report;
 
 pub use feed::{
-    ConfigurationChunk, ControlMember, FeedMessage, GrantUpdate, HeldTenant, RosterOffset, RosterUpdate,
-    ServerEntry, ServerSuspicion, TenantGrant, Tick,
+    ConfigurationChunk, ControlMember, FeedMessage, GrantUpdate, Heartbeat, RosterOffset, RosterUpdate,
+    ServerEntry, ServerSuspicion, TenantGrant, ThrottledTenant,
 };
 pub use frame::{FrameError, MAX_FRAME_BYTES, decode, encode};
 pub use hello::{Hello, LinkKind};
-pub use load::{FleetLoads, NodeLoads, ServerLoad, UNREAD_UNIT, server_key};
+pub use load::{FleetLoads, NodeLoads, PROMPT_UNIT_TOKENS, ServerLoad, server_key};
 pub use report::{
-    AgentMessage, NodeDemand, ProxyMessage, ProxyReport, ServerObservation, Subscribe, TenantDemand,
+    AgentMessage, FeedPosition, NodeDemand, ProxyMessage, ProxyReport, ServerObservation, TenantDemand,
 };
--- a/crates/protocol/src/load.rs
+++ b/crates/protocol/src/load.rs
@@ -12,7 +12,7 @@
 pub struct NodeLoads {
     /// Whether a server that is not named has none; otherwise what was told of it before stands.
     #[n(0)]
-    pub is_whole: bool,
+    pub is_full: bool,
     /// One entry a server.
     #[n(1)]
     pub servers: Vec<ServerLoad>,
@@ -23,17 +23,17 @@
 pub struct ServerLoad {
     /// [`server_key`] of its id.
     #[n(0)]
-    pub server: u32,
+    pub server_key: u32,
     /// Requests sent there and not ended.
     #[n(1)]
-    pub requests: u32,
-    /// Prompt tokens to be read for those of them that have not begun, in units of [`UNREAD_UNIT`].
+    pub in_flight: u32,
+    /// Prompt tokens to be read for those of them that have not begun, in units of [`PROMPT_UNIT_TOKENS`].
     #[n(2)]
-    pub unread: u32,
+    pub pending_prompt_units: u32,
 }
 
 /// Unit in which prompt tokens to be read are told.
-pub const UNREAD_UNIT: u32 = 512;
+pub const PROMPT_UNIT_TOKENS: u32 = 512;
 
 /// Requests of all nodes at a run of servers.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
@@ -43,13 +43,13 @@
     pub roster: RosterOffset,
     /// Position of the first of them, in the order of ids.
     #[n(1)]
-    pub first: u32,
+    pub first_server: u32,
     /// Requests at each server from there on; 255 stands for that many or more.
     #[cbor(n(2), with = "minicbor::bytes")]
-    pub requests: Vec<u8>,
-    /// Prompt tokens to be read at each of them, in units of [`UNREAD_UNIT`]; 255 stands for that many or more.
+    pub in_flight: Vec<u8>,
+    /// Prompt tokens to be read at each of them, in units of [`PROMPT_UNIT_TOKENS`]; 255 stands for that many or more.
     #[cbor(n(3), with = "minicbor::bytes")]
-    pub unread: Vec<u8>,
+    pub pending_prompt_units: Vec<u8>,
 }
 
 /// What names a server in [`ServerLoad`]: a hash of its id. Two servers with the same key share their sum.
@@ -59,13 +59,13 @@
 
 impl NodeLoads {
     /// Adds what the same node told later.
-    pub fn add(&mut self, later: Self) {
-        if later.is_whole {
+    pub fn merge(&mut self, later: Self) {
+        if later.is_full {
             *self = later;
             return;
         }
         let both = self.servers.iter().chain(&later.servers);
-        let newest: BTreeMap<u32, ServerLoad> = both.map(|load| (load.server, *load)).collect();
+        let newest: BTreeMap<u32, ServerLoad> = both.map(|load| (load.server_key, *load)).collect();
         self.servers = newest.into_values().collect();
     }
 }
--- a/crates/protocol/src/report.rs
+++ b/crates/protocol/src/report.rs
@@ -9,7 +9,7 @@
 pub enum AgentMessage {
     /// Asks for the feed from where the agent stands.
     #[n(0)]
-    Subscribe(#[n(0)] Subscribe),
+    Subscribe(#[n(0)] FeedPosition),
     /// What the proxy beside the agent reported; empty as a sign of life.
     #[n(1)]
     Report(#[n(0)] ProxyReport),
@@ -25,7 +25,7 @@
 
 /// Where an agent stands in what it was fed before.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Subscribe {
+pub struct FeedPosition {
     /// Version of the configuration it holds; 0 for none.
     #[n(0)]
     pub configuration_version: u64,
@@ -56,10 +56,10 @@
     pub term: u64,
     /// Time since the proxy started, in milliseconds. What an earlier start let pass it doesn't know.
     #[n(1)]
-    pub age_ms: u64,
+    pub uptime_ms: u64,
     /// How many nodes the last grants told of; 0 for none.
     #[n(2)]
-    pub nodes: u32,
+    pub node_count: u32,
     /// The number of the last grants that the proxy has taken.
     #[n(5)]
     pub round: u64,
@@ -82,34 +82,34 @@
     pub rate_per_s: f64,
     /// Units let pass since the proxy started. A sum, so that a lost report loses nothing.
     #[n(2)]
-    pub passed: f64,
+    pub admitted: f64,
     /// Units of a request, an average.
     #[n(3)]
-    pub request_units: f64,
-    /// Drawn at random by the proxy at its start: `passed` counts from then.
+    pub mean_request_units: f64,
+    /// Drawn at random by the proxy at its start: `admitted` counts from then.
     #[n(4)]
     pub incarnation: u64,
-    /// The part of `passed` that a leader has told to have taken in.
+    /// The part of `admitted` that a leader has told to have taken in.
     #[n(5)]
-    pub counted: f64,
+    pub acknowledged: f64,
     /// Units that the proxy may still let pass without another grant.
     #[n(6)]
-    pub held: f64,
-    /// Units a second by which `held` rises while no grants come.
+    pub available: f64,
+    /// Units a second by which `available` rises while no grants come.
     #[n(7)]
-    pub granted_rate: f64,
-    /// Units let pass in each part of the window, the newest part first and [`HISTORY_PART_MS`] long at most. Empty
+    pub granted_rate_per_s: f64,
+    /// Units let pass in each part of the window, the newest part first and [`HISTORY_INTERVAL_MS`] long at most. Empty
     /// unless the leader asks.
     #[n(8)]
     pub history: Vec<f64>,
-    /// Units beyond `held` that a leader before this one has lent to the proxy out of its bucket. 0 unless the leader
+    /// Units beyond `available` that a leader before this one has lent to the proxy out of its bucket. 0 unless the leader
     /// asks.
     #[n(9)]
-    pub lent: f64,
+    pub borrowed: f64,
 }
 
 /// Length of a part of [`TenantDemand::history`], in milliseconds.
-pub const HISTORY_PART_MS: u64 = 500;
+pub const HISTORY_INTERVAL_MS: u64 = 500;
 
 /// Outcomes of one proxy's requests at a server since its last report.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -2,8 +2,8 @@
 
 use bytes::BytesMut;
 use dunelink_protocol::{
-    AgentMessage, ConfigurationChunk, FeedMessage, FrameError, NodeDemand, NodeLoads, ProxyReport,
-    RosterOffset, ServerLoad, Subscribe, TenantDemand, decode, encode, server_key,
+    AgentMessage, ConfigurationChunk, FeedMessage, FeedPosition, FrameError, NodeDemand, NodeLoads,
+    ProxyReport, RosterOffset, ServerLoad, TenantDemand, decode, encode, server_key,
 };
 
 fn chunk() -> FeedMessage {
@@ -32,22 +32,26 @@
     let demand = vec![TenantDemand {
         tenant: "a".into(),
         rate_per_s: 12.5,
-        passed: 70.0,
-        request_units: 9.0,
+        admitted: 70.0,
+        mean_request_units: 9.0,
         incarnation: 1,
-        counted: 0.0,
+        acknowledged: 0.0,
         ..TenantDemand::default()
     }];
     let report = AgentMessage::Report(ProxyReport {
         demand: NodeDemand { tenants: demand, ..NodeDemand::default() },
         observations: Vec::new(),
         loads: NodeLoads {
-            is_whole: true,
-            servers: vec![ServerLoad { server: server_key("i-1"), requests: 3, unread: 18 }],
+            is_full: true,
+            servers: vec![ServerLoad {
+                server_key: server_key("i-1"),
+                in_flight: 3,
+                pending_prompt_units: 18,
+            }],
         },
     });
     let roster = RosterOffset { epoch: 3, sequence: 4 };
-    let subscribe = AgentMessage::Subscribe(Subscribe { configuration_version: 5, roster });
+    let subscribe = AgentMessage::Subscribe(FeedPosition { configuration_version: 5, roster });
     let mut buffer = BytesMut::new();
     encode(&report, &mut buffer);
     encode(&subscribe, &mut buffer);
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunelink_feed::{Change, FeedError, FeedReader, FeedState, Listed};
+use dunelink_feed::{Change, FeedError, FeedReader, FeedState, RosterEntry};
 use dunelink_protocol::hello::PROTOCOL_VERSION;
-use dunelink_protocol::{FeedMessage, Hello, LinkKind, ProxyMessage, UNREAD_UNIT};
+use dunelink_protocol::{FeedMessage, Hello, LinkKind, PROMPT_UNIT_TOKENS, ProxyMessage};
 use dunelink_routing::ServerInfo;
 use dunelink_runtime::aside::{aside, is_long};
 use dunelink_runtime::{LinkError, LinkWriter, dial};
@@ -101,7 +101,7 @@
 
 fn hello(node: &Node) -> Hello {
     Hello {
-        protocol: PROTOCOL_VERSION,
+        protocol_version: PROTOCOL_VERSION,
         link: LinkKind::Proxy,
         node: node.boot.node_name.clone(),
         ip: node.boot.ip.to_string(),
@@ -129,11 +129,11 @@
 
     fn take(&mut self, message: FeedMessage) -> Result<(), Ended> {
         let now = self.node.clock.now();
-        match self.reader.take(&mut self.state, message, now)? {
+        match self.reader.apply(&mut self.state, message, now)? {
             Change::Nothing | Change::Members => {}
             Change::Configuration => self.take_configuration(),
             Change::Roster => self.node.set_servers(&self.servers(now)),
-            Change::Tick(tick) => self.node.tick(&tick),
+            Change::Heartbeat(tick) => self.node.tick(&tick),
             Change::Grants => {
                 if let Some((update, _)) = self.state.grants.get() {
                     self.node.apply_grants(update);
@@ -157,11 +157,11 @@
         if roster.offset() != Some(loads.roster) {
             return;
         }
-        let figures = loads.requests.iter().zip(&loads.unread);
-        let told = roster.servers().skip(loads.first as usize).zip(figures);
+        let figures = loads.in_flight.iter().zip(&loads.pending_prompt_units);
+        let told = roster.servers().skip(loads.first_server as usize).zip(figures);
         let mut router = self.node.router.borrow_mut();
         for (listed, (requests, unread)) in told {
-            let unread = u32::from(*unread) * UNREAD_UNIT;
+            let unread = u32::from(*unread) * PROMPT_UNIT_TOKENS;
             router.observe_fleet_load(now, &listed.entry.id, u32::from(*requests), unread);
         }
     }
@@ -201,7 +201,7 @@
 }
 
 /// A server for the router; nothing if its address can't be read.
-fn server(listed: &Listed, now: u64) -> Option<ServerInfo> {
+fn server(listed: &RosterEntry, now: u64) -> Option<ServerInfo> {
     let entry = listed.entry_at(now);
     Some(ServerInfo {
         id: entry.id,
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -7,8 +7,8 @@
 
 use dunelink_grants::{Applied, QuotaBounds, QuotaGate, RetryBounds, RetryBudget};
 use dunelink_protocol::{
-    GrantUpdate, NodeLoads, ProxyReport, ServerLoad, ServerObservation, ServerSuspicion, Tick, UNREAD_UNIT,
-    server_key,
+    GrantUpdate, Heartbeat, NodeLoads, PROMPT_UNIT_TOKENS, ProxyReport, ServerLoad, ServerObservation,
+    ServerSuspicion, server_key,
 };
 use dunelink_routing::{Router, RouterSettings, ServerInfo};
 use dunelink_runtime::Clock;
@@ -158,9 +158,9 @@
             Applied::Question => return self.report_wanted.notify_one(),
             Applied::Grants => {}
         }
-        self.retries.borrow_mut().set_nodes(update.nodes);
-        self.router.borrow_mut().set_fleet(update.nodes);
-        self.pool.set_nodes(update.nodes);
+        self.retries.borrow_mut().set_nodes(update.node_count);
+        self.router.borrow_mut().set_fleet(update.node_count);
+        self.pool.set_nodes(update.node_count);
     }
 
     /// Takes over which servers other nodes find failing.
@@ -174,7 +174,7 @@
 
     /// Takes in a sign of life of the agent. A proof from before the process started says nothing of a version that
     /// was committed since.
-    pub fn tick(&self, tick: &Tick) {
+    pub fn tick(&self, tick: &Heartbeat) {
         let version = self.version();
         let own = self.clock.age().as_millis() as u64;
         let proven = tick.confirmed_age_ms < CONFIRMED_WITHIN_MS.min(own.saturating_add(1));
@@ -245,9 +245,13 @@
         let left = if is_whole { WHOLE_LOADS_EACH } else { self.reports_to_whole_loads.get() };
         self.reports_to_whole_loads.set(left - 1);
         let mut servers = Vec::new();
-        self.router.borrow_mut().report_loads(is_whole, UNREAD_UNIT, |id, requests, unread| {
-            servers.push(ServerLoad { server: server_key(id), requests, unread });
+        self.router.borrow_mut().report_loads(is_whole, PROMPT_UNIT_TOKENS, |id, requests, unread| {
+            servers.push(ServerLoad {
+                server_key: server_key(id),
+                in_flight: requests,
+                pending_prompt_units: unread,
+            });
         });
-        NodeLoads { is_whole, servers }
+        NodeLoads { is_full: is_whole, servers }
     }
 }
--- a/crates/proxy/tests/common/agent.rs
+++ b/crates/proxy/tests/common/agent.rs
@@ -2,8 +2,8 @@
 
 use bytes::BytesMut;
 use dunelink_protocol::{
-    ConfigurationChunk, FeedMessage, GrantUpdate, Hello, ProxyMessage, ProxyReport, RosterOffset,
-    RosterUpdate, ServerEntry, Tick, decode, encode,
+    ConfigurationChunk, FeedMessage, GrantUpdate, Heartbeat, Hello, ProxyMessage, ProxyReport, RosterOffset,
+    RosterUpdate, ServerEntry, decode, encode,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -99,17 +99,17 @@
 
     pub(crate) fn tick(&self, confirmed_age_ms: u64, configuration_version: u64) {
         let roster = RosterOffset::default();
-        let tick = Tick { confirmed_age_ms, configuration_version, roster, roster_age_ms: 0 };
-        self.send(FeedMessage::Tick(tick));
+        let tick = Heartbeat { confirmed_age_ms, configuration_version, roster, roster_age_ms: 0 };
+        self.send(FeedMessage::Heartbeat(tick));
     }
 
     pub(crate) fn grant(&self, nodes: u32) {
         let update = GrantUpdate {
             valid_ms: 1_000,
-            nodes,
+            node_count: nodes,
             configuration_version: 1,
             tenants: Vec::new(),
-            held: Vec::new(),
+            throttled: Vec::new(),
             ..GrantUpdate::default()
         };
         self.send(FeedMessage::Grants(update));
--- a/crates/proxy/tests/common/server.rs
+++ b/crates/proxy/tests/common/server.rs
@@ -100,8 +100,8 @@
             slots: 8,
             ready: true,
             cold_remaining_ms: 0,
-            software: "v1".to_owned(),
-            weights: None,
+            software_version: "v1".to_owned(),
+            weights_version: None,
         }
     }
 }
--- a/crates/proxy/tests/feeding.rs
+++ b/crates/proxy/tests/feeding.rs
@@ -6,7 +6,9 @@
 
 use common::server::{Server, Step, answer};
 use common::{System, configuration, routes, run, until};
-use dunelink_protocol::{ConfigurationChunk, FeedMessage, LinkKind, RosterOffset, ServerSuspicion, Tick};
+use dunelink_protocol::{
+    ConfigurationChunk, FeedMessage, Heartbeat, LinkKind, RosterOffset, ServerSuspicion,
+};
 use dunelink_proxy::table::Unanswered;
 
 #[test]
@@ -138,9 +140,9 @@
         assert_eq!(system.client().await.call("/safe/x", "a1").await.status, 200);
         let (configuration_version, roster) = (1, RosterOffset::default());
         let before = node.clock.age().as_millis() as u64 + 100;
-        node.tick(&Tick { confirmed_age_ms: before, configuration_version, roster, roster_age_ms: 0 });
+        node.tick(&Heartbeat { confirmed_age_ms: before, configuration_version, roster, roster_age_ms: 0 });
         assert!(!node.is_ready());
-        node.tick(&Tick { confirmed_age_ms: 0, configuration_version, roster, roster_age_ms: 0 });
+        node.tick(&Heartbeat { confirmed_age_ms: 0, configuration_version, roster, roster_age_ms: 0 });
         assert!(node.is_ready());
     });
 }
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -16,18 +16,18 @@
         tenant,
         ceiling,
         overdraft: 0.0,
-        spare: 0.0,
+        reserved: 0.0,
         rate_per_s: ceiling,
         incarnation,
         pass_share: 0.0,
-        counted: 0.0,
+        acknowledged: 0.0,
     }];
     FeedMessage::Grants(GrantUpdate {
         valid_ms: 60_000,
-        nodes: 1,
+        node_count: 1,
         configuration_version: 2,
         tenants,
-        held: Vec::new(),
+        throttled: Vec::new(),
         ..GrantUpdate::default()
     })
 }
--- a/crates/runtime/tests/links.rs
+++ b/crates/runtime/tests/links.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunelink_protocol::{AgentMessage, ProxyReport, RosterOffset, Subscribe};
+use dunelink_protocol::{AgentMessage, FeedPosition, ProxyReport, RosterOffset};
 use dunelink_runtime::{LinkError, accept, dial};
 use tokio::net::TcpListener;
 
@@ -16,7 +16,7 @@
     let (socket, _) = listener.accept().await.expect("accepted");
     let (mut reader, _) = accept(socket, PATIENCE).expect("options are set");
     let first =
-        AgentMessage::Subscribe(Subscribe { configuration_version: 1, roster: RosterOffset::default() });
+        AgentMessage::Subscribe(FeedPosition { configuration_version: 1, roster: RosterOffset::default() });
     let second = AgentMessage::Report(ProxyReport::default());
     writer.write(&first).await.expect("written");
     writer.write(&second).await.expect("written");
--- a/crates/shards/src/assignment.rs
+++ b/crates/shards/src/assignment.rs
@@ -35,7 +35,7 @@
     /// replica of every shard, and otherwise as far as the choice of replicas allows it.
     ///
     /// Two lists that differ by one member may give owners that differ by several times that member's part; where the
-    /// assignment before is known, [`changed`](Self::changed) moves fewer.
+    /// assignment before is known, [`rebalanced`](Self::rebalanced) moves fewer.
     #[must_use]
     pub fn new(members: &[Member], shards: u32, replicas: usize) -> Self {
         let members = in_order(members);
@@ -50,7 +50,7 @@
     /// far as they are replicas and members own equally many, so the outcome depends on this assignment too: all who
     /// use it must start from the same one.
     #[must_use]
-    pub fn changed(&self, members: &[Member], replicas: usize) -> Self {
+    pub fn rebalanced(&self, members: &[Member], replicas: usize) -> Self {
         let members = in_order(members);
         let ids: Vec<ShardId> = self.shards().collect();
         let chosen = choose_replicas(&ids, &members, replicas);
--- a/crates/shards/src/lib.rs
+++ b/crates/shards/src/lib.rs
@@ -4,10 +4,10 @@
 //! service. Every member works out the same [`Assignment`] from the same list of members: the replicas of a shard by
 //! rendezvous hashing (Thaler and Ravishankar, 1998), spread over zones first, and out of these a preferred owner, by
 //! matching with a limit for each member (Gale and Shapley, 1962) so that owners are even. After a change of members
-//! [`Assignment::changed`] keeps most owners.
+//! [`Assignment::rebalanced`] keeps most owners.
 //!
 //! ```
-//! use dunelink_shards::{Assignment, CONFIGURATION, Member, MemberId, shard_of};
+//! use dunelink_shards::{Assignment, CONFIGURATION_SHARD, Member, MemberId, shard_of};
 //!
 //! let members = [
 //!     Member { id: MemberId(1), zone: "a".to_owned() },
@@ -16,7 +16,7 @@
 //! ];
 //! let assignment = Assignment::new(&members, 16, 3);
 //! let shard = shard_of("chat", 16);
-//! assert_ne!(shard, CONFIGURATION);
+//! assert_ne!(shard, CONFIGURATION_SHARD);
 //! assert_eq!(assignment.replicas(shard).len(), 3);
 //! assert!(assignment.owner(shard).is_some());
 //! ```
@@ -29,4 +29,4 @@
 mod shard;
 
 pub use assignment::{Assignment, Member, MemberId};
-pub use shard::{CONFIGURATION, SERVICE_SEED, ShardId, shard_of};
+pub use shard::{CONFIGURATION_SHARD, SERVICE_HASH_SEED, ShardId, shard_of};
--- a/crates/shards/tests/assignment.rs
+++ b/crates/shards/tests/assignment.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunelink_shards::{Assignment, CONFIGURATION, Member, MemberId, ShardId};
+use dunelink_shards::{Assignment, CONFIGURATION_SHARD, Member, MemberId, ShardId};
 
 const SHARDS: u32 = 64;
 
@@ -29,7 +29,7 @@
         let members = members(count, 4);
         let assignment = Assignment::new(&members, SHARDS, 3);
         assert_eq!(assignment.shards().count(), SHARDS as usize + 1);
-        assert_eq!(assignment.shards().next(), Some(CONFIGURATION));
+        assert_eq!(assignment.shards().next(), Some(CONFIGURATION_SHARD));
         for shard in assignment.shards() {
             let replicas: BTreeSet<_> = assignment.replicas(shard).iter().collect();
             assert_eq!(replicas.len(), 3.min(count as usize));
@@ -86,7 +86,7 @@
 #[test]
 fn without_members_there_is_no_owner() {
     let assignment = Assignment::new(&[], 2, 3);
-    assert_eq!(assignment.owner(CONFIGURATION), None);
+    assert_eq!(assignment.owner(CONFIGURATION_SHARD), None);
     assert!(assignment.replicas(ShardId(1)).is_empty());
     assert_eq!(assignment.owner(ShardId(9)), None);
 }
@@ -101,7 +101,7 @@
         owners += usize::from(before.owner(shard) != after.owner(shard));
     }
     let shards = before.shards().count() as f64;
-    (replicas as f64 / (shards * before.replicas(CONFIGURATION).len() as f64), owners as f64 / shards)
+    (replicas as f64 / (shards * before.replicas(CONFIGURATION_SHARD).len() as f64), owners as f64 / shards)
 }
 
 /// A member holds its part of the replicas and of the owners; no change of one member moves more than twice that.
@@ -114,12 +114,12 @@
         for place in 0..all.len() {
             let mut fewer = all.clone();
             fewer.remove(place);
-            let (replicas_moved, owners_moved) = moved(&before, &before.changed(&fewer, replicas));
+            let (replicas_moved, owners_moved) = moved(&before, &before.rebalanced(&fewer, replicas));
             assert!(replicas_moved <= 2.0 * part, "{count}: {replicas_moved:.2} of the replicas");
             assert!(owners_moved <= 2.0 * part, "{count}: {owners_moved:.2} of the owners");
         }
         let more = [all.as_slice(), &[member(count, zones)]].concat();
-        let (replicas_moved, owners_moved) = moved(&before, &before.changed(&more, replicas));
+        let (replicas_moved, owners_moved) = moved(&before, &before.rebalanced(&more, replicas));
         assert!(replicas_moved <= 2.0 * part, "{count}: {replicas_moved:.2} of the replicas");
         assert!(owners_moved <= 2.0 * part, "{count}: {owners_moved:.2} of the owners");
     }
@@ -139,7 +139,7 @@
         if change % 4 == 3 {
             present.push(member(200 + change as u64, 3));
         }
-        assignment = assignment.changed(&present, 3);
+        assignment = assignment.rebalanced(&present, 3);
         let loads = loads(&assignment, &present);
         assert!(spread(&loads) <= 2, "change {change}: {loads:?}");
         for shard in assignment.shards() {
@@ -153,7 +153,7 @@
     for count in [1, 3, 9, 17] {
         let members = members(count, 4);
         let assignment = Assignment::new(&members, SHARDS, 3);
-        assert_eq!(assignment.changed(&members, 3), assignment);
+        assert_eq!(assignment.rebalanced(&members, 3), assignment);
     }
 }
 
--- a/crates/shards/tests/shards.rs
+++ b/crates/shards/tests/shards.rs
@@ -1,10 +1,10 @@
 //! The shard of a service is fixed and even.
 
-use dunelink_shards::{CONFIGURATION, SERVICE_SEED, ShardId, shard_of};
+use dunelink_shards::{CONFIGURATION_SHARD, SERVICE_HASH_SEED, ShardId, shard_of};
 
 #[test]
 fn the_hash_is_fixed() {
-    assert_eq!(SERVICE_SEED, 0x0073_6572_7669_6365);
+    assert_eq!(SERVICE_HASH_SEED, 0x0073_6572_7669_6365);
     let shards: Vec<u32> = ["", "chat", "search", "code"].iter().map(|name| shard_of(name, 64).0).collect();
     assert_eq!(shards, [5, 18, 10, 31]);
 }
@@ -17,7 +17,7 @@
             assert!((1..=shards).contains(&shard));
         }
     }
-    assert_eq!(shard_of("chat", 0), CONFIGURATION);
+    assert_eq!(shard_of("chat", 0), CONFIGURATION_SHARD);
 }
 
 #[test]
--- a/crates/storage/src/inspect.rs
+++ b/crates/storage/src/inspect.rs
@@ -9,7 +9,7 @@
 use crate::folder::FolderDisk;
 use crate::frame::{self, PREFIX_BYTES};
 use crate::names::{self, FileKind};
-use crate::operation::Recovered;
+use crate::operation::RecoveredState;
 use crate::record;
 use crate::recovery;
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inspection {
     /// What an opening would return.
-    pub recovered: Recovered,
+    pub recovered: RecoveredState,
     /// The files of the store, by the number in their names.
     pub files: Vec<FileReport>,
 }
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// The disk failed, or a file has an unknown format version. Damage is no error; see [`Recovered::damaged`].
+/// The disk failed, or a file has an unknown format version. Damage is no error; see [`RecoveredState::damaged`].
 pub fn inspect<D: Disk>(disk: &mut D) -> Result<Inspection, StorageError> {
     let found = recovery::read(disk)?;
     let in_use = found.replay.state.snapshot.filter(|_| found.recovered.snapshot.is_some());
@@ -89,7 +89,7 @@
             break;
         }
         if frame.sequence > 0 {
-            report.records += record::decode_records(frame.payload).unwrap_or(0) as u64;
+            report.records += record::count_records(frame.payload).unwrap_or(0) as u64;
         }
         report.frames += 1;
         offset += frame.length();
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -43,6 +43,6 @@
 pub use folder::FolderDisk;
 pub use frame::{Frame, FrameFault, read_frame};
 pub use inspect::{FileReport, Inspection, ReadOnlyFolder, SnapshotUse, inspect};
-pub use operation::{Limits, Operation, Recovered, RecoveryNote, StoredEntry, StoredSnapshot};
-pub use record::decode_records;
+pub use operation::{Limits, Operation, RecoveredState, RecoveryNote, StoredEntry, StoredSnapshot};
+pub use record::count_records;
 pub use store::LogStore;
--- a/crates/storage/src/operation.rs
+++ b/crates/storage/src/operation.rs
@@ -94,7 +94,7 @@
 
 /// What was found when the store was opened; all of it is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// The latest metadata; none if the disk was empty.
     pub metadata: Option<Vec<u8>>,
     /// The snapshot in use.
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -63,7 +63,7 @@
 
 /// The number of records in a payload, for tests of the decoder; none if it does not decode.
 #[must_use]
-pub fn decode_records(payload: &[u8]) -> Option<usize> {
+pub fn count_records(payload: &[u8]) -> Option<usize> {
     read_records(payload).map(|records| records.len())
 }
 
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -7,7 +7,7 @@
 use crate::error::StorageError;
 use crate::frame::{self, FRAME_HEADER_BYTES, PREFIX_BYTES};
 use crate::names::{self, FileKind};
-use crate::operation::{Recovered, RecoveryNote, StoredSnapshot};
+use crate::operation::{RecoveredState, RecoveryNote, StoredSnapshot};
 use crate::record::{Previous, SegmentHeader};
 use crate::replay::{self, End, Replay};
 use crate::store::Garbage;
@@ -15,7 +15,7 @@
 /// What a folder holds.
 #[derive(Debug)]
 pub(crate) struct Found {
-    pub(crate) recovered: Recovered,
+    pub(crate) recovered: RecoveredState,
     pub(crate) replay: Replay,
     /// The state for the header of the segment that repeats the last frame: as before the entries of that frame.
     pub(crate) header: Checkpoint,
@@ -247,7 +247,7 @@
         replay.seal();
         let (needless, superseded) = self.leftovers(&replay, &read);
         let header = header_state(&mut replay);
-        let recovered = Recovered {
+        let recovered = RecoveredState {
             metadata: replay.state.metadata.as_ref().map(|bytes| bytes.to_vec()),
             snapshot,
             entries: std::mem::take(&mut replay.entries).into(),
--- a/crates/storage/src/simulated.rs
+++ b/crates/storage/src/simulated.rs
@@ -8,7 +8,7 @@
 
 /// What a loss of power does to one operation that no sync covered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum CrashOutcome {
     /// It is there.
     Kept,
     /// It is gone.
@@ -93,7 +93,7 @@
         Self { inner: Arc::new(Mutex::new(inner)) }
     }
 
-    /// Lets an operation fail: the one with this number, counted by [`operations`](Self::operations) from 0.
+    /// Lets an operation fail: the one with this number, counted by [`operation_count`](Self::operation_count) from 0.
     pub fn fail_at(&self, operation: u64, fault: Fault) {
         self.lock().fault = Some((operation, fault));
     }
@@ -110,25 +110,25 @@
 
     /// Operations so far that change or sync something.
     #[must_use]
-    pub fn operations(&self) -> u64 {
+    pub fn operation_count(&self) -> u64 {
         self.lock().operations
     }
 
     /// Syncs so far, of files and of the folder.
     #[must_use]
-    pub fn syncs(&self) -> u64 {
+    pub fn sync_count(&self) -> u64 {
         self.lock().syncs
     }
 
     /// Operations that no sync covers.
     #[must_use]
-    pub fn pending(&self) -> usize {
+    pub fn unsynced_count(&self) -> usize {
         self.lock().pending.len()
     }
 
     /// The length of the unsynced write with this place among the pending operations; none for other operations.
     #[must_use]
-    pub fn pending_write(&self, place: usize) -> Option<usize> {
+    pub fn unsynced_write_length(&self, place: usize) -> Option<usize> {
         match self.lock().pending.get(place) {
             Some(Pending::Write { bytes, .. }) => Some(bytes.len()),
             _ => None,
@@ -136,15 +136,15 @@
     }
 
     /// Power is lost and comes back: `fate` decides on each operation that no sync covered, in their order.
-    pub fn lose_power(&self, mut fate: impl FnMut(usize) -> Fate) {
+    pub fn lose_power(&self, mut fate: impl FnMut(usize) -> CrashOutcome) {
         let mut inner = self.lock();
         let pending = std::mem::take(&mut inner.pending);
         inner.names = inner.synced_names.clone();
         for (place, operation) in pending.into_iter().enumerate() {
             match fate(place) {
-                Fate::Kept => inner.settle(&operation, None),
-                Fate::Torn(bytes) => inner.settle(&operation, Some(bytes)),
-                Fate::Lost => {}
+                CrashOutcome::Kept => inner.settle(&operation, None),
+                CrashOutcome::Torn(bytes) => inner.settle(&operation, Some(bytes)),
+                CrashOutcome::Lost => {}
             }
         }
         inner.synced_names = inner.names.clone();
@@ -163,7 +163,7 @@
     }
 
     /// Replaces a file, synced and named for good.
-    pub fn put(&self, name: &str, bytes: &[u8]) {
+    pub fn write_durably(&self, name: &str, bytes: &[u8]) {
         let mut inner = self.lock();
         let number = inner.next_file;
         inner.next_file += 1;
@@ -173,7 +173,7 @@
     }
 
     /// Removes a file for good.
-    pub fn forget(&self, name: &str) {
+    pub fn remove_durably(&self, name: &str) {
         let mut inner = self.lock();
         inner.names.remove(name);
         inner.synced_names.remove(name);
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -5,7 +5,7 @@
 use crate::error::StorageError;
 use crate::frame::{self, FRAME_HEADER_BYTES};
 use crate::names;
-use crate::operation::{Limits, Operation, Recovered};
+use crate::operation::{Limits, Operation, RecoveredState};
 use crate::plan::{Plan, SnapshotWrite};
 use crate::record::{Previous, SegmentHeader};
 use crate::recovery;
@@ -55,8 +55,8 @@
     /// # Errors
     ///
     /// The disk failed (a full disk refuses this too: what is returned must have been made durable), or a file has
-    /// an unknown format version. Damage is no error; see [`Recovered::damaged`].
-    pub fn open(mut disk: D, limits: Limits) -> Result<(Self, Recovered), StorageError> {
+    /// an unknown format version. Damage is no error; see [`RecoveredState::damaged`].
+    pub fn open(mut disk: D, limits: Limits) -> Result<(Self, RecoveredState), StorageError> {
         let found = recovery::read(&mut disk)?;
         let mut store = Self {
             disk,
@@ -129,7 +129,7 @@
     }
 
     /// Writes what recovery found into a new segment, and removes what is left over.
-    fn begin(&mut self, found: recovery::Found) -> Result<Recovered, StorageError> {
+    fn begin(&mut self, found: recovery::Found) -> Result<RecoveredState, StorageError> {
         for file in &found.needless {
             // What fails here is tried again below.
             let _ = self.disk.remove(&file.name);
--- a/crates/storage/tests/basics.rs
+++ b/crates/storage/tests/basics.rs
@@ -32,9 +32,9 @@
 fn a_batch_of_entries_and_metadata_takes_one_sync() {
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
-    let before = (disk.syncs(), disk.operations());
+    let before = (disk.sync_count(), disk.operation_count());
     store.apply(&[append(1, b"a"), Operation::Metadata(b"m".to_vec()), append(2, b"b")]).unwrap();
-    assert_eq!((disk.syncs(), disk.operations()), (before.0 + 1, before.1 + 2));
+    assert_eq!((disk.sync_count(), disk.operation_count()), (before.0 + 1, before.1 + 2));
 }
 
 #[test]
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -4,7 +4,7 @@
 #[path = "model/script.rs"]
 mod script;
 
-use dunelink_storage::simulated::{Fate, Fault, SimulatedDisk};
+use dunelink_storage::simulated::{CrashOutcome, Fault, SimulatedDisk};
 use dunelink_storage::{Limits, LogStore, Operation};
 use model::Model;
 use script::script;
@@ -27,25 +27,27 @@
     (model, None)
 }
 
-fn fates(place: usize, disk: &SimulatedDisk) -> Vec<Fate> {
-    let mut fates = vec![Fate::Lost, Fate::Kept];
-    if let Some(length) = disk.pending_write(place) {
-        fates.push(Fate::Torn(length / 2));
+fn fates(place: usize, disk: &SimulatedDisk) -> Vec<CrashOutcome> {
+    let mut fates = vec![CrashOutcome::Lost, CrashOutcome::Kept];
+    if let Some(length) = disk.unsynced_write_length(place) {
+        fates.push(CrashOutcome::Torn(length / 2));
     }
     fates
 }
 
 /// Calls `check` for each outcome of a loss of power.
 fn each_outcome(disk: &SimulatedDisk, mut check: impl FnMut(&SimulatedDisk)) {
-    let pending = disk.pending();
+    let pending = disk.unsynced_count();
     let varied = pending.min(VARIED);
-    for fixed in if pending > varied { vec![Fate::Lost, Fate::Kept] } else { vec![Fate::Kept] } {
+    for fixed in
+        if pending > varied { vec![CrashOutcome::Lost, CrashOutcome::Kept] } else { vec![CrashOutcome::Kept] }
+    {
         let mut outcomes = vec![Vec::new()];
         for place in pending - varied..pending {
             let choices = fates(place, disk);
             outcomes = outcomes
                 .iter()
-                .flat_map(|before: &Vec<Fate>| {
+                .flat_map(|before: &Vec<CrashOutcome>| {
                     choices.iter().map(|fate| [before.as_slice(), &[*fate]].concat()).collect::<Vec<_>>()
                 })
                 .collect();
@@ -70,7 +72,7 @@
     let next = model.after(&batch);
     store.apply(&batch).unwrap();
     drop(store);
-    disk.lose_power(|_| Fate::Lost);
+    disk.lose_power(|_| CrashOutcome::Lost);
     let (_, found) = LogStore::open(disk.clone(), LIMITS).unwrap();
     assert!(next.is(&found) && !found.damaged, "operation {at}: {found:?}, acknowledged {next:?}");
 }
@@ -80,7 +82,7 @@
     let script = script();
     let whole = SimulatedDisk::new();
     run(&whole, &script);
-    for operation in 0..whole.operations() {
+    for operation in 0..whole.operation_count() {
         let disk = SimulatedDisk::new();
         disk.fail_at(operation, Fault::PowerLoss);
         let (acknowledged, under_way) = run(&disk, &script);
@@ -93,7 +95,7 @@
     let script = script();
     let whole = SimulatedDisk::new();
     run(&whole, &script);
-    for operation in 0..whole.operations() {
+    for operation in 0..whole.operation_count() {
         let disk = SimulatedDisk::new();
         disk.fail_at(operation, Fault::PowerLoss);
         let (acknowledged, under_way) = run(&disk, &script);
@@ -106,11 +108,11 @@
     let script = script();
     let whole = SimulatedDisk::new();
     run(&whole, &script);
-    for operation in (0..whole.operations()).step_by(3) {
+    for operation in (0..whole.operation_count()).step_by(3) {
         let disk = SimulatedDisk::new();
         disk.fail_at(operation, Fault::PowerLoss);
         let (acknowledged, under_way) = run(&disk, &script);
-        let start = disk.operations();
+        let start = disk.operation_count();
         for later in 0.. {
             let fork = disk.fork();
             fork.fail_at(start + later, Fault::PowerLoss);
@@ -122,7 +124,7 @@
             let returned = [Some(&acknowledged), under_way.as_ref()].into_iter().flatten();
             let returned = returned.into_iter().find(|model| model.is(&found)).unwrap().clone();
             each_outcome(&fork, |disk| check(disk, &returned, None, operation));
-            if fork.operations() <= start + later {
+            if fork.operation_count() <= start + later {
                 break;
             }
         }
@@ -135,7 +137,7 @@
     let whole = SimulatedDisk::new();
     run(&whole, &script);
     for fault in [Fault::Error, Fault::LateError, Fault::Full] {
-        for operation in 0..whole.operations() {
+        for operation in 0..whole.operation_count() {
             let disk = SimulatedDisk::new();
             disk.fail_at(operation, fault);
             let model = run_with_retries(&disk, &script);
@@ -171,14 +173,14 @@
     let whole = SimulatedDisk::new();
     run(&whole, &script);
     for fault in [Fault::Error, Fault::LateError] {
-        for operation in 0..whole.operations() {
+        for operation in 0..whole.operation_count() {
             for later in 0..40 {
                 let disk = SimulatedDisk::new();
                 disk.fail_at(operation, fault);
                 let Some(failed) = run_to_failure(&disk, &script) else { break };
                 let Failed { mut store, model, batch } = failed;
                 let next = model.after(&batch);
-                disk.fail_at(disk.operations() + later, Fault::PowerLoss);
+                disk.fail_at(disk.operation_count() + later, Fault::PowerLoss);
                 if store.apply(&batch).is_ok() {
                     each_outcome(&disk, |disk| check(disk, &next, None, operation));
                     break;
@@ -214,7 +216,7 @@
     let whole = SimulatedDisk::new();
     run(&whole, &script);
     for fault in [Fault::Error, Fault::LateError] {
-        for operation in 0..whole.operations() {
+        for operation in 0..whole.operation_count() {
             let disk = SimulatedDisk::new();
             disk.fail_at(operation, fault);
             let Some(failed) = run_to_failure(&disk, &script) else { continue };
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -4,8 +4,8 @@
 #[path = "model/script.rs"]
 mod script;
 
-use dunelink_storage::simulated::{Fate, Fault, SimulatedDisk};
-use dunelink_storage::{Limits, LogStore, Operation, Recovered, RecoveryNote, StorageError};
+use dunelink_storage::simulated::{CrashOutcome, Fault, SimulatedDisk};
+use dunelink_storage::{Limits, LogStore, Operation, RecoveredState, RecoveryNote, StorageError};
 use model::Model;
 use script::script;
 
@@ -13,7 +13,7 @@
 /// Where the version of the format is in a file, in bytes.
 const VERSION_AT: usize = 6;
 
-fn open(disk: &SimulatedDisk) -> Recovered {
+fn open(disk: &SimulatedDisk) -> RecoveredState {
     LogStore::open(disk.clone(), LIMITS).unwrap().1
 }
 
@@ -26,7 +26,7 @@
         models.push(models.last().unwrap().after(batch));
     }
     drop(store);
-    disk.lose_power(|_| Fate::Kept);
+    disk.lose_power(|_| CrashOutcome::Kept);
     (disk, models)
 }
 
@@ -56,13 +56,13 @@
             if let Some(filler) = filler {
                 bytes.resize(whole.len(), filler);
             }
-            torn.put(&name, &bytes);
+            torn.write_durably(&name, &bytes);
             let found = open(&torn);
             assert!(!found.damaged, "{length}: {:?}", found.notes);
             let place = models.iter().rposition(|model| model.is(&found)).expect("a state between batches");
             assert!(filler.is_some() || place >= seen, "{length}: {place} after {seen}");
             seen = seen.max(place);
-            torn.lose_power(|_| Fate::Lost);
+            torn.lose_power(|_| CrashOutcome::Lost);
             assert!(models[place].is(&open(&torn)), "{length}");
         }
     }
@@ -76,7 +76,7 @@
     let mut bytes = disk.contents(&name).unwrap();
     let kept = bytes.len() as u64;
     bytes.extend_from_slice(&[7; 9]);
-    disk.put(&name, &bytes);
+    disk.write_durably(&name, &bytes);
     assert_eq!(open(&disk).notes[0], RecoveryNote::TornTail { file: name, kept, dropped: 9 });
 }
 
@@ -92,7 +92,7 @@
             let flipped = disk.fork();
             let mut bytes = whole.clone();
             bytes[bit / 8] ^= 1 << (bit % 8);
-            flipped.put(&name, &bytes);
+            flipped.write_durably(&name, &bytes);
             let found = open(&flipped);
             let place = models.iter().rposition(|model| model.is(&found));
             let is_right = found.damaged || place.is_some_and(|place| place + 1 >= last);
@@ -109,7 +109,7 @@
     assert!(names.len() > 4, "{names:?}");
     for name in &names[..names.len() - 2] {
         let missing = disk.fork();
-        missing.forget(name);
+        missing.remove_durably(name);
         let found = open(&missing);
         assert!(found.damaged, "{name}");
         assert!(found.notes.contains(&RecoveryNote::MissingFile { file: name.clone() }), "{:?}", found.notes);
@@ -124,7 +124,7 @@
     let mut bytes = disk.contents(&name).unwrap();
     let second = bytes.windows(30).position(|window| window == [2; 30]).unwrap();
     bytes[second] ^= 1;
-    disk.put(&name, &bytes);
+    disk.write_durably(&name, &bytes);
     let (mut store, found) = LogStore::open(disk.clone(), LIMITS).unwrap();
     assert!(found.damaged);
     assert!(matches!(&found.notes[0], RecoveryNote::DamagedSegment { file, .. } if *file == name));
@@ -132,11 +132,11 @@
     assert_eq!(indices, [1]);
     store.wipe().unwrap();
     drop(store);
-    disk.lose_power(|_| Fate::Lost);
+    disk.lose_power(|_| CrashOutcome::Lost);
     // The removal of the segment before the wipe was not synced.
     let leftover = RecoveryNote::Leftover { file: "segment-0000000000000002.log".to_owned() };
-    assert_eq!(open(&disk), Recovered { notes: vec![leftover], ..Recovered::default() });
-    assert_eq!(open(&disk), Recovered::default());
+    assert_eq!(open(&disk), RecoveredState { notes: vec![leftover], ..RecoveredState::default() });
+    assert_eq!(open(&disk), RecoveredState::default());
 }
 
 #[test]
@@ -146,10 +146,10 @@
     let mut bytes = disk.contents(&name).unwrap();
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
-    disk.put(&name, &bytes);
-    let start = disk.operations();
+    disk.write_durably(&name, &bytes);
+    let start = disk.operation_count();
     for operation in 0..20 {
-        for fate in [Fate::Lost, Fate::Kept, Fate::Torn(20)] {
+        for fate in [CrashOutcome::Lost, CrashOutcome::Kept, CrashOutcome::Torn(20)] {
             let fork = disk.fork();
             fork.fail_at(start + operation, Fault::PowerLoss);
             let _ = LogStore::open(fork.clone(), LIMITS);
@@ -167,9 +167,11 @@
         for choice in 0_u32..64 {
             let fork = disk.fork();
             let (mut store, _) = LogStore::open(fork.clone(), LIMITS).unwrap();
-            fork.fail_at(fork.operations() + operation, Fault::PowerLoss);
+            fork.fail_at(fork.operation_count() + operation, Fault::PowerLoss);
             let wiped = store.wipe().is_ok();
-            fork.lose_power(|place| if choice >> (place % 6) & 1 == 1 { Fate::Kept } else { Fate::Lost });
+            fork.lose_power(|place| {
+                if choice >> (place % 6) & 1 == 1 { CrashOutcome::Kept } else { CrashOutcome::Lost }
+            });
             let found = open(&fork.fork());
             assert!(!found.damaged, "operation {operation}: {:?}", found.notes);
             assert!(Model::default().is(&found) || (!wiped && whole.is(&found)), "operation {operation}");
@@ -187,7 +189,7 @@
         bytes[VERSION_AT] = 9;
         let checksum = crc32fast::hash(&bytes[..8]);
         bytes[8..12].copy_from_slice(&checksum.to_le_bytes());
-        newer.put(name, &bytes);
+        newer.write_durably(name, &bytes);
         let error = LogStore::open(newer, LIMITS).map(|_| ()).unwrap_err();
         assert!(matches!(error, StorageError::UnknownVersion { found: 9, supported: 1, .. }), "{error}");
         assert!(error.to_string().contains("run the version that wrote it"));
@@ -208,7 +210,7 @@
         ever.extend(disk.names().into_iter().map(|name| (name.clone(), disk.contents(&name).unwrap())));
     }
     drop(store);
-    disk.lose_power(|_| Fate::Kept);
+    disk.lose_power(|_| CrashOutcome::Kept);
     let kept = disk.names();
     let removed: Vec<_> = ever.into_iter().filter(|(name, _)| !kept.contains(name)).collect();
     assert!(removed.len() >= 4);
@@ -216,7 +218,7 @@
         let fork = disk.fork();
         for (place, (name, bytes)) in removed.iter().enumerate() {
             if choice >> (place % 8) & 1 == 1 {
-                fork.put(name, bytes);
+                fork.write_durably(name, bytes);
             }
         }
         let found = open(&fork);
--- a/crates/storage/tests/decoder.rs
+++ b/crates/storage/tests/decoder.rs
@@ -1,7 +1,7 @@
 //! Any bytes may be read from a disk.
 
 use dunelink_storage::simulated::SimulatedDisk;
-use dunelink_storage::{Limits, LogStore, Operation, decode_records, read_frame};
+use dunelink_storage::{Limits, LogStore, Operation, count_records, read_frame};
 
 const ITERATIONS: usize = 2000;
 
@@ -11,7 +11,7 @@
         if let Ok(frame) = read_frame(bytes) {
             assert!(frame.length() <= bytes.len());
         }
-        let _ = decode_records(bytes);
+        let _ = count_records(bytes);
     });
 }
 
@@ -28,7 +28,7 @@
         let kept = bytes.first().map_or(0, |byte| usize::from(*byte) % (contents.len() + 1));
         contents.truncate(kept);
         contents.extend_from_slice(bytes.get(1..).unwrap_or_default());
-        disk.put(&name, &contents);
+        disk.write_durably(&name, &contents);
         let (mut store, found) = LogStore::open(disk.clone(), Limits::default()).unwrap();
         let next = found.entries.len() as u64 + 1;
         store.apply(&[Operation::Append { index: next, bytes: vec![2] }]).unwrap();
--- a/crates/storage/tests/inspection.rs
+++ b/crates/storage/tests/inspection.rs
@@ -1,6 +1,6 @@
 //! Looking at a folder finds what an opening finds, and changes nothing.
 
-use dunelink_storage::simulated::{Fate, SimulatedDisk};
+use dunelink_storage::simulated::{CrashOutcome, SimulatedDisk};
 use dunelink_storage::{Disk, Limits, LogStore, Operation, ReadOnlyFolder, SnapshotUse, inspect};
 
 const LIMITS: Limits = Limits { segment_bytes: 600, disk_bytes: 1 << 20 };
@@ -18,7 +18,7 @@
     store.apply(&[snapshot, Operation::Release { through: 8 }]).unwrap();
     store.apply(&[append(21)]).unwrap();
     drop(store);
-    disk.lose_power(|_| Fate::Kept);
+    disk.lose_power(|_| CrashOutcome::Kept);
     disk
 }
 
--- a/crates/storage/tests/model/mod.rs
+++ b/crates/storage/tests/model/mod.rs
@@ -1,6 +1,6 @@
 //! What a store should hold, kept in memory.
 
-use dunelink_storage::{Operation, Recovered, StoredEntry, StoredSnapshot};
+use dunelink_storage::{Operation, RecoveredState, StoredEntry, StoredSnapshot};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Model {
@@ -42,7 +42,7 @@
     }
 
     /// True if that is what was recovered.
-    pub(crate) fn is(&self, found: &Recovered) -> bool {
+    pub(crate) fn is(&self, found: &RecoveredState) -> bool {
         self.metadata == found.metadata && self.snapshot == found.snapshot && self.entries == found.entries
     }
 
--- a/crates/storage/tests/refusals.rs
+++ b/crates/storage/tests/refusals.rs
@@ -15,9 +15,9 @@
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
     store.apply(before).unwrap();
-    let operations = disk.operations();
+    let operations = disk.operation_count();
     let error = store.apply(refused).unwrap_err();
-    assert_eq!(disk.operations(), operations);
+    assert_eq!(disk.operation_count(), operations);
     assert!(!error.is_full());
     store.apply(&[Operation::Metadata(b"m".to_vec())]).unwrap();
     error
--- a/crates/storage/tests/schedules.rs
+++ b/crates/storage/tests/schedules.rs
@@ -2,7 +2,7 @@
 
 mod model;
 
-use dunelink_storage::simulated::{Fate, Fault, SimulatedDisk};
+use dunelink_storage::simulated::{CrashOutcome, Fault, SimulatedDisk};
 use dunelink_storage::{Limits, LogStore, Operation, StorageError};
 use model::Model;
 
@@ -25,11 +25,11 @@
         [Fault::Error, Fault::LateError, Fault::Full, Fault::PowerLoss][self.below(4) as usize]
     }
 
-    fn fate(&mut self, all_lost: bool) -> Fate {
+    fn fate(&mut self, all_lost: bool) -> CrashOutcome {
         match self.below(3) {
-            0 if !all_lost => Fate::Kept,
-            1 if !all_lost => Fate::Torn(self.below(300) as usize),
-            _ => Fate::Lost,
+            0 if !all_lost => CrashOutcome::Kept,
+            1 if !all_lost => CrashOutcome::Torn(self.below(300) as usize),
+            _ => CrashOutcome::Lost,
         }
     }
 
@@ -82,7 +82,7 @@
 
     fn step(&mut self, name: &str) {
         if self.chance.below(4) == 0 {
-            let at = self.disk.operations() + self.chance.below(12);
+            let at = self.disk.operation_count() + self.chance.below(12);
             let fault = self.chance.fault();
             self.disk.fail_at(at, fault);
         }
--- a/crates/storage/tests/space.rs
+++ b/crates/storage/tests/space.rs
@@ -135,7 +135,7 @@
     store.apply(&[append(1, 10)]).unwrap();
     let segment = disk.names().pop().unwrap();
     let before = disk.contents(&segment).unwrap();
-    disk.fail_at(disk.operations() + 1, Fault::Error);
+    disk.fail_at(disk.operation_count() + 1, Fault::Error);
     store.apply(&[append(2, 20)]).unwrap_err();
     store.apply(&[append(2, 20)]).unwrap();
     store.apply(&[append(3, 30)]).unwrap();
