--- a/crates/control/src/orders.rs
+++ b/crates/control/src/change_queue.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     /// The configuration is in force or was taken before.
-    Taken,
+    Accepted,
     /// It builds on a version that is not the current one.
     Conflict {
         /// The current version.
@@ -30,18 +30,18 @@
     /// It can't be used.
     Invalid(String),
     /// The leader answers such calls; its control address.
-    Elsewhere(SocketAddr),
+    Redirect(SocketAddr),
     /// The outcome is not known, or nobody can decide now; the same call may be sent again.
     Unavailable(&'static str),
     /// The configuration in force.
     Configuration(Bytes),
     /// There is no configuration yet.
-    Nothing,
+    NoConfiguration,
 }
 
 /// A configuration to put in force.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct ConfigurationChange {
     /// Version that it builds on.
     pub base: u64,
     /// Its version.
@@ -56,14 +56,14 @@
 
 /// The orders under way.
 #[derive(Debug, Default)]
-pub struct Orders {
+pub struct ChangeQueue {
     /// The order that is being decided, with its ticket. Its body is in the log.
     proposed: Option<(u64, Digest, Vec<CallId>)>,
-    waiting: VecDeque<Order>,
+    waiting: VecDeque<ConfigurationChange>,
     tickets: u64,
 }
 
-impl Orders {
+impl ChangeQueue {
     /// Lets a call wait for the same order if that is under way; false if it is not.
     pub fn attach(&mut self, digest: &Digest, call: CallId) -> bool {
         if let Some((_, proposed, calls)) = &mut self.proposed
@@ -78,7 +78,7 @@
 
     /// Adds an order; false if too much is waiting.
     #[must_use]
-    pub fn push(&mut self, order: Order) -> bool {
+    pub fn push(&mut self, order: ConfigurationChange) -> bool {
         let bytes: usize = self.waiting.iter().map(|order| order.body.len()).sum();
         let room = self.waiting.len() < WAITING_ORDERS && bytes + order.body.len() <= WAITING_BYTES;
         if room {
@@ -88,7 +88,7 @@
     }
 
     /// The next order, if none is being decided.
-    pub fn take_next(&mut self) -> Option<Order> {
+    pub fn take_next(&mut self) -> Option<ConfigurationChange> {
         if self.proposed.is_some() {
             return None;
         }
@@ -96,14 +96,14 @@
     }
 
     /// Notes that an order is being decided; its ticket.
-    pub fn propose(&mut self, digest: Digest, calls: Vec<CallId>) -> u64 {
+    pub fn begin_proposal(&mut self, digest: Digest, calls: Vec<CallId>) -> u64 {
         self.tickets += 1;
         self.proposed = Some((self.tickets, digest, calls));
         self.tickets
     }
 
     /// The order with this ticket is decided; who waits for it.
-    pub fn decided(&mut self, ticket: u64) -> Option<(Digest, Vec<CallId>)> {
+    pub fn finish_proposal(&mut self, ticket: u64) -> Option<(Digest, Vec<CallId>)> {
         let (_, digest, calls) = self.proposed.take_if(|(proposed, _, _)| *proposed == ticket)?;
         Some((digest, calls))
     }
@@ -114,7 +114,7 @@
     }
 
     /// Gives up everything; the calls that waited.
-    pub fn give_up(&mut self) -> Vec<CallId> {
+    pub fn abandon_all(&mut self) -> Vec<CallId> {
         let mut calls: Vec<CallId> = self.waiting.drain(..).flat_map(|order| order.calls).collect();
         if let Some((_, _, waiting)) = self.proposed.take() {
             calls.extend(waiting);
--- a/crates/control/src/checking.rs
+++ b/crates/control/src/configuration_check.rs
@@ -27,14 +27,14 @@
     }
 
     /// Checks a configuration, a large one on a thread of its own.
-    pub async fn check_aside(body: Bytes) -> Self {
+    pub async fn check_off_thread(body: Bytes) -> Self {
         let unchecked = Self::unchecked(body.clone());
         aside(body, Self::check).await.unwrap_or(unchecked)
     }
 }
 
 /// The limits of all tenants of a configuration that was accepted; none if it can't be read.
-pub fn quotas(body: &Bytes) -> Vec<TenantQuota> {
+pub fn parse_quotas(body: &Bytes) -> Vec<TenantQuota> {
     let Ok(config) = FleetConfig::parse(body) else { return Vec::new() };
     let quota = |tenant: &dunelink_settings::Tenant| TenantQuota {
         name: tenant.name.clone(),
@@ -45,6 +45,6 @@
 }
 
 /// The same, read on a thread of its own if it is large.
-pub async fn quotas_aside(body: Bytes) -> Vec<TenantQuota> {
-    aside(body, |body| quotas(&body)).await.unwrap_or_default()
+pub async fn parse_quotas_off_thread(body: Bytes) -> Vec<TenantQuota> {
+    aside(body, |body| parse_quotas(&body)).await.unwrap_or_default()
 }
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -8,7 +8,7 @@
 use dunelink_storage::{Disk, FolderDisk, Limits, LogStore, Operation, StorageError};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-use crate::identity::Identity;
+use crate::identity::StoreMetadata;
 
 /// Pause before the store is opened or wiped again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -17,7 +17,7 @@
 
 /// What the disk thread is asked to do.
 #[derive(Debug, Clone)]
-pub enum DiskOrder {
+pub enum DiskCommand {
     /// Make records durable for the replica of a generation.
     Write {
         /// Number of the identity that the records belong to.
@@ -28,11 +28,11 @@
         records: Vec<Record>,
     },
     /// The store's contents belong to the replica that begins now.
-    Begin {
+    Adopt {
         /// Number of the identity.
         generation: u64,
         /// Where its store stands.
-        translator: Translator,
+        translator: RecordTranslator,
     },
     /// Forget everything; from now on the store belongs to this identity.
     Wipe {
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub enum DiskEvent {
     /// The store is open; sent once, first.
-    Opened(Opened),
+    Opened(OpenedStore),
     /// A write is durable.
     Written {
         /// Number of the identity that wrote.
@@ -58,21 +58,21 @@
         used_bytes: u64,
     },
     /// A write failed.
-    Failed {
+    WriteFailed {
         /// Number of the identity that wrote.
         generation: u64,
         /// Number of the write.
         sequence: u64,
     },
     /// The disk refuses; told when the reason changes.
-    Trouble(String),
+    HealthChanged(String),
 }
 
 /// What the store held.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedStore {
     /// Identity of the store's contents; none on an empty disk.
-    pub identity: Option<Identity>,
+    pub metadata: Option<StoreMetadata>,
     /// What the replica goes on from.
     pub recovered: Recovered,
     /// Something durable is lost: the contents are of no use any more.
@@ -89,14 +89,14 @@
 pub fn start(
     folder: &Path,
     limits: Limits,
-) -> std::io::Result<(Sender<DiskOrder>, UnboundedReceiver<DiskEvent>)> {
+) -> std::io::Result<(Sender<DiskCommand>, UnboundedReceiver<DiskEvent>)> {
     let (orders, inbox) = channel();
     let (events, outbox) = unbounded_channel();
     let folder = folder.to_owned();
     std::thread::Builder::new().name("disk".to_owned()).spawn(move || {
         let Some((store, opened)) = open(&folder, limits, &events) else { return };
         if events.send(DiskEvent::Opened(opened)).is_ok() {
-            DiskWorker::new(store, events).work(&inbox);
+            DiskWorker::new(store, events).run(&inbox);
         }
     })?;
     Ok((orders, outbox))
@@ -107,7 +107,7 @@
     folder: &Path,
     limits: Limits,
     events: &UnboundedSender<DiskEvent>,
-) -> Option<(LogStore<FolderDisk>, Opened)> {
+) -> Option<(LogStore<FolderDisk>, OpenedStore)> {
     let mut told = String::new();
     loop {
         let disk = FolderDisk::new(folder);
@@ -116,11 +116,11 @@
             Err(error) => Err(format!("{}: {error}; check `dataDir`", folder.display())),
         };
         match opened {
-            Ok((store, recovered)) => return Some((store, read_back(recovered))),
+            Ok((store, recovered)) => return Some((store, decode_recovered(recovered))),
             Err(reason) if reason == told => {}
             Err(reason) => {
                 told.clone_from(&reason);
-                events.send(DiskEvent::Trouble(reason)).ok()?;
+                events.send(DiskEvent::HealthChanged(reason)).ok()?;
             }
         }
         std::thread::sleep(RETRY_PAUSE);
@@ -128,10 +128,10 @@
 }
 
 /// Decodes what the store held. Contents that don't decode count as damaged.
-pub fn read_back(stored: dunelink_storage::Recovered) -> Opened {
+pub fn decode_recovered(stored: dunelink_storage::Recovered) -> OpenedStore {
     let mut damaged = stored.damaged;
     let mut keep = |readable: bool| damaged |= !readable;
-    let identity: Option<Identity> = stored.metadata.as_deref().and_then(|bytes| {
+    let identity: Option<StoreMetadata> = stored.metadata.as_deref().and_then(|bytes| {
         let identity = decode(bytes).ok();
         keep(identity.is_some());
         identity
@@ -147,12 +147,12 @@
     keep(identity.is_some() || nothing);
     let hard_state = identity.map(|identity| identity.hard_state);
     let notes = stored.notes.iter().map(|note| format!("{note:?}")).collect();
-    Opened { identity, recovered: Recovered { hard_state, snapshot, entries }, damaged, notes }
+    OpenedStore { metadata: identity, recovered: Recovered { hard_state, snapshot, entries }, damaged, notes }
 }
 
 /// Turns the replica's records into operations of the store.
 #[derive(Debug, Clone)]
-pub struct Translator {
+pub struct RecordTranslator {
     id: ReplicaId,
     hard_state: HardState,
     /// Last entry that was released.
@@ -163,7 +163,7 @@
     named: bool,
 }
 
-impl Translator {
+impl RecordTranslator {
     /// For a store that belongs to `id`, whose last entry is `last`, with none released. The first operations put
     /// the identity on the disk if `named` is false.
     pub fn new(id: ReplicaId, hard_state: HardState, last: u64, named: bool) -> Self {
@@ -171,10 +171,10 @@
     }
 
     /// For a store with these contents.
-    pub fn of_store(identity: Identity, recovered: &Recovered) -> Self {
+    pub fn for_store(metadata: StoreMetadata, recovered: &Recovered) -> Self {
         let released = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let last = recovered.entries.last().map_or(released, |entry| entry.index.max(released));
-        Self { id: identity.id, hard_state: identity.hard_state, released, last, named: true }
+        Self { id: metadata.id, hard_state: metadata.hard_state, released, last, named: true }
     }
 
     /// Appends the operations for some records.
@@ -222,7 +222,7 @@
     }
 
     fn metadata(&self) -> Operation {
-        Operation::Metadata(encode(&Identity { id: self.id, hard_state: self.hard_state }))
+        Operation::Metadata(encode(&StoreMetadata { id: self.id, hard_state: self.hard_state }))
     }
 }
 
@@ -232,20 +232,20 @@
     store: LogStore<D>,
     events: UnboundedSender<DiskEvent>,
     generation: u64,
-    translator: Option<Translator>,
+    translator: Option<RecordTranslator>,
     gate: WriteGate,
     trouble: Option<String>,
 }
 
 /// What follows an order.
 #[derive(Debug)]
-pub enum After {
+pub enum NextStep {
     /// Whatever is ordered next.
     Idle,
     /// This order, which was taken from the inbox already.
-    Next(DiskOrder),
+    Next(DiskCommand),
     /// The same order again after a pause, before any other: the disk refused it.
-    Refused(DiskOrder),
+    Retry(DiskCommand),
 }
 
 /// A write that waits: its sequence and records.
@@ -258,13 +258,13 @@
     }
 
     /// Carries out orders until the sender is gone.
-    pub fn work(mut self, inbox: &Receiver<DiskOrder>) {
+    pub fn run(mut self, inbox: &Receiver<DiskCommand>) {
         let mut next = None;
         while let Some(order) = next.take().or_else(|| inbox.recv().ok()) {
             next = match self.carry_out(order, inbox) {
-                After::Idle => None,
-                After::Next(order) => Some(order),
-                After::Refused(order) => {
+                NextStep::Idle => None,
+                NextStep::Next(order) => Some(order),
+                NextStep::Retry(order) => {
                     std::thread::sleep(RETRY_PAUSE);
                     Some(order)
                 }
@@ -273,34 +273,34 @@
     }
 
     /// Carries out one order, and the writes that wait behind it if it is a write.
-    pub fn carry_out(&mut self, order: DiskOrder, inbox: &Receiver<DiskOrder>) -> After {
+    pub fn carry_out(&mut self, order: DiskCommand, inbox: &Receiver<DiskCommand>) -> NextStep {
         match order {
-            DiskOrder::Begin { generation, translator } => self.begin(generation, translator),
-            DiskOrder::Wipe { generation, id } => return self.wipe(generation, id),
-            DiskOrder::Write { generation, sequence, records } => {
+            DiskCommand::Adopt { generation, translator } => self.begin(generation, translator),
+            DiskCommand::Wipe { generation, id } => return self.wipe(generation, id),
+            DiskCommand::Write { generation, sequence, records } => {
                 let mut group = vec![(sequence, records)];
                 let next = gather(generation, &mut group, inbox);
                 self.write(generation, group);
-                return next.map_or(After::Idle, After::Next);
+                return next.map_or(NextStep::Idle, NextStep::Next);
             }
         }
-        After::Idle
+        NextStep::Idle
     }
 
-    fn begin(&mut self, generation: u64, translator: Translator) {
+    fn begin(&mut self, generation: u64, translator: RecordTranslator) {
         self.generation = generation;
         self.translator = Some(translator);
         self.gate = WriteGate::default();
     }
 
     /// An identity that was given up must not come back: the order stays the next one until the disk allows it.
-    fn wipe(&mut self, generation: u64, id: ReplicaId) -> After {
+    fn wipe(&mut self, generation: u64, id: ReplicaId) -> NextStep {
         if let Err(error) = self.store.wipe() {
             self.note(Some(&error));
-            return After::Refused(DiskOrder::Wipe { generation, id });
+            return NextStep::Retry(DiskCommand::Wipe { generation, id });
         }
-        self.begin(generation, Translator::new(id, HardState::default(), 0, false));
-        After::Idle
+        self.begin(generation, RecordTranslator::new(id, HardState::default(), 0, false));
+        NextStep::Idle
     }
 
     fn write(&mut self, generation: u64, group: Vec<Waiting>) {
@@ -326,7 +326,7 @@
                 self.gate.failed(last);
                 self.note(Some(&error));
                 for sequence in sequences {
-                    self.tell(DiskEvent::Failed { generation, sequence });
+                    self.tell(DiskEvent::WriteFailed { generation, sequence });
                 }
             }
         }
@@ -336,7 +336,7 @@
     fn accepts(&mut self, generation: u64, sequence: u64) -> bool {
         let accepted = generation == self.generation && self.gate.accepts(sequence);
         if !accepted {
-            self.tell(DiskEvent::Failed { generation, sequence });
+            self.tell(DiskEvent::WriteFailed { generation, sequence });
         }
         accepted
     }
@@ -347,7 +347,9 @@
         let changed = reason.is_some() != self.trouble.is_some();
         self.trouble.clone_from(&reason);
         if changed {
-            self.tell(DiskEvent::Trouble(reason.unwrap_or_else(|| "the disk takes writes again".to_owned())));
+            self.tell(DiskEvent::HealthChanged(
+                reason.unwrap_or_else(|| "the disk takes writes again".to_owned()),
+            ));
         }
     }
 
@@ -359,11 +361,11 @@
 
 /// Adds the writes that wait already, so that one sync serves all of them. Gives back an order that is not one of
 /// them.
-fn gather(generation: u64, group: &mut Vec<Waiting>, inbox: &Receiver<DiskOrder>) -> Option<DiskOrder> {
+fn gather(generation: u64, group: &mut Vec<Waiting>, inbox: &Receiver<DiskCommand>) -> Option<DiskCommand> {
     let mut bytes = group.iter().map(|(_, records)| size_of_records(records)).sum::<usize>();
     while bytes < GROUP_BYTES {
         match inbox.try_recv().ok()? {
-            DiskOrder::Write { generation: same, sequence, records } if same == generation => {
+            DiskCommand::Write { generation: same, sequence, records } if same == generation => {
                 bytes += size_of_records(&records);
                 group.push((sequence, records));
             }
--- a/crates/control/src/engine.rs
+++ b/crates/control/src/engine.rs
@@ -18,12 +18,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::checking::quotas_aside;
-use crate::disk::{DiskEvent, DiskOrder};
+use crate::change_queue::{CallId, Reply};
+use crate::configuration_check::parse_quotas_off_thread;
+use crate::disk::{DiskCommand, DiskEvent};
 use crate::feed_session::FeedSession;
-use crate::identity::fresh_id;
+use crate::identity::random_id;
 use crate::node::{Effect, Node};
-use crate::orders::{CallId, Reply};
 use crate::peer_links::PeerLinks;
 
 /// Longest time without a tick.
@@ -44,13 +44,13 @@
     clock: Clock,
     log: Logger,
     node: RefCell<Node>,
-    disk: Sender<DiskOrder>,
+    disk: Sender<DiskCommand>,
     generation: Cell<u64>,
     disk_bytes: Cell<u64>,
     links: PeerLinks,
     calls: RefCell<HashMap<CallId, oneshot::Sender<Reply>>>,
     last_call: Cell<CallId>,
-    readers: RefCell<HashMap<u64, Rc<AgentDoor>>>,
+    readers: RefCell<HashMap<u64, Rc<AgentMailbox>>>,
     last_reader: Cell<u64>,
     /// When agents that are not connected here any more left.
     left_readers: RefCell<BTreeMap<String, u64>>,
@@ -64,17 +64,17 @@
 
 /// Where an agent's connection is told of news.
 #[derive(Debug)]
-pub struct AgentDoor {
+pub struct AgentMailbox {
     /// Name of the agent's node.
     pub node: String,
     /// Told when there may be something to send.
-    pub news: Notify,
+    pub wakeup: Notify,
     grants: RefCell<Option<GrantUpdate>>,
     /// Where the agent stands: version of the configuration and position in the roster, as sent.
-    pub sent: Cell<(u64, u64, u64)>,
+    pub sent_position: Cell<(u64, u64, u64)>,
 }
 
-impl AgentDoor {
+impl AgentMailbox {
     /// Grants that have come since the last call.
     pub fn take_grants(&self) -> Option<GrantUpdate> {
         self.grants.borrow_mut().take()
@@ -83,7 +83,7 @@
 
 impl Engine {
     /// An engine around a node whose store the disk thread holds, as generation 1.
-    pub fn new(clock: Clock, log: Logger, node: Node, disk: Sender<DiskOrder>, links: PeerLinks) -> Self {
+    pub fn new(clock: Clock, log: Logger, node: Node, disk: Sender<DiskCommand>, links: PeerLinks) -> Self {
         Self(Rc::new(Shared {
             clock,
             log,
@@ -116,12 +116,12 @@
     }
 
     /// Looks at the node.
-    pub fn look<R>(&self, look: impl FnOnce(&Node, u64) -> R) -> R {
+    pub fn inspect<R>(&self, look: impl FnOnce(&Node, u64) -> R) -> R {
         look(&self.0.node.borrow(), self.now())
     }
 
     /// Hands something to the node and carries out what follows from it.
-    pub fn act<R>(&self, act: impl FnOnce(&mut Node, u64, &mut Vec<Effect>) -> R) -> R {
+    pub fn update<R>(&self, act: impl FnOnce(&mut Node, u64, &mut Vec<Effect>) -> R) -> R {
         let mut effects = Vec::new();
         let result = act(&mut self.0.node.borrow_mut(), self.now(), &mut effects);
         self.carry_out(effects);
@@ -139,35 +139,35 @@
             match effect {
                 Effect::Send { to, envelope } => self.0.links.send(to, envelope),
                 Effect::Write { sequence, records } => {
-                    self.order(DiskOrder::Write { generation, sequence, records });
+                    self.order(DiskCommand::Write { generation, sequence, records });
                 }
                 Effect::Reply { call, reply } => self.reply(call, reply),
                 Effect::FeedChanged => feed_changed = true,
                 Effect::Grants { node, update } => self.grant(&update, |door| door.node == node),
-                Effect::AskHistory(question) => self.grant(&question, |_| true),
-                Effect::LeadershipChanged => self.0.leadership.notify_one(),
+                Effect::RequestHistory(question) => self.grant(&question, |_| true),
+                Effect::LeaseChanged => self.0.leadership.notify_one(),
                 Effect::ReadList { request, to } => {
                     self.0.list_requests.borrow_mut().push((request, to));
                     self.0.list_requested.notify_one();
                 }
-                Effect::ReadQuotas { version, body } => self.read_quotas(version, body),
+                Effect::ParseQuotas { version, body } => self.read_quotas(version, body),
                 Effect::Rejoin => self.rejoin(),
             }
         }
         if feed_changed {
-            self.0.readers.borrow().values().for_each(|door| door.news.notify_one());
+            self.0.readers.borrow().values().for_each(|door| door.wakeup.notify_one());
         }
     }
 
     fn read_quotas(&self, version: u64, body: Bytes) {
         let engine = self.clone();
         spawn_local(async move {
-            let quotas = quotas_aside(body).await;
-            engine.act(|node, _, _| node.quotas_read(version, quotas));
+            let quotas = parse_quotas_off_thread(body).await;
+            engine.update(|node, _, _| node.set_quotas(version, quotas));
         });
     }
 
-    fn order(&self, order: DiskOrder) {
+    fn order(&self, order: DiskCommand) {
         if self.0.disk.send(order).is_err() {
             warn!(self.0.log, "the disk thread has ended");
         }
@@ -179,11 +179,11 @@
         let _ = waiting.map(|waiting| waiting.send(reply));
     }
 
-    fn grant(&self, update: &GrantUpdate, is_meant: impl Fn(&AgentDoor) -> bool) {
+    fn grant(&self, update: &GrantUpdate, is_meant: impl Fn(&AgentMailbox) -> bool) {
         let readers = self.0.readers.borrow();
         for door in readers.values().filter(|door| is_meant(door)) {
             *door.grants.borrow_mut() = Some(update.clone());
-            door.news.notify_one();
+            door.wakeup.notify_one();
         }
     }
 
@@ -191,10 +191,10 @@
     fn rejoin(&self) {
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
-        self.act(|node, now, effects| {
-            let id = fresh_id(node.me().control);
-            self.order(DiskOrder::Wipe { generation, id });
-            node.begin_again(id, seed(), now, effects);
+        self.update(|node, now, effects| {
+            let id = random_id(node.me().control);
+            self.order(DiskCommand::Wipe { generation, id });
+            node.rejoin_as(id, seed(), now, effects);
         });
     }
 
@@ -209,7 +209,7 @@
         self.0.last_call.set(call);
         let (sender, receiver) = oneshot::channel();
         self.0.calls.borrow_mut().insert(call, sender);
-        self.act(|node, now, effects| act(node, now, call, effects));
+        self.update(|node, now, effects| act(node, now, call, effects));
         let waiting = Waiting { engine: self, call };
         let reply = timeout(patience, receiver).await;
         drop(waiting);
@@ -221,24 +221,29 @@
         let id = self.0.last_reader.get() + 1;
         self.0.last_reader.set(id);
         self.0.left_readers.borrow_mut().remove(&node);
-        let door = AgentDoor { node, news: Notify::new(), grants: RefCell::default(), sent: Cell::default() };
+        let door = AgentMailbox {
+            node,
+            wakeup: Notify::new(),
+            grants: RefCell::default(),
+            sent_position: Cell::default(),
+        };
         let door = Rc::new(door);
         self.0.readers.borrow_mut().insert(id, door.clone());
-        Registration { engine: self.clone(), id, door }
+        Registration { engine: self.clone(), id, mailbox: door }
     }
 
     /// Number of agents connected here.
-    pub fn reader_count(&self) -> usize {
+    pub fn agent_count(&self) -> usize {
         self.0.readers.borrow().len()
     }
 
     /// Node, version and position in the roster of each agent connected here, as sent.
-    pub fn readers(&self) -> Vec<(String, (u64, u64, u64))> {
-        self.0.readers.borrow().values().map(|door| (door.node.clone(), door.sent.get())).collect()
+    pub fn connected_agents(&self) -> Vec<(String, (u64, u64, u64))> {
+        self.0.readers.borrow().values().map(|door| (door.node.clone(), door.sent_position.get())).collect()
     }
 
     /// Agents that were connected here and are not any more, with the time since they left in microseconds.
-    pub fn absent_readers(&self) -> Vec<(String, u64)> {
+    pub fn disconnected_agents(&self) -> Vec<(String, u64)> {
         let now = self.now();
         let left = self.0.left_readers.borrow();
         left.iter().map(|(node, at)| (node.clone(), now.saturating_sub(*at))).collect()
@@ -267,8 +272,8 @@
     pub fn next_message(&self, session: &mut FeedSession) -> Option<FeedMessage> {
         let mut node = self.0.node.borrow_mut();
         let now = self.now();
-        node.refresh(now);
-        session.next(node.feed(), now)
+        node.update_freshness(now);
+        session.next_message(node.feed(), now)
     }
 
     /// The instant at which the clock shows `micros`.
@@ -277,12 +282,12 @@
     }
 
     /// Returns when the lease was won or lost since the last call.
-    pub async fn leadership_changed(&self) {
+    pub async fn lease_changed(&self) {
         self.0.leadership.notified().await;
     }
 
     /// A reading of the list that the leader asks of this machine.
-    pub async fn list_requested(&self) -> (u64, Member) {
+    pub async fn next_list_request(&self) -> (u64, Member) {
         loop {
             // The newest counts: the leader has given up the older ones.
             let newest = std::mem::take(&mut *self.0.list_requests.borrow_mut()).pop();
@@ -294,8 +299,8 @@
     }
 
     /// Sends the leader the list that it asked for.
-    pub fn answer_reading(&self, to: &Member, request: u64, servers: Option<Vec<ServerEntry>>) {
-        self.act(|node, _, effects| node.answer_reading(to, request, servers, effects));
+    pub fn answer_list_request(&self, to: &Member, request: u64, servers: Option<Vec<ServerEntry>>) {
+        self.update(|node, _, effects| node.answer_list_request(to, request, servers, effects));
     }
 
     /// Ticks the node at its deadlines, for ever.
@@ -306,17 +311,17 @@
             let wake = due.clamp(now + SHORTEST_SLEEP, now + LONGEST_SLEEP);
             self.0.armed.set(wake);
             tokio::select! {
-                () = sleep_until(self.instant(wake)) => self.act(|node, now, effects| node.tick(now, effects)),
+                () = sleep_until(self.instant(wake)) => self.update(|node, now, effects| node.tick(now, effects)),
                 () = self.0.rearm.notified() => {}
             }
         }
     }
 
     /// Beats, for ever.
-    pub async fn run_beats(self) {
+    pub async fn run_periodic_sends(self) {
         loop {
             tokio::time::sleep(BEAT).await;
-            self.act(|node, now, effects| node.beat(now, effects));
+            self.update(|node, now, effects| node.send_periodic(now, effects));
         }
     }
 
@@ -334,15 +339,15 @@
             DiskEvent::Written { generation, sequence, used_bytes } => {
                 self.0.disk_bytes.set(used_bytes);
                 if generation == current {
-                    self.act(|node, now, effects| node.written(now, sequence, effects));
+                    self.update(|node, now, effects| node.write_completed(now, sequence, effects));
                 }
             }
-            DiskEvent::Failed { generation, sequence } => {
+            DiskEvent::WriteFailed { generation, sequence } => {
                 if generation == current {
-                    self.act(|node, now, effects| node.write_failed(now, sequence, effects));
+                    self.update(|node, now, effects| node.write_failed(now, sequence, effects));
                 }
             }
-            DiskEvent::Trouble(reason) => warn!(self.0.log, "disk"; "reason" => reason),
+            DiskEvent::HealthChanged(reason) => warn!(self.0.log, "disk"; "reason" => reason),
         }
     }
 }
@@ -365,13 +370,13 @@
     engine: Engine,
     id: u64,
     /// Where news are told.
-    pub door: Rc<AgentDoor>,
+    pub mailbox: Rc<AgentMailbox>,
 }
 
 impl Drop for Registration {
     fn drop(&mut self) {
         self.engine.0.readers.borrow_mut().remove(&self.id);
-        self.engine.note_left(&self.door.node);
+        self.engine.note_left(&self.mailbox.node);
     }
 }
 
--- a/crates/control/src/feed_server.rs
+++ b/crates/control/src/feed_server.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::engine::{AgentDoor, Engine};
+use crate::engine::{AgentMailbox, Engine};
 use crate::feed_session::FeedSession;
 use crate::message::Envelope;
 
@@ -74,7 +74,7 @@
     match hello.link {
         LinkKind::Replica | LinkKind::ReplicaBulk => {
             let ip = hello.ip.parse().unwrap_or(peer);
-            engine.act(|node, _, effects| node.learn_zone(ip, &hello.zone, effects));
+            engine.update(|node, _, effects| node.learn_zone(ip, &hello.zone, effects));
             replica(reader, engine).await
         }
         LinkKind::Agent => Agent::new(reader, writer, engine, hello.node).serve().await,
@@ -86,7 +86,7 @@
 async fn replica(mut reader: LinkReader, engine: Engine) -> Result<(), LinkError> {
     loop {
         let envelope: Envelope = reader.read_within(PEER_IDLE).await?;
-        engine.act(|node, now, effects| node.received(now, envelope, effects));
+        engine.update(|node, now, effects| node.handle_message(now, envelope, effects));
     }
 }
 
@@ -107,10 +107,10 @@
         let registration = self.engine.register(self.node.clone());
         let mut session = self.subscribed().await?;
         loop {
-            self.send_news(&mut session, &registration.door).await?;
-            let due = self.engine.instant(session.due());
+            self.send_news(&mut session, &registration.mailbox).await?;
+            let due = self.engine.instant(session.next_tick_due());
             tokio::select! {
-                () = registration.door.news.notified() => {}
+                () = registration.mailbox.wakeup.notified() => {}
                 () = sleep_until(due) => {}
                 read = self.reader.read::<AgentMessage>() => self.take(read?, &mut session),
             }
@@ -123,8 +123,9 @@
             match self.reader.read_within(HELLO_PATIENCE).await? {
                 AgentMessage::Subscribe(subscribe) => return Ok(FeedSession::new(&subscribe)),
                 AgentMessage::Report(report) => {
-                    self.engine
-                        .act(|node, now, effects| node.agent_reported(now, &self.node, report, effects));
+                    self.engine.update(|node, now, effects| {
+                        node.handle_agent_report(now, &self.node, report, effects)
+                    });
                 }
             }
         }
@@ -134,15 +135,16 @@
         match message {
             AgentMessage::Subscribe(subscribe) => *session = FeedSession::new(&subscribe),
             AgentMessage::Report(report) => {
-                self.engine.act(|node, now, effects| node.agent_reported(now, &self.node, report, effects));
+                self.engine
+                    .update(|node, now, effects| node.handle_agent_report(now, &self.node, report, effects));
             }
         }
     }
 
     /// Sends all that the agent lacks. Each message is made when the one before it is on its way.
-    async fn send_news(&mut self, session: &mut FeedSession, door: &AgentDoor) -> Result<(), LinkError> {
+    async fn send_news(&mut self, session: &mut FeedSession, door: &AgentMailbox) -> Result<(), LinkError> {
         if let Some(grants) = door.take_grants() {
-            session.grant(grants);
+            session.set_grants(grants);
         }
         while let Some(message) = self.engine.next_message(session) {
             let large = matches!(message, FeedMessage::Configuration(_) | FeedMessage::Roster(_));
@@ -166,11 +168,13 @@
 }
 
 /// Remembers for the status page where the agent stands.
-fn note_sent(door: &AgentDoor, message: &FeedMessage) {
-    let (version, epoch, sequence) = door.sent.get();
+fn note_sent(door: &AgentMailbox, message: &FeedMessage) {
+    let (version, epoch, sequence) = door.sent_position.get();
     match message {
-        FeedMessage::Configuration(chunk) => door.sent.set((chunk.version, epoch, sequence)),
-        FeedMessage::Roster(update) => door.sent.set((version, update.offset.epoch, update.offset.sequence)),
+        FeedMessage::Configuration(chunk) => door.sent_position.set((chunk.version, epoch, sequence)),
+        FeedMessage::Roster(update) => {
+            door.sent_position.set((version, update.offset.epoch, update.offset.sequence))
+        }
         _ => {}
     }
 }
--- a/crates/control/src/feed_session.rs
+++ b/crates/control/src/feed_session.rs
@@ -4,7 +4,7 @@
 use dunelink_protocol::{ControlMember, FeedMessage, GrantUpdate, Subscribe};
 
 /// Time between two signs of life, in microseconds.
-pub const TICK_PERIOD: u64 = 250_000;
+pub const TICK_PERIOD_US: u64 = 250_000;
 /// A sign of life may be this much early when something else is sent anyway, in microseconds.
 const TICK_EARLY: u64 = 60_000;
 
@@ -25,13 +25,13 @@
     }
 
     /// New grants for the agent; they replace older ones that were not sent.
-    pub fn grant(&mut self, update: GrantUpdate) {
+    pub fn set_grants(&mut self, update: GrantUpdate) {
         self.grants = Some(update);
     }
 
     /// The next message to send at `now`; nothing if the agent has everything.
-    pub fn next(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
-        if self.ticked_at.is_none_or(|at| now + TICK_EARLY >= at + TICK_PERIOD) {
+    pub fn next_message(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
+        if self.ticked_at.is_none_or(|at| now + TICK_EARLY >= at + TICK_PERIOD_US) {
             self.ticked_at = Some(now);
             return Some(FeedMessage::Tick(state.tick(now)));
         }
@@ -51,7 +51,7 @@
     }
 
     /// When the next sign of life is due, in microseconds.
-    pub fn due(&self) -> u64 {
-        self.ticked_at.map_or(0, |at| at + TICK_PERIOD)
+    pub fn next_tick_due(&self) -> u64 {
+        self.ticked_at.map_or(0, |at| at + TICK_PERIOD_US)
     }
 }
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -8,7 +8,7 @@
 
 /// The metadata record of the store: identity, term and vote.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Identity {
+pub struct StoreMetadata {
     /// Identity of this generation of the disk.
     #[n(0)]
     pub id: ReplicaId,
@@ -25,7 +25,7 @@
 
 /// Identity of a disk that begins empty after the founding: random, mixed with the control address, so that two
 /// machines differ even if the system gives both the same random bytes.
-pub fn fresh_id(control: SocketAddr) -> ReplicaId {
+pub fn random_id(control: SocketAddr) -> ReplicaId {
     let mut bytes = [0_u8; 16];
     if getrandom::fill(&mut bytes).is_err() {
         let time = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -38,7 +38,7 @@
 
 /// The founding members, if a start on an empty disk founds the group: the group is founded once, by the machines
 /// whose control addresses are the seeds. Zones of other machines are not known yet and left empty.
-pub fn founders(bootstrap: bool, seeds: &[SocketAddr], me: &Member) -> Option<Vec<Member>> {
+pub fn founding_members(bootstrap: bool, seeds: &[SocketAddr], me: &Member) -> Option<Vec<Member>> {
     if !bootstrap || !seeds.contains(&me.control) {
         return None;
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -7,21 +7,21 @@
 #![forbid(unsafe_code)]
 
 pub mod arguments;
-pub mod checking;
+pub mod change_queue;
+pub mod configuration_check;
 pub mod disk;
 pub mod engine;
 pub mod feed_server;
 pub mod feed_session;
 pub mod identity;
 pub mod list;
+pub mod list_reader;
 pub mod loads;
 pub mod message;
 pub mod node;
-pub mod operator;
-pub mod orders;
+pub mod operator_api;
 pub mod peer_links;
 pub mod program;
-pub mod reader;
 pub mod reports;
 pub mod roster;
 pub mod start;
--- a/crates/control/src/list.rs
+++ b/crates/control/src/list.rs
@@ -17,11 +17,11 @@
 
 /// One page.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Page {
+pub struct ListPage {
     /// The servers on it.
     pub servers: Vec<ServerEntry>,
     /// Token of the page that follows; none on the last.
-    pub next: Option<String>,
+    pub next_token: Option<String>,
 }
 
 /// Reads a page.
@@ -29,13 +29,13 @@
 /// # Errors
 ///
 /// The page is not JSON or a server lacks its id, service or address.
-pub fn parse_page(bytes: &[u8]) -> Result<Page, ListError> {
+pub fn parse_page(bytes: &[u8]) -> Result<ListPage, ListError> {
     let page: Value = sonic_rs::from_slice(bytes)?;
     let instances = page.get("instances").and_then(|value| value.as_array());
     let instances = instances.ok_or(ListError::Missing("instances"))?;
     let servers = instances.iter().map(entry).collect::<Result<Vec<_>, _>>()?;
     let next = page.get("nextToken").as_str().filter(|token| !token.is_empty()).map(str::to_owned);
-    Ok(Page { servers, next })
+    Ok(ListPage { servers, next_token: next })
 }
 
 fn entry(value: &Value) -> Result<ServerEntry, ListError> {
--- a/crates/control/src/reader.rs
+++ b/crates/control/src/list_reader.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::engine::Engine;
-use crate::list::{ListError, Page, parse_page};
+use crate::list::{ListError, ListPage, parse_page};
 
 /// Time between the beginnings of two readings.
 const PERIOD: Duration = Duration::from_millis(500);
@@ -44,19 +44,19 @@
 
 /// Why the list could not be read.
 #[derive(Debug, Error)]
-pub enum ReadError {
+pub enum ListReadError {
     /// The platform can't be reached.
     #[error("the platform can't be reached: {0}; the list is read again soon")]
     Unreachable(#[from] std::io::Error),
     /// The call broke off.
     #[error("a call to the platform broke off: {0}; the list is read again soon")]
-    Broken(#[from] hyper::Error),
+    Connection(#[from] hyper::Error),
     /// No answer came in time.
     #[error("the platform did not answer within {CALL_PATIENCE:?}; the list is read again soon")]
-    Late,
+    Timeout,
     /// The platform refused.
     #[error("the platform answered {0}; the list is read again soon")]
-    Refused(StatusCode),
+    Status(StatusCode),
     /// The answer is too large or broke off.
     #[error("a page could not be read whole; the list is read again soon")]
     Body,
@@ -65,7 +65,7 @@
     Page(#[from] ListError),
     /// The lease ended during the reading.
     #[error("the lease ended; the new leader reads the list")]
-    NotLeading,
+    LeaseLost,
     /// There are more pages than a list can have, or a page leads to itself.
     #[error("the list has no last page within {MAX_PAGES}; check the platform")]
     TooManyPages,
@@ -98,31 +98,31 @@
         &mut self,
         may_go_on: impl Fn() -> bool,
         on_page: impl Fn(&[ServerEntry]),
-    ) -> Result<Vec<ServerEntry>, ReadError> {
+    ) -> Result<Vec<ServerEntry>, ListReadError> {
         let mut servers = Vec::new();
         let mut token = None;
         for page_number in 1..=MAX_PAGES {
             if !may_go_on() {
-                return Err(ReadError::NotLeading);
+                return Err(ListReadError::LeaseLost);
             }
             let page = self.page_or_again(token.as_deref()).await?;
-            if page.next.is_none() {
+            if page.next_token.is_none() {
                 servers.extend(page.servers);
                 self.pages = page_number;
                 return Ok(servers);
             }
             on_page(&page.servers);
             servers.extend(page.servers);
-            if page.next == token {
+            if page.next_token == token {
                 break;
             }
-            token = page.next;
+            token = page.next_token;
         }
-        Err(ReadError::TooManyPages)
+        Err(ListReadError::TooManyPages)
     }
 
     /// A page. Those that follow the first are asked for again, as many pages would be dropped with one.
-    async fn page_or_again(&mut self, token: Option<&str>) -> Result<Page, ReadError> {
+    async fn page_or_again(&mut self, token: Option<&str>) -> Result<ListPage, ListReadError> {
         let mut retries = if token.is_some() { PAGE_RETRIES } else { 0 };
         loop {
             match self.page(token).await {
@@ -150,26 +150,26 @@
         }
     }
 
-    async fn page(&mut self, token: Option<&str>) -> Result<Page, ReadError> {
+    async fn page(&mut self, token: Option<&str>) -> Result<ListPage, ListReadError> {
         self.pace().await;
         // A kept connection may have been closed meanwhile: then one new one is tried at once.
         let kept = self.connection.take().filter(|connection| !connection.is_closed());
         let read = timeout(CALL_PATIENCE, self.call(kept, token)).await;
-        read.unwrap_or(Err(ReadError::Late))
+        read.unwrap_or(Err(ListReadError::Timeout))
     }
 
     async fn call(
         &mut self,
         kept: Option<SendRequest<Empty<Bytes>>>,
         token: Option<&str>,
-    ) -> Result<Page, ReadError> {
+    ) -> Result<ListPage, ListReadError> {
         let was_kept = kept.is_some();
         let connection = match kept {
             Some(connection) => connection,
             None => self.connect().await?,
         };
         match self.ask(connection, token).await {
-            Err(ReadError::Broken(_)) if was_kept => {
+            Err(ListReadError::Connection(_)) if was_kept => {
                 let connection = self.connect().await?;
                 self.ask(connection, token).await
             }
@@ -177,7 +177,7 @@
         }
     }
 
-    async fn connect(&self) -> Result<SendRequest<Empty<Bytes>>, ReadError> {
+    async fn connect(&self) -> Result<SendRequest<Empty<Bytes>>, ListReadError> {
         let socket = TcpStream::connect(self.api.address).await?;
         let _ = socket.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(socket)).await?;
@@ -192,21 +192,21 @@
         &mut self,
         mut connection: SendRequest<Empty<Bytes>>,
         token: Option<&str>,
-    ) -> Result<Page, ReadError> {
+    ) -> Result<ListPage, ListReadError> {
         connection.ready().await?;
         let uri = token.map_or_else(
             || "/instances".to_owned(),
             |token| format!("/instances?pageToken={}", escaped(token)),
         );
         let request = Request::get(uri).header(HOST, self.api.address.to_string()).body(Empty::new());
-        let Ok(request) = request else { return Err(ReadError::Body) };
+        let Ok(request) = request else { return Err(ListReadError::Body) };
         let answer = connection.send_request(request).await?;
         let status = answer.status();
         let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES).collect().await;
-        let body = body.map_err(|_| ReadError::Body)?.to_bytes();
+        let body = body.map_err(|_| ListReadError::Body)?.to_bytes();
         self.connection = Some(connection);
         if status != StatusCode::OK {
-            return Err(ReadError::Refused(status));
+            return Err(ListReadError::Status(status));
         }
         Ok(parse_page(&body)?)
     }
@@ -236,27 +236,27 @@
     let mut reader = ListReader::new(api);
     let mut health = Health::default();
     loop {
-        if !engine.look(|node, now| node.holds_lease(now)) {
+        if !engine.inspect(|node, now| node.holds_lease(now)) {
             health = Health::default();
             reader.connection = None;
             // A leader that lost its lease for a moment gets it back without a change of leadership.
-            let leads = engine.look(|node, _| node.replica().is_leader());
+            let leads = engine.inspect(|node, _| node.replica().is_leader());
             if leads {
                 sleep(FIRST_PAUSE).await;
             } else {
-                engine.leadership_changed().await;
+                engine.lease_changed().await;
             }
             continue;
         }
         let began = engine.now();
-        let holds = || engine.look(|node, now| node.holds_lease(now));
+        let holds = || engine.inspect(|node, now| node.holds_lease(now));
         let on_page = |page: &[ServerEntry]| {
-            engine.act(|node, now, effects| node.list_page_read(now, page, effects));
+            engine.update(|node, now, effects| node.handle_list_page(now, page, effects));
         };
         let pause = match reader.read(holds, on_page).await {
             Ok(servers) => {
                 health.succeeded(&engine);
-                engine.act(|node, now, effects| node.list_read(now, began, servers, effects));
+                engine.update(|node, now, effects| node.handle_list(now, began, servers, effects));
                 let spent = Duration::from_micros(engine.now().saturating_sub(began));
                 reader.period().saturating_sub(spent)
             }
@@ -282,7 +282,7 @@
     }
 
     /// Notes a failure; how long to wait before the next reading.
-    fn failed(&mut self, engine: &Engine, began: u64, error: &ReadError) -> Duration {
+    fn failed(&mut self, engine: &Engine, began: u64, error: &ListReadError) -> Duration {
         if self.failing_since.is_none() {
             warn!(engine.log(), "the list can't be read"; "reason" => %error);
         }
@@ -290,18 +290,18 @@
         let pause = FIRST_PAUSE.saturating_mul(1 << self.failures.min(4)).min(PERIOD);
         self.failures = self.failures.saturating_add(1);
         if engine.now() > since + DELEGATE_AFTER {
-            engine.act(|node, now, effects| node.delegate_reading(now, effects));
+            engine.update(|node, now, effects| node.delegate_list_read(now, effects));
         }
         pause
     }
 }
 
 /// Reads the list once each time that the leader asks for it, for ever.
-pub async fn run_for_leader(api: CloudApi, engine: Engine) {
+pub async fn serve_leader_requests(api: CloudApi, engine: Engine) {
     let mut reader = ListReader::new(api);
     loop {
-        let (request, leader) = engine.list_requested().await;
+        let (request, leader) = engine.next_list_request().await;
         let read = reader.read(|| true, |_| ()).await;
-        engine.answer_reading(&leader, request, read.ok());
+        engine.answer_list_request(&leader, request, read.ok());
     }
 }
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -87,7 +87,7 @@
     }
 
     /// The message that is due, about servers of that roster.
-    pub fn due(&mut self, now: u64, roster: &Roster) -> Option<FleetLoads> {
+    pub fn next_message(&mut self, now: u64, roster: &Roster) -> Option<FleetLoads> {
         if now < self.complete_at.max(self.told_at + TELL_PERIOD) {
             return None;
         }
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -41,25 +41,25 @@
     Grants(#[n(0)] Vec<NodeGrants>),
     /// The roster of servers, from the leader.
     #[n(5)]
-    Roster(#[n(0)] RosterNews),
+    Roster(#[n(0)] RosterAnnouncement),
     /// Where the sender's roster stands; the leader sends what it lacks.
     #[n(6)]
-    RosterWanted(#[n(0)] RosterOffset),
+    RosterRequest(#[n(0)] RosterOffset),
     /// Servers that fail, from the leader.
     #[n(7)]
     Suspicions(#[n(0)] Vec<ServerSuspicion>),
     /// The leader can't reach the platform: read the list once, now.
     #[n(8)]
-    ReadList(#[n(0)] u64),
-    /// Answer to [`PeerMessage::ReadList`].
+    ListRequest(#[n(0)] u64),
+    /// Answer to [`PeerMessage::ListRequest`].
     #[n(9)]
-    ListRead(#[n(0)] ListRead),
+    ListResponse(#[n(0)] ListResponse),
     /// Requests of the fleet at servers, from the leader.
     #[n(10)]
     Loads(#[n(0)] FleetLoads),
     /// A new leader asks all proxies what passed in the window, through the agents at the receiver.
     #[n(11)]
-    AskHistory(#[n(0)] GrantUpdate),
+    HistoryRequest(#[n(0)] GrantUpdate),
 }
 
 /// The members that a control machine knows.
@@ -103,7 +103,7 @@
 
 /// How the leader's roster stands, with changes if the receiver lacks some.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct RosterNews {
+pub struct RosterAnnouncement {
     /// Where the leader's roster stands.
     #[n(0)]
     pub offset: RosterOffset,
@@ -117,7 +117,7 @@
 
 /// Outcome of a reading of the list on behalf of the leader.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct ListRead {
+pub struct ListResponse {
     /// Number of the request.
     #[n(0)]
     pub request: u64,
@@ -135,9 +135,9 @@
     pub fn is_bulk(&self) -> bool {
         match self {
             Self::Replication(Message::Append { .. } | Message::Chunk { .. }) => true,
-            Self::Replication(_) | Self::JoinRequest(_) | Self::Members(_) | Self::ReadList(_) => false,
-            Self::Loads(_) | Self::AskHistory(_) => false,
-            Self::Roster(_) | Self::RosterWanted(_) | Self::ListRead(_) => true,
+            Self::Replication(_) | Self::JoinRequest(_) | Self::Members(_) | Self::ListRequest(_) => false,
+            Self::Loads(_) | Self::HistoryRequest(_) => false,
+            Self::Roster(_) | Self::RosterRequest(_) | Self::ListResponse(_) => true,
             Self::Reports(reports) => reports.len() > URGENT_ITEMS,
             Self::Grants(grants) => grants.len() > URGENT_ITEMS,
             Self::Suspicions(suspicions) => suspicions.len() > URGENT_ITEMS,
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -10,7 +10,7 @@
 use super::{Effect, MILLISECOND, Node};
 use crate::identity::internal_address;
 use crate::message::{Envelope, KnownMembers, PeerMessage};
-use crate::state::{ConfigurationState, Verdict};
+use crate::state::{ApplyOutcome, ConfigurationState};
 
 /// Without a leader for this long, the machine asks everyone it knows, in microseconds.
 const LEADERLESS: u64 = 3_000 * MILLISECOND;
@@ -134,10 +134,10 @@
     fn apply(&mut self, index: u64, command: &[u8], effects: &mut Vec<Effect>) {
         match self.state.apply(command) {
             Ok((digest, verdict)) => {
-                if self.orders.is_proposed(&digest) {
+                if self.changes.is_proposed(&digest) {
                     self.verdicts.insert(digest, verdict);
                 }
-                if verdict == Verdict::InForce {
+                if verdict == ApplyOutcome::Applied {
                     info!(self.log, "configuration in force"; "version" => self.state.version(), "index" => index);
                     self.feed_configuration(effects);
                 }
--- a/crates/control/src/node/leading.rs
+++ b/crates/control/src/node/leader.rs
@@ -9,8 +9,8 @@
 
 use super::{Effect, MILLISECOND, Node};
 use crate::loads::LoadSums;
-use crate::message::{ListRead, NodeGrants, NodeReport, PeerMessage, RosterNews};
-use crate::reports::Pool;
+use crate::message::{ListResponse, NodeGrants, NodeReport, PeerMessage, RosterAnnouncement};
+use crate::reports::OutcomePool;
 use crate::roster;
 
 /// Time between two times that the servers that fail are looked for, in microseconds.
@@ -30,7 +30,7 @@
     quotas_version: u64,
     /// The control machine at which a node's agent reported last.
     homes: BTreeMap<String, ReplicaId>,
-    pool: Pool,
+    pool: OutcomePool,
     loads: LoadSums,
     suspicions_due: u64,
     delegation: Option<Delegation>,
@@ -52,14 +52,14 @@
         if leads && self.leading.is_none() && self.holds_lease(now) {
             let allocator = Allocator::new(self.settings.quota, self.replica.term(), now);
             let question = allocator.question();
-            self.tell_all(&PeerMessage::AskHistory(question.clone()), effects);
-            effects.push(Effect::AskHistory(question));
+            self.tell_all(&PeerMessage::HistoryRequest(question.clone()), effects);
+            effects.push(Effect::RequestHistory(question));
             self.leading = Some(Leading {
                 allocator,
                 quotas: (self.state.version() == 0).then(Vec::new),
                 quotas_version: 0,
                 homes: BTreeMap::new(),
-                pool: Pool::default(),
+                pool: OutcomePool::default(),
                 loads: LoadSums::new(now),
                 suspicions_due: now,
                 delegation: None,
@@ -71,7 +71,7 @@
             self.leading = None;
         }
         if self.leading.is_some() != led {
-            effects.push(Effect::LeadershipChanged);
+            effects.push(Effect::LeaseChanged);
         }
     }
 
@@ -125,7 +125,7 @@
             return;
         }
         leading.suspicions_due = now + SUSPICION_PERIOD;
-        let Some(suspicions) = leading.pool.changed(now) else { return };
+        let Some(suspicions) = leading.pool.changed_suspicions(now) else { return };
         self.tell_all(&PeerMessage::Suspicions(suspicions.clone()), effects);
         self.feed.suspicions.set(suspicions, now);
         effects.push(Effect::FeedChanged);
@@ -134,7 +134,7 @@
     /// Tells all machines how many requests are at the servers, when that is due.
     pub(super) fn tell_loads(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let Some(leading) = &mut self.leading else { return };
-        let Some(loads) = leading.loads.due(now, &self.feed.roster) else { return };
+        let Some(loads) = leading.loads.next_message(now, &self.feed.roster) else { return };
         self.tell_all(&PeerMessage::Loads(loads.clone()), effects);
         self.feed.loads.set(loads, now);
         effects.push(Effect::FeedChanged);
@@ -146,19 +146,19 @@
         let Some(leading) = &mut self.leading else { return };
         if leading.quotas_version != version {
             leading.quotas_version = version;
-            effects.push(Effect::ReadQuotas { version, body: self.state.body().clone() });
+            effects.push(Effect::ParseQuotas { version, body: self.state.body().clone() });
         }
     }
 
     /// The quotas of a version were read.
-    pub fn quotas_read(&mut self, version: u64, quotas: Vec<TenantQuota>) {
+    pub fn set_quotas(&mut self, version: u64, quotas: Vec<TenantQuota>) {
         if let Some(leading) = self.leading.as_mut().filter(|leading| leading.quotas_version == version) {
             leading.quotas = Some(quotas);
         }
     }
 
     /// The platform's list was read; the reading began at `read_at`.
-    pub fn list_read(
+    pub fn handle_list(
         &mut self,
         now: u64,
         read_at: u64,
@@ -169,7 +169,7 @@
             return;
         }
         let term = self.replica.term();
-        let update = roster::difference(&self.feed.roster, term, servers, now);
+        let update = roster::list_difference(&self.feed.roster, term, servers, now);
         if !self.take_update(now, update.as_ref(), effects) {
             return;
         }
@@ -180,7 +180,7 @@
 
     /// A page of the list was read, and others follow. A server that drains is told of at once: the whole of a long list
     /// takes seconds.
-    pub fn list_page_read(&mut self, now: u64, page: &[ServerEntry], effects: &mut Vec<Effect>) {
+    pub fn handle_list_page(&mut self, now: u64, page: &[ServerEntry], effects: &mut Vec<Effect>) {
         if !self.holds_lease(now) {
             return;
         }
@@ -204,11 +204,11 @@
 
     fn tell_roster(&mut self, age_ms: u64, update: Option<RosterUpdate>, effects: &mut Vec<Effect>) {
         let offset = self.feed.roster.offset().unwrap_or_default();
-        self.tell_all(&PeerMessage::Roster(RosterNews { offset, age_ms, update }), effects);
+        self.tell_all(&PeerMessage::Roster(RosterAnnouncement { offset, age_ms, update }), effects);
     }
 
     /// The list can't be read here: another member is asked to read it, one at a time.
-    pub fn delegate_reading(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    pub fn delegate_list_read(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let others: Vec<Member> = self.others().cloned().collect();
         let held = self.holds_lease(now);
         let Some(leading) = self.leading.as_mut().filter(|_| held && !others.is_empty()) else { return };
@@ -219,17 +219,23 @@
         let request = leading.delegations;
         let to = &others[request as usize % others.len()];
         leading.delegation = Some(Delegation { request, to: to.id, asked_at: now });
-        self.send(to, PeerMessage::ReadList(request), effects);
+        self.send(to, PeerMessage::ListRequest(request), effects);
     }
 
     /// A member has read the list for this leader.
-    pub(super) fn delegated(&mut self, now: u64, from: ReplicaId, read: ListRead, effects: &mut Vec<Effect>) {
+    pub(super) fn delegated(
+        &mut self,
+        now: u64,
+        from: ReplicaId,
+        read: ListResponse,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(leading) = &mut self.leading else { return };
         let asked = leading.delegation.filter(|asked| asked.request == read.request && asked.to == from);
         let Some(asked) = asked else { return };
         leading.delegation = None;
         if let Some(servers) = read.servers.filter(|_| now < asked.asked_at + DELEGATION) {
-            self.list_read(now, asked.asked_at, servers, effects);
+            self.handle_list(now, asked.asked_at, servers, effects);
         }
     }
 
@@ -238,7 +244,7 @@
         &mut self,
         now: u64,
         from: ReplicaId,
-        news: RosterNews,
+        news: RosterAnnouncement,
         effects: &mut Vec<Effect>,
     ) {
         if !self.is_leader(from) {
@@ -254,7 +260,7 @@
         if held == news.offset {
             self.roster_is(news.age_ms, now);
         } else if let Some(leader) = self.replica.leader() {
-            self.send(leader, PeerMessage::RosterWanted(held), effects);
+            self.send(leader, PeerMessage::RosterRequest(held), effects);
         }
     }
 
@@ -273,7 +279,7 @@
         };
         let update = roster.since(held, now).or_else(|| roster.whole(now));
         let age_ms = self.feed.freshness.roster_age_ms(now);
-        self.send(member, PeerMessage::Roster(RosterNews { offset, age_ms, update }), effects);
+        self.send(member, PeerMessage::Roster(RosterAnnouncement { offset, age_ms, update }), effects);
     }
 
     /// The roster held shows the platform's list as it was `age_ms` ago.
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -3,9 +3,9 @@
 //! It owns the replica, the replicated state and what is fed to agents. It takes in messages, orders, reports and
 //! results with the time, and appends [`Effect`]s. It opens no socket or file and reads no clock.
 
-mod deciding;
 mod group;
-mod leading;
+mod leader;
+mod proposals;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -17,12 +17,12 @@
 use dunelink_replication::{Input, Member, Record, Recovered, Replica, ReplicaId, Settings};
 use slog::{Logger, info};
 
-use crate::message::{Envelope, ListRead, PeerMessage};
-use crate::orders::{CallId, Orders, Reply};
-use crate::reports::Collected;
-use crate::state::{ConfigurationState, Digest, Verdict};
+use crate::change_queue::{CallId, ChangeQueue, Reply};
+use crate::message::{Envelope, ListResponse, PeerMessage};
+use crate::reports::ReportBuffer;
+use crate::state::{ApplyOutcome, ConfigurationState, Digest};
 use group::Proof;
-use leading::Leading;
+use leader::Leading;
 
 /// Microseconds in a millisecond.
 const MILLISECOND: u64 = 1_000;
@@ -54,8 +54,8 @@
         /// The answer.
         reply: Reply,
     },
-    /// Read the quotas of a configuration, for [`Node::quotas_read`].
-    ReadQuotas {
+    /// Read the quotas of a configuration, for [`Node::set_quotas`].
+    ParseQuotas {
         /// Its version.
         version: u64,
         /// The operator's JSON.
@@ -71,9 +71,9 @@
         update: GrantUpdate,
     },
     /// A question for all agents connected here.
-    AskHistory(GrantUpdate),
+    RequestHistory(GrantUpdate),
     /// The lease was won or lost.
-    LeadershipChanged,
+    LeaseChanged,
     /// Read the platform's list once, for the leader at an address.
     ReadList {
         /// Number of the request.
@@ -81,7 +81,7 @@
         /// Who gets the list.
         to: Member,
     },
-    /// This identity is gone: wipe the store and call [`Node::begin_again`].
+    /// This identity is gone: wipe the store and call [`Node::rejoin_as`].
     Rejoin,
 }
 
@@ -105,10 +105,10 @@
     replica: Replica,
     state: ConfigurationState,
     /// Outcomes of commands applied and not yet answered.
-    verdicts: HashMap<Digest, Verdict>,
-    orders: Orders,
+    verdicts: HashMap<Digest, ApplyOutcome>,
+    changes: ChangeQueue,
     feed: FeedState,
-    collected: Collected,
+    collected: ReportBuffer,
     leading: Option<Leading>,
     /// Control addresses of machines that may know the group.
     known: BTreeSet<SocketAddr>,
@@ -139,9 +139,9 @@
             replica,
             state: ConfigurationState::default(),
             verdicts: HashMap::new(),
-            orders: Orders::default(),
+            changes: ChangeQueue::default(),
             feed: FeedState::default(),
-            collected: Collected::default(),
+            collected: ReportBuffer::default(),
             leading: None,
             known,
             zones: BTreeMap::new(),
@@ -152,9 +152,9 @@
     }
 
     /// Goes on under a new identity with an empty store. What was fed to agents stays: it was committed.
-    pub fn begin_again(&mut self, id: ReplicaId, seed: u64, now: u64, effects: &mut Vec<Effect>) {
-        for call in self.orders.give_up() {
-            effects.push(Effect::Reply { call, reply: deciding::UNCERTAIN });
+    pub fn rejoin_as(&mut self, id: ReplicaId, seed: u64, now: u64, effects: &mut Vec<Effect>) {
+        for call in self.changes.abandon_all() {
+            effects.push(Effect::Reply { call, reply: proposals::UNCERTAIN });
         }
         self.me.id = id;
         let settings = self.settings.replication.clone();
@@ -182,7 +182,7 @@
         &self.state
     }
 
-    /// What is fed to agents. Call [`Self::refresh`] before it is used.
+    /// What is fed to agents. Call [`Self::update_freshness`] before it is used.
     pub fn feed(&self) -> &FeedState {
         &self.feed
     }
@@ -203,7 +203,7 @@
     }
 
     /// A write is durable, and all before it.
-    pub fn written(&mut self, now: u64, sequence: u64, effects: &mut Vec<Effect>) {
+    pub fn write_completed(&mut self, now: u64, sequence: u64, effects: &mut Vec<Effect>) {
         self.input(now, Input::Written { sequence }, effects);
     }
 
@@ -213,14 +213,14 @@
     }
 
     /// The process is about to end: the leadership goes to another member.
-    pub fn hand_over(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    pub fn transfer_leadership(&mut self, now: u64, effects: &mut Vec<Effect>) {
         self.ending = true;
         self.input(now, Input::HandOver, effects);
     }
 
     /// Whether a process that is about to end has nothing left to wait for.
-    pub fn may_end(&self) -> bool {
-        !self.replica.is_leader() && !self.replica.awaits_replacement() && self.orders.is_empty()
+    pub fn can_shut_down(&self) -> bool {
+        !self.replica.is_leader() && !self.replica.awaits_replacement() && self.changes.is_empty()
     }
 
     /// The settings file names other seeds.
@@ -230,7 +230,7 @@
     }
 
     /// A message of another control machine.
-    pub fn received(&mut self, now: u64, envelope: Envelope, effects: &mut Vec<Effect>) {
+    pub fn handle_message(&mut self, now: u64, envelope: Envelope, effects: &mut Vec<Effect>) {
         let Envelope { from, to, message } = envelope;
         if to.is_some_and(|to| to != self.me.id) {
             return;
@@ -241,13 +241,13 @@
             PeerMessage::Members(known) => self.members_told(known),
             PeerMessage::Reports(reports) => self.reported(now, from, reports),
             PeerMessage::Grants(grants) => self.granted(from, grants, effects),
-            PeerMessage::AskHistory(question) => {
+            PeerMessage::HistoryRequest(question) => {
                 if self.is_leader(from) {
-                    effects.push(Effect::AskHistory(question));
+                    effects.push(Effect::RequestHistory(question));
                 }
             }
             PeerMessage::Roster(news) => self.roster_told(now, from, news, effects),
-            PeerMessage::RosterWanted(offset) => self.roster_wanted(now, from, offset, effects),
+            PeerMessage::RosterRequest(offset) => self.roster_wanted(now, from, offset, effects),
             PeerMessage::Suspicions(suspicions) => {
                 if self.is_leader(from) {
                     self.feed.suspicions.set(suspicions, now);
@@ -260,17 +260,17 @@
                     effects.push(Effect::FeedChanged);
                 }
             }
-            PeerMessage::ReadList(request) => {
+            PeerMessage::ListRequest(request) => {
                 if let Some(leader) = self.replica.leader().filter(|leader| leader.id == from) {
                     effects.push(Effect::ReadList { request, to: leader.clone() });
                 }
             }
-            PeerMessage::ListRead(read) => self.delegated(now, from, read, effects),
+            PeerMessage::ListResponse(read) => self.delegated(now, from, read, effects),
         }
     }
 
     /// Sends what is due regularly; called a few times a second.
-    pub fn beat(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    pub fn send_periodic(&mut self, now: u64, effects: &mut Vec<Effect>) {
         self.ask_to_join(now, effects);
         self.pass_reports(now, effects);
         if self.holds_lease(now) {
@@ -281,7 +281,13 @@
     }
 
     /// An agent reports what its proxy wants and has seen. What answers a new leader doesn't wait for a beat.
-    pub fn agent_reported(&mut self, now: u64, node: &str, report: ProxyReport, effects: &mut Vec<Effect>) {
+    pub fn handle_agent_report(
+        &mut self,
+        now: u64,
+        node: &str,
+        report: ProxyReport,
+        effects: &mut Vec<Effect>,
+    ) {
         let is_answer = report.demand.has_history;
         self.collected.add(node, report);
         if is_answer {
@@ -308,7 +314,7 @@
     }
 
     /// Brings the signs of freshness in what is fed up to date.
-    pub fn refresh(&mut self, now: u64) {
+    pub fn update_freshness(&mut self, now: u64) {
         let confirmed_age_ms = if self.holds_lease(now) {
             0
         } else {
@@ -332,13 +338,13 @@
     }
 
     /// The list that the leader asked for, or that it could not be read.
-    pub fn answer_reading(
+    pub fn answer_list_request(
         &self,
         to: &Member,
         request: u64,
         servers: Option<Vec<ServerEntry>>,
         effects: &mut Vec<Effect>,
     ) {
-        self.send(to, PeerMessage::ListRead(ListRead { request, servers }), effects);
+        self.send(to, PeerMessage::ListResponse(ListResponse { request, servers }), effects);
     }
 }
--- a/crates/control/src/node/deciding.rs
+++ b/crates/control/src/node/proposals.rs
@@ -3,9 +3,9 @@
 use dunelink_replication::{Input, Refusal, encode};
 
 use super::{Effect, LEADER_HEARD, Node};
-use crate::checking::CheckedBody;
-use crate::orders::{CallId, Order, Reply};
-use crate::state::{Command, Digest, Verdict};
+use crate::change_queue::{CallId, ConfigurationChange, Reply};
+use crate::configuration_check::CheckedBody;
+use crate::state::{ApplyOutcome, Command, Digest};
 
 /// Too much is waiting to be decided.
 const OVERLOADED: Reply = Reply::Unavailable("too many orders are waiting: send it again later");
@@ -20,7 +20,7 @@
 
 impl Node {
     /// The operator replaces the configuration. The answer comes as [`Effect::Reply`].
-    pub fn replace(
+    pub fn replace_configuration(
         &mut self,
         now: u64,
         call: CallId,
@@ -35,12 +35,12 @@
     }
 
     /// The operator reads the configuration.
-    pub fn read(&self, now: u64) -> Reply {
+    pub fn read_configuration(&self, now: u64) -> Reply {
         if !self.holds_lease(now) {
             return self.elsewhere(now);
         }
         match self.state.version() {
-            0 => Reply::Nothing,
+            0 => Reply::NoConfiguration,
             _ => Reply::Configuration(self.state.body().clone()),
         }
     }
@@ -56,8 +56,8 @@
         let CheckedBody { body, check } = checked;
         let digest = base.map(|base| Digest::of(base, &body));
         // What was taken stays taken: any replica that has applied it may say so.
-        if digest.is_some_and(|digest| self.state.is_taken(&digest)) {
-            return Some(Reply::Taken);
+        if digest.is_some_and(|digest| self.state.was_applied(&digest)) {
+            return Some(Reply::Accepted);
         }
         if self.ending || !self.holds_lease(now) {
             return Some(self.elsewhere(now));
@@ -67,7 +67,7 @@
                 "header X-Dunelink-Base-Version is missing: name the base".to_owned(),
             ));
         };
-        if self.orders.attach(&digest, call) {
+        if self.changes.attach(&digest, call) {
             return None;
         }
         let version = match check {
@@ -75,13 +75,13 @@
             Some(Err(reason)) => return Some(Reply::Invalid(reason)),
             None => return Some(UNCHECKED),
         };
-        let order = Order { base, version, digest, body, calls: vec![call] };
-        if self.orders.push(order) { None } else { Some(OVERLOADED) }
+        let order = ConfigurationChange { base, version, digest, body, calls: vec![call] };
+        if self.changes.push(order) { None } else { Some(OVERLOADED) }
     }
 
     /// Decides orders until one has to wait for the log.
     pub(super) fn decide_next(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        while let Some(order) = self.orders.take_next() {
+        while let Some(order) = self.changes.take_next() {
             match self.judge(now, &order) {
                 Some(reply) => answer_all(order.calls, &reply, effects),
                 None => self.propose(now, order, effects),
@@ -90,10 +90,10 @@
     }
 
     /// The answer to an order that needs no entry in the log. Nothing is undecided when this is asked.
-    fn judge(&self, now: u64, order: &Order) -> Option<Reply> {
+    fn judge(&self, now: u64, order: &ConfigurationChange) -> Option<Reply> {
         let current = self.state.version();
-        if self.state.is_taken(&order.digest) {
-            return Some(Reply::Taken);
+        if self.state.was_applied(&order.digest) {
+            return Some(Reply::Accepted);
         }
         if self.ending || !self.holds_lease(now) {
             return Some(self.elsewhere(now));
@@ -109,9 +109,9 @@
         None
     }
 
-    fn propose(&mut self, now: u64, order: Order, effects: &mut Vec<Effect>) {
-        let Order { base, version, digest, body, calls } = order;
-        let ticket = self.orders.propose(digest, calls);
+    fn propose(&mut self, now: u64, order: ConfigurationChange, effects: &mut Vec<Effect>) {
+        let ConfigurationChange { base, version, digest, body, calls } = order;
+        let ticket = self.changes.begin_proposal(digest, calls);
         let command = encode(&Command::Replace { base, version, digest, body: body.to_vec() });
         self.input(now, Input::Propose { ticket, command }, effects);
     }
@@ -124,11 +124,11 @@
         result: Result<u64, Refusal>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some((digest, calls)) = self.orders.decided(ticket) else { return };
+        let Some((digest, calls)) = self.changes.finish_proposal(ticket) else { return };
         let verdict = self.verdicts.remove(&digest);
         let reply = match (result, verdict) {
-            (Ok(_), Some(Verdict::InForce | Verdict::AlreadyTaken)) => Reply::Taken,
-            (Ok(_), Some(Verdict::Conflict)) => Reply::Conflict { current: self.state.version() },
+            (Ok(_), Some(ApplyOutcome::Applied | ApplyOutcome::AlreadyApplied)) => Reply::Accepted,
+            (Ok(_), Some(ApplyOutcome::Conflict)) => Reply::Conflict { current: self.state.version() },
             (Ok(_), None) | (Err(Refusal::Uncertain), _) => UNCERTAIN,
             (Err(Refusal::NotLeader), _) => self.elsewhere(now),
             (Err(Refusal::Overloaded), _) => OVERLOADED,
@@ -140,7 +140,7 @@
     fn elsewhere(&self, now: u64) -> Reply {
         let heard = self.replica.leader_contact(now).is_some_and(|age| age < LEADER_HEARD);
         let leader = self.replica.leader().filter(|leader| heard && leader.id != self.me.id);
-        leader.map_or(LEADERLESS, |leader| Reply::Elsewhere(leader.control))
+        leader.map_or(LEADERLESS, |leader| Reply::Redirect(leader.control))
     }
 }
 
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator_api.rs
@@ -18,9 +18,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::checking::CheckedBody;
+use crate::change_queue::Reply;
+use crate::configuration_check::CheckedBody;
 use crate::engine::Engine;
-use crate::orders::Reply;
 use crate::status;
 
 /// Largest body accepted: a configuration of 4 MiB, with room to spare.
@@ -81,7 +81,9 @@
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/api/Config.Replace") => replace(request, engine, &path).await,
-        (&Method::GET, "/api/Config.Read") => reply(engine.look(|node, now| node.read(now)), &path),
+        (&Method::GET, "/api/Config.Read") => {
+            reply(engine.inspect(|node, now| node.read_configuration(now)), &path)
+        }
         (&Method::GET, "/api/ready") => ready(engine),
         (&Method::GET, "/api/status") => with_body(StatusCode::OK, JSON, status::page(engine).into()),
         (&Method::GET, "/api/history") => with_body(StatusCode::OK, JSON, status::history(engine).into()),
@@ -101,11 +103,13 @@
         Err(refusal) => return *refusal,
     };
     let bytes = body.len();
-    let decides_here = engine.look(|node, now| node.holds_lease(now));
+    let decides_here = engine.inspect(|node, now| node.holds_lease(now));
     let checked =
-        if decides_here { CheckedBody::check_aside(body).await } else { CheckedBody::unchecked(body) };
+        if decides_here { CheckedBody::check_off_thread(body).await } else { CheckedBody::unchecked(body) };
     let outcome = engine
-        .call(ORDER_PATIENCE, |node, now, call, effects| node.replace(now, call, base, checked, effects))
+        .call(ORDER_PATIENCE, |node, now, call, effects| {
+            node.replace_configuration(now, call, base, checked, effects)
+        })
         .await;
     let outcome = outcome.unwrap_or(Reply::Unavailable("no outcome in time: send it again"));
     info!(engine.log(), "order"; "base" => base.unwrap_or_default(), "bytes" => bytes, "outcome" => name(&outcome));
@@ -126,31 +130,31 @@
 
 fn reply(reply: Reply, path: &str) -> Answer {
     match reply {
-        Reply::Taken => with_body(StatusCode::OK, JSON, Bytes::from_static(b"{}")),
+        Reply::Accepted => with_body(StatusCode::OK, JSON, Bytes::from_static(b"{}")),
         Reply::Conflict { current } => {
             plain(StatusCode::PRECONDITION_FAILED, format!("version {current} is current: build on that\n"))
         }
         Reply::Invalid(reason) => plain(StatusCode::BAD_REQUEST, format!("{reason}\n")),
-        Reply::Elsewhere(leader) => redirect(leader, path),
+        Reply::Redirect(leader) => redirect(leader, path),
         Reply::Unavailable(reason) => unavailable(&format!("{reason}\n")),
         Reply::Configuration(body) => with_body(StatusCode::OK, JSON, body),
-        Reply::Nothing => plain(StatusCode::NOT_FOUND, "there is no configuration yet\n"),
+        Reply::NoConfiguration => plain(StatusCode::NOT_FOUND, "there is no configuration yet\n"),
     }
 }
 
 fn name(reply: &Reply) -> &'static str {
     match reply {
-        Reply::Taken => "taken",
+        Reply::Accepted => "taken",
         Reply::Conflict { .. } => "conflict",
         Reply::Invalid(_) => "invalid",
-        Reply::Elsewhere(_) => "elsewhere",
+        Reply::Redirect(_) => "elsewhere",
         Reply::Unavailable(_) => "unavailable",
-        Reply::Configuration(_) | Reply::Nothing => "read",
+        Reply::Configuration(_) | Reply::NoConfiguration => "read",
     }
 }
 
 fn ready(engine: &Engine) -> Answer {
-    if engine.look(|node, now| node.is_ready(now)) {
+    if engine.inspect(|node, now| node.is_ready(now)) {
         return plain(StatusCode::OK, "ready\n");
     }
     unavailable("no leader is heard\n")
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -23,13 +23,13 @@
 use tokio::time::{sleep, timeout};
 
 use crate::arguments::{self, Command, HELP};
-use crate::disk::{self, DiskEvent, DiskOrder, Opened};
+use crate::disk::{self, DiskCommand, DiskEvent, OpenedStore};
 use crate::engine::{Engine, seed};
-use crate::identity::{founding_id, fresh_id, internal_address};
+use crate::identity::{founding_id, internal_address, random_id};
 use crate::node::{Node, NodeSettings};
 use crate::peer_links::PeerLinks;
-use crate::start::{Start, replication_settings};
-use crate::{feed_server, operator, reader};
+use crate::start::{InitialState, replication_settings};
+use crate::{feed_server, list_reader, operator_api};
 
 /// Exit code when the arguments or the settings are wrong.
 const WRONG_SETTINGS: u8 = 2;
@@ -151,22 +151,22 @@
     let engine = Engine::new(clock, log.clone(), node, orders, links);
     spawn_local(engine.clone().run_disk(events));
     spawn_local(engine.clone().run_deadlines());
-    spawn_local(engine.clone().run_beats());
+    spawn_local(engine.clone().run_periodic_sends());
     spawn_local(feed_server::serve(bind(internal, log).await, engine.clone()));
-    spawn_local(operator::serve(bind(control, log).await, engine.clone()));
+    spawn_local(operator_api::serve(bind(control, log).await, engine.clone()));
     if let Some(api) = &boot.cloud_api {
-        spawn_local(reader::run(api.clone(), engine.clone()));
-        spawn_local(reader::run_for_leader(api.clone(), engine.clone()));
+        spawn_local(list_reader::run(api.clone(), engine.clone()));
+        spawn_local(list_reader::serve_leader_requests(api.clone(), engine.clone()));
     }
     Ok(engine)
 }
 
 /// Waits until the store is open. A disk in trouble delays the start and does not end it.
-async fn opened(events: &mut UnboundedReceiver<DiskEvent>, log: &Logger) -> anyhow::Result<Opened> {
+async fn opened(events: &mut UnboundedReceiver<DiskEvent>, log: &Logger) -> anyhow::Result<OpenedStore> {
     loop {
         match events.recv().await {
             Some(DiskEvent::Opened(opened)) => return Ok(opened),
-            Some(DiskEvent::Trouble(reason)) => {
+            Some(DiskEvent::HealthChanged(reason)) => {
                 warn!(log, "the store can't be opened yet"; "reason" => reason)
             }
             Some(_) => {}
@@ -176,23 +176,29 @@
 }
 
 /// Decides who this replica is, and tells the disk thread whose the store is.
-fn identify(boot: &Boot, me: Member, opened: Opened, orders: &Sender<DiskOrder>, log: &Logger) -> Start {
+fn identify(
+    boot: &Boot,
+    me: Member,
+    opened: OpenedStore,
+    orders: &Sender<DiskCommand>,
+    log: &Logger,
+) -> InitialState {
     for note in &opened.notes {
         warn!(log, "the store was put right"; "note" => note);
     }
     let damaged = opened.damaged;
-    let start = Start::of(boot.bootstrap, &boot.seeds, me, opened, fresh_id);
+    let start = InitialState::determine(boot.bootstrap, &boot.seeds, me, opened, random_id);
     if let Some(state) = start.recovered.hard_state {
         info!(log, "going on"; "id" => %start.me.id, "term" => state.term);
     } else {
         let founds = start.founding.is_some();
         info!(log, "starting empty"; "id" => %start.me.id, "founds" => founds, "damaged" => damaged);
     }
-    order(orders, start.order.clone());
+    order(orders, start.disk_command.clone());
     start
 }
 
-fn order(orders: &Sender<DiskOrder>, order: DiskOrder) {
+fn order(orders: &Sender<DiskCommand>, order: DiskCommand) {
     // The thread ends only with the program.
     let _ = orders.send(order);
 }
@@ -259,7 +265,7 @@
         match Boot::load() {
             Ok(boot) if boot.seeds != seeds => {
                 info!(engine.log(), "other seeds"; "seeds" => format!("{:?}", boot.seeds));
-                engine.act(|node, _, _| node.set_seeds(&boot.seeds));
+                engine.update(|node, _, _| node.set_seeds(&boot.seeds));
                 seeds = boot.seeds;
             }
             Ok(_) => {}
@@ -276,9 +282,9 @@
 /// Hands the leadership over and lets answers under way leave.
 async fn end(engine: &Engine) {
     info!(engine.log(), "ending");
-    engine.act(|node, now, effects| node.hand_over(now, effects));
+    engine.update(|node, now, effects| node.transfer_leadership(now, effects));
     let handed_over = async {
-        while !engine.look(|node, _| node.may_end()) {
+        while !engine.inspect(|node, _| node.can_shut_down()) {
             sleep(Duration::from_millis(20)).await;
         }
         sleep(LAST_ANSWERS).await;
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -23,11 +23,11 @@
 
 /// Reports of the agents at this machine that the leader has not been told yet.
 #[derive(Debug, Default)]
-pub struct Collected {
+pub struct ReportBuffer {
     nodes: BTreeMap<String, NodeReport>,
 }
 
-impl Collected {
+impl ReportBuffer {
     /// Adds a node's report: its newest demand counts, its outcomes are summed up.
     pub fn add(&mut self, node: &str, report: ProxyReport) {
         if self.nodes.len() >= MAX_NODES && !self.nodes.contains_key(node) {
@@ -62,7 +62,7 @@
 
 /// Outcomes of the last seconds by server and node; at the leader.
 #[derive(Debug, Default)]
-pub struct Pool {
+pub struct OutcomePool {
     servers: BTreeMap<String, BTreeMap<String, VecDeque<Sample>>>,
     told: Vec<ServerSuspicion>,
     told_at: u64,
@@ -75,7 +75,7 @@
     failed: u32,
 }
 
-impl Pool {
+impl OutcomePool {
     /// Adds what a node saw, received at `now`.
     pub fn add(&mut self, now: u64, node: &str, observations: Vec<ServerObservation>) {
         for ServerObservation { server, served, failed } in observations {
@@ -86,7 +86,7 @@
 
     /// The servers that several nodes find failing, if they are others than last time or were told a while ago: those
     /// that hear of them forget them when they aren't repeated.
-    pub fn changed(&mut self, now: u64) -> Option<Vec<ServerSuspicion>> {
+    pub fn changed_suspicions(&mut self, now: u64) -> Option<Vec<ServerSuspicion>> {
         self.forget(now.saturating_sub(WINDOW));
         let suspicions: Vec<_> =
             self.servers.iter().filter_map(|(server, nodes)| suspicion(server, nodes)).collect();
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -11,7 +11,12 @@
 
 /// What has to be applied to `roster` for it to show the list read by the leader of `epoch` at `now`; nothing if it
 /// does already.
-pub fn difference(roster: &Roster, epoch: u64, list: Vec<ServerEntry>, now: u64) -> Option<RosterUpdate> {
+pub fn list_difference(
+    roster: &Roster,
+    epoch: u64,
+    list: Vec<ServerEntry>,
+    now: u64,
+) -> Option<RosterUpdate> {
     let Some(base) = roster.offset() else {
         return Some(RosterUpdate {
             base: None,
--- a/crates/control/src/start.rs
+++ b/crates/control/src/start.rs
@@ -4,8 +4,8 @@
 
 use dunelink_replication::{HardState, Member, Recovered, ReplicaId, Settings};
 
-use crate::disk::{DiskOrder, Opened, Translator};
-use crate::identity::{founders, founding_id};
+use crate::disk::{DiskCommand, OpenedStore, RecordTranslator};
+use crate::identity::{founding_id, founding_members};
 
 /// Bounds of the time without a leader after which a replica stands for election, in microseconds. Machines of one
 /// deployment are milliseconds apart; a replica answers heartbeats whatever its disk does.
@@ -26,7 +26,7 @@
 
 /// Who a replica is, and what it goes on from.
 #[derive(Debug, Clone)]
-pub struct Start {
+pub struct InitialState {
     /// This replica.
     pub me: Member,
     /// The voters, if this start founds the group.
@@ -34,44 +34,44 @@
     /// What the disk held.
     pub recovered: Recovered,
     /// The first order for the disk thread: whose the store is.
-    pub order: DiskOrder,
+    pub disk_command: DiskCommand,
 }
 
-impl Start {
+impl InitialState {
     /// Whoever the store says, a founder, or someone new, whose identity `fresh` makes. `me` has the identity of a
     /// founder.
-    pub fn of(
+    pub fn determine(
         bootstrap: bool,
         seeds: &[SocketAddr],
         mut me: Member,
-        opened: Opened,
+        opened: OpenedStore,
         fresh: impl FnOnce(SocketAddr) -> ReplicaId,
     ) -> Self {
-        if let Some(identity) = opened.identity.filter(|_| !opened.damaged) {
+        if let Some(identity) = opened.metadata.filter(|_| !opened.damaged) {
             me.id = identity.id;
             if me.id == founding_id(me.control) {
                 me.zone = String::new();
             }
-            let translator = Translator::of_store(identity, &opened.recovered);
-            let order = DiskOrder::Begin { generation: FIRST_GENERATION, translator };
-            return Self { me, founding: None, recovered: opened.recovered, order };
+            let translator = RecordTranslator::for_store(identity, &opened.recovered);
+            let disk_command = DiskCommand::Adopt { generation: FIRST_GENERATION, translator };
+            return Self { me, founding: None, recovered: opened.recovered, disk_command };
         }
-        let founding = founders(bootstrap, seeds, &me).filter(|_| !opened.damaged);
+        let founding = founding_members(bootstrap, seeds, &me).filter(|_| !opened.damaged);
         if founding.is_some() {
             // Zones of others are not known, and the founding list has to be the same on all.
             me.zone = String::new();
         } else {
             me.id = fresh(me.control);
         }
-        let order = begin_empty(me.id, opened.damaged);
-        Self { me, founding, recovered: Recovered::default(), order }
+        let disk_command = begin_empty(me.id, opened.damaged);
+        Self { me, founding, recovered: Recovered::default(), disk_command }
     }
 }
 
-fn begin_empty(id: ReplicaId, damaged: bool) -> DiskOrder {
+fn begin_empty(id: ReplicaId, damaged: bool) -> DiskCommand {
     if damaged {
-        return DiskOrder::Wipe { generation: FIRST_GENERATION, id };
+        return DiskCommand::Wipe { generation: FIRST_GENERATION, id };
     }
-    let translator = Translator::new(id, HardState::default(), 0, false);
-    DiskOrder::Begin { generation: FIRST_GENERATION, translator }
+    let translator = RecordTranslator::new(id, HardState::default(), 0, false);
+    DiskCommand::Adopt { generation: FIRST_GENERATION, translator }
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -9,9 +9,9 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 /// Digests of taken configurations that are kept; the oldest goes first.
-pub const KEPT_DIGESTS: usize = 4_096;
+pub const MAX_DIGESTS: usize = 4_096;
 /// Versions whose taking is remembered for [`ConfigurationState::history`]; the oldest goes first.
-pub const KEPT_VERSIONS: usize = 256;
+pub const MAX_HISTORY_VERSIONS: usize = 256;
 
 /// Identifies an order of the operator: what it builds on and its body, byte for byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode)]
@@ -56,18 +56,18 @@
 
 /// What a command came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ApplyOutcome {
     /// It is in force.
-    InForce,
+    Applied,
     /// It had been taken before; nothing changes.
-    AlreadyTaken,
+    AlreadyApplied,
     /// It builds on a version that is not the current one, or its own is not above it; nothing changes.
     Conflict,
 }
 
 /// A version that was put in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct TakenVersion {
+pub struct AppliedVersion {
     /// The version.
     #[n(0)]
     pub version: u64,
@@ -91,7 +91,7 @@
     body: Bytes,
     order: VecDeque<Digest>,
     taken: HashSet<Digest>,
-    history: VecDeque<TakenVersion>,
+    history: VecDeque<AppliedVersion>,
 }
 
 impl ConfigurationState {
@@ -106,12 +106,12 @@
     }
 
     /// Whether that very order was taken, as far back as digests are kept.
-    pub fn is_taken(&self, digest: &Digest) -> bool {
+    pub fn was_applied(&self, digest: &Digest) -> bool {
         self.taken.contains(digest)
     }
 
-    /// The newest versions that were put in force, oldest first; at most [`KEPT_VERSIONS`].
-    pub fn history(&self) -> impl ExactSizeIterator<Item = &TakenVersion> {
+    /// The newest versions that were put in force, oldest first; at most [`MAX_HISTORY_VERSIONS`].
+    pub fn history(&self) -> impl ExactSizeIterator<Item = &AppliedVersion> {
         self.history.iter()
     }
 
@@ -120,19 +120,19 @@
     /// # Errors
     ///
     /// The command can't be read; nothing changes.
-    pub fn apply(&mut self, command: &[u8]) -> Result<(Digest, Verdict), StateError> {
+    pub fn apply(&mut self, command: &[u8]) -> Result<(Digest, ApplyOutcome), StateError> {
         let Command::Replace { base, version, digest, body } = minicbor::decode(command)?;
-        if self.is_taken(&digest) {
-            return Ok((digest, Verdict::AlreadyTaken));
+        if self.was_applied(&digest) {
+            return Ok((digest, ApplyOutcome::AlreadyApplied));
         }
         if base != self.version || version <= self.version {
-            return Ok((digest, Verdict::Conflict));
+            return Ok((digest, ApplyOutcome::Conflict));
         }
         self.version = version;
         self.body = Bytes::from(body);
         self.remember(digest);
-        self.note_version(TakenVersion { version, base, bytes: self.body.len() as u64 });
-        Ok((digest, Verdict::InForce))
+        self.note_version(AppliedVersion { version, base, bytes: self.body.len() as u64 });
+        Ok((digest, ApplyOutcome::Applied))
     }
 
     /// The whole state as bytes.
@@ -165,9 +165,9 @@
         })
     }
 
-    fn note_version(&mut self, taken: TakenVersion) {
+    fn note_version(&mut self, taken: AppliedVersion) {
         self.history.push_back(taken);
-        if self.history.len() > KEPT_VERSIONS {
+        if self.history.len() > MAX_HISTORY_VERSIONS {
             self.history.pop_front();
         }
     }
@@ -175,7 +175,7 @@
     fn remember(&mut self, digest: Digest) {
         self.order.push_back(digest);
         self.taken.insert(digest);
-        if self.order.len() > KEPT_DIGESTS {
+        if self.order.len() > MAX_DIGESTS {
             let oldest = self.order.pop_front();
             oldest.map(|digest| self.taken.remove(&digest));
         }
@@ -194,5 +194,5 @@
     taken: Vec<Digest>,
     /// Left out by releases that did not keep it.
     #[n(3)]
-    history: Option<Vec<TakenVersion>>,
+    history: Option<Vec<AppliedVersion>>,
 }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -12,18 +12,18 @@
 /// The status of this machine, as JSON.
 pub fn page(engine: &Engine) -> Vec<u8> {
     let readers: Vec<Value> = engine
-        .readers()
+        .connected_agents()
         .into_iter()
         .map(|(node, (version, epoch, sequence))| {
             json!({"node": node, "version": version, "rosterEpoch": epoch, "rosterSequence": sequence})
         })
         .collect();
     let absent: Vec<Value> = engine
-        .absent_readers()
+        .disconnected_agents()
         .into_iter()
         .map(|(node, since)| json!({"node": node, "sinceMs": since / MILLISECOND}))
         .collect();
-    let page = engine.look(|node, now| {
+    let page = engine.inspect(|node, now| {
         json!({
             "groups": [group(node, now, engine.disk_bytes())],
             "configuration": configuration(node),
@@ -38,7 +38,7 @@
 
 /// The versions that were put in force, oldest first, as JSON. No content of a configuration is shown.
 pub fn history(engine: &Engine) -> Vec<u8> {
-    let versions: Vec<Value> = engine.look(|node, _| {
+    let versions: Vec<Value> = engine.inspect(|node, _| {
         let taken = node.state().history();
         taken
             .map(|taken| json!({"version": taken.version, "base": taken.base, "bytes": taken.bytes}))
--- a/crates/control/tests/agent_sessions.rs
+++ b/crates/control/tests/agent_sessions.rs
@@ -1,7 +1,7 @@
 //! What an agent is sent, and in which order.
 
 use bytes::Bytes;
-use dunelink_control::feed_session::{FeedSession, TICK_PERIOD};
+use dunelink_control::feed_session::{FeedSession, TICK_PERIOD_US};
 use dunelink_feed::{Configuration, FeedState};
 use dunelink_protocol::{ControlMember, FeedMessage, GrantUpdate, RosterOffset, Subscribe};
 
@@ -17,7 +17,7 @@
 
 /// All messages that are due at `now`.
 fn drain(session: &mut FeedSession, state: &FeedState, now: u64) -> Vec<FeedMessage> {
-    std::iter::from_fn(|| session.next(state, now)).collect()
+    std::iter::from_fn(|| session.next_message(state, now)).collect()
 }
 
 fn chunks(messages: &[FeedMessage]) -> Vec<(u64, u64)> {
@@ -47,9 +47,12 @@
     let state = FeedState { configuration: Some(configuration(3, 1 << 20)), ..FeedState::default() };
     let mut session = empty_handed();
     drain(&mut session, &FeedState::default(), START);
-    assert!(matches!(session.next(&state, START + 1), Some(FeedMessage::Configuration(_))));
-    assert!(matches!(session.next(&state, START + TICK_PERIOD), Some(FeedMessage::Tick(_))));
-    assert!(matches!(session.next(&state, START + TICK_PERIOD + 1), Some(FeedMessage::Configuration(_))));
+    assert!(matches!(session.next_message(&state, START + 1), Some(FeedMessage::Configuration(_))));
+    assert!(matches!(session.next_message(&state, START + TICK_PERIOD_US), Some(FeedMessage::Tick(_))));
+    assert!(matches!(
+        session.next_message(&state, START + TICK_PERIOD_US + 1),
+        Some(FeedMessage::Configuration(_))
+    ));
 }
 
 #[test]
@@ -57,7 +60,7 @@
     let mut state = FeedState { configuration: Some(configuration(3, 1 << 20)), ..FeedState::default() };
     let mut session = empty_handed();
     drain(&mut session, &FeedState::default(), START);
-    let first = session.next(&state, START);
+    let first = session.next_message(&state, START);
     state.configuration = Some(configuration(4, 10));
     let rest = drain(&mut session, &state, START);
     assert_eq!(chunks(&first.into_iter().collect::<Vec<_>>()), [(3, 0)]);
@@ -70,8 +73,8 @@
     let mut session = empty_handed();
     drain(&mut session, &state, START);
     assert!(drain(&mut session, &state, START + 1).is_empty());
-    assert_eq!(session.due(), START + TICK_PERIOD);
-    let later = drain(&mut session, &state, START + TICK_PERIOD);
+    assert_eq!(session.next_tick_due(), START + TICK_PERIOD_US);
+    let later = drain(&mut session, &state, START + TICK_PERIOD_US);
     assert!(matches!(later[..], [FeedMessage::Tick(_)]));
 }
 
@@ -88,7 +91,7 @@
         held: Vec::new(),
         ..GrantUpdate::default()
     };
-    session.grant(grant(1));
-    session.grant(grant(2));
+    session.set_grants(grant(1));
+    session.set_grants(grant(2));
     assert_eq!(drain(&mut session, &state, START + 1), [FeedMessage::Grants(grant(2))]);
 }
--- a/crates/control/tests/cluster/calls.rs
+++ b/crates/control/tests/cluster/calls.rs
@@ -1,7 +1,7 @@
 //! Calls of operators, and what the machines answer.
 
-use dunelink_control::checking::CheckedBody;
-use dunelink_control::orders::{CallId, Reply};
+use dunelink_control::change_queue::{CallId, Reply};
+use dunelink_control::configuration_check::CheckedBody;
 
 use super::MILLISECOND;
 use super::machine::control;
@@ -54,7 +54,7 @@
         let Some((_, wish)) = self.calls.get(&call).cloned() else { return };
         match wish {
             Wish::Read => {
-                let mut reply = process.node.read(local);
+                let mut reply = process.node.read_configuration(local);
                 let version = process.node.state().version();
                 if self.mistake == Some(Mistake::ReadWithoutLease) && version > 0 {
                     reply = Reply::Configuration(process.node.state().body().clone());
@@ -67,10 +67,12 @@
                     return self.reply(at, call, Reply::Conflict { current });
                 }
                 if self.mistake == Some(Mistake::RetryAnsweredBlindly) && current >= version {
-                    return self.reply(at, call, Reply::Taken);
+                    return self.reply(at, call, Reply::Accepted);
                 }
                 let checked = CheckedBody::check(body);
-                self.act(at, |node, now, effects| node.replace(now, call, Some(base), checked, effects));
+                self.act(at, |node, now, effects| {
+                    node.replace_configuration(now, call, Some(base), checked, effects)
+                });
             }
         }
     }
@@ -79,7 +81,7 @@
     pub(crate) fn reply(&mut self, at: usize, call: CallId, reply: Reply) {
         let Some((operator, wish)) = self.calls.get(&call).cloned() else { return };
         match (&reply, key(&wish), &wish) {
-            (Reply::Taken, Some(key), Wish::Replace { version, .. }) => {
+            (Reply::Accepted, Some(key), Wish::Replace { version, .. }) => {
                 self.checks.success(self.now, &key, *version);
                 if let Some(power) = self.wipe_after_ack.take() {
                     self.after(0, Event::WipeAfterAck { at, power });
@@ -88,7 +90,7 @@
             (Reply::Conflict { current }, Some(key), _) => self.checks.refusal(&key, Some(*current)),
             (Reply::Invalid(_), Some(key), _) => self.checks.refusal(&key, None),
             (Reply::Configuration(body), _, _) => self.checks.read(self.now, version_of(body), body),
-            (Reply::Nothing, _, _) => self.checks.read(self.now, 0, &bytes::Bytes::new()),
+            (Reply::NoConfiguration, _, _) => self.checks.read(self.now, 0, &bytes::Bytes::new()),
             _ => {}
         }
         if self.random.u32(0..10) == 0 {
@@ -107,7 +109,7 @@
             let wait = self.random.u64(0..150 * MILLISECOND);
             return self.after(wait, Event::Operator(operator));
         }
-        if let Reply::Elsewhere(address) = reply
+        if let Reply::Redirect(address) = reply
             && let Some(at) = self.machines.iter().position(|machine| control(machine.number) == *address)
         {
             return self.send_call(operator, at);
--- a/crates/control/tests/cluster/carrying.rs
+++ b/crates/control/tests/cluster/carrying.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use dunelink_control::disk::{DiskEvent, DiskOrder};
+use dunelink_control::change_queue::{CallId, Reply};
+use dunelink_control::disk::{DiskCommand, DiskEvent};
 use dunelink_control::message::Envelope;
 use dunelink_control::node::Effect;
-use dunelink_control::orders::{CallId, Reply};
 use dunelink_control::state::Command;
 use dunelink_replication::{Payload, Record, ReplicaId};
 
@@ -57,10 +57,13 @@
             records.retain(|record| !matches!(record, Record::HardState(_)));
         }
         let Some(process) = &self.machines[at].process else { return };
-        process.orders.send(DiskOrder::Write { generation, sequence, records }).expect("the inbox is there");
+        process
+            .orders
+            .send(DiskCommand::Write { generation, sequence, records })
+            .expect("the inbox is there");
         self.run_disk(at);
         if self.mistake == Some(Mistake::CountedBeforeSync) {
-            self.act(at, |node, now, effects| node.written(now, sequence, effects));
+            self.act(at, |node, now, effects| node.write_completed(now, sequence, effects));
         }
     }
 
@@ -78,7 +81,7 @@
                     key(wish).is_some_and(|key| key.0 == base && key.1 == body)
                 };
                 let calls: Vec<CallId> = self.calls.iter().filter(waits).map(|(call, _)| *call).collect();
-                calls.into_iter().for_each(|call| self.reply(at, call, Reply::Taken));
+                calls.into_iter().for_each(|call| self.reply(at, call, Reply::Accepted));
             }
         }
     }
@@ -89,8 +92,8 @@
         let Some(process) = &mut self.machines[at].process else { return };
         process.generation += 1;
         let generation = process.generation;
-        process.orders.send(DiskOrder::Wipe { generation, id }).expect("the inbox is there");
-        self.act(at, |node, now, effects| node.begin_again(id, seed, now, effects));
+        process.orders.send(DiskCommand::Wipe { generation, id }).expect("the inbox is there");
+        self.act(at, |node, now, effects| node.rejoin_as(id, seed, now, effects));
         self.run_disk(at);
     }
 
@@ -114,11 +117,11 @@
         for event in told {
             match event {
                 DiskEvent::Written { generation, sequence, .. } if generation == current => {
-                    self.act(at, |node, now, effects| node.written(now, sequence, effects));
+                    self.act(at, |node, now, effects| node.write_completed(now, sequence, effects));
                 }
-                DiskEvent::Failed { generation, sequence } if generation == current => {
+                DiskEvent::WriteFailed { generation, sequence } if generation == current => {
                     if self.mistake == Some(Mistake::FailureCountedAsWritten) {
-                        self.act(at, |node, now, effects| node.written(now, sequence, effects));
+                        self.act(at, |node, now, effects| node.write_completed(now, sequence, effects));
                     } else {
                         self.act(at, |node, now, effects| node.write_failed(now, sequence, effects));
                     }
--- a/crates/control/tests/cluster/faults.rs
+++ b/crates/control/tests/cluster/faults.rs
@@ -175,7 +175,7 @@
         let Some(process) = &mut self.machines[at].process else { return };
         process.ending = true;
         let number = process.number;
-        self.act(at, |node, now, effects| node.hand_over(now, effects));
+        self.act(at, |node, now, effects| node.transfer_leadership(now, effects));
         self.after(100 * MILLISECOND, Event::End { at, process: number });
     }
 
--- a/crates/control/tests/cluster/machine.rs
+++ b/crates/control/tests/cluster/machine.rs
@@ -2,10 +2,10 @@
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use dunelink_control::disk::{After, DiskEvent, DiskOrder, DiskWorker, read_back};
+use dunelink_control::disk::{DiskCommand, DiskEvent, DiskWorker, NextStep, decode_recovered};
 use dunelink_control::identity::{founding_id, internal_address};
 use dunelink_control::node::{Node, NodeSettings};
-use dunelink_control::start::{Start, replication_settings};
+use dunelink_control::start::{InitialState, replication_settings};
 use dunelink_grants::QuotaBounds;
 use dunelink_replication::{Member, ReplicaId};
 use dunelink_storage::simulated::{Fate, Fault, SimulatedDisk};
@@ -36,11 +36,11 @@
 pub(crate) struct Process {
     pub(crate) node: Node,
     pub(crate) generation: u64,
-    pub(crate) orders: Sender<DiskOrder>,
-    inbox: Receiver<DiskOrder>,
+    pub(crate) orders: Sender<DiskCommand>,
+    inbox: Receiver<DiskCommand>,
     events: UnboundedReceiver<DiskEvent>,
     worker: DiskWorker<MachineDisk>,
-    next: Option<DiskOrder>,
+    next: Option<DiskCommand>,
     /// Whether a turn of the disk is under way.
     pub(crate) disk_busy: bool,
     /// Newest version that was fed.
@@ -117,10 +117,10 @@
             control,
             zone: format!("z{}", self.number),
         };
-        let opened = read_back(recovered);
+        let opened = decode_recovered(recovered);
         assert!(!opened.damaged, "machine {}: loss of power is no damage: {:?}", self.number, opened.notes);
         let fresh = ReplicaId(random.u64(..));
-        let start = Start::of(self.bootstrap, seeds, me, opened, |_| fresh);
+        let start = InitialState::determine(self.bootstrap, seeds, me, opened, |_| fresh);
         self.bootstrap = false;
         let mut replication = replication_settings(tolerated);
         replication.snapshot_every_entries = 12;
@@ -139,7 +139,7 @@
             self.local(now),
             log,
         );
-        orders.send(start.order).expect("the inbox is there");
+        orders.send(start.disk_command).expect("the inbox is there");
         self.process = Some(Process {
             node,
             generation: 1,
@@ -209,8 +209,8 @@
             && let Some(order) = self.next.take()
         {
             self.next = match self.worker.carry_out(order, &self.inbox) {
-                After::Idle => None,
-                After::Next(order) | After::Refused(order) => Some(order),
+                NextStep::Idle => None,
+                NextStep::Next(order) | NextStep::Retry(order) => Some(order),
             };
         }
         let mut told = Vec::new();
--- a/crates/control/tests/cluster/operator.rs
+++ b/crates/control/tests/cluster/operator.rs
@@ -1,7 +1,7 @@
 //! Operators who read and replace the configuration, and send an order again unchanged until the answer is clear.
 
 use bytes::Bytes;
-use dunelink_control::orders::{CallId, Reply};
+use dunelink_control::change_queue::{CallId, Reply};
 use fastrand::Rng;
 
 use super::checks::OrderKey;
@@ -44,11 +44,11 @@
     /// Takes an answer in; whether the call is over.
     pub(crate) fn answered(&mut self, reply: &Reply) -> bool {
         match (reply, &self.wish) {
-            (Reply::Taken, Some(Wish::Replace { version, .. })) => self.known = *version,
+            (Reply::Accepted, Some(Wish::Replace { version, .. })) => self.known = *version,
             (Reply::Conflict { current }, _) => self.known = *current,
             (Reply::Configuration(body), _) => self.known = version_of(body),
-            (Reply::Invalid(_) | Reply::Nothing | Reply::Taken, _) => {}
-            (Reply::Elsewhere(_) | Reply::Unavailable(_), _) => return false,
+            (Reply::Invalid(_) | Reply::NoConfiguration | Reply::Accepted, _) => {}
+            (Reply::Redirect(_) | Reply::Unavailable(_), _) => return false,
         }
         self.wish = None;
         true
--- a/crates/control/tests/cluster/world.rs
+++ b/crates/control/tests/cluster/world.rs
@@ -4,9 +4,9 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::net::SocketAddr;
 
+use dunelink_control::change_queue::{CallId, Reply};
 use dunelink_control::message::Envelope;
 use dunelink_control::node::{Effect, Node};
-use dunelink_control::orders::{CallId, Reply};
 use fastrand::Rng;
 
 use super::checks::Checks;
@@ -192,12 +192,12 @@
         }
         match event {
             Event::Message { to, envelope, .. } => {
-                self.act(to, |node, now, effects| node.received(now, *envelope, effects));
+                self.act(to, |node, now, effects| node.handle_message(now, *envelope, effects));
             }
             Event::Tick { at, .. } => self.act(at, |node, now, effects| node.tick(now, effects)),
             Event::Beat { at, process } => {
                 self.after(BEAT, Event::Beat { at, process });
-                self.act(at, |node, now, effects| node.beat(now, effects));
+                self.act(at, |node, now, effects| node.send_periodic(now, effects));
             }
             Event::Disk { at, .. } => self.disk(at),
             Event::Start(at) => self.start(at),
@@ -228,7 +228,7 @@
 
     fn end(&mut self, at: usize, process: u64) {
         let running = self.machines[at].process.as_ref().expect("it runs");
-        if running.ending && !running.node.may_end() {
+        if running.ending && !running.node.can_shut_down() {
             if let Some(running) = &mut self.machines[at].process {
                 running.ending = false;
             }
@@ -275,7 +275,7 @@
             let machine = &mut self.machines[at];
             let (local, frozen) = (machine.local(self.now), machine.frozen_until > self.now);
             let Some(process) = machine.process.as_mut().filter(|_| !frozen) else { continue };
-            process.node.refresh(local);
+            process.node.update_freshness(local);
             let feed = process.node.feed();
             let age = feed.freshness.confirmed_age_ms(local);
             let told = age.saturating_mul(1_020).saturating_add(FED_SLACK);
--- a/crates/control/tests/disk_thread.rs
+++ b/crates/control/tests/disk_thread.rs
@@ -1,7 +1,9 @@
 //! The disk thread: what the replica's records become in the store, and what is read back.
 
-use dunelink_control::disk::{DiskEvent, DiskOrder, Opened, Translator, read_back, start};
-use dunelink_control::identity::Identity;
+use dunelink_control::disk::{
+    DiskCommand, DiskEvent, OpenedStore, RecordTranslator, decode_recovered, start,
+};
+use dunelink_control::identity::StoreMetadata;
 use dunelink_replication::{Entry, HardState, Membership, Payload, Record, ReplicaId, Snapshot, encode};
 use dunelink_storage::{Limits, Operation, StoredEntry};
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -16,7 +18,7 @@
     Snapshot { index, term: 1, membership: Membership::default(), state: vec![1, 2, 3] }
 }
 
-fn translated(translator: &mut Translator, records: Vec<Record>) -> Vec<Operation> {
+fn translated(translator: &mut RecordTranslator, records: Vec<Record>) -> Vec<Operation> {
     let mut operations = Vec::new();
     translator.translate(records, &mut operations);
     operations
@@ -39,7 +41,7 @@
     }
 }
 
-fn opened(events: &mut UnboundedReceiver<DiskEvent>) -> Opened {
+fn opened(events: &mut UnboundedReceiver<DiskEvent>) -> OpenedStore {
     match events.blocking_recv() {
         Some(DiskEvent::Opened(opened)) => opened,
         other => panic!("the store does not open: {other:?}"),
@@ -51,25 +53,25 @@
     loop {
         match events.blocking_recv() {
             Some(DiskEvent::Written { sequence, .. }) => return (sequence, true),
-            Some(DiskEvent::Failed { sequence, .. }) => return (sequence, false),
+            Some(DiskEvent::WriteFailed { sequence, .. }) => return (sequence, false),
             Some(_) => {}
             None => panic!("the disk thread has ended"),
         }
     }
 }
 
-fn begin(id: ReplicaId) -> DiskOrder {
-    let translator = Translator::new(id, HardState::default(), 0, false);
-    DiskOrder::Begin { generation: 1, translator }
+fn begin(id: ReplicaId) -> DiskCommand {
+    let translator = RecordTranslator::new(id, HardState::default(), 0, false);
+    DiskCommand::Adopt { generation: 1, translator }
 }
 
-fn write(generation: u64, sequence: u64, records: Vec<Record>) -> DiskOrder {
-    DiskOrder::Write { generation, sequence, records }
+fn write(generation: u64, sequence: u64, records: Vec<Record>) -> DiskCommand {
+    DiskCommand::Write { generation, sequence, records }
 }
 
 #[test]
 fn the_identity_is_on_the_disk_with_the_first_write() {
-    let mut translator = Translator::new(ID, HardState::default(), 0, false);
+    let mut translator = RecordTranslator::new(ID, HardState::default(), 0, false);
     let operations = translated(&mut translator, vec![Record::Append(entry(1, 1))]);
     assert!(matches!(operations[..], [Operation::Metadata(_), Operation::Append { index: 1, .. }]));
     let operations = translated(&mut translator, vec![Record::Append(entry(2, 1))]);
@@ -78,14 +80,14 @@
 
 #[test]
 fn an_entry_at_a_stored_index_replaces_the_later_ones() {
-    let mut translator = Translator::new(ID, HardState::default(), 5, true);
+    let mut translator = RecordTranslator::new(ID, HardState::default(), 5, true);
     let operations = translated(&mut translator, vec![Record::Append(entry(4, 2))]);
     assert!(matches!(operations[..], [Operation::Truncate { from: 4 }, Operation::Append { index: 4, .. }]));
 }
 
 #[test]
 fn a_truncation_spares_what_was_released() {
-    let mut translator = Translator::new(ID, HardState::default(), 5, true);
+    let mut translator = RecordTranslator::new(ID, HardState::default(), 5, true);
     translated(&mut translator, vec![Record::Snapshot(snapshot(3))]);
     let operations = translated(&mut translator, vec![Record::Truncate { from: 0 }]);
     assert_eq!(operations, [Operation::Truncate { from: 4 }]);
@@ -94,7 +96,7 @@
 
 #[test]
 fn a_founding_snapshot_releases_nothing() {
-    let mut translator = Translator::new(ID, HardState::default(), 0, true);
+    let mut translator = RecordTranslator::new(ID, HardState::default(), 0, true);
     let operations = translated(&mut translator, vec![Record::Snapshot(snapshot(0))]);
     assert!(matches!(operations[..], [Operation::Snapshot { index: 0, .. }]));
 }
@@ -103,7 +105,7 @@
 fn what_was_written_is_read_back() {
     let folder = Folder::new("back");
     let (orders, mut events) = start(&folder.0, Limits::default()).expect("the thread starts");
-    assert!(opened(&mut events).identity.is_none());
+    assert!(opened(&mut events).metadata.is_none());
     let hard_state = HardState { term: 4, vote: Some(ID) };
     let records = vec![
         Record::Snapshot(snapshot(0)),
@@ -119,7 +121,7 @@
 
     let (_orders, mut events) = start(&folder.0, Limits::default()).expect("the thread starts");
     let found = opened(&mut events);
-    assert_eq!(found.identity, Some(Identity { id: ID, hard_state }));
+    assert_eq!(found.metadata, Some(StoreMetadata { id: ID, hard_state }));
     assert_eq!(found.recovered.entries, [entry(1, 3), entry(2, 4)]);
     assert_eq!(found.recovered.snapshot, Some(snapshot(0)));
     assert!(!found.damaged);
@@ -133,7 +135,7 @@
     orders.send(begin(ID)).expect("the thread runs");
     orders.send(write(1, 1, vec![Record::Append(entry(1, 1))])).expect("the thread runs");
     assert_eq!(outcome(&mut events), (1, true));
-    orders.send(DiskOrder::Wipe { generation: 2, id: ReplicaId(8) }).expect("the thread runs");
+    orders.send(DiskCommand::Wipe { generation: 2, id: ReplicaId(8) }).expect("the thread runs");
     orders.send(write(1, 2, vec![Record::Append(entry(2, 1))])).expect("the thread runs");
     assert_eq!(outcome(&mut events), (2, false));
     orders.send(write(2, 1, vec![Record::Append(entry(1, 9))])).expect("the thread runs");
@@ -143,7 +145,7 @@
 
     let (_orders, mut events) = start(&folder.0, Limits::default()).expect("the thread starts");
     let found = opened(&mut events);
-    assert_eq!(found.identity.map(|identity| identity.id), Some(ReplicaId(8)));
+    assert_eq!(found.metadata.map(|identity| identity.id), Some(ReplicaId(8)));
     assert_eq!(found.recovered.entries, [entry(1, 9)]);
 }
 
@@ -151,8 +153,8 @@
 fn contents_without_an_identity_or_that_do_not_decode_are_damaged() {
     let entries = vec![StoredEntry { index: 1, bytes: encode(&entry(1, 1)) }];
     let nameless = dunelink_storage::Recovered { entries, ..Default::default() };
-    assert!(read_back(nameless).damaged);
+    assert!(decode_recovered(nameless).damaged);
     let unreadable = dunelink_storage::Recovered { metadata: Some(vec![0xff]), ..Default::default() };
-    assert!(read_back(unreadable).damaged);
-    assert!(!read_back(dunelink_storage::Recovered::default()).damaged);
+    assert!(decode_recovered(unreadable).damaged);
+    assert!(!decode_recovered(dunelink_storage::Recovered::default()).damaged);
 }
--- a/crates/control/tests/engine_tasks.rs
+++ b/crates/control/tests/engine_tasks.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use dunelink_control::change_queue::Reply;
 use dunelink_control::engine::Engine;
 use dunelink_control::message::{Envelope, PeerMessage};
 use dunelink_control::node::{Node, NodeSettings};
-use dunelink_control::orders::Reply;
 use dunelink_control::peer_links::PeerLinks;
 use dunelink_grants::QuotaBounds;
 use dunelink_protocol::{Hello, LinkKind};
@@ -40,7 +40,7 @@
 /// A message of the leader, machine 2.
 fn told(engine: &Engine, message: PeerMessage) {
     let envelope = Envelope { from: ReplicaId(2), to: Some(ReplicaId(1)), message };
-    engine.act(|node, now, effects| node.received(now, envelope, effects));
+    engine.update(|node, now, effects| node.handle_message(now, envelope, effects));
 }
 
 fn heartbeat() -> PeerMessage {
@@ -58,12 +58,12 @@
     block_on(async {
         let engine = engine();
         told(&engine, heartbeat());
-        told(&engine, PeerMessage::ReadList(1));
-        told(&engine, PeerMessage::ReadList(2));
-        let (request, to) = engine.list_requested().await;
+        told(&engine, PeerMessage::ListRequest(1));
+        told(&engine, PeerMessage::ListRequest(2));
+        let (request, to) = engine.next_list_request().await;
         assert_eq!((request, to.id), (2, ReplicaId(2)));
-        told(&engine, PeerMessage::ReadList(3));
-        assert_eq!(engine.list_requested().await.0, 3);
+        told(&engine, PeerMessage::ListRequest(3));
+        assert_eq!(engine.next_list_request().await.0, 3);
     });
 }
 
@@ -71,10 +71,10 @@
 fn a_request_to_read_the_list_by_anyone_else_is_ignored() {
     block_on(async {
         let engine = engine();
-        told(&engine, PeerMessage::ReadList(1));
+        told(&engine, PeerMessage::ListRequest(1));
         told(&engine, heartbeat());
-        told(&engine, PeerMessage::ReadList(2));
-        assert_eq!(engine.list_requested().await.0, 2);
+        told(&engine, PeerMessage::ListRequest(2));
+        assert_eq!(engine.next_list_request().await.0, 2);
     });
 }
 
@@ -88,11 +88,14 @@
         assert!(number > 0);
         let reply = engine
             .call(Duration::from_secs(1), |_, _, call, effects| {
-                effects.push(dunelink_control::node::Effect::Reply { call: number, reply: Reply::Nothing });
-                effects.push(dunelink_control::node::Effect::Reply { call, reply: Reply::Taken });
+                effects.push(dunelink_control::node::Effect::Reply {
+                    call: number,
+                    reply: Reply::NoConfiguration,
+                });
+                effects.push(dunelink_control::node::Effect::Reply { call, reply: Reply::Accepted });
             })
             .await;
-        assert_eq!(reply, Some(Reply::Taken));
+        assert_eq!(reply, Some(Reply::Accepted));
     });
 }
 
@@ -110,16 +113,16 @@
             held: Vec::new(),
             ..dunelink_protocol::GrantUpdate::default()
         };
-        engine.act(|_, _, effects| {
+        engine.update(|_, _, effects| {
             effects.push(dunelink_control::node::Effect::Grants {
                 node: "front-1".to_owned(),
                 update: update.clone(),
             });
         });
-        registration.door.news.notified().await;
-        assert_eq!(registration.door.take_grants(), Some(update));
-        assert_eq!(other.door.take_grants(), None);
+        registration.mailbox.wakeup.notified().await;
+        assert_eq!(registration.mailbox.take_grants(), Some(update));
+        assert_eq!(other.mailbox.take_grants(), None);
         drop(registration);
-        assert_eq!(engine.reader_count(), 1);
+        assert_eq!(engine.agent_count(), 1);
     });
 }
--- a/crates/control/tests/group/mod.rs
+++ b/crates/control/tests/group/mod.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use dunelink_control::checking::{CheckedBody, quotas};
-use dunelink_control::identity::{founders, founding_id, fresh_id, internal_address};
+use dunelink_control::change_queue::{CallId, Reply};
+use dunelink_control::configuration_check::{CheckedBody, parse_quotas};
+use dunelink_control::identity::{founding_id, founding_members, internal_address, random_id};
 use dunelink_control::message::Envelope;
 use dunelink_control::node::{Effect, Node, NodeSettings};
-use dunelink_control::orders::{CallId, Reply};
 use dunelink_grants::QuotaBounds;
 use dunelink_replication::{Member, Recovered, Settings};
 
@@ -87,9 +87,9 @@
     pub(crate) fn start(&mut self, number: u8, bootstrap: bool) {
         let seeds = vec![control(1), control(2), control(3)];
         let mut me = member(number);
-        let founding = founders(bootstrap, &seeds, &me);
+        let founding = founding_members(bootstrap, &seeds, &me);
         if founding.is_none() {
-            me.id = fresh_id(me.control);
+            me.id = random_id(me.control);
         }
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let recovered = Recovered::default();
@@ -129,7 +129,7 @@
         self.calls += 1;
         let (call, body) = (self.calls, Bytes::copy_from_slice(body.as_bytes()));
         self.act(at, |node, now, effects| {
-            node.replace(now, call, Some(base), CheckedBody::check(body), effects)
+            node.replace_configuration(now, call, Some(base), CheckedBody::check(body), effects)
         });
         call
     }
@@ -177,7 +177,7 @@
                 self.act(address, |node, now, effects| node.tick(now, effects));
             }
             if beats {
-                self.act(address, |node, now, effects| node.beat(now, effects));
+                self.act(address, |node, now, effects| node.send_periodic(now, effects));
             }
         }
     }
@@ -186,13 +186,13 @@
         match arrival {
             Arrival::Message(to, envelope) => {
                 if self.machines.get(&to).is_some_and(|machine| machine.up) {
-                    self.act(to, |node, now, effects| node.received(now, envelope, effects));
+                    self.act(to, |node, now, effects| node.handle_message(now, envelope, effects));
                 }
             }
             Arrival::Written(at, generation, sequence) => {
                 let machine = &self.machines[&at];
                 if machine.up && machine.generation == generation {
-                    self.act(at, |node, now, effects| node.written(now, sequence, effects));
+                    self.act(at, |node, now, effects| node.write_completed(now, sequence, effects));
                 }
             }
         }
@@ -207,9 +207,9 @@
                     let generation = self.machines[&at].generation;
                     self.arrivals.push((due, Arrival::Written(at, generation, sequence)));
                 }
-                Effect::ReadQuotas { version, body } => {
-                    let quotas = quotas(&body);
-                    self.act(at, |node, _, _| node.quotas_read(version, quotas));
+                Effect::ParseQuotas { version, body } => {
+                    let quotas = parse_quotas(&body);
+                    self.act(at, |node, _, _| node.set_quotas(version, quotas));
                 }
                 Effect::Reply { call, reply } => {
                     self.replies.insert(call, reply);
--- a/crates/control/tests/history.rs
+++ b/crates/control/tests/history.rs
@@ -1,6 +1,6 @@
 //! Versions that were put in force are remembered: through snapshots, bounded, and without those of older releases.
 
-use dunelink_control::state::{Command, ConfigurationState, Digest, KEPT_VERSIONS, TakenVersion};
+use dunelink_control::state::{AppliedVersion, Command, ConfigurationState, Digest, MAX_HISTORY_VERSIONS};
 use dunelink_replication::encode;
 
 fn apply(state: &mut ConfigurationState, base: u64, version: u64) {
@@ -21,7 +21,7 @@
     apply(&mut state, 3, 200);
     apply(&mut state, 3, 100);
     assert_eq!(versions(&state), [(3, 0), (100, 3)]);
-    assert_eq!(state.history().last(), Some(&TakenVersion { version: 100, base: 3, bytes: 3 }));
+    assert_eq!(state.history().last(), Some(&AppliedVersion { version: 100, base: 3, bytes: 3 }));
     let restored = ConfigurationState::restore(&state.snapshot()).unwrap();
     assert_eq!(versions(&restored), versions(&state));
 }
@@ -29,9 +29,9 @@
 #[test]
 fn the_oldest_goes_first() {
     let mut state = ConfigurationState::default();
-    let last = KEPT_VERSIONS as u64 + 5;
+    let last = MAX_HISTORY_VERSIONS as u64 + 5;
     (1..=last).for_each(|version| apply(&mut state, version - 1, version));
-    assert_eq!(state.history().len(), KEPT_VERSIONS);
+    assert_eq!(state.history().len(), MAX_HISTORY_VERSIONS);
     assert_eq!(state.history().next().map(|taken| taken.version), Some(6));
 }
 
--- a/crates/control/tests/list_changes.rs
+++ b/crates/control/tests/list_changes.rs
@@ -1,7 +1,7 @@
 //! Pages of the platform's list, and changes of the roster between two readings.
 
 use dunelink_control::list::parse_page;
-use dunelink_control::roster::{difference, page_difference};
+use dunelink_control::roster::{list_difference, page_difference};
 use dunelink_feed::Roster;
 use dunelink_protocol::{RosterOffset, ServerEntry};
 
@@ -23,7 +23,7 @@
 
 fn roster_of(epoch: u64, list: &[ServerEntry]) -> Roster {
     let mut roster = Roster::default();
-    let whole = difference(&roster, epoch, list.to_vec(), SECOND).expect("the first reading is news");
+    let whole = list_difference(&roster, epoch, list.to_vec(), SECOND).expect("the first reading is news");
     roster.apply(whole, SECOND).expect("the update fits");
     roster
 }
@@ -35,7 +35,7 @@
         "state":"draining","coldRemainingMs":7,"models":[{"name":"m","version":2}],"id":"i-1"}],"nextToken":"p-50"}"#,
     )
     .expect("the page is whole");
-    assert_eq!(page.next.as_deref(), Some("p-50"));
+    assert_eq!(page.next_token.as_deref(), Some("p-50"));
     let expected = ServerEntry { ready: false, cold_remaining_ms: 7, ..server("i-1") };
     assert_eq!(page.servers, [expected]);
 }
@@ -43,7 +43,7 @@
 #[test]
 fn a_page_without_a_token_is_the_last() {
     let page = parse_page(br#"{"instances":[],"nextToken":null}"#).expect("the page is whole");
-    assert_eq!((page.servers.len(), page.next), (0, None));
+    assert_eq!((page.servers.len(), page.next_token), (0, None));
 }
 
 #[test]
@@ -64,14 +64,14 @@
 fn the_same_list_is_no_news_within_an_epoch() {
     let list = [server("a"), server("b")];
     let roster = roster_of(4, &list);
-    assert_eq!(difference(&roster, 4, list.to_vec(), SECOND), None);
+    assert_eq!(list_difference(&roster, 4, list.to_vec(), SECOND), None);
 }
 
 #[test]
 fn a_new_epoch_moves_the_position_without_changes() {
     let list = [server("a")];
     let roster = roster_of(4, &list);
-    let update = difference(&roster, 6, list.to_vec(), SECOND).expect("the position moves");
+    let update = list_difference(&roster, 6, list.to_vec(), SECOND).expect("the position moves");
     assert_eq!(update.base, Some(RosterOffset { epoch: 4, sequence: 1 }));
     assert_eq!(update.offset, RosterOffset { epoch: 6, sequence: 1 });
     assert!(update.changed.is_empty() && update.removed.is_empty());
@@ -82,7 +82,7 @@
     let roster = roster_of(4, &[server("a"), server("b"), server("c")]);
     let draining = ServerEntry { ready: false, ..server("b") };
     let list = vec![server("a"), draining.clone(), server("d")];
-    let update = difference(&roster, 4, list, SECOND).expect("servers changed");
+    let update = list_difference(&roster, 4, list, SECOND).expect("servers changed");
     assert_eq!(update.offset, RosterOffset { epoch: 4, sequence: 2 });
     assert_eq!(update.changed, [draining, server("d")]);
     assert_eq!(update.removed, ["c"]);
@@ -92,8 +92,8 @@
 fn a_slow_start_that_passes_is_no_change() {
     let cold = |ms| ServerEntry { cold_remaining_ms: ms, ..server("a") };
     let roster = roster_of(4, &[cold(10_000)]);
-    assert_eq!(difference(&roster, 4, vec![cold(8_900)], 2 * SECOND), None);
-    assert!(difference(&roster, 4, vec![cold(20_000)], 2 * SECOND).is_some());
+    assert_eq!(list_difference(&roster, 4, vec![cold(8_900)], 2 * SECOND), None);
+    assert!(list_difference(&roster, 4, vec![cold(20_000)], 2 * SECOND).is_some());
 }
 
 #[test]
--- a/crates/control/tests/load_sums.rs
+++ b/crates/control/tests/load_sums.rs
@@ -43,7 +43,7 @@
 }
 
 fn told(sums: &mut LoadSums, now: u64, roster: &Roster) -> FleetLoads {
-    sums.due(now, roster).expect("something to tell")
+    sums.next_message(now, roster).expect("something to tell")
 }
 
 #[test]
@@ -72,7 +72,7 @@
 fn a_leader_tells_nothing_before_it_has_heard_of_all() {
     let (roster, mut sums) = (roster(1), LoadSums::new(10 * SECOND));
     sums.report(10 * SECOND, "a", loads(false, &[(0, 7, 0)]));
-    assert_eq!(sums.due(12 * SECOND, &roster), None);
+    assert_eq!(sums.next_message(12 * SECOND, &roster), None);
     sums.report(12 * SECOND, "a", loads(true, &[(0, 7, 0)]));
     assert_eq!(told(&mut sums, 13 * SECOND, &roster).requests, [7]);
 }
--- a/crates/control/tests/node_group.rs
+++ b/crates/control/tests/node_group.rs
@@ -2,9 +2,9 @@
 
 mod group;
 
-use dunelink_control::message::{ListRead, PeerMessage};
+use dunelink_control::change_queue::Reply;
+use dunelink_control::message::{ListResponse, PeerMessage};
 use dunelink_control::node::Effect;
-use dunelink_control::orders::Reply;
 use dunelink_feed::NEVER_MS;
 use dunelink_protocol::{NodeDemand, ProxyReport, ServerEntry, TenantDemand};
 
@@ -45,7 +45,7 @@
 fn an_order_is_taken_and_in_force_on_all_machines() {
     let mut group = Group::founded();
     let leader = group.leader().expect("a leader");
-    assert_eq!(group.ask(leader, 0, &body(3, "k")), Reply::Taken);
+    assert_eq!(group.ask(leader, 0, &body(3, "k")), Reply::Accepted);
     group.run_until("all have it", |group| versions(group) == [3, 3, 3]);
     let follower = group.follower();
     assert_eq!(group.node(follower).feed().version(), 3);
@@ -56,11 +56,11 @@
     let mut group = Group::founded();
     let (leader, follower) = (group.leader().expect("a leader"), group.follower());
     let elsewhere = group.node(leader).me().control;
-    assert_eq!(group.ask(follower, 0, &body(3, "k")), Reply::Elsewhere(elsewhere));
-    assert_eq!(group.node(follower).read(group.now), Reply::Elsewhere(elsewhere));
+    assert_eq!(group.ask(follower, 0, &body(3, "k")), Reply::Redirect(elsewhere));
+    assert_eq!(group.node(follower).read_configuration(group.now), Reply::Redirect(elsewhere));
     group.ask(leader, 0, &body(3, "k"));
     group.run_until("all have it", |group| versions(group) == [3, 3, 3]);
-    assert_eq!(group.ask(follower, 0, &body(3, "k")), Reply::Taken);
+    assert_eq!(group.ask(follower, 0, &body(3, "k")), Reply::Accepted);
 }
 
 #[test]
@@ -75,7 +75,7 @@
     ];
     group.run_until("all are answered", |group| calls.iter().all(|call| group.replies.contains_key(call)));
     let replies: Vec<Reply> = calls.iter().map(|call| group.replies[call].clone()).collect();
-    assert_eq!(replies, [Reply::Taken, Reply::Conflict { current: 3 }, Reply::Taken, Reply::Taken]);
+    assert_eq!(replies, [Reply::Accepted, Reply::Conflict { current: 3 }, Reply::Accepted, Reply::Accepted]);
 }
 
 #[test]
@@ -97,8 +97,8 @@
     group.machines.get_mut(&leader).expect("it exists").up = false;
     group.run_until("another leads", |group| group.leader().is_some());
     let next = group.leader().expect("a leader");
-    assert_eq!(group.ask(next, 0, &body(3, "k")), Reply::Taken);
-    assert_eq!(group.ask(next, 3, &body(8, "k")), Reply::Taken);
+    assert_eq!(group.ask(next, 0, &body(3, "k")), Reply::Accepted);
+    assert_eq!(group.ask(next, 3, &body(8, "k")), Reply::Accepted);
 }
 
 #[test]
@@ -111,7 +111,7 @@
     }
     group.run(2_000);
     assert!(matches!(group.ask(leader, 1, &body(5, "k")), Reply::Unavailable(_)));
-    assert!(matches!(group.node(leader).read(group.now), Reply::Unavailable(_)));
+    assert!(matches!(group.node(leader).read_configuration(group.now), Reply::Unavailable(_)));
 }
 
 #[test]
@@ -138,7 +138,7 @@
     let leader = group.leader().expect("a leader");
     for list in [vec![server("a"), server("b")], vec![server("b")]] {
         let expected = list.len();
-        group.act(leader, |node, now, effects| node.list_read(now, now, list, effects));
+        group.act(leader, |node, now, effects| node.handle_list(now, now, list, effects));
         group.run_until("all have it", |group| {
             group.machines.values().all(|machine| machine.node.feed().roster.len() == expected)
         });
@@ -149,7 +149,7 @@
 fn another_machine_reads_the_list_for_a_leader_that_can_not() {
     let mut group = Group::founded();
     let leader = group.leader().expect("a leader");
-    group.act(leader, |node, now, effects| node.delegate_reading(now, effects));
+    group.act(leader, |node, now, effects| node.delegate_list_read(now, effects));
     group.run(5);
     let asked = group.effects.iter().find_map(|(at, effect)| match effect {
         Effect::ReadList { request, to } => Some((*at, *request, to.clone())),
@@ -157,7 +157,8 @@
     });
     let (at, request, to) = asked.expect("one machine is asked");
     assert_eq!(to.internal, leader);
-    group.act(at, |node, _, effects| node.answer_reading(&to, request, Some(vec![server("a")]), effects));
+    group
+        .act(at, |node, _, effects| node.answer_list_request(&to, request, Some(vec![server("a")]), effects));
     group.run_until("all have it", |group| {
         group.machines.values().all(|machine| machine.node.feed().roster.len() == 1)
     });
@@ -168,11 +169,12 @@
     let mut group = Group::founded();
     let (leader, follower) = (group.leader().expect("a leader"), group.follower());
     let to = group.node(leader).me().clone();
-    group.act(follower, |node, _, effects| node.answer_reading(&to, 7, Some(vec![server("a")]), effects));
+    group
+        .act(follower, |node, _, effects| node.answer_list_request(&to, 7, Some(vec![server("a")]), effects));
     group.run(10);
     assert!(group.node(leader).feed().roster.is_empty());
-    let read = ListRead { request: 7, servers: None };
-    assert!(PeerMessage::ListRead(read).is_bulk());
+    let read = ListResponse { request: 7, servers: None };
+    assert!(PeerMessage::ListResponse(read).is_bulk());
 }
 
 #[test]
@@ -185,7 +187,7 @@
         ..ProxyReport::default()
     };
     for _ in 0..40 {
-        group.act(follower, |node, now, effects| node.agent_reported(now, "front-1", report(), effects));
+        group.act(follower, |node, now, effects| node.handle_agent_report(now, "front-1", report(), effects));
         group.run(250);
     }
     let granted = group.effects.iter().any(|(at, effect)| {
@@ -211,7 +213,7 @@
     let mut group = Group::founded();
     let (leader, follower) = (group.leader().expect("a leader"), group.follower());
     let age = |group: &mut Group, at| {
-        group.act(at, |node, now, _| node.refresh(now));
+        group.act(at, |node, now, _| node.update_freshness(now));
         group.node(at).feed().tick(group.now).confirmed_age_ms
     };
     group.run(500);
@@ -234,7 +236,7 @@
         let refreshed = |group: &mut Group, milliseconds| {
             for _ in 0..milliseconds / 50 {
                 group.run(50);
-                group.act(alone, |node, now, _| node.refresh(now));
+                group.act(alone, |node, now, _| node.update_freshness(now));
             }
             group.node(alone).feed().tick(group.now).confirmed_age_ms
         };
--- a/crates/operator/src/disk.rs
+++ b/crates/operator/src/disk.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use bytes::Bytes;
-use dunelink_control::identity::Identity;
+use dunelink_control::identity::StoreMetadata;
 use dunelink_control::state::{Command, ConfigurationState};
 use dunelink_replication::{Entry, Membership, Payload, Snapshot, decode};
 use dunelink_storage::{FileReport, Inspection, ReadOnlyFolder, RecoveryNote, inspect};
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone)]
 pub struct DataFolder {
     /// Identity, term and vote; none on an empty disk, or if they can't be read.
-    pub identity: Option<Identity>,
+    pub identity: Option<StoreMetadata>,
     /// The entries of the log, in their order.
     pub entries: Vec<EntryLine>,
     /// The snapshot in use.
@@ -110,7 +110,7 @@
         if recovered.damaged && damage.is_empty() {
             damage.push("an earlier opening found damage, and the disk was not emptied since".to_owned());
         }
-        let identity = recovered.metadata.as_deref().map(decode::<Identity>);
+        let identity = recovered.metadata.as_deref().map(decode::<StoreMetadata>);
         if matches!(identity, Some(Err(_))) {
             damage.push("identity, term and vote can't be read".to_owned());
         }
--- a/crates/operator/tests/data_folder.rs
+++ b/crates/operator/tests/data_folder.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use dunelink_control::identity::Identity;
+use dunelink_control::identity::StoreMetadata;
 use dunelink_control::state::{Command, ConfigurationState, Digest};
 use dunelink_replication::{Entry, HardState, Member, Membership, Payload, ReplicaId, Snapshot, encode};
 use dunelink_storage::{FolderDisk, Limits, LogStore, Operation};
@@ -40,7 +40,7 @@
     let (mut store, _) = LogStore::open(disk, LIMITS).unwrap();
     let mut write = |operations: Vec<Operation>| store.apply(&operations).unwrap();
     let hard_state = HardState { term: 2, vote: Some(ID) };
-    write(vec![Operation::Metadata(encode(&Identity { id: ID, hard_state }))]);
+    write(vec![Operation::Metadata(encode(&StoreMetadata { id: ID, hard_state }))]);
     let mut state = ConfigurationState::default();
     for index in 1..=12 {
         let bytes = command(index - 1, index);
