--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use dunelink_replication::{HardState, Record, Recovered, ReplicaId, WriteGate, decode, encode};
+use dunelink_replication::{HardState, Record, RecoveredState, ReplicaId, WriteFence, decode, encode};
 use dunelink_storage::{Disk, FolderDisk, Limits, LogStore, Operation, StorageError};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -74,7 +74,7 @@
     /// Identity of the store's contents; none on an empty disk.
     pub identity: Option<Identity>,
     /// What the replica goes on from.
-    pub recovered: Recovered,
+    pub recovered: RecoveredState,
     /// Something durable is lost: the contents are of no use any more.
     pub damaged: bool,
     /// What was put right at opening.
@@ -147,7 +147,7 @@
     keep(identity.is_some() || nothing);
     let hard_state = identity.map(|identity| identity.hard_state);
     let notes = stored.notes.iter().map(|note| format!("{note:?}")).collect();
-    Opened { identity, recovered: Recovered { hard_state, snapshot, entries }, damaged, notes }
+    Opened { identity, recovered: RecoveredState { hard_state, snapshot, entries }, damaged, notes }
 }
 
 /// Turns the replica's records into operations of the store.
@@ -171,7 +171,7 @@
     }
 
     /// For a store with these contents.
-    pub fn of_store(identity: Identity, recovered: &Recovered) -> Self {
+    pub fn of_store(identity: Identity, recovered: &RecoveredState) -> Self {
         let released = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let last = recovered.entries.last().map_or(released, |entry| entry.index.max(released));
         Self { id: identity.id, hard_state: identity.hard_state, released, last, named: true }
@@ -233,7 +233,7 @@
     events: UnboundedSender<DiskEvent>,
     generation: u64,
     translator: Option<Translator>,
-    gate: WriteGate,
+    gate: WriteFence,
     trouble: Option<String>,
 }
 
@@ -254,7 +254,7 @@
 impl<D: Disk> DiskWorker<D> {
     /// Works on an open store. Writes fail until an order has said whose the store is.
     pub fn new(store: LogStore<D>, events: UnboundedSender<DiskEvent>) -> Self {
-        Self { store, events, generation: 0, translator: None, gate: WriteGate::default(), trouble: None }
+        Self { store, events, generation: 0, translator: None, gate: WriteFence::default(), trouble: None }
     }
 
     /// Carries out orders until the sender is gone.
@@ -290,7 +290,7 @@
     fn begin(&mut self, generation: u64, translator: Translator) {
         self.generation = generation;
         self.translator = Some(translator);
-        self.gate = WriteGate::default();
+        self.gate = WriteFence::default();
     }
 
     /// An identity that was given up must not come back: the order stays the next one until the disk allows it.
@@ -323,7 +323,7 @@
             }
             Err(error) => {
                 *translator = before;
-                self.gate.failed(last);
+                self.gate.record_failure(last);
                 self.note(Some(&error));
                 for sequence in sequences {
                     self.tell(DiskEvent::Failed { generation, sequence });
@@ -375,7 +375,7 @@
 
 fn size_of_records(records: &[Record]) -> usize {
     let size = |record: &Record| match record {
-        Record::Append(entry) => entry.size(),
+        Record::Append(entry) => entry.approximate_bytes(),
         Record::Snapshot(snapshot) => snapshot.state.len(),
         Record::HardState(_) | Record::Truncate { .. } => 0,
     };
--- a/crates/control/src/engine.rs
+++ b/crates/control/src/engine.rs
@@ -192,7 +192,7 @@
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
         self.act(|node, now, effects| {
-            let id = fresh_id(node.me().control);
+            let id = fresh_id(node.me().control_address);
             self.order(DiskOrder::Wipe { generation, id });
             node.begin_again(id, seed(), now, effects);
         });
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -39,19 +39,24 @@
 /// The founding members, if a start on an empty disk founds the group: the group is founded once, by the machines
 /// whose control addresses are the seeds. Zones of other machines are not known yet and left empty.
 pub fn founders(bootstrap: bool, seeds: &[SocketAddr], me: &Member) -> Option<Vec<Member>> {
-    if !bootstrap || !seeds.contains(&me.control) {
+    if !bootstrap || !seeds.contains(&me.control_address) {
         return None;
     }
     let mut seeds = seeds.to_vec();
     seeds.sort_unstable();
     seeds.dedup();
-    let internal_port = me.internal.port();
+    let internal_port = me.internal_address.port();
     Some(seeds.into_iter().map(|control| founder(control, internal_port)).collect())
 }
 
 fn founder(control: SocketAddr, internal_port: u16) -> Member {
     let internal = internal_address(control.ip(), internal_port);
-    Member { id: founding_id(control), internal, control, zone: String::new() }
+    Member {
+        id: founding_id(control),
+        internal_address: internal,
+        control_address: control,
+        zone: String::new(),
+    }
 }
 
 /// Internal address of a machine: the internal ports are alike on all machines.
--- a/crates/control/src/node/deciding.rs
+++ b/crates/control/src/node/deciding.rs
@@ -1,6 +1,6 @@
 //! Orders of the operator: who decides, and what is answered.
 
-use dunelink_replication::{Input, Refusal, encode};
+use dunelink_replication::{Input, ProposalError, encode};
 
 use super::{Effect, LEADER_HEARD, Node};
 use crate::checking::CheckedBody;
@@ -113,7 +113,7 @@
         let Order { base, version, digest, body, calls } = order;
         let ticket = self.orders.propose(digest, calls);
         let command = encode(&Command::Replace { base, version, digest, body: body.to_vec() });
-        self.input(now, Input::Propose { ticket, command }, effects);
+        self.input(now, Input::Propose { proposal_id: ticket, command }, effects);
     }
 
     /// The log has decided on a proposal, or can't tell.
@@ -121,7 +121,7 @@
         &mut self,
         now: u64,
         ticket: u64,
-        result: Result<u64, Refusal>,
+        result: Result<u64, ProposalError>,
         effects: &mut Vec<Effect>,
     ) {
         let Some((digest, calls)) = self.orders.decided(ticket) else { return };
@@ -129,18 +129,18 @@
         let reply = match (result, verdict) {
             (Ok(_), Some(Verdict::InForce | Verdict::AlreadyTaken)) => Reply::Taken,
             (Ok(_), Some(Verdict::Conflict)) => Reply::Conflict { current: self.state.version() },
-            (Ok(_), None) | (Err(Refusal::Uncertain), _) => UNCERTAIN,
-            (Err(Refusal::NotLeader), _) => self.elsewhere(now),
-            (Err(Refusal::Overloaded), _) => OVERLOADED,
+            (Ok(_), None) | (Err(ProposalError::OutcomeUnknown), _) => UNCERTAIN,
+            (Err(ProposalError::NotLeader), _) => self.elsewhere(now),
+            (Err(ProposalError::Overloaded), _) => OVERLOADED,
         };
         answer_all(calls, &reply, effects);
     }
 
     /// Where a call goes that only the leader answers.
     fn elsewhere(&self, now: u64) -> Reply {
-        let heard = self.replica.leader_contact(now).is_some_and(|age| age < LEADER_HEARD);
+        let heard = self.replica.time_since_leader_contact(now).is_some_and(|age| age < LEADER_HEARD);
         let leader = self.replica.leader().filter(|leader| heard && leader.id != self.me.id);
-        leader.map_or(LEADERLESS, |leader| Reply::Elsewhere(leader.control))
+        leader.map_or(LEADERLESS, |leader| Reply::Elsewhere(leader.control_address))
     }
 }
 
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -95,7 +95,9 @@
         effects: &mut Vec<Effect>,
     ) {
         let told = match &message {
-            Message::Heartbeat { term, commit, lease: true, .. } => Some((*term, *commit)),
+            Message::Heartbeat { term, commit_index, leader_holds_lease: true, .. } => {
+                Some((*term, *commit_index))
+            }
             _ => None,
         };
         self.input(now, Input::Received { from, message }, effects);
@@ -114,17 +116,18 @@
             Output::Write { sequence, records } => effects.push(Effect::Write { sequence, records }),
             Output::Apply { index, command } => self.apply(index, &command, effects),
             Output::Restore { index, state } => self.restore(index, &state, effects),
-            Output::Answer { ticket, result } => self.decided(now, ticket, result, effects),
+            Output::ProposalResult { proposal_id, result } => self.decided(now, proposal_id, result, effects),
             Output::TakeSnapshot { index } => {
-                let bytes = self.state.snapshot();
-                states.push(Input::State { index, bytes });
+                let state = self.state.snapshot();
+                states.push(Input::SnapshotTaken { index, state });
             }
             Output::LeaderChanged { leader, term, is_self } => {
-                let leader = leader.map_or_else(|| "none".to_owned(), |leader| leader.control.to_string());
+                let leader =
+                    leader.map_or_else(|| "none".to_owned(), |leader| leader.control_address.to_string());
                 info!(self.log, "leader changed"; "leader" => leader, "term" => term, "self" => is_self);
             }
             Output::MembershipChanged(membership) => self.membership_changed(&membership, effects),
-            Output::Removed => {
+            Output::RemovedFromGroup => {
                 info!(self.log, "no longer a member"; "id" => %self.me.id);
                 effects.push(Effect::Rejoin);
             }
@@ -166,13 +169,14 @@
 
     fn membership_changed(&mut self, membership: &Membership, effects: &mut Vec<Effect>) {
         let names = |members: &mut dyn Iterator<Item = &Member>| -> String {
-            members.map(|member| member.control.to_string()).collect::<Vec<_>>().join(",")
+            members.map(|member| member.control_address.to_string()).collect::<Vec<_>>().join(",")
         };
         info!(self.log, "members changed";
             "voters" => names(&mut membership.voters.iter()),
-            "incoming" => names(&mut membership.incoming.iter().flatten()),
+            "incoming" => names(&mut membership.incoming_voters.iter().flatten()),
             "learners" => names(&mut membership.learners.iter()));
-        let controls: Vec<SocketAddr> = membership.all().map(|member| member.control).collect();
+        let controls: Vec<SocketAddr> =
+            membership.all_members().map(|member| member.control_address).collect();
         self.know(controls.into_iter());
         self.update_members(effects);
     }
@@ -180,14 +184,17 @@
     /// Brings the list of control machines that agents are told up to date.
     pub(super) fn update_members(&mut self, effects: &mut Vec<Effect>) {
         let zone_of = |member: &Member| -> String {
-            let told = self.zones.get(&member.internal.ip()).cloned();
+            let told = self.zones.get(&member.internal_address.ip()).cloned();
             told.unwrap_or_else(|| member.zone.clone())
         };
         let members: Vec<ControlMember> = self
             .replica
             .membership()
-            .all()
-            .map(|member| ControlMember { internal: member.internal.to_string(), zone: zone_of(member) })
+            .all_members()
+            .map(|member| ControlMember {
+                internal: member.internal_address.to_string(),
+                zone: zone_of(member),
+            })
             .collect();
         if members != self.feed.members {
             self.feed.members = members;
@@ -219,13 +226,13 @@
     /// Asks to become a member: with no membership, or after some time without a leader.
     pub(super) fn ask_to_join(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let is_member = self.replica.membership().contains(self.me.id);
-        let silent = self.replica.leader_contact(now).is_none_or(|age| age > LEADERLESS);
+        let silent = self.replica.time_since_leader_contact(now).is_none_or(|age| age > LEADERLESS);
         let old_enough = now > self.began_at + LEADERLESS;
         if self.ending || (is_member && !(silent && old_enough)) {
             return;
         }
-        let port = self.me.internal.port();
-        for control in self.known.iter().filter(|control| **control != self.me.control) {
+        let port = self.me.internal_address.port();
+        for control in self.known.iter().filter(|control| **control != self.me.control_address) {
             let to = internal_address(control.ip(), port);
             let message = PeerMessage::JoinRequest(self.me.clone());
             effects.push(Effect::Send { to, envelope: Envelope { from: self.me.id, to: None, message } });
@@ -233,10 +240,10 @@
     }
 
     pub(super) fn join_request(&mut self, now: u64, member: Member, effects: &mut Vec<Effect>) {
-        if member.id == self.me.id || member.internal == self.me.internal {
+        if member.id == self.me.id || member.internal_address == self.me.internal_address {
             return;
         }
-        let members: Vec<Member> = self.replica.membership().all().cloned().collect();
+        let members: Vec<Member> = self.replica.membership().all_members().cloned().collect();
         let leader = self.replica.leader().cloned();
         if !members.is_empty() {
             self.send(&member, PeerMessage::Members(KnownMembers { members, leader }), effects);
@@ -248,7 +255,7 @@
 
     pub(super) fn members_told(&mut self, told: KnownMembers) {
         let members = told.members.iter().chain(&told.leader);
-        let controls: Vec<SocketAddr> = members.map(|member| member.control).collect();
+        let controls: Vec<SocketAddr> = members.map(|member| member.control_address).collect();
         self.know(controls.into_iter());
     }
 
@@ -258,12 +265,12 @@
 
     /// The other members.
     pub(super) fn others(&self) -> impl Iterator<Item = &Member> {
-        self.replica.membership().all().filter(|member| member.id != self.me.id)
+        self.replica.membership().all_members().filter(|member| member.id != self.me.id)
     }
 
     pub(super) fn send(&self, to: &Member, message: PeerMessage, effects: &mut Vec<Effect>) {
         let envelope = Envelope { from: self.me.id, to: Some(to.id), message };
-        effects.push(Effect::Send { to: to.internal, envelope });
+        effects.push(Effect::Send { to: to.internal_address, envelope });
     }
 
     pub(super) fn tell_all(&self, message: &PeerMessage, effects: &mut Vec<Effect>) {
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -14,7 +14,7 @@
 use dunelink_feed::{FeedState, NEVER_MS};
 use dunelink_grants::QuotaBounds;
 use dunelink_protocol::{GrantUpdate, ProxyReport, RosterOffset, ServerEntry, Tick};
-use dunelink_replication::{Input, Member, Record, Recovered, Replica, ReplicaId, Settings};
+use dunelink_replication::{Input, Member, Record, RecoveredState, Replica, ReplicaId, Settings};
 use slog::{Logger, info};
 
 use crate::message::{Envelope, ListRead, PeerMessage};
@@ -125,7 +125,7 @@
         settings: NodeSettings,
         me: Member,
         founding: Option<Vec<Member>>,
-        recovered: Recovered,
+        recovered: RecoveredState,
         seed: u64,
         now: u64,
         log: Logger,
@@ -158,7 +158,7 @@
         }
         self.me.id = id;
         let settings = self.settings.replication.clone();
-        self.replica = Replica::new(settings, self.me.clone(), None, Recovered::default(), seed, now);
+        self.replica = Replica::new(settings, self.me.clone(), None, RecoveredState::default(), seed, now);
         self.state = ConfigurationState::default();
         self.verdicts.clear();
         self.leading = None;
@@ -215,12 +215,12 @@
     /// The process is about to end: the leadership goes to another member.
     pub fn hand_over(&mut self, now: u64, effects: &mut Vec<Effect>) {
         self.ending = true;
-        self.input(now, Input::HandOver, effects);
+        self.input(now, Input::PrepareShutdown, effects);
     }
 
     /// Whether a process that is about to end has nothing left to wait for.
     pub fn may_end(&self) -> bool {
-        !self.replica.is_leader() && !self.replica.awaits_replacement() && self.orders.is_empty()
+        !self.replica.is_leader() && !self.replica.should_delay_shutdown() && self.orders.is_empty()
     }
 
     /// The settings file names other seeds.
@@ -304,7 +304,7 @@
 
     /// Whether no leader was heard for longer than an election takes: agents had better try another machine.
     fn is_cut_off(&self, now: u64) -> bool {
-        self.replica.leader_contact(now).is_none_or(|age| age > ELECTED_WITHIN)
+        self.replica.time_since_leader_contact(now).is_none_or(|age| age > ELECTED_WITHIN)
     }
 
     /// Brings the signs of freshness in what is fed up to date.
@@ -328,7 +328,7 @@
 
     /// Whether the group has a leader that this machine hears.
     pub fn is_ready(&self, now: u64) -> bool {
-        !self.ending && self.replica.leader_contact(now).is_some_and(|age| age < LEADER_HEARD)
+        !self.ending && self.replica.time_since_leader_contact(now).is_some_and(|age| age < LEADER_HEARD)
     }
 
     /// The list that the leader asked for, or that it could not be read.
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -136,7 +136,12 @@
     let (orders, mut events) =
         disk::start(&folder, disk_limits(boot)).context("the disk thread can't start")?;
     let opened = opened(&mut events, log).await?;
-    let me = Member { id: founding_id(control), internal, control, zone: boot.zone.clone() };
+    let me = Member {
+        id: founding_id(control),
+        internal_address: internal,
+        control_address: control,
+        zone: boot.zone.clone(),
+    };
     let start = identify(boot, me, opened, &orders, log);
     let node = Node::new(
         node_settings(boot),
--- a/crates/control/src/start.rs
+++ b/crates/control/src/start.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use dunelink_replication::{HardState, Member, Recovered, ReplicaId, Settings};
+use dunelink_replication::{HardState, Member, RecoveredState, ReplicaId, Settings};
 
 use crate::disk::{DiskOrder, Opened, Translator};
 use crate::identity::{founders, founding_id};
@@ -18,8 +18,8 @@
 pub fn replication_settings(tolerated: usize) -> Settings {
     Settings {
         target_voters: 2 * tolerated + 1,
-        election_min: ELECTION_MIN,
-        election_max: ELECTION_MAX,
+        election_timeout_min: ELECTION_MIN,
+        election_timeout_max: ELECTION_MAX,
         ..Settings::default()
     }
 }
@@ -32,7 +32,7 @@
     /// The voters, if this start founds the group.
     pub founding: Option<Vec<Member>>,
     /// What the disk held.
-    pub recovered: Recovered,
+    pub recovered: RecoveredState,
     /// The first order for the disk thread: whose the store is.
     pub order: DiskOrder,
 }
@@ -49,7 +49,7 @@
     ) -> Self {
         if let Some(identity) = opened.identity.filter(|_| !opened.damaged) {
             me.id = identity.id;
-            if me.id == founding_id(me.control) {
+            if me.id == founding_id(me.control_address) {
                 me.zone = String::new();
             }
             let translator = Translator::of_store(identity, &opened.recovered);
@@ -61,10 +61,10 @@
             // Zones of others are not known, and the founding list has to be the same on all.
             me.zone = String::new();
         } else {
-            me.id = fresh(me.control);
+            me.id = fresh(me.control_address);
         }
         let order = begin_empty(me.id, opened.damaged);
-        Self { me, founding, recovered: Recovered::default(), order }
+        Self { me, founding, recovered: RecoveredState::default(), order }
     }
 }
 
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -51,14 +51,14 @@
     let status = node.replica().status(now);
     let members: Vec<Value> = status
         .membership
-        .all()
+        .all_members()
         .map(|member| {
             let peer = status.peers.iter().find(|peer| peer.id == member.id);
-            let lag = peer.map(|peer| status.last_index.saturating_sub(peer.matched));
-            let heard = peer.and_then(|peer| peer.heard).map(|age| age / MILLISECOND);
+            let lag = peer.map(|peer| status.last_index.saturating_sub(peer.match_index));
+            let heard = peer.and_then(|peer| peer.since_last_message).map(|age| age / MILLISECOND);
             json!({
                 "id": member.id.to_string(),
-                "control": member.control.to_string(),
+                "control": member.control_address.to_string(),
                 "zone": member.zone.as_str(),
                 "voter": status.membership.is_voter(member.id),
                 "lagEntries": lag,
@@ -71,7 +71,7 @@
         "name": "configuration",
         "id": status.me.id.to_string(),
         "role": role(status.role),
-        "leader": status.leader.as_ref().map(|leader| leader.control.to_string()),
+        "leader": status.leader.as_ref().map(|leader| leader.control_address.to_string()),
         "holdsLease": status.holds_lease,
         "term": status.term,
         "lastIndex": status.last_index,
--- a/crates/control/tests/cluster/faults.rs
+++ b/crates/control/tests/cluster/faults.rs
@@ -222,7 +222,7 @@
         let Some(holder) = self.holders().first().copied() else { return false };
         let node = &self.machines[holder].process.as_ref().expect("a holder runs").node;
         let members = node.replica().membership();
-        members.voters.len() == 2 * self.tolerated + 1 && members.incoming.is_none()
+        members.voters.len() == 2 * self.tolerated + 1 && members.incoming_voters.is_none()
     }
 
     /// Writes a line about the run if `CLUSTER_TRACE` is set, to look into a seed that fails.
@@ -234,7 +234,8 @@
             let Some(process) = &machine.process else { return format!("{} down", machine.number) };
             let status = process.node.replica().status(machine.local(self.now));
             let (role, term, commit) = (status.role, status.term, status.commit_index);
-            let voters: Vec<_> = status.membership.voters.iter().map(|voter| voter.internal.ip()).collect();
+            let voters: Vec<_> =
+                status.membership.voters.iter().map(|voter| voter.internal_address.ip()).collect();
             format!("{} {role:?} {term}/{commit} {voters:?}", machine.number)
         };
         let there = self.machines.iter().filter(|machine| !machine.gone).map(stands);
--- a/crates/control/tests/cluster/machine.rs
+++ b/crates/control/tests/cluster/machine.rs
@@ -113,8 +113,8 @@
         let control = control(self.number);
         let me = Member {
             id: founding_id(control),
-            internal: internal(self.number),
-            control,
+            internal_address: internal(self.number),
+            control_address: control,
             zone: format!("z{}", self.number),
         };
         let opened = read_back(recovered);
--- a/crates/control/tests/disk_thread.rs
+++ b/crates/control/tests/disk_thread.rs
@@ -104,7 +104,7 @@
     let folder = Folder::new("back");
     let (orders, mut events) = start(&folder.0, Limits::default()).expect("the thread starts");
     assert!(opened(&mut events).identity.is_none());
-    let hard_state = HardState { term: 4, vote: Some(ID) };
+    let hard_state = HardState { term: 4, voted_for: Some(ID) };
     let records = vec![
         Record::Snapshot(snapshot(0)),
         Record::HardState(hard_state),
--- a/crates/control/tests/engine_tasks.rs
+++ b/crates/control/tests/engine_tasks.rs
@@ -10,13 +10,18 @@
 use dunelink_control::peer_links::PeerLinks;
 use dunelink_grants::QuotaBounds;
 use dunelink_protocol::{Hello, LinkKind};
-use dunelink_replication::{Member, Message, Recovered, ReplicaId, Settings};
+use dunelink_replication::{Member, Message, RecoveredState, ReplicaId, Settings};
 use dunelink_runtime::Clock;
 use tokio::task::LocalSet;
 
 fn member(number: u8) -> Member {
     let address = |port| SocketAddr::from(([127, 0, 0, number], port));
-    Member { id: ReplicaId(number.into()), internal: address(9), control: address(19), zone: String::new() }
+    Member {
+        id: ReplicaId(number.into()),
+        internal_address: address(9),
+        control_address: address(19),
+        zone: String::new(),
+    }
 }
 
 /// An engine whose writes and messages go nowhere.
@@ -25,7 +30,7 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let quota = QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 0.0 };
     let settings = NodeSettings { replication: Settings::default(), quota, seeds: Vec::new() };
-    let node = Node::new(settings, member(1), None, Recovered::default(), 1, clock.now(), log.clone());
+    let node = Node::new(settings, member(1), None, RecoveredState::default(), 1, clock.now(), log.clone());
     let (disk, _orders) = std::sync::mpsc::channel();
     let hello = Hello {
         protocol: 1,
@@ -45,7 +50,13 @@
 
 fn heartbeat() -> PeerMessage {
     let leader = member(2);
-    PeerMessage::Replication(Message::Heartbeat { term: 1, round: 1, commit: 0, lease: true, leader })
+    PeerMessage::Replication(Message::Heartbeat {
+        term: 1,
+        round: 1,
+        commit_index: 0,
+        leader_holds_lease: true,
+        leader,
+    })
 }
 
 fn block_on(test: impl Future<Output = ()>) {
--- a/crates/control/tests/group/mod.rs
+++ b/crates/control/tests/group/mod.rs
@@ -10,7 +10,7 @@
 use dunelink_control::node::{Effect, Node, NodeSettings};
 use dunelink_control::orders::{CallId, Reply};
 use dunelink_grants::QuotaBounds;
-use dunelink_replication::{Member, Recovered, Settings};
+use dunelink_replication::{Member, RecoveredState, Settings};
 
 /// Microseconds in a millisecond.
 const MILLISECOND: u64 = 1_000;
@@ -54,7 +54,12 @@
 
 fn member(number: u8) -> Member {
     let control = control(number);
-    Member { id: founding_id(control), internal: internal(number), control, zone: String::new() }
+    Member {
+        id: founding_id(control),
+        internal_address: internal(number),
+        control_address: control,
+        zone: String::new(),
+    }
 }
 
 fn settings(seeds: Vec<SocketAddr>) -> NodeSettings {
@@ -89,10 +94,10 @@
         let mut me = member(number);
         let founding = founders(bootstrap, &seeds, &me);
         if founding.is_none() {
-            me.id = fresh_id(me.control);
+            me.id = fresh_id(me.control_address);
         }
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let recovered = Recovered::default();
+        let recovered = RecoveredState::default();
         let node = Node::new(settings(seeds), me, founding, recovered, u64::from(number), self.now, log);
         let generation = self.machines.get(&internal(number)).map_or(1, |before| before.generation + 1);
         self.machines.insert(internal(number), Machine { node, generation, up: true });
--- a/crates/control/tests/node_group.rs
+++ b/crates/control/tests/node_group.rs
@@ -55,7 +55,7 @@
 fn others_send_the_caller_to_the_leader_unless_the_order_was_taken() {
     let mut group = Group::founded();
     let (leader, follower) = (group.leader().expect("a leader"), group.follower());
-    let elsewhere = group.node(leader).me().control;
+    let elsewhere = group.node(leader).me().control_address;
     assert_eq!(group.ask(follower, 0, &body(3, "k")), Reply::Elsewhere(elsewhere));
     assert_eq!(group.node(follower).read(group.now), Reply::Elsewhere(elsewhere));
     group.ask(leader, 0, &body(3, "k"));
@@ -156,7 +156,7 @@
         _ => None,
     });
     let (at, request, to) = asked.expect("one machine is asked");
-    assert_eq!(to.internal, leader);
+    assert_eq!(to.internal_address, leader);
     group.act(at, |node, _, effects| node.answer_reading(&to, request, Some(vec![server("a")]), effects));
     group.run_until("all have it", |group| {
         group.machines.values().all(|machine| machine.node.feed().roster.len() == 1)
@@ -259,7 +259,7 @@
     group.run_until("it votes", |group| group.node(leader).replica().membership().is_voter(id));
     group.run_until("the lost one is out", |group| {
         let membership = group.node(leader).replica().membership();
-        let is_new = membership.voters.iter().any(|voter| voter.control == control(4));
-        is_new && membership.voters.len() == 3 && membership.incoming.is_none()
+        let is_new = membership.voters.iter().any(|voter| voter.control_address == control(4));
+        is_new && membership.voters.len() == 3 && membership.incoming_voters.is_none()
     });
 }
--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -206,7 +206,8 @@
 fn show_log(found: &DataFolder) {
     match &found.identity {
         Some(identity) => {
-            let vote = identity.hard_state.vote.map_or_else(|| "nobody".to_owned(), |vote| vote.to_string());
+            let vote =
+                identity.hard_state.voted_for.map_or_else(|| "nobody".to_owned(), |vote| vote.to_string());
             let term = identity.hard_state.term;
             line(&format!("replica {}, term {term}, voted for {vote}", identity.id));
         }
--- a/crates/operator/src/disk.rs
+++ b/crates/operator/src/disk.rs
@@ -186,7 +186,7 @@
 fn addresses(membership: &Membership) -> Vec<String> {
     let text = |member: &dunelink_replication::Member| {
         let learner = if membership.is_voter(member.id) { "" } else { " (learner)" };
-        format!("{}{learner}", member.control)
+        format!("{}{learner}", member.control_address)
     };
-    membership.all().map(text).collect()
+    membership.all_members().map(text).collect()
 }
--- a/crates/operator/tests/data_folder.rs
+++ b/crates/operator/tests/data_folder.rs
@@ -27,8 +27,8 @@
 fn membership() -> Membership {
     let member = |last: u8| Member {
         id: ReplicaId(last.into()),
-        internal: format!("10.0.0.{last}:7680").parse().unwrap(),
-        control: format!("10.0.0.{last}:8665").parse().unwrap(),
+        internal_address: format!("10.0.0.{last}:7680").parse().unwrap(),
+        control_address: format!("10.0.0.{last}:8665").parse().unwrap(),
         zone: String::new(),
     };
     Membership::of_voters(vec![member(7), member(8), member(9)])
@@ -39,7 +39,7 @@
     let disk = FolderDisk::new(path).unwrap();
     let (mut store, _) = LogStore::open(disk, LIMITS).unwrap();
     let mut write = |operations: Vec<Operation>| store.apply(&operations).unwrap();
-    let hard_state = HardState { term: 2, vote: Some(ID) };
+    let hard_state = HardState { term: 2, voted_for: Some(ID) };
     write(vec![Operation::Metadata(encode(&Identity { id: ID, hard_state }))]);
     let mut state = ConfigurationState::default();
     for index in 1..=12 {
--- a/crates/replication/src/chunks.rs
+++ b/crates/replication/src/chunks.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::members::Member;
-use crate::message::{Blob, Message};
+use crate::message::{Message, TransferHeader};
 use crate::progress::{Mode, Progress, Transfer};
 use crate::record::{Entry, Payload, Snapshot};
 use crate::replica::Replica;
@@ -14,20 +14,20 @@
 /// Parts of a blob that have arrived.
 #[derive(Clone, Debug)]
 pub(crate) struct Assembly {
-    blob: Blob,
-    total: u64,
+    header: TransferHeader,
+    total_bytes: u64,
     bytes: Vec<u8>,
 }
 
 impl Replica {
     pub(crate) fn begin_snapshot(&mut self, progress: &mut Progress) {
         let Some(snapshot) = self.log.snapshot() else { return };
-        let blob = Blob::Snapshot {
+        let header = TransferHeader::Snapshot {
             index: snapshot.index,
             term: snapshot.term,
             membership: snapshot.membership.clone(),
         };
-        progress.transfer(blob, Some(Arc::clone(snapshot)));
+        progress.transfer(header, Some(Arc::clone(snapshot)));
     }
 
     pub(crate) fn begin_command(&mut self, progress: &mut Progress) {
@@ -38,7 +38,7 @@
         let (Some(entry), Some(prev_term)) = (self.log.get(index), self.log.term_at(index - 1)) else {
             return;
         };
-        progress.transfer(Blob::Command { index, term: entry.term, prev_term }, None);
+        progress.transfer(TransferHeader::Command { index, term: entry.term, prev_term }, None);
     }
 
     /// Sends the next part of a transfer if none is in flight.
@@ -49,15 +49,15 @@
             return;
         }
         let whole = self.blob_bytes(transfer);
-        let start = usize::try_from(transfer.received).unwrap_or(usize::MAX);
+        let start = usize::try_from(transfer.received_bytes).unwrap_or(usize::MAX);
         let Some(rest) = whole.and_then(|whole| whole.get(start..)) else {
-            return progress.probe(progress.matched + 1);
+            return progress.probe(progress.match_index + 1);
         };
         let message = Message::Chunk {
             term: self.hard_state.term,
-            blob: transfer.blob.clone(),
-            offset: transfer.received,
-            total: transfer.received + rest.len() as u64,
+            header: transfer.header.clone(),
+            offset: transfer.received_bytes,
+            total_bytes: transfer.received_bytes + rest.len() as u64,
             bytes: rest[..rest.len().min(limit)].to_vec(),
         };
         transfer.sent = Some(self.now);
@@ -68,70 +68,81 @@
         if let Some(snapshot) = &transfer.snapshot {
             return Some(&snapshot.state);
         }
-        match &self.log.get(transfer.blob.index())?.payload {
+        match &self.log.get(transfer.header.index())?.payload {
             Payload::Command(command) => Some(command),
             Payload::Noop | Payload::Membership(_) => None,
         }
     }
 
-    pub(crate) fn on_chunk(&mut self, leader: Member, blob: Blob, offset: u64, total: u64, bytes: Vec<u8>) {
-        if let Some(matched) = self.has_blob(&blob) {
+    pub(crate) fn on_chunk(
+        &mut self,
+        leader: Member,
+        header: TransferHeader,
+        offset: u64,
+        total_bytes: u64,
+        bytes: Vec<u8>,
+    ) {
+        if let Some(match_index) = self.has_blob(&header) {
             self.assembly = None;
-            return self.confirm(leader, matched);
+            return self.confirm(leader, match_index);
         }
-        if total > MAX_BLOB || (self.membership().is_empty() && matches!(blob, Blob::Command { .. })) {
+        if total_bytes > MAX_BLOB
+            || (self.membership().is_empty() && matches!(header, TransferHeader::Command { .. }))
+        {
             return;
         }
-        let index = blob.index();
-        let mut assembly = self.assembly.take().filter(|known| known.blob == blob && known.total == total);
+        let index = header.index();
+        let mut assembly =
+            self.assembly.take().filter(|known| known.header == header && known.total_bytes == total_bytes);
         if offset == 0 {
-            assembly = Some(Assembly { blob, total, bytes: Vec::new() });
+            assembly = Some(Assembly { header, total_bytes, bytes: Vec::new() });
         }
         let Some(mut assembly) = assembly else { return self.answer_chunk(leader, index, 0) };
         if offset == assembly.bytes.len() as u64 {
             assembly.bytes.extend_from_slice(&bytes);
         }
-        let received = assembly.bytes.len() as u64;
-        if received < total {
+        let received_bytes = assembly.bytes.len() as u64;
+        if received_bytes < total_bytes {
             self.assembly = Some(assembly);
-            return self.answer_chunk(leader, index, received);
+            return self.answer_chunk(leader, index, received_bytes);
         }
-        if received == total {
+        if received_bytes == total_bytes {
             self.take_blob(leader, assembly);
         }
     }
 
-    fn answer_chunk(&mut self, leader: Member, index: u64, received: u64) {
+    fn answer_chunk(&mut self, leader: Member, index: u64, received_bytes: u64) {
         let term = self.hard_state.term;
-        self.send_in_term(leader, Message::ChunkReply { term, index, received });
+        self.send_in_term(leader, Message::ChunkReply { term, index, received_bytes });
     }
 
     /// Index up to which this log is known to equal the leader's, if it holds the blob already.
-    fn has_blob(&mut self, blob: &Blob) -> Option<u64> {
+    fn has_blob(&mut self, header: &TransferHeader) -> Option<u64> {
         if self.membership().is_empty() {
             return None;
         }
-        let (Blob::Snapshot { index, term, .. } | Blob::Command { index, term, .. }) = blob;
-        if *index <= self.commit {
-            return Some(self.commit);
+        let (TransferHeader::Snapshot { index, term, .. } | TransferHeader::Command { index, term, .. }) =
+            header;
+        if *index <= self.commit_index {
+            return Some(self.commit_index);
         }
         if self.log.term_at(*index) != Some(*term) {
             return None;
         }
         self.verified = self.verified.max(*index);
-        if let Blob::Snapshot { index, .. } = blob {
+        if let TransferHeader::Snapshot { index, .. } = header {
             self.commit_to(*index);
         }
         Some(*index)
     }
 
     fn take_blob(&mut self, leader: Member, assembly: Assembly) {
-        match assembly.blob {
-            Blob::Snapshot { index, term, membership } => {
+        match assembly.header {
+            TransferHeader::Snapshot { index, term, membership } => {
                 self.restore(Snapshot { index, term, membership, state: assembly.bytes });
                 self.confirm(leader, index);
             }
-            Blob::Command { index, term, prev_term } => {
+            TransferHeader::Command { index, term, prev_term } => {
                 let prev_index = index - 1;
                 if self.log.term_at(prev_index) != Some(prev_term) {
                     return;
--- a/crates/replication/src/disk.rs
+++ b/crates/replication/src/disk.rs
@@ -11,11 +11,11 @@
 /// rise by one from write to write, but the first attempt after a failure skips a number. So each write that directly
 /// follows a failed one fails too, until one skips.
 #[derive(Clone, Debug, Default)]
-pub struct WriteGate {
+pub struct WriteFence {
     failed: Option<u64>,
 }
 
-impl WriteGate {
+impl WriteFence {
     /// Whether the write may be carried out; if not, report it with [`crate::Input::WriteFailed`].
     pub fn accepts(&mut self, sequence: u64) -> bool {
         let follows = self.failed.is_some_and(|failed| sequence <= failed.saturating_add(1));
@@ -24,7 +24,7 @@
     }
 
     /// Notes that a write failed.
-    pub fn failed(&mut self, sequence: u64) {
+    pub fn record_failure(&mut self, sequence: u64) {
         self.failed = Some(sequence);
     }
 }
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -16,12 +16,12 @@
         // The founders have promised nothing to anyone; they stand one after the other.
         let place = self.membership().voters.iter().position(|voter| voter.id == self.me.id);
         let steps = place.unwrap_or(0) as u64 + 1;
-        self.election_deadline = self.now.saturating_add(steps * self.settings.heartbeat);
+        self.election_deadline = self.now.saturating_add(steps * self.settings.heartbeat_interval);
     }
 
     /// Waits for a leader from now on.
     pub(crate) fn reset_election_deadline(&mut self) {
-        let (shortest, longest) = (self.settings.election_min, self.settings.election_max);
+        let (shortest, longest) = (self.settings.election_timeout_min, self.settings.election_timeout_max);
         self.wait_between(shortest, longest);
     }
 
@@ -45,7 +45,7 @@
 
     fn may_stand(&self) -> bool {
         let votes = self.membership().is_voter(self.me.id) || self.needed_candidate;
-        votes && self.disk_is_healthy() && !self.retiring
+        votes && self.disk_is_healthy() && !self.shutting_down
     }
 
     /// A candidate was refused because its log is behind this one's. One that doesn't vote as far as it knows stands
@@ -62,12 +62,13 @@
         self.role = Role::Candidate;
         self.asking_promises = true;
         // Promises to the leader before run out one by one: asking again soon costs a few messages and no term.
-        self.wait_between(self.settings.heartbeat / 2, self.settings.heartbeat);
+        self.wait_between(self.settings.heartbeat_interval / 2, self.settings.heartbeat_interval);
         self.votes.insert(self.me.id);
         let last = self.log.last();
         let term = self.hard_state.term + 1;
         let candidate = self.me.clone();
-        let question = Message::PreVote { term, last_index: last.index, last_term: last.term, candidate };
+        let question =
+            Message::PreVoteRequest { term, last_index: last.index, last_term: last.term, candidate };
         self.send_voters(&question);
         self.count_promises();
     }
@@ -85,10 +86,10 @@
         self.asking_promises = false;
         self.leader = None;
         self.votes.clear();
-        self.verified = self.commit;
+        self.verified = self.commit_index;
         self.assembly = None;
         self.reset_election_deadline();
-        self.set_hard_state(HardState { term: self.hard_state.term + 1, vote: Some(self.me.id) });
+        self.set_hard_state(HardState { term: self.hard_state.term + 1, voted_for: Some(self.me.id) });
         self.candidacy = Some(Candidacy { sequence: self.term_sequence, handover });
     }
 
@@ -100,7 +101,7 @@
         };
         self.votes.insert(self.me.id);
         let last = self.log.last();
-        let question = Message::Vote {
+        let question = Message::VoteRequest {
             term: self.hard_state.term,
             last_index: last.index,
             last_term: last.term,
@@ -128,21 +129,23 @@
 
     pub(crate) fn on_vote_request(&mut self, from: ReplicaId, message: Message) {
         match message {
-            Message::PreVote { term, last_index, last_term, candidate } if candidate.id == from => {
+            Message::PreVoteRequest { term, last_index, last_term, candidate } if candidate.id == from => {
                 self.on_pre_vote(term, (last_term, last_index), candidate);
             }
-            Message::Vote { term, last_index, last_term, candidate, handover } if candidate.id == from => {
+            Message::VoteRequest { term, last_index, last_term, candidate, handover }
+                if candidate.id == from =>
+            {
                 self.on_vote(term, (last_term, last_index), candidate, handover);
             }
             _ => {}
         }
     }
 
-    fn on_pre_vote(&mut self, asked: u64, last: (u64, u64), candidate: Member) {
+    fn on_pre_vote(&mut self, requested_term: u64, last: (u64, u64), candidate: Member) {
         if !self.membership().contains(candidate.id) {
             self.on_member_question(candidate.id, candidate.clone());
         }
-        let granted = asked > self.hard_state.term
+        let granted = requested_term > self.hard_state.term
             && self.is_up_to_date(last)
             && !self.has_promised()
             && self.disk_is_healthy()
@@ -151,7 +154,7 @@
             self.note_behind();
         }
         let term = self.hard_state.term;
-        self.send_in_term(candidate, Message::PreVoteReply { term, asked, granted });
+        self.send_in_term(candidate, Message::PreVoteReply { term, requested_term, granted });
     }
 
     fn on_vote(&mut self, term: u64, last: (u64, u64), candidate: Member, handover: bool) {
@@ -165,10 +168,10 @@
         if term > self.hard_state.term {
             self.follow(term, None);
         }
-        let free = self.hard_state.vote.is_none_or(|voted| voted == candidate.id);
+        let free = self.hard_state.voted_for.is_none_or(|voted| voted == candidate.id);
         let granted = free && self.leading.is_none() && self.is_up_to_date(last);
-        if granted && self.hard_state.vote.is_none() {
-            self.set_hard_state(HardState { term, vote: Some(candidate.id) });
+        if granted && self.hard_state.voted_for.is_none() {
+            self.set_hard_state(HardState { term, voted_for: Some(candidate.id) });
         }
         if granted {
             self.reset_election_deadline();
@@ -193,14 +196,16 @@
             return;
         }
         match message {
-            Message::PreVoteReply { asked, granted: true, .. } => self.on_promise(from, asked),
+            Message::PreVoteReply { requested_term, granted: true, .. } => {
+                self.on_promise(from, requested_term)
+            }
             Message::VoteReply { term, granted: true } => self.on_granted(from, term),
             _ => {}
         }
     }
 
-    fn on_promise(&mut self, from: ReplicaId, asked: u64) {
-        let asking = self.candidacy.is_none() && asked == self.hard_state.term + 1;
+    fn on_promise(&mut self, from: ReplicaId, requested_term: u64) {
+        let asking = self.candidacy.is_none() && requested_term == self.hard_state.term + 1;
         if asking && self.asking_promises {
             self.votes.insert(from);
             self.count_promises();
@@ -227,7 +232,8 @@
         if self.membership().is_empty() {
             return;
         }
-        let question = Message::AmIMember { last_index: self.log.last().index, member: self.me.clone() };
+        let question =
+            Message::MembershipQuery { last_index: self.log.last().index, member: self.me.clone() };
         self.send_voters(&question);
     }
 
@@ -239,7 +245,7 @@
         let leader = self.leader.clone().filter(|leader| leader.id != self.me.id && member.id == from);
         let Some(leader) = leader else { return };
         let last_index = self.log.last().index;
-        self.send(leader, Message::AmIMember { last_index, member });
+        self.send(leader, Message::MembershipQuery { last_index, member });
     }
 
     fn answer_member_question(&mut self, member: Member) {
@@ -258,6 +264,6 @@
             return;
         }
         self.removed = true;
-        self.out.push(Output::Removed);
+        self.out.push(Output::RemovedFromGroup);
     }
 }
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -16,10 +16,10 @@
         /// The message.
         message: Message,
     },
-    /// A command to commit; answered by [`Output::Answer`] with the same ticket.
+    /// A command to commit; answered by [`Output::ProposalResult`] with the same id.
     Propose {
         /// Number chosen by the host.
-        ticket: u64,
+        proposal_id: u64,
         /// The command.
         command: Vec<u8>,
     },
@@ -36,13 +36,13 @@
     /// A replica wants to join; does something only on the leader.
     Join(Member),
     /// The process is about to end: hand over the leadership and do not stand again.
-    HandOver,
+    PrepareShutdown,
     /// Answer to [`Output::TakeSnapshot`].
-    State {
+    SnapshotTaken {
         /// Index of the request.
         index: u64,
         /// State of the host after the entry at that index.
-        bytes: Vec<u8>,
+        state: Vec<u8>,
     },
 }
 
@@ -78,13 +78,13 @@
         state: Vec<u8>,
     },
     /// Outcome of a proposal.
-    Answer {
+    ProposalResult {
         /// Number of the proposal.
-        ticket: u64,
+        proposal_id: u64,
         /// Index at which it is committed and applied.
-        result: Result<u64, Refusal>,
+        result: Result<u64, ProposalError>,
     },
-    /// Take the state as it is after the outputs before this one, and hand it in as [`Input::State`], now or later.
+    /// Take the state as it is after the outputs before this one, and hand it in as [`Input::SnapshotTaken`], now or later.
     TakeSnapshot {
         /// Index that the state contains.
         index: u64,
@@ -101,12 +101,12 @@
     /// Another membership is in force.
     MembershipChanged(Membership),
     /// This identity is no longer a member: throw the log away and join under a new one.
-    Removed,
+    RemovedFromGroup,
 }
 
 /// Why a proposal has no index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum ProposalError {
     /// Not taken: this replica does not lead.
     #[error("this replica does not lead the group; send the proposal to the leader")]
     NotLeader,
@@ -115,5 +115,5 @@
     Overloaded,
     /// Taken, and it may or may not be committed later.
     #[error("the leadership was lost before the outcome was known; read the state and decide then")]
-    Uncertain,
+    OutcomeUnknown,
 }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -10,9 +10,9 @@
     pub(crate) fn on_leader_message(&mut self, from: ReplicaId, message: Message) {
         let (Message::Heartbeat { term, .. }
         | Message::Append { term, .. }
-        | Message::Commit { term, .. }
+        | Message::CommitUpdate { term, .. }
         | Message::Chunk { term, .. }
-        | Message::StandNow { term }) = &message
+        | Message::TimeoutNow { term }) = &message
         else {
             return;
         };
@@ -21,7 +21,7 @@
         if term < self.hard_state.term {
             return self.answer_heartbeat(sender, 0);
         }
-        if let Message::StandNow { .. } = message {
+        if let Message::TimeoutNow { .. } = message {
             if term == self.hard_state.term && self.leader.as_ref() == Some(&sender) {
                 self.on_stand_now();
             }
@@ -40,20 +40,20 @@
         self.needed_candidate = false;
         self.reset_election_deadline();
         match message {
-            Message::Heartbeat { round, commit, lease, .. } => {
-                if lease {
+            Message::Heartbeat { round, commit_index, leader_holds_lease, .. } => {
+                if leader_holds_lease {
                     self.contact = Some(self.now);
                 }
                 self.answer_heartbeat(sender, round);
-                self.learn_commit(commit);
+                self.learn_commit(commit_index);
             }
-            Message::Append { prev_index, prev_term, entries, commit, .. } => {
+            Message::Append { prev_index, prev_term, entries, commit_index, .. } => {
                 self.on_append(sender, prev_index, prev_term, entries);
-                self.learn_commit(commit);
+                self.learn_commit(commit_index);
             }
-            Message::Commit { commit, .. } => self.learn_commit(commit),
-            Message::Chunk { blob, offset, total, bytes, .. } => {
-                self.on_chunk(sender, blob, offset, total, bytes)
+            Message::CommitUpdate { commit_index, .. } => self.learn_commit(commit_index),
+            Message::Chunk { header, offset, total_bytes, bytes, .. } => {
+                self.on_chunk(sender, header, offset, total_bytes, bytes)
             }
             _ => {}
         }
@@ -71,15 +71,15 @@
     fn answer_heartbeat(&mut self, to: Member, round: u64) {
         let term = self.hard_state.term;
         let disk_healthy = self.disk_is_healthy();
-        let retiring = self.retiring;
-        self.send_in_term(to, Message::HeartbeatReply { term, round, disk_healthy, retiring });
+        let shutting_down = self.shutting_down;
+        self.send_in_term(to, Message::HeartbeatReply { term, round, disk_healthy, shutting_down });
     }
 
     fn on_append(&mut self, leader: Member, prev_index: u64, prev_term: u64, entries: Vec<Entry>) {
         if self.membership().is_empty() {
             return self.reject(leader, prev_index, true);
         }
-        if prev_index < self.commit {
+        if prev_index < self.commit_index {
             return self.on_late_append(leader, prev_index, entries);
         }
         if self.log.term_at(prev_index) != Some(prev_term) {
@@ -90,23 +90,23 @@
 
     /// Entries that begin within what is committed here, and so is equal.
     fn on_late_append(&mut self, leader: Member, prev_index: u64, mut entries: Vec<Entry>) {
-        let known = usize::try_from(self.commit - prev_index).unwrap_or(usize::MAX).min(entries.len());
+        let known = usize::try_from(self.commit_index - prev_index).unwrap_or(usize::MAX).min(entries.len());
         entries.drain(..known);
-        let prev_index = self.commit;
+        let prev_index = self.commit_index;
         self.take_entries(leader, prev_index, entries);
     }
 
     /// Entries right after `prev_index`, up to which the log equals the leader's.
     pub(crate) fn take_entries(&mut self, leader: Member, prev_index: u64, entries: Vec<Entry>) {
-        let mut matched = prev_index;
+        let mut match_index = prev_index;
         let mut last_term = self.log.term_at(prev_index).unwrap_or(0);
         for entry in entries {
-            let in_order = entry.index == matched + 1;
+            let in_order = entry.index == match_index + 1;
             if !in_order || entry.term < last_term || entry.term > self.hard_state.term {
                 return;
             }
             last_term = entry.term;
-            matched = entry.index;
+            match_index = entry.index;
             match self.log.term_at(entry.index) {
                 Some(term) if term == entry.term => continue,
                 Some(_) => self.truncate(entry.index),
@@ -114,20 +114,20 @@
             }
             self.push_entry(entry);
         }
-        self.confirm(leader, matched);
+        self.confirm(leader, match_index);
     }
 
-    /// The log equals the leader's up to `matched`; tells so once that is synced.
-    pub(crate) fn confirm(&mut self, leader: Member, matched: u64) {
-        self.verified = self.verified.max(matched);
+    /// The log equals the leader's up to `match_index`; tells so once that is synced.
+    pub(crate) fn confirm(&mut self, leader: Member, match_index: u64) {
+        self.verified = self.verified.max(match_index);
         let term = self.hard_state.term;
-        self.send_synced(leader, Message::Appended { term, matched });
+        self.send_synced(leader, Message::AppendAccepted { term, match_index });
     }
 
     fn reject(&mut self, leader: Member, prev_index: u64, needs_snapshot: bool) {
         let (hint_index, hint_term) = self.conflict_hint(prev_index);
         let term = self.hard_state.term;
-        let message = Message::Rejected { term, prev_index, hint_index, hint_term, needs_snapshot };
+        let message = Message::AppendRejected { term, prev_index, hint_index, hint_term, needs_snapshot };
         self.send_in_term(leader, message);
     }
 
@@ -139,13 +139,13 @@
         }
         let conflicting = self.log.term_at(prev_index);
         let mut index = prev_index;
-        while index > self.commit && self.log.term_at(index) == conflicting {
+        while index > self.commit_index && self.log.term_at(index) == conflicting {
             index -= 1;
         }
         (index, self.log.term_at(index).unwrap_or(0))
     }
 
-    pub(crate) fn learn_commit(&mut self, commit: u64) {
-        self.commit_to(commit.min(self.verified));
+    pub(crate) fn learn_commit(&mut self, commit_index: u64) {
+        self.commit_to(commit_index.min(self.verified));
     }
 }
--- a/crates/replication/src/leader.rs
+++ b/crates/replication/src/leader.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Micros;
-use crate::event::{Output, Refusal};
+use crate::event::{Output, ProposalError};
 use crate::members::{Member, ReplicaId};
 use crate::message::Message;
 use crate::progress::{Mode, Progress};
@@ -25,7 +25,7 @@
     /// First entry of this term.
     pub(crate) first_index: u64,
     /// Index and ticket of proposals without an answer.
-    tickets: VecDeque<(u64, u64)>,
+    proposal_ids: VecDeque<(u64, u64)>,
     uncommitted_bytes: usize,
     /// Since when a planned handover waits.
     pub(crate) handover_since: Option<Micros>,
@@ -39,7 +39,7 @@
     number: u64,
     sent_at: Micros,
     /// What was committed then, or may have been.
-    commit: u64,
+    commit_index: u64,
 }
 
 impl Leading {
@@ -57,14 +57,14 @@
 
     /// What was committed at the first round after `since`; nothing if there was none.
     pub(crate) fn commit_since(&self, since: Micros) -> Option<u64> {
-        self.rounds.iter().find(|round| round.sent_at >= since).map(|round| round.commit)
+        self.rounds.iter().find(|round| round.sent_at >= since).map(|round| round.commit_index)
     }
 
-    fn begin_round(&mut self, now: Micros, commit: u64) {
+    fn begin_round(&mut self, now: Micros, commit_index: u64) {
         let number = self.round() + 1;
         // A new leader does not know yet what is committed: all before its first entry may be.
-        let commit = commit.max(self.first_index);
-        self.rounds.push_back(Round { number, sent_at: now, commit });
+        let commit_index = commit_index.max(self.first_index);
+        self.rounds.push_back(Round { number, sent_at: now, commit_index });
         if self.rounds.len() > MAX_ROUNDS {
             self.rounds.pop_front();
         }
@@ -84,7 +84,7 @@
             next_heartbeat: self.now,
             since: self.now,
             first_index: self.log.last().index + 1,
-            tickets: VecDeque::new(),
+            proposal_ids: VecDeque::new(),
             uncommitted_bytes: 0,
             handover_since: None,
             joins: Vec::new(),
@@ -98,7 +98,7 @@
     pub(crate) fn lead_on(&mut self) {
         let Some(leading) = &self.leading else { return };
         let base = self.lease_end(self.now).unwrap_or(0).max(leading.since);
-        if self.now > base.saturating_add(self.settings.election_min) {
+        if self.now > base.saturating_add(self.settings.election_timeout_min) {
             return self.follow(self.hard_state.term, None);
         }
         if self.holds_lease(self.now) {
@@ -113,17 +113,17 @@
     /// Stops to lead; proposals without an answer may still be committed.
     pub(crate) fn abdicate(&mut self) {
         let Some(leading) = self.leading.take() else { return };
-        for (_, ticket) in leading.tickets {
-            self.out.push(Output::Answer { ticket, result: Err(Refusal::Uncertain) });
+        for (_, proposal_id) in leading.proposal_ids {
+            self.out.push(Output::ProposalResult { proposal_id, result: Err(ProposalError::OutcomeUnknown) });
         }
         self.reset_election_deadline();
     }
 
     fn heartbeat(&mut self) {
-        let interval = self.settings.heartbeat;
+        let interval = self.settings.heartbeat_interval;
         let Some(leading) = &mut self.leading else { return };
         leading.next_heartbeat = self.now.saturating_add(interval);
-        leading.begin_round(self.now, self.commit);
+        leading.begin_round(self.now, self.commit_index);
         let ids: Vec<ReplicaId> = leading.peers.keys().copied().collect();
         for id in ids {
             self.send_heartbeat(id);
@@ -131,17 +131,17 @@
     }
 
     fn send_heartbeat(&mut self, id: ReplicaId) {
-        let lease = self.holds_lease(self.now);
+        let leader_holds_lease = self.holds_lease(self.now);
         let Some(member) = self.membership().get(id).cloned() else { return };
         let Some(leading) = &mut self.leading else { return };
         if let Some(progress) = leading.peers.get_mut(&id) {
-            progress.told_commit = self.commit;
+            progress.told_commit = self.commit_index;
         }
         let heartbeat = Message::Heartbeat {
             term: self.hard_state.term,
             round: leading.round(),
-            commit: self.commit,
-            lease,
+            commit_index: self.commit_index,
+            leader_holds_lease,
             leader: self.me.clone(),
         };
         self.send(member, heartbeat);
@@ -149,7 +149,7 @@
 
     /// Begins to replicate to new members and forgets those that are gone.
     pub(crate) fn sync_peers(&mut self) {
-        let members: Vec<ReplicaId> = self.membership().all().map(|member| member.id).collect();
+        let members: Vec<ReplicaId> = self.membership().all_members().map(|member| member.id).collect();
         let next = self.log.last().index + 1;
         let Some(leading) = &mut self.leading else { return };
         leading.peers.retain(|id, _| members.contains(id));
@@ -173,30 +173,30 @@
         let entry = Entry { index: self.log.last().index + 1, term: self.hard_state.term, payload };
         let index = entry.index;
         if let Some(leading) = &mut self.leading {
-            leading.uncommitted_bytes += entry.size();
+            leading.uncommitted_bytes += entry.approximate_bytes();
         }
         self.push_entry(entry);
         index
     }
 
-    pub(crate) fn propose(&mut self, ticket: u64, command: Vec<u8>) {
+    pub(crate) fn propose(&mut self, proposal_id: u64, command: Vec<u8>) {
         if let Err(refusal) = self.admits(command.len()) {
-            return self.out.push(Output::Answer { ticket, result: Err(refusal) });
+            return self.out.push(Output::ProposalResult { proposal_id, result: Err(refusal) });
         }
         let index = self.append(Payload::Command(command));
         if let Some(leading) = &mut self.leading {
-            leading.tickets.push_back((index, ticket));
+            leading.proposal_ids.push_back((index, proposal_id));
         }
     }
 
-    fn admits(&self, bytes: usize) -> Result<(), Refusal> {
-        let leading = self.leading.as_ref().ok_or(Refusal::NotLeader)?;
+    fn admits(&self, bytes: usize) -> Result<(), ProposalError> {
+        let leading = self.leading.as_ref().ok_or(ProposalError::NotLeader)?;
         if leading.handover_since.is_some() {
-            return Err(Refusal::NotLeader);
+            return Err(ProposalError::NotLeader);
         }
         let waiting = leading.uncommitted_bytes;
         if waiting > 0 && waiting.saturating_add(bytes) > self.settings.max_uncommitted_bytes {
-            return Err(Refusal::Overloaded);
+            return Err(ProposalError::Overloaded);
         }
         Ok(())
     }
@@ -208,15 +208,15 @@
             if id == self.me.id {
                 return self.disk.synced_index();
             }
-            leading.peers.get(&id).map_or(0, |progress| progress.matched)
+            leading.peers.get(&id).map_or(0, |progress| progress.match_index)
         };
         let index = quorum::reached(self.membership(), synced, 0);
-        if index <= self.commit || self.log.term_at(index) != Some(self.hard_state.term) {
+        if index <= self.commit_index || self.log.term_at(index) != Some(self.hard_state.term) {
             return;
         }
         self.release_bytes(index);
         let changes =
-            self.commit < self.memberships.newest_index() && self.memberships.newest_index() <= index;
+            self.commit_index < self.memberships.newest_index() && self.memberships.newest_index() <= index;
         self.commit_to(index);
         self.answer_tickets();
         if changes {
@@ -226,26 +226,26 @@
 
     fn release_bytes(&mut self, index: u64) {
         let Some(leading) = &mut self.leading else { return };
-        let first = leading.first_index.max(self.commit + 1);
+        let first = leading.first_index.max(self.commit_index + 1);
         let committed = self.log.from(first).take_while(|entry| entry.index <= index);
-        let bytes: usize = committed.map(Entry::size).sum();
+        let bytes: usize = committed.map(Entry::approximate_bytes).sum();
         leading.uncommitted_bytes = leading.uncommitted_bytes.saturating_sub(bytes);
     }
 
     fn answer_tickets(&mut self) {
         let Some(leading) = &mut self.leading else { return };
-        while let Some((index, ticket)) =
-            leading.tickets.front().copied().filter(|(index, _)| *index <= self.commit)
+        while let Some((index, proposal_id)) =
+            leading.proposal_ids.front().copied().filter(|(index, _)| *index <= self.commit_index)
         {
-            leading.tickets.pop_front();
-            self.out.push(Output::Answer { ticket, result: Ok(index) });
+            leading.proposal_ids.pop_front();
+            self.out.push(Output::ProposalResult { proposal_id, result: Ok(index) });
         }
     }
 
     pub(crate) fn on_follower_reply(&mut self, from: ReplicaId, message: Message) {
         let (Message::HeartbeatReply { term, .. }
-        | Message::Appended { term, .. }
-        | Message::Rejected { term, .. }
+        | Message::AppendAccepted { term, .. }
+        | Message::AppendRejected { term, .. }
         | Message::ChunkReply { term, .. }) = &message
         else {
             return;
@@ -261,23 +261,25 @@
         };
         progress.heard = Some(self.now);
         match message {
-            Message::HeartbeatReply { round, disk_healthy, retiring, .. } => {
+            Message::HeartbeatReply { round, disk_healthy, shutting_down, .. } => {
                 progress.disk_healthy = disk_healthy;
-                let begins_to_retire = retiring && !progress.retiring;
-                progress.retiring = retiring;
+                let begins_to_retire = shutting_down && !progress.shutting_down;
+                progress.shutting_down = shutting_down;
                 self.on_round_answered(from, round);
                 if begins_to_retire {
                     self.reconfigure();
                 }
             }
-            Message::Appended { matched, .. } if matched <= self.log.last().index => {
-                progress.appended(self.now, matched);
+            Message::AppendAccepted { match_index, .. } if match_index <= self.log.last().index => {
+                progress.appended(self.now, match_index);
                 self.advance_commit();
             }
-            Message::Rejected { prev_index, hint_index, hint_term, needs_snapshot, .. } => {
+            Message::AppendRejected { prev_index, hint_index, hint_term, needs_snapshot, .. } => {
                 self.on_rejected(from, prev_index, (hint_index, hint_term), needs_snapshot);
             }
-            Message::ChunkReply { index, received, .. } => progress.received(self.now, index, received),
+            Message::ChunkReply { index, received_bytes, .. } => {
+                progress.received(self.now, index, received_bytes)
+            }
             _ => {}
         }
     }
@@ -295,7 +297,7 @@
         let Some(progress) = self.leading.as_mut().and_then(|leading| leading.peers.get_mut(&from)) else {
             return;
         };
-        let stale = compared < progress.matched || matches!(progress.mode, Mode::Chunks(_));
+        let stale = compared < progress.match_index || matches!(progress.mode, Mode::Chunks(_));
         if stale {
             return;
         }
@@ -321,7 +323,7 @@
     }
 
     fn replicate_to(&mut self, member: &Member, progress: &mut Progress) {
-        if progress.silent_for(self.now) >= self.settings.election_max {
+        if progress.silent_for(self.now) >= self.settings.election_timeout_max {
             return;
         }
         if progress.disk_healthy {
@@ -330,9 +332,12 @@
         while progress.has_room(self.settings.max_append_bytes) && self.send_entries(member, progress) {}
         self.send_chunk(member, progress);
         let streams = matches!(progress.mode, Mode::Stream { .. });
-        if streams && progress.told_commit < self.commit {
-            progress.told_commit = self.commit;
-            self.send(member.clone(), Message::Commit { term: self.hard_state.term, commit: self.commit });
+        if streams && progress.told_commit < self.commit_index {
+            progress.told_commit = self.commit_index;
+            self.send(
+                member.clone(),
+                Message::CommitUpdate { term: self.hard_state.term, commit_index: self.commit_index },
+            );
         }
     }
 
@@ -354,12 +359,12 @@
             self.begin_command(progress);
             return false;
         }
-        let bytes = entries.iter().map(Entry::size).sum();
+        let bytes = entries.iter().map(Entry::approximate_bytes).sum();
         let last_index = prev_index + entries.len() as u64;
         progress.sent(self.now, last_index, bytes);
-        progress.told_commit = self.commit;
-        let (term, commit) = (self.hard_state.term, self.commit);
-        self.send(member.clone(), Message::Append { term, prev_index, prev_term, entries, commit });
+        progress.told_commit = self.commit_index;
+        let (term, commit_index) = (self.hard_state.term, self.commit_index);
+        self.send(member.clone(), Message::Append { term, prev_index, prev_term, entries, commit_index });
         true
     }
 
@@ -367,7 +372,7 @@
     fn select(&self, next: u64, limit: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let fits = |entry: &&Entry| {
-            bytes += entry.size();
+            bytes += entry.approximate_bytes();
             bytes <= limit || (entry.index == next && !matches!(entry.payload, Payload::Command(_)))
         };
         self.log.from(next).take_while(fits).take(MAX_ENTRIES_PER_MESSAGE).cloned().collect()
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -7,7 +7,7 @@
 //! What the host must keep to:
 //! - Records of one [`Output::Write`] go to the disk in their order, and writes in the order of their sequences.
 //!   [`Input::Written`] is handed in only after the records are synced. After a failed write the disk follows
-//!   [`WriteGate`].
+//!   [`WriteFence`].
 //! - A message reaches only the identity that [`Output::Send`] names: one that was sent to an older identity at the
 //!   same address is dropped.
 //! - [`Output::Apply`] and [`Output::Restore`] change the state in the order of the outputs, before the answers that
@@ -36,11 +36,11 @@
 mod status;
 
 pub use codec::{CodecError, decode, encode};
-pub use disk::WriteGate;
-pub use event::{Input, Output, Refusal};
+pub use disk::WriteFence;
+pub use event::{Input, Output, ProposalError};
 pub use members::{Member, Membership, ReplicaId};
-pub use message::{Blob, Message};
-pub use record::{Entry, HardState, Payload, Record, Recovered, Snapshot};
+pub use message::{Message, TransferHeader};
+pub use record::{Entry, HardState, Payload, Record, RecoveredState, Snapshot};
 pub use replica::Replica;
 pub use settings::Settings;
 pub use status::{PeerStatus, Role, Status};
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -79,7 +79,7 @@
     /// Adds the entry after the last one.
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
-        self.bytes += entry.size();
+        self.bytes += entry.approximate_bytes();
         self.entries.push_back(entry);
     }
 
@@ -87,7 +87,7 @@
     pub(crate) fn truncate(&mut self, index: u64) {
         while self.entries.back().is_some_and(|entry| entry.index >= index) {
             let removed = self.entries.pop_back();
-            self.bytes -= removed.map_or(0, |entry| entry.size());
+            self.bytes -= removed.map_or(0, |entry| entry.approximate_bytes());
         }
     }
 
@@ -107,7 +107,7 @@
         let mut kept_bytes = 0;
         let mut kept = 0;
         for entry in self.entries.iter().take(covered).rev() {
-            kept_bytes += entry.size();
+            kept_bytes += entry.approximate_bytes();
             if kept >= keep_entries || kept_bytes > keep_bytes {
                 break;
             }
@@ -115,7 +115,7 @@
         }
         let dropped = covered - usize::try_from(kept).unwrap_or(covered).min(covered);
         for entry in self.entries.drain(..dropped) {
-            self.bytes -= entry.size();
+            self.bytes -= entry.approximate_bytes();
             self.before = Position { index: entry.index, term: entry.term };
         }
         self.entries.shrink_to(2 * self.entries.len());
--- a/crates/replication/src/members.rs
+++ b/crates/replication/src/members.rs
@@ -28,17 +28,17 @@
     /// Address for replicas and agents.
     #[n(1)]
     #[cbor(with = "codec::address")]
-    pub internal: SocketAddr,
+    pub internal_address: SocketAddr,
     /// Address of its operator's API.
     #[n(2)]
     #[cbor(with = "codec::address")]
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     /// Failure zone, empty if unknown.
     #[n(3)]
     pub zone: String,
 }
 
-/// Who votes and who follows. With `incoming` the change is joint: every decision needs a majority of both sets.
+/// Who votes and who follows. With `incoming_voters` the change is joint: every decision needs a majority of both sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Membership {
     /// Members whose majority decides.
@@ -46,7 +46,7 @@
     pub voters: Vec<Member>,
     /// Voters after the change that is under way.
     #[n(1)]
-    pub incoming: Option<Vec<Member>>,
+    pub incoming_voters: Option<Vec<Member>>,
     /// Members that receive the log and do not vote.
     #[n(2)]
     pub learners: Vec<Member>,
@@ -55,7 +55,7 @@
 impl Membership {
     /// A membership of voters only.
     pub fn of_voters(voters: Vec<Member>) -> Self {
-        Self { voters, incoming: None, learners: Vec::new() }
+        Self { voters, incoming_voters: None, learners: Vec::new() }
     }
 
     /// Whether no voter is known, as on a replica that has not yet joined.
@@ -80,18 +80,18 @@
 
     /// The member `id`.
     pub fn get(&self, id: ReplicaId) -> Option<&Member> {
-        self.all().find(|member| member.id == id)
+        self.all_members().find(|member| member.id == id)
     }
 
     /// All members, voters first. A voter of both sets comes once.
-    pub fn all(&self) -> impl Iterator<Item = &Member> {
+    pub fn all_members(&self) -> impl Iterator<Item = &Member> {
         self.all_voters().chain(self.learners.iter().filter(|learner| !self.is_voter(learner.id)))
     }
 
     /// Voters of both sets, each once.
     pub fn all_voters(&self) -> impl Iterator<Item = &Member> {
-        let incoming = self.incoming.iter().flatten();
-        let added = incoming.filter(|member| !self.voters.iter().any(|voter| voter.id == member.id));
+        let incoming_voters = self.incoming_voters.iter().flatten();
+        let added = incoming_voters.filter(|member| !self.voters.iter().any(|voter| voter.id == member.id));
         self.voters.iter().chain(added)
     }
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -8,7 +8,7 @@
 
 /// What a sequence of [`Message::Chunk`]s carries.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Blob {
+pub enum TransferHeader {
     /// State of a snapshot.
     #[n(0)]
     Snapshot {
@@ -37,7 +37,7 @@
     },
 }
 
-impl Blob {
+impl TransferHeader {
     /// Index that the follower reaches with it.
     pub fn index(&self) -> u64 {
         match self {
@@ -51,7 +51,7 @@
 pub enum Message {
     /// Asks whether a vote would be given; changes nothing at the receiver.
     #[n(0)]
-    PreVote {
+    PreVoteRequest {
         /// Term that the sender would stand in.
         #[n(0)]
         term: u64,
@@ -65,7 +65,7 @@
         #[n(3)]
         candidate: Member,
     },
-    /// Answer to [`Message::PreVote`].
+    /// Answer to [`Message::PreVoteRequest`].
     #[n(1)]
     PreVoteReply {
         /// Term of the receiver of the question.
@@ -73,14 +73,14 @@
         term: u64,
         /// Term that was asked for.
         #[n(1)]
-        asked: u64,
+        requested_term: u64,
         /// Whether the vote would be given.
         #[n(2)]
         granted: bool,
     },
     /// Asks for a vote.
     #[n(2)]
-    Vote {
+    VoteRequest {
         /// Term that the sender stands in.
         #[n(0)]
         term: u64,
@@ -97,7 +97,7 @@
         #[n(4)]
         handover: bool,
     },
-    /// Answer to [`Message::Vote`], after the vote is synced.
+    /// Answer to [`Message::VoteRequest`], after the vote is synced.
     #[n(3)]
     VoteReply {
         /// Term of the vote.
@@ -118,10 +118,10 @@
         round: u64,
         /// Committed index.
         #[n(2)]
-        commit: u64,
+        commit_index: u64,
         /// Whether the leader held its lease when it sent this.
         #[n(3)]
-        lease: bool,
+        leader_holds_lease: bool,
         /// The leader.
         #[n(4)]
         leader: Member,
@@ -140,7 +140,7 @@
         disk_healthy: bool,
         /// Whether the follower's process is about to end.
         #[n(3)]
-        retiring: bool,
+        shutting_down: bool,
     },
     /// Entries after `prev_index`.
     #[n(6)]
@@ -159,21 +159,21 @@
         entries: Vec<Entry>,
         /// Committed index.
         #[n(4)]
-        commit: u64,
+        commit_index: u64,
     },
-    /// All entries up to `matched` are synced and equal to the leader's.
+    /// All entries up to `match_index` are synced and equal to the leader's.
     #[n(7)]
-    Appended {
+    AppendAccepted {
         /// Term of the follower.
         #[n(0)]
         term: u64,
         /// Last index that is synced and equal.
         #[n(1)]
-        matched: u64,
+        match_index: u64,
     },
     /// The entry before the sent ones differs or is missing.
     #[n(8)]
-    Rejected {
+    AppendRejected {
         /// Term of the follower.
         #[n(0)]
         term: u64,
@@ -192,13 +192,13 @@
     },
     /// Tells the committed index between heartbeats; not answered.
     #[n(9)]
-    Commit {
+    CommitUpdate {
         /// Term of the leader.
         #[n(0)]
         term: u64,
         /// Committed index.
         #[n(1)]
-        commit: u64,
+        commit_index: u64,
     },
     /// Part of a snapshot or of a large command.
     #[n(10)]
@@ -208,13 +208,13 @@
         term: u64,
         /// What the parts make.
         #[n(1)]
-        blob: Blob,
+        header: TransferHeader,
         /// Place of this part.
         #[n(2)]
         offset: u64,
         /// Length of the whole.
         #[n(3)]
-        total: u64,
+        total_bytes: u64,
         /// This part.
         #[n(4)]
         #[cbor(with = "minicbor::bytes")]
@@ -231,18 +231,18 @@
         index: u64,
         /// Bytes that have arrived.
         #[n(2)]
-        received: u64,
+        received_bytes: u64,
     },
     /// The leader gave up its lease; the receiver stands at once.
     #[n(12)]
-    StandNow {
+    TimeoutNow {
         /// Term of the leader that gave up.
         #[n(0)]
         term: u64,
     },
     /// A replica that hears no leader asks whether it is still a member.
     #[n(13)]
-    AmIMember {
+    MembershipQuery {
         /// Index of its last entry.
         #[n(0)]
         last_index: u64,
@@ -266,7 +266,7 @@
     /// Whether the numbers are within what a group can reach.
     pub(crate) fn is_plausible(&self) -> bool {
         match self {
-            Self::PreVote { term, last_index, .. } | Self::Vote { term, last_index, .. } => {
+            Self::PreVoteRequest { term, last_index, .. } | Self::VoteRequest { term, last_index, .. } => {
                 within(*term) && within(*last_index)
             }
             Self::PreVoteReply { term, .. }
@@ -274,19 +274,19 @@
             | Self::Heartbeat { term, .. }
             | Self::HeartbeatReply { term, .. }
             | Self::ChunkReply { term, .. }
-            | Self::StandNow { term }
-            | Self::Commit { term, .. } => within(*term),
+            | Self::TimeoutNow { term }
+            | Self::CommitUpdate { term, .. } => within(*term),
             Self::Append { term, prev_index, entries, .. } => {
                 let follows = |(place, entry): (usize, &Entry)| entry.index == prev_index + 1 + place as u64;
                 within(*term) && within(*prev_index) && entries.iter().enumerate().all(follows)
             }
-            Self::Appended { term, matched } => within(*term) && within(*matched),
-            Self::Rejected { term, hint_index, .. } => within(*term) && within(*hint_index),
-            Self::Chunk { term, blob, .. } => {
-                let first = u64::from(matches!(blob, Blob::Command { .. }));
-                within(*term) && within(blob.index()) && blob.index() >= first
+            Self::AppendAccepted { term, match_index } => within(*term) && within(*match_index),
+            Self::AppendRejected { term, hint_index, .. } => within(*term) && within(*hint_index),
+            Self::Chunk { term, header, .. } => {
+                let first = u64::from(matches!(header, TransferHeader::Command { .. }));
+                within(*term) && within(header.index()) && header.index() >= first
             }
-            Self::AmIMember { .. } | Self::NotMember { .. } => true,
+            Self::MembershipQuery { .. } | Self::NotMember { .. } => true,
         }
     }
 
@@ -296,11 +296,13 @@
 
     /// Takes the place of an older message of the same kind that was not yet sent.
     pub(crate) fn supersede(&mut self, mut newer: Self) {
-        if let (Self::Appended { term, matched }, Self::Appended { term: new_term, matched: new }) =
-            (&*self, &mut newer)
+        if let (
+            Self::AppendAccepted { term, match_index },
+            Self::AppendAccepted { term: new_term, match_index: new },
+        ) = (&*self, &mut newer)
             && term == new_term
         {
-            *new = (*new).max(*matched);
+            *new = (*new).max(*match_index);
         }
         *self = newer;
     }
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -33,7 +33,7 @@
     }
 
     pub(crate) fn disk_is_healthy(&self) -> bool {
-        self.disk.is_healthy(self.now, self.settings.disk_stall)
+        self.disk.is_healthy(self.now, self.settings.disk_stall_timeout)
     }
 
     /// Replaces log and state by a snapshot of the leader.
@@ -48,7 +48,7 @@
         self.stage(Record::Snapshot(snapshot.clone()));
         self.memberships = members::History::new(Some((snapshot.index, snapshot.membership.clone())));
         self.membership_changed = true;
-        self.commit = snapshot.index;
+        self.commit_index = snapshot.index;
         self.verified = snapshot.index;
         self.snapshot_request = None;
         self.bytes_since_snapshot = 0;
@@ -58,12 +58,12 @@
     }
 
     pub(crate) fn request_snapshot(&mut self) {
-        let entries = self.commit.saturating_sub(self.log.snapshot_index());
+        let entries = self.commit_index.saturating_sub(self.log.snapshot_index());
         let enough = entries >= self.settings.snapshot_every_entries
             || self.bytes_since_snapshot >= self.settings.snapshot_every_bytes;
         if enough && entries > 0 && self.snapshot_request.is_none() {
-            self.snapshot_request = Some(self.commit);
-            self.out.push(Output::TakeSnapshot { index: self.commit });
+            self.snapshot_request = Some(self.commit_index);
+            self.out.push(Output::TakeSnapshot { index: self.commit_index });
         }
     }
 
@@ -78,8 +78,12 @@
         self.stage(Record::Snapshot(Snapshot::clone(&snapshot)));
         self.memberships.forget_before(index);
         self.log.compact(snapshot, self.settings.keep_entries, self.settings.keep_bytes);
-        self.bytes_since_snapshot =
-            self.log.from(index + 1).take_while(|entry| entry.index <= self.commit).map(Entry::size).sum();
+        self.bytes_since_snapshot = self
+            .log
+            .from(index + 1)
+            .take_while(|entry| entry.index <= self.commit_index)
+            .map(Entry::approximate_bytes)
+            .sum();
     }
 
     pub(crate) fn stage_founding(&mut self) {
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::Micros;
-use crate::message::Blob;
+use crate::message::TransferHeader;
 use crate::record::Snapshot;
 
 const MAX_MESSAGES: usize = 8;
@@ -18,12 +18,12 @@
 /// Part of a blob in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Transfer {
-    pub(crate) blob: Blob,
+    pub(crate) header: TransferHeader,
     /// The snapshot, held while it is sent; none for a command, which is in the log.
     pub(crate) snapshot: Option<Arc<Snapshot>>,
     /// Bytes that the peer has.
-    pub(crate) received: u64,
-    /// When the part after `received` was sent.
+    pub(crate) received_bytes: u64,
+    /// When the part after `received_bytes` was sent.
     pub(crate) sent: Option<Micros>,
 }
 
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
     /// Last index known to be synced there.
-    pub(crate) matched: u64,
+    pub(crate) match_index: u64,
     /// Next index to send.
     pub(crate) next: u64,
     pub(crate) mode: Mode,
@@ -60,7 +60,7 @@
     pub(crate) acknowledged: Option<Micros>,
     pub(crate) disk_healthy: bool,
     /// The peer's process is about to end.
-    pub(crate) retiring: bool,
+    pub(crate) shutting_down: bool,
     /// When this leader began to follow the peer.
     pub(crate) since: Micros,
     /// The peer asked for a snapshot.
@@ -74,13 +74,13 @@
 impl Progress {
     pub(crate) fn new(next: u64, now: Micros) -> Self {
         Self {
-            matched: 0,
+            match_index: 0,
             next,
             mode: Mode::Probe { sent: None },
             heard: None,
             acknowledged: None,
             disk_healthy: true,
-            retiring: false,
+            shutting_down: false,
             since: now,
             needs_snapshot: false,
             told_commit: 0,
@@ -142,19 +142,19 @@
         }
     }
 
-    /// The peer has all up to `matched` synced.
-    pub(crate) fn appended(&mut self, now: Micros, matched: u64) {
-        let advanced = matched > self.matched;
+    /// The peer has all up to `match_index` synced.
+    pub(crate) fn appended(&mut self, now: Micros, match_index: u64) {
+        let advanced = match_index > self.match_index;
         self.needs_snapshot = false;
-        self.matched = self.matched.max(matched);
-        self.next = self.next.max(self.matched + 1);
+        self.match_index = self.match_index.max(match_index);
+        self.next = self.next.max(self.match_index + 1);
         match &mut self.mode {
             Mode::Probe { .. } => self.stream(),
-            Mode::Chunks(transfer) if matched >= transfer.blob.index() => self.stream(),
+            Mode::Chunks(transfer) if match_index >= transfer.header.index() => self.stream(),
             Mode::Chunks(_) => {}
             Mode::Stream { in_flight } => {
                 let mut sent = None;
-                while in_flight.front().is_some_and(|message| message.last_index <= matched) {
+                while in_flight.front().is_some_and(|message| message.last_index <= match_index) {
                     sent = in_flight.pop_front().map(|message| message.sent);
                 }
                 if let Some(sent) = sent {
@@ -169,24 +169,24 @@
 
     /// Sends from `next` again, one message at a time.
     pub(crate) fn probe(&mut self, next: u64) {
-        self.next = next.max(self.matched + 1);
+        self.next = next.max(self.match_index + 1);
         self.mode = Mode::Probe { sent: None };
     }
 
     /// Starts to send a blob.
-    pub(crate) fn transfer(&mut self, blob: Blob, snapshot: Option<Arc<Snapshot>>) {
-        self.mode = Mode::Chunks(Transfer { blob, snapshot, received: 0, sent: None });
+    pub(crate) fn transfer(&mut self, header: TransferHeader, snapshot: Option<Arc<Snapshot>>) {
+        self.mode = Mode::Chunks(Transfer { header, snapshot, received_bytes: 0, sent: None });
     }
 
     /// The peer has some bytes of the blob at `index`.
-    pub(crate) fn received(&mut self, now: Micros, index: u64, received: u64) {
+    pub(crate) fn received(&mut self, now: Micros, index: u64, received_bytes: u64) {
         let Mode::Chunks(transfer) = &mut self.mode else { return };
-        if transfer.blob.index() != index {
+        if transfer.header.index() != index {
             return;
         }
         let Some(sent) = transfer.sent.take() else { return };
-        let advanced = received > transfer.received;
-        transfer.received = received;
+        let advanced = received_bytes > transfer.received_bytes;
+        transfer.received_bytes = received_bytes;
         if advanced {
             self.resend = FIRST_RESEND;
             self.adapt(now.saturating_sub(sent));
@@ -207,12 +207,12 @@
         self.budget = (self.budget / 2).max(MIN_BUDGET);
         match &mut self.mode {
             Mode::Chunks(transfer) => transfer.sent = None,
-            Mode::Probe { .. } | Mode::Stream { .. } => self.probe(self.matched + 1),
+            Mode::Probe { .. } | Mode::Stream { .. } => self.probe(self.match_index + 1),
         }
     }
 
     fn stream(&mut self) {
-        self.next = self.matched + 1;
+        self.next = self.match_index + 1;
         self.mode = Mode::Stream { in_flight: VecDeque::new() };
     }
 
--- a/crates/replication/src/quorum.rs
+++ b/crates/replication/src/quorum.rs
@@ -9,9 +9,9 @@
     lowest: V,
 ) -> V {
     let current = reached_by(&membership.voters, &value, lowest);
-    match &membership.incoming {
+    match &membership.incoming_voters {
         None => current,
-        Some(incoming) => current.min(reached_by(incoming, &value, lowest)),
+        Some(incoming_voters) => current.min(reached_by(incoming_voters, &value, lowest)),
     }
 }
 
--- a/crates/replication/src/reconfigure.rs
+++ b/crates/replication/src/reconfigure.rs
@@ -28,7 +28,8 @@
     /// Begins the next change of the membership, if one is due and none is under way.
     pub(crate) fn reconfigure(&mut self) {
         let Some(leading) = &self.leading else { return };
-        let settled = self.memberships.newest_index() <= self.commit && self.commit >= leading.first_index;
+        let settled =
+            self.memberships.newest_index() <= self.commit_index && self.commit_index >= leading.first_index;
         if !settled {
             return;
         }
@@ -41,13 +42,15 @@
     /// Second half of a joint change. A voter that is still there, as one that retires, goes on as a learner.
     fn completed(&self) -> Option<Membership> {
         let membership = self.membership();
-        let voters = membership.incoming.clone()?;
+        let voters = membership.incoming_voters.clone()?;
         let is_voter = |member: &Member| voters.iter().any(|voter| voter.id == member.id);
-        let still_there =
-            membership.voters.iter().filter(|voter| !self.is_silent(voter.id, self.settings.election_min));
+        let still_there = membership
+            .voters
+            .iter()
+            .filter(|voter| !self.is_silent(voter.id, self.settings.election_timeout_min));
         let learners = membership.learners.iter().chain(still_there);
         let learners = learners.filter(|learner| !is_voter(learner)).cloned().collect();
-        Some(Membership { voters, incoming: None, learners })
+        Some(Membership { voters, incoming_voters: None, learners })
     }
 
     /// Takes in one of those that asked to join, or a new address of a member.
@@ -62,7 +65,7 @@
                 *known = member;
             } else if next.learners.len() < MAX_LEARNERS {
                 // An older generation of the same disk is gone.
-                next.learners.retain(|learner| learner.internal != member.internal);
+                next.learners.retain(|learner| learner.internal_address != member.internal_address);
                 next.learners.push(member);
             }
         }
@@ -77,7 +80,7 @@
             .or_else(|| self.lost_voter())
             .or_else(|| self.retiring_voter())?;
         let membership = self.membership();
-        Some(Membership { incoming: Some(voters), ..membership.clone() })
+        Some(Membership { incoming_voters: Some(voters), ..membership.clone() })
     }
 
     /// A voter whose disk was wiped gives way to the learner that came up at its address.
@@ -86,11 +89,12 @@
         membership
             .voters
             .iter()
-            .filter(|voter| self.is_silent(voter.id, self.settings.election_min))
+            .filter(|voter| self.is_silent(voter.id, self.settings.election_timeout_min))
             .find_map(|voter| {
                 let mut learners = membership.learners.iter();
-                let learner =
-                    learners.find(|learner| learner.internal == voter.internal && self.is_ready(learner))?;
+                let learner = learners.find(|learner| {
+                    learner.internal_address == voter.internal_address && self.is_ready(learner)
+                })?;
                 Some(swapped(&membership.voters, voter.id, learner))
             })
     }
@@ -109,7 +113,7 @@
     /// A voter that is not heard gives way to a learner that is.
     fn lost_voter(&self) -> Option<Vec<Member>> {
         let voters = &self.membership().voters;
-        let lost = voters.iter().find(|voter| self.is_silent(voter.id, self.settings.replace_after))?;
+        let lost = voters.iter().find(|voter| self.is_silent(voter.id, self.settings.replace_voter_after))?;
         self.without(lost)
     }
 
@@ -119,13 +123,14 @@
         let voters = &self.membership().voters;
         let is_there = |voter: &Member| {
             let answers =
-                |progress: &Progress| progress.answered_within(self.now, self.settings.election_min);
+                |progress: &Progress| progress.answered_within(self.now, self.settings.election_timeout_min);
             voter.id == self.me.id || self.progress(voter.id).is_some_and(answers)
         };
         if !voters.iter().all(is_there) {
             return None;
         }
-        let retires = |voter: &&Member| self.progress(voter.id).is_some_and(|progress| progress.retiring);
+        let retires =
+            |voter: &&Member| self.progress(voter.id).is_some_and(|progress| progress.shutting_down);
         self.without(voters.iter().find(retires)?)
     }
 
@@ -139,7 +144,9 @@
     /// A ready learner that is not among `voters`, best from a zone without a voter.
     fn best_learner(&self, voters: &[Member]) -> Option<&Member> {
         let is_new = |learner: &&Member| {
-            !voters.iter().any(|voter| voter.id == learner.id || voter.internal == learner.internal)
+            !voters
+                .iter()
+                .any(|voter| voter.id == learner.id || voter.internal_address == learner.internal_address)
         };
         let ready = self.membership().learners.iter().filter(is_new).filter(|learner| self.is_ready(learner));
         ready.min_by_key(|learner| voters.iter().any(|voter| voter.zone == learner.zone))
@@ -167,14 +174,14 @@
         let Some(progress) = self.progress(learner.id) else { return false };
         let streams = matches!(progress.mode, Mode::Stream { .. });
         // Proposals go on: what it lacks may be as old as a promise, however many entries and bytes that is.
-        let since = self.now.saturating_sub(self.settings.election_min);
+        let since = self.now.saturating_sub(self.settings.election_timeout_min);
         let committed = self.leading.as_ref().and_then(|leading| leading.commit_since(since));
-        let caught_up = committed.is_some_and(|commit| progress.matched >= commit);
+        let caught_up = committed.is_some_and(|commit_index| progress.match_index >= commit_index);
         streams
             && caught_up
-            && !progress.retiring
+            && !progress.shutting_down
             && progress.disk_healthy
-            && progress.answered_within(self.now, self.settings.election_min)
+            && progress.answered_within(self.now, self.settings.election_timeout_min)
     }
 }
 
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -13,7 +13,7 @@
     pub term: u64,
     /// Whom the replica voted for in that term.
     #[n(1)]
-    pub vote: Option<ReplicaId>,
+    pub voted_for: Option<ReplicaId>,
 }
 
 /// Content of an entry.
@@ -50,13 +50,13 @@
 
 impl Entry {
     /// Bytes that the entry takes, roughly.
-    pub fn size(&self) -> usize {
+    pub fn approximate_bytes(&self) -> usize {
         const OVERHEAD: usize = 32;
         const MEMBER: usize = 96;
         let payload = match &self.payload {
             Payload::Noop => 0,
             Payload::Command(bytes) => bytes.len(),
-            Payload::Membership(membership) => membership.all().count() * MEMBER,
+            Payload::Membership(membership) => membership.all_members().count() * MEMBER,
         };
         OVERHEAD + payload
     }
@@ -103,7 +103,7 @@
 
 /// What was read back from the disk at start; empty on an empty disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// Newest term and vote.
     pub hard_state: Option<HardState>,
     /// Newest snapshot.
@@ -112,7 +112,7 @@
     pub entries: Vec<Entry>,
 }
 
-impl Recovered {
+impl RecoveredState {
     /// Whether the disk held nothing.
     pub fn is_empty(&self) -> bool {
         self.hard_state.is_none() && self.snapshot.is_none() && self.entries.is_empty()
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -4,12 +4,12 @@
 
 use crate::chunks::Assembly;
 use crate::disk::Disk;
-use crate::event::{Input, Output, Refusal};
+use crate::event::{Input, Output, ProposalError};
 use crate::leader::Leading;
 use crate::log::Log;
 use crate::members::{Member, Membership, ReplicaId};
 use crate::message::Message;
-use crate::record::{HardState, Payload, Record, Recovered, Snapshot};
+use crate::record::{HardState, Payload, Record, RecoveredState, Snapshot};
 use crate::settings::Settings;
 use crate::status::{PeerStatus, Role, Status};
 use crate::{Micros, members};
@@ -51,7 +51,7 @@
     /// Candidacy that waits for the replica's own vote to be synced.
     pub(crate) candidacy: Option<Candidacy>,
     /// Committed index; all up to it is applied.
-    pub(crate) commit: u64,
+    pub(crate) commit_index: u64,
     /// Last index that is known to equal the log of the current leader.
     pub(crate) verified: u64,
     pub(crate) heard_leader: Option<Micros>,
@@ -61,7 +61,7 @@
     pub(crate) assembly: Option<Assembly>,
     pub(crate) snapshot_request: Option<u64>,
     pub(crate) bytes_since_snapshot: usize,
-    pub(crate) retiring: bool,
+    pub(crate) shutting_down: bool,
     pub(crate) removed: bool,
     started: bool,
     reported_leader: Option<ReplicaId>,
@@ -83,7 +83,7 @@
         settings: Settings,
         me: Member,
         founding: Option<Vec<Member>>,
-        recovered: Recovered,
+        recovered: RecoveredState,
         seed: u64,
         now: Micros,
     ) -> Self {
@@ -99,10 +99,10 @@
         }
         let mut hard_state = recovered.hard_state.unwrap_or_default();
         if log.last().term > hard_state.term {
-            hard_state = HardState { term: log.last().term, vote: None };
+            hard_state = HardState { term: log.last().term, voted_for: None };
         }
-        let refuse_until = if founds { now } else { now.saturating_add(settings.election_min) };
-        let commit = log.snapshot_index();
+        let refuse_until = if founds { now } else { now.saturating_add(settings.election_timeout_min) };
+        let commit_index = log.snapshot_index();
         let mut replica = Self {
             random: fastrand::Rng::with_seed(seed),
             now,
@@ -121,8 +121,8 @@
             asking_promises: false,
             needed_candidate: false,
             candidacy: None,
-            commit,
-            verified: commit,
+            commit_index,
+            verified: commit_index,
             heard_leader: None,
             contact: None,
             refuse_until,
@@ -130,7 +130,7 @@
             assembly: None,
             snapshot_request: None,
             bytes_since_snapshot: 0,
-            retiring: false,
+            shutting_down: false,
             removed: false,
             started: false,
             reported_leader: None,
@@ -177,7 +177,7 @@
             return self.now;
         }
         let role = self.leading.as_ref().map_or(self.election_deadline, |leading| leading.next_deadline());
-        let stalled = self.disk.stalls_at(self.settings.disk_stall).filter(|at| *at > self.now);
+        let stalled = self.disk.stalls_at(self.settings.disk_stall_timeout).filter(|at| *at > self.now);
         let stalled = stalled.filter(|_| self.leading.is_some());
         role.min(self.disk.retry_at().unwrap_or(Micros::MAX)).min(stalled.unwrap_or(Micros::MAX))
     }
@@ -199,7 +199,7 @@
 
     /// Last index that is committed and applied here.
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
     /// Membership in force: the newest in the log, committed or not.
@@ -212,8 +212,8 @@
         let peers = self.leading.iter().flat_map(|leading| leading.peers.iter());
         let peers = peers.map(|(id, progress)| PeerStatus {
             id: *id,
-            matched: progress.matched,
-            heard: progress.heard.map(|heard| now.saturating_sub(heard)),
+            match_index: progress.match_index,
+            since_last_message: progress.heard.map(|heard| now.saturating_sub(heard)),
             disk_healthy: progress.disk_healthy,
         });
         Status {
@@ -224,7 +224,7 @@
             holds_lease: self.holds_lease(now),
             last_index: self.log.last().index,
             synced_index: self.disk.synced_index(),
-            commit_index: self.commit,
+            commit_index: self.commit_index,
             snapshot_index: self.log.snapshot_index(),
             log_bytes: self.log.bytes(),
             disk_healthy: self.disk_is_healthy(),
@@ -237,16 +237,16 @@
         match input {
             Input::Tick => {}
             Input::Received { from, message } => self.receive(from, message),
-            Input::Propose { ticket, command } => self.propose(ticket, command),
+            Input::Propose { proposal_id, command } => self.propose(proposal_id, command),
             Input::Written { sequence } => self.written(sequence),
             Input::WriteFailed { sequence } => {
-                let retry_at = self.now.saturating_add(self.settings.write_retry);
+                let retry_at = self.now.saturating_add(self.settings.write_retry_delay);
                 self.disk.write_failed(sequence, retry_at);
                 self.check_time();
             }
             Input::Join(member) => self.join(member),
-            Input::HandOver => self.retire(),
-            Input::State { index, bytes } => self.keep_snapshot(index, bytes),
+            Input::PrepareShutdown => self.retire(),
+            Input::SnapshotTaken { index, state } => self.keep_snapshot(index, state),
         }
     }
 
@@ -255,19 +255,21 @@
             return;
         }
         match message {
-            Message::PreVote { .. } | Message::Vote { .. } => self.on_vote_request(from, message),
+            Message::PreVoteRequest { .. } | Message::VoteRequest { .. } => {
+                self.on_vote_request(from, message)
+            }
             Message::PreVoteReply { .. } | Message::VoteReply { .. } => self.on_vote_reply(from, message),
-            Message::AmIMember { member, .. } => self.on_member_question(from, member),
+            Message::MembershipQuery { member, .. } => self.on_member_question(from, member),
             Message::NotMember { id } => self.on_not_member(id),
             Message::HeartbeatReply { .. }
-            | Message::Appended { .. }
-            | Message::Rejected { .. }
+            | Message::AppendAccepted { .. }
+            | Message::AppendRejected { .. }
             | Message::ChunkReply { .. } => self.on_follower_reply(from, message),
             Message::Heartbeat { .. }
             | Message::Append { .. }
-            | Message::Commit { .. }
+            | Message::CommitUpdate { .. }
             | Message::Chunk { .. }
-            | Message::StandNow { .. } => self.on_leader_message(from, message),
+            | Message::TimeoutNow { .. } => self.on_leader_message(from, message),
         }
     }
 
@@ -334,8 +336,8 @@
     pub(crate) fn follow(&mut self, term: u64, leader: Option<Member>) {
         self.abdicate();
         if term > self.hard_state.term {
-            self.set_hard_state(HardState { term, vote: None });
-            self.verified = self.commit;
+            self.set_hard_state(HardState { term, voted_for: None });
+            self.verified = self.commit_index;
             self.assembly = None;
         }
         self.role = self.idle_role();
@@ -353,12 +355,12 @@
 
     /// Commits and applies up to `index`, which is in the log.
     pub(crate) fn commit_to(&mut self, index: u64) {
-        while self.commit < index {
-            let Some(entry) = self.log.get(self.commit + 1) else { return };
-            self.commit += 1;
-            self.bytes_since_snapshot += entry.size();
+        while self.commit_index < index {
+            let Some(entry) = self.log.get(self.commit_index + 1) else { return };
+            self.commit_index += 1;
+            self.bytes_since_snapshot += entry.approximate_bytes();
             if let Payload::Command(command) = &entry.payload {
-                self.out.push(Output::Apply { index: self.commit, command: command.clone() });
+                self.out.push(Output::Apply { index: self.commit_index, command: command.clone() });
             }
         }
     }
@@ -398,7 +400,7 @@
 }
 
 fn refuse_proposal(input: Input, out: &mut Vec<Output>) {
-    if let Input::Propose { ticket, .. } = input {
-        out.push(Output::Answer { ticket, result: Err(Refusal::NotLeader) });
+    if let Input::Propose { proposal_id, .. } = input {
+        out.push(Output::ProposalResult { proposal_id, result: Err(ProposalError::NotLeader) });
     }
 }
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -8,23 +8,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Time between two heartbeats of a leader to one follower.
-    pub heartbeat: Micros,
+    pub heartbeat_interval: Micros,
     /// Shortest time without a leader after which a follower stands; also the base of the lease.
-    pub election_min: Micros,
+    pub election_timeout_min: Micros,
     /// Longest time without a leader after which a follower stands.
-    pub election_max: Micros,
+    pub election_timeout_max: Micros,
     /// Largest difference between the rates of two clocks, in parts per thousand.
-    pub drift: u64,
+    pub max_clock_drift_permille: u64,
     /// Number of voters that the group grows to while caught-up learners are there.
     pub target_voters: usize,
     /// A voter that was not heard for this long is replaced by a caught-up learner.
-    pub replace_after: Micros,
+    pub replace_voter_after: Micros,
     /// A learner that was not heard for this long is dropped.
     pub drop_learner_after: Micros,
     /// A write unfinished for this long counts as a stalled disk.
-    pub disk_stall: Micros,
+    pub disk_stall_timeout: Micros,
     /// Time between a failed write and the next attempt.
-    pub write_retry: Micros,
+    pub write_retry_delay: Micros,
     /// Largest number of bytes in flight to one follower, and so of one message with entries or a part of them.
     pub max_append_bytes: usize,
     /// Largest number of bytes of proposals that are not yet committed; more are refused.
@@ -42,15 +42,15 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            heartbeat: 100 * MILLISECOND,
-            election_min: 600 * MILLISECOND,
-            election_max: 1_000 * MILLISECOND,
-            drift: 20,
+            heartbeat_interval: 100 * MILLISECOND,
+            election_timeout_min: 600 * MILLISECOND,
+            election_timeout_max: 1_000 * MILLISECOND,
+            max_clock_drift_permille: 20,
             target_voters: 3,
-            replace_after: 1_500 * MILLISECOND,
+            replace_voter_after: 1_500 * MILLISECOND,
             drop_learner_after: 10_000 * MILLISECOND,
-            disk_stall: 700 * MILLISECOND,
-            write_retry: 100 * MILLISECOND,
+            disk_stall_timeout: 700 * MILLISECOND,
+            write_retry_delay: 100 * MILLISECOND,
             max_append_bytes: 256 * 1024,
             max_uncommitted_bytes: 16 * 1024 * 1024,
             snapshot_every_bytes: 8 * 1024 * 1024,
@@ -63,8 +63,8 @@
 
 impl Settings {
     /// How long after the send time of an acknowledged heartbeat the lease lasts.
-    pub fn lease(&self) -> Micros {
-        let margin = self.election_min.saturating_mul(self.drift) / 1_000;
-        self.election_min.saturating_sub(margin)
+    pub fn lease_duration(&self) -> Micros {
+        let margin = self.election_timeout_min.saturating_mul(self.max_clock_drift_permille) / 1_000;
+        self.election_timeout_min.saturating_sub(margin)
     }
 }
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -22,9 +22,9 @@
     /// The peer.
     pub id: ReplicaId,
     /// Last index known to be synced there.
-    pub matched: u64,
+    pub match_index: u64,
     /// Time since it was last heard; none if never.
-    pub heard: Option<Micros>,
+    pub since_last_message: Option<Micros>,
     /// Whether it says that its disk takes writes in time.
     pub disk_healthy: bool,
 }
--- a/crates/replication/tests/faults.rs
+++ b/crates/replication/tests/faults.rs
@@ -241,7 +241,7 @@
 fn planned_handover_is_quick_and_loses_nothing() {
     for seed in 0..SEEDS {
         let (mut cluster, leader) = running(3, seed);
-        cluster.handle(leader, Input::HandOver);
+        cluster.handle(leader, Input::PrepareShutdown);
         let needed = new_leader(&mut cluster, leader, SECOND);
         assert!(needed < 400 * MILLISECOND, "{needed} us");
         cluster.run_for(5 * SECOND);
@@ -327,8 +327,8 @@
     }
     assert!(needed < 5 * SECOND, "{needed} us");
     let spare = cluster.add_machine();
-    let commit = cluster.replica(leader).commit_index();
-    cluster.run_until(5 * SECOND, |cluster| cluster.replica(spare).commit_index() >= commit);
+    let commit_index = cluster.replica(leader).commit_index();
+    cluster.run_until(5 * SECOND, |cluster| cluster.replica(spare).commit_index() >= commit_index);
     assert_eq!(cluster.leader(), Some(leader));
 }
 
@@ -339,9 +339,9 @@
         cluster.propose_every = Some(2 * MILLISECOND);
         cluster.run_for(3 * SECOND);
         let spare = cluster.add_machine();
-        let commit = cluster.checks.applied.len();
-        cluster.run_until(2 * SECOND, |cluster| cluster.machines[spare].state.len() >= commit);
-        assert!(commit > 1_000);
+        let commit_index = cluster.checks.applied.len();
+        cluster.run_until(2 * SECOND, |cluster| cluster.machines[spare].state.len() >= commit_index);
+        assert!(commit_index > 1_000);
     }
 }
 
@@ -383,7 +383,7 @@
     let follower = (leader + 1) % 3;
     let contact = |cluster: &Cluster, place: usize| {
         let machine = &cluster.machines[place];
-        cluster.replica(place).leader_contact(machine.clock(cluster.now)).expect("a contact")
+        cluster.replica(place).time_since_leader_contact(machine.clock(cluster.now)).expect("a contact")
     };
     assert_eq!(contact(&cluster, leader), 0);
     assert!(contact(&cluster, follower) < 150 * MILLISECOND);
--- a/crates/replication/tests/hostile.rs
+++ b/crates/replication/tests/hostile.rs
@@ -4,7 +4,7 @@
 
 use bolero::check;
 use dunelink_replication::{
-    Blob, Entry, Input, Membership, Message, Output, Payload, ReplicaId, decode, encode,
+    Entry, Input, Membership, Message, Output, Payload, ReplicaId, TransferHeader, decode, encode,
 };
 use support::cluster::Cluster;
 use support::machine::member;
@@ -24,8 +24,9 @@
 fn membership(random: &mut fastrand::Rng) -> Membership {
     let count = random.usize(0..4);
     let voters = (0..count).map(|place| member(place, 1)).collect();
-    let incoming = random.bool().then(|| (0..random.usize(0..3)).map(|place| member(place, 1)).collect());
-    Membership { voters, incoming, learners: vec![member(random.usize(0..5), 1)] }
+    let incoming_voters =
+        random.bool().then(|| (0..random.usize(0..3)).map(|place| member(place, 1)).collect());
+    Membership { voters, incoming_voters, learners: vec![member(random.usize(0..5), 1)] }
 }
 
 fn entry(random: &mut fastrand::Rng) -> Entry {
@@ -37,34 +38,34 @@
     Entry { index: number(random), term: number(random), payload }
 }
 
-fn blob(random: &mut fastrand::Rng) -> Blob {
+fn header(random: &mut fastrand::Rng) -> TransferHeader {
     let (index, term) = (number(random), number(random));
     if random.bool() {
-        return Blob::Snapshot { index, term, membership: membership(random) };
+        return TransferHeader::Snapshot { index, term, membership: membership(random) };
     }
-    Blob::Command { index, term, prev_term: number(random) }
+    TransferHeader::Command { index, term, prev_term: number(random) }
 }
 
 fn message(random: &mut fastrand::Rng, from: usize) -> Message {
     let term = number(random);
     let (last_index, last_term, candidate) = (number(random), number(random), member(from, 1));
     match random.u32(0..15) {
-        0 => Message::PreVote { term, last_index, last_term, candidate },
-        1 => Message::PreVoteReply { term, asked: number(random), granted: random.bool() },
-        2 => Message::Vote { term, last_index, last_term, candidate, handover: random.bool() },
+        0 => Message::PreVoteRequest { term, last_index, last_term, candidate },
+        1 => Message::PreVoteReply { term, requested_term: number(random), granted: random.bool() },
+        2 => Message::VoteRequest { term, last_index, last_term, candidate, handover: random.bool() },
         3 => Message::VoteReply { term, granted: random.bool() },
         4 => Message::Heartbeat {
             term,
             round: last_index,
-            commit: last_term,
-            lease: random.bool(),
+            commit_index: last_term,
+            leader_holds_lease: random.bool(),
             leader: candidate,
         },
         5 => Message::HeartbeatReply {
             term,
             round: last_index,
             disk_healthy: random.bool(),
-            retiring: random.bool(),
+            shutting_down: random.bool(),
         },
         6 => {
             let mut entries: Vec<Entry> = (0..random.usize(0..4)).map(|_| entry(random)).collect();
@@ -77,25 +78,31 @@
                 prev_index: last_index,
                 prev_term: last_term,
                 entries,
-                commit: number(random),
+                commit_index: number(random),
             }
         }
-        7 => Message::Appended { term, matched: last_index },
-        8 => Message::Rejected {
+        7 => Message::AppendAccepted { term, match_index: last_index },
+        8 => Message::AppendRejected {
             term,
             prev_index: last_index,
             hint_index: number(random),
             hint_term: last_term,
             needs_snapshot: random.bool(),
         },
-        9 => Message::Commit { term, commit: last_index },
+        9 => Message::CommitUpdate { term, commit_index: last_index },
         10 => {
             let bytes = vec![0; random.usize(0..20)];
-            Message::Chunk { term, blob: blob(random), offset: number(random), total: number(random), bytes }
+            Message::Chunk {
+                term,
+                header: header(random),
+                offset: number(random),
+                total_bytes: number(random),
+                bytes,
+            }
         }
-        11 => Message::ChunkReply { term, index: last_index, received: number(random) },
-        12 => Message::StandNow { term },
-        13 => Message::AmIMember { last_index, member: candidate },
+        11 => Message::ChunkReply { term, index: last_index, received_bytes: number(random) },
+        12 => Message::TimeoutNow { term },
+        13 => Message::MembershipQuery { last_index, member: candidate },
         _ => Message::NotMember { id: ReplicaId(number(random)) },
     }
 }
@@ -116,8 +123,8 @@
             0 => Input::Tick,
             1 => Input::Written { sequence: number(&mut random) },
             2 => Input::WriteFailed { sequence: number(&mut random) },
-            3 => Input::Propose { ticket: 1, command: vec![1; random.usize(0..100)] },
-            4 => Input::State { index: number(&mut random), bytes: Vec::new() },
+            3 => Input::Propose { proposal_id: 1, command: vec![1; random.usize(0..100)] },
+            4 => Input::SnapshotTaken { index: number(&mut random), state: Vec::new() },
             5 => Input::Join(member(random.usize(0..9), 1)),
             _ => Input::Received {
                 from: ReplicaId(from as u64 * 1_000 + 1),
@@ -174,7 +181,8 @@
         for place in 0..3 {
             let (last_index, last_term) = (1_000_000, term + 5);
             let candidate = stranger.clone();
-            let vote = Message::Vote { term: term + 5, last_index, last_term, candidate, handover: false };
+            let vote =
+                Message::VoteRequest { term: term + 5, last_index, last_term, candidate, handover: false };
             cluster.handle(place, Input::Received { from: stranger.id, message: vote });
         }
         cluster.run_for(50 * MILLISECOND);
--- a/crates/replication/tests/model/checks.rs
+++ b/crates/replication/tests/model/checks.rs
@@ -61,19 +61,19 @@
         for replica in nodes.iter().filter_map(|node| node.replica.as_ref()) {
             if replica.is_leader() {
                 self.leader(now, replica, nodes);
-            } else if let Some(incoming) = &replica.membership().incoming {
+            } else if let Some(incoming_voters) = &replica.membership().incoming_voters {
                 // A leader that gave up as it began a change: a later one inherits that.
-                self.changes.insert(incoming.iter().map(|voter| voter.id.0).collect());
+                self.changes.insert(incoming_voters.iter().map(|voter| voter.id.0).collect());
             }
         }
         let mut holders = nodes.iter().filter(|node| node.holds_lease(now));
         let Some(holder) = holders.next() else { return };
         assert!(holders.next().is_none(), "two hold the lease");
-        let commit = holder.replica.as_ref().map_or(0, Replica::commit_index);
+        let commit_index = holder.replica.as_ref().map_or(0, Replica::commit_index);
         let lacks = |(index, command): &(&u64, &u64)| holder.applied.get(index) != Some(command);
         let acknowledged = self.acknowledged.iter().find(lacks);
         assert!(acknowledged.is_none(), "the holder lacks what was acknowledged: {acknowledged:?}");
-        let applied = self.applied.range(..=commit).find(lacks);
+        let applied = self.applied.range(..=commit_index).find(lacks);
         assert!(applied.is_none(), "the holder has passed over what was applied: {applied:?}");
     }
 
@@ -84,12 +84,12 @@
         let id = status.me.id.0;
         let known = *self.leaders.entry(status.term).or_insert(id);
         assert_eq!(known, id, "two lead in term {}", status.term);
-        let Some(incoming) = &status.membership.incoming else { return };
-        let voters: Vec<u64> = incoming.iter().map(|voter| voter.id.0).collect();
+        let Some(incoming_voters) = &status.membership.incoming_voters else { return };
+        let voters: Vec<u64> = incoming_voters.iter().map(|voter| voter.id.0).collect();
         if !self.changes.insert(voters) {
             return;
         }
-        for added in incoming.iter().filter(|voter| !status.membership.voters.contains(voter)) {
+        for added in incoming_voters.iter().filter(|voter| !status.membership.voters.contains(voter)) {
             // One whose disk was lost just now can't be asked.
             let Some(node) = nodes.iter().find(|node| node.member.id == added.id) else { continue };
             assert!(
@@ -99,7 +99,7 @@
             );
             let held = node.synced_index();
             let before = self.committed.range(..=now.saturating_sub(THERE_WITHIN)).next_back();
-            let committed = before.map_or(0, |(_, commit)| *commit);
+            let committed = before.map_or(0, |(_, commit_index)| *commit_index);
             let is_ready = held.is_some_and(|held| held >= committed);
             assert!(is_ready, "{} is made a voter and holds {held:?} of {committed}", added.id);
         }
--- a/crates/replication/tests/model/replacement.rs
+++ b/crates/replication/tests/model/replacement.rs
@@ -36,7 +36,7 @@
     let leader = world.leader().expect("a leader");
     let follower = (0..3).find(|place| *place != leader).expect("a follower");
     let lost = if leaving == Leaving::LeaderRetires { leader } else { follower };
-    world.apply(if leaving == Leaving::Lost { Action::Crash(lost) } else { Action::HandOver(lost) });
+    world.apply(if leaving == Leaving::Lost { Action::Crash(lost) } else { Action::PrepareShutdown(lost) });
     let mut tried = 0;
     for event in 0..EVENTS_MOST {
         if world.is_replaced(lost) {
--- a/crates/replication/tests/model/walk.rs
+++ b/crates/replication/tests/model/walk.rs
@@ -72,7 +72,7 @@
         Action::Start(_) => (9, 4),
         Action::Wipe(_) => (10, 1),
         Action::Join { .. } => (11, 4),
-        Action::HandOver(_) => (12, 1),
+        Action::PrepareShutdown(_) => (12, 1),
     }
 }
 
@@ -177,7 +177,7 @@
 }
 
 fn is_fault(action: Action) -> bool {
-    matches!(action, Action::Crash(_) | Action::Wipe(_) | Action::HandOver(_))
+    matches!(action, Action::Crash(_) | Action::Wipe(_) | Action::PrepareShutdown(_))
 }
 
 fn draw_weights(random: &mut Rng) -> [u32; KINDS] {
@@ -226,5 +226,8 @@
     );
     let leader = world.leader().expect("a leader in calm times");
     let membership = world.nodes[leader].replica.as_ref().expect("it runs").membership().clone();
-    assert!(membership.incoming.is_none(), "a change of voters is under way after {CALM} steps of {STEP} us");
+    assert!(
+        membership.incoming_voters.is_none(),
+        "a change of voters is under way after {CALM} steps of {STEP} us"
+    );
 }
--- a/crates/replication/tests/model/world.rs
+++ b/crates/replication/tests/model/world.rs
@@ -5,7 +5,9 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use dunelink_replication::{Input, Member, Message, Output, Record, Recovered, Replica, ReplicaId, Settings};
+use dunelink_replication::{
+    Input, Member, Message, Output, Record, RecoveredState, Replica, ReplicaId, Settings,
+};
 
 use crate::checks::Checks;
 
@@ -30,7 +32,7 @@
     pub(crate) member: Member,
     founder: bool,
     pub(crate) replica: Option<Replica>,
-    synced: Recovered,
+    synced: RecoveredState,
     pending: VecDeque<Pending>,
     /// When it did anything last.
     pub(crate) acted_at: u64,
@@ -64,7 +66,7 @@
     /// One that wants to join reaches the leader.
     Join { who: usize, leader: usize },
     /// The process is told to end.
-    HandOver(usize),
+    PrepareShutdown(usize),
 }
 
 /// A state of the model.
@@ -83,10 +85,10 @@
 
 fn settings(voters: usize) -> Settings {
     Settings {
-        heartbeat: STEP,
-        election_min: 2 * STEP,
-        election_max: 5 * STEP,
-        replace_after: 3 * STEP,
+        heartbeat_interval: STEP,
+        election_timeout_min: 2 * STEP,
+        election_timeout_max: 5 * STEP,
+        replace_voter_after: 3 * STEP,
         target_voters: voters,
         snapshot_every_entries: 4,
         keep_entries: 1,
@@ -99,8 +101,8 @@
     let address = |port| SocketAddr::from(([10, 0, 0, place as u8 + 1], port));
     Member {
         id: ReplicaId(place as u64 * 100 + generation),
-        internal: address(7000),
-        control: address(8000),
+        internal_address: address(7000),
+        control_address: address(8000),
         zone: format!("z{place}"),
     }
 }
@@ -112,7 +114,7 @@
             member: member(place, 1),
             founder: place < voters,
             replica: None,
-            synced: Recovered::default(),
+            synced: RecoveredState::default(),
             pending: VecDeque::new(),
             acted_at: 0,
             applied: BTreeMap::new(),
@@ -152,7 +154,7 @@
         let holder = self.leader().and_then(|leader| self.nodes[leader].replica.as_ref());
         holder.is_some_and(|replica| {
             let membership = replica.membership();
-            membership.incoming.is_none() && !membership.is_voter(self.nodes[place].member.id)
+            membership.incoming_voters.is_none() && !membership.is_voter(self.nodes[place].member.id)
         })
     }
 
@@ -219,7 +221,7 @@
             }
             if replica.is_leader() {
                 actions.push(Action::Propose(place));
-                actions.push(Action::HandOver(place));
+                actions.push(Action::PrepareShutdown(place));
                 let joining = (0..self.nodes.len()).filter(|who| self.wants_to_join(*who));
                 actions.extend(joining.map(|who| Action::Join { who, leader: place }));
             }
@@ -263,7 +265,7 @@
                 let command = self.next_command;
                 self.next_command += 1;
                 let bytes = command.to_le_bytes().to_vec();
-                self.handle(place, Input::Propose { ticket: command, command: bytes });
+                self.handle(place, Input::Propose { proposal_id: command, command: bytes });
             }
             Action::Crash(place) => self.crash(place),
             Action::Start(place) => self.start(place),
@@ -272,7 +274,7 @@
                 let member = self.nodes[who].member.clone();
                 self.handle(leader, Input::Join(member));
             }
-            Action::HandOver(place) => self.handle(place, Input::HandOver),
+            Action::PrepareShutdown(place) => self.handle(place, Input::PrepareShutdown),
         }
         self.checks.state(self.now, &self.nodes);
     }
@@ -321,7 +323,7 @@
     /// An empty disk and another identity.
     fn begin_again(&mut self, place: usize) {
         let node = &mut self.nodes[place];
-        node.synced = Recovered::default();
+        node.synced = RecoveredState::default();
         node.member.id = ReplicaId(node.member.id.0 + 1);
     }
 
@@ -355,18 +357,18 @@
                 let pairs = numbers.chunks_exact(2).map(|pair| (pair[0], pair[1]));
                 self.nodes[place].applied = pairs.collect();
             }
-            Output::Answer { ticket, result } => {
+            Output::ProposalResult { proposal_id, result } => {
                 if let Ok(index) = result {
-                    self.checks.acknowledged(index, ticket);
+                    self.checks.acknowledged(index, proposal_id);
                 }
             }
             Output::TakeSnapshot { index } => {
                 let applied = &self.nodes[place].applied;
                 let bytes = applied.iter().flat_map(|(index, command)| [*index, *command]);
-                let bytes = bytes.flat_map(u64::to_le_bytes).collect();
-                self.handle(place, Input::State { index, bytes });
+                let state = bytes.flat_map(u64::to_le_bytes).collect();
+                self.handle(place, Input::SnapshotTaken { index, state });
             }
-            Output::Removed => {
+            Output::RemovedFromGroup => {
                 self.crash(place);
                 self.begin_again(place);
                 self.start(place);
@@ -376,7 +378,9 @@
     }
 
     fn send(&mut self, from: usize, to: &Member, message: Message) {
-        let Some(place) = self.nodes.iter().position(|node| node.member.internal == to.internal) else {
+        let Some(place) =
+            self.nodes.iter().position(|node| node.member.internal_address == to.internal_address)
+        else {
             return;
         };
         let id = self.nodes[from].member.id;
--- a/crates/replication/tests/model/world/prepared.rs
+++ b/crates/replication/tests/model/world/prepared.rs
@@ -113,7 +113,7 @@
     }
 
     fn asks_for_votes(&self, place: usize) -> bool {
-        let is_vote = |(_, _, message): &Envelope| matches!(message, Message::Vote { .. });
+        let is_vote = |(_, _, message): &Envelope| matches!(message, Message::VoteRequest { .. });
         self.links.iter().any(|((from, _), messages)| *from == place && messages.iter().any(is_vote))
     }
 
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dunelink_replication::{
-    Entry, HardState, Input, Member, Membership, Message, Output, Payload, Record, Recovered, Replica,
+    Entry, HardState, Input, Member, Membership, Message, Output, Payload, Record, RecoveredState, Replica,
     Settings, Snapshot,
 };
 use support::machine::member;
@@ -21,10 +21,10 @@
 }
 
 /// Recovered state of a voter with entries of the given terms.
-fn recovered(term: u64, terms: &[u64]) -> Recovered {
+fn recovered(term: u64, terms: &[u64]) -> RecoveredState {
     let membership = Membership::of_voters(voters());
-    Recovered {
-        hard_state: Some(HardState { term, vote: None }),
+    RecoveredState {
+        hard_state: Some(HardState { term, voted_for: None }),
         snapshot: Some(Snapshot { index: 0, term: 0, membership, state: Vec::new() }),
         entries: terms.iter().zip(1..).map(|(term, index)| entry(index, *term)).collect(),
     }
@@ -39,7 +39,7 @@
 }
 
 impl Single {
-    fn new(recovered: Recovered) -> Self {
+    fn new(recovered: RecoveredState) -> Self {
         let replica = Replica::new(Settings::default(), member(0, 1), None, recovered, 1, START);
         let mut single = Self { replica, now: START, out: Vec::new(), sequences: Vec::new() };
         single.input(START, Input::Tick);
@@ -89,26 +89,29 @@
     fn elect(&mut self) {
         let deadline = self.replica.next_deadline();
         self.input(deadline, Input::Tick);
-        let asked = self.replica.term() + 1;
-        self.receive(1, Message::PreVoteReply { term: asked - 1, asked, granted: true });
+        let requested_term = self.replica.term() + 1;
+        self.receive(1, Message::PreVoteReply { term: requested_term - 1, requested_term, granted: true });
         self.sync();
-        self.receive(1, Message::VoteReply { term: asked, granted: true });
+        self.receive(1, Message::VoteReply { term: requested_term, granted: true });
         assert!(self.replica.is_leader());
     }
 
     fn vote(term: u64, last: (u64, u64), from: usize, handover: bool) -> Message {
         let (last_index, last_term) = last;
-        Message::Vote { term, last_index, last_term, candidate: member(from, 1), handover }
+        Message::VoteRequest { term, last_index, last_term, candidate: member(from, 1), handover }
     }
 
-    fn append(&mut self, term: u64, prev: (u64, u64), entries: Vec<Entry>, commit: u64) {
+    fn append(&mut self, term: u64, prev: (u64, u64), entries: Vec<Entry>, commit_index: u64) {
         let (prev_index, prev_term) = prev;
-        self.receive(1, Message::Append { term, prev_index, prev_term, entries, commit });
+        self.receive(1, Message::Append { term, prev_index, prev_term, entries, commit_index });
     }
 
     fn heartbeat(&mut self, from: usize, term: u64, round: u64) {
         let leader = member(from, 1);
-        self.receive(from, Message::Heartbeat { term, round, commit: 0, lease: false, leader });
+        self.receive(
+            from,
+            Message::Heartbeat { term, round, commit_index: 0, leader_holds_lease: false, leader },
+        );
     }
 }
 
@@ -117,7 +120,7 @@
 }
 
 fn appended(message: &Message) -> bool {
-    matches!(message, Message::Appended { .. })
+    matches!(message, Message::AppendAccepted { .. })
 }
 
 #[test]
@@ -127,7 +130,9 @@
     single.receive(1, Single::vote(2, (1, 1), 1, false));
     assert_eq!(single.sent(granted), 0);
     assert!(
-        single.records().contains(&Record::HardState(HardState { term: 2, vote: Some(member(1, 1).id) }))
+        single
+            .records()
+            .contains(&Record::HardState(HardState { term: 2, voted_for: Some(member(1, 1).id) }))
     );
     single.sync();
     assert_eq!(single.sent(granted), 1);
@@ -181,9 +186,9 @@
     single.elect();
     let term = single.replica.term();
     single.sync();
-    single.receive(1, Message::Appended { term, matched: 2 });
+    single.receive(1, Message::AppendAccepted { term, match_index: 2 });
     assert_eq!(single.replica.commit_index(), 0);
-    single.receive(1, Message::Appended { term, matched: 3 });
+    single.receive(1, Message::AppendAccepted { term, match_index: 3 });
     assert_eq!(single.replica.commit_index(), 3);
 }
 
@@ -192,7 +197,7 @@
     let mut single = Single::new(recovered(1, &[]));
     single.elect();
     let term = single.replica.term();
-    single.receive(1, Message::Appended { term, matched: 1 });
+    single.receive(1, Message::AppendAccepted { term, match_index: 1 });
     assert_eq!(single.replica.commit_index(), 0);
     single.sync();
     assert_eq!(single.replica.commit_index(), 1);
@@ -221,7 +226,7 @@
     let (prev_index, prev_term) = (1, 1);
     single.receive(
         2,
-        Message::Append { term: 4, prev_index, prev_term, entries: vec![entry(2, 4)], commit: 0 },
+        Message::Append { term: 4, prev_index, prev_term, entries: vec![entry(2, 4)], commit_index: 0 },
     );
     let last = single.sequences.pop().expect("the write of the new entry");
     single.sync();
@@ -243,8 +248,8 @@
     let mut single = Single::new(recovered(2, &[1, 2, 2, 2]));
     single.heartbeat(1, 3, 1);
     let membership = Membership::of_voters(voters());
-    let blob = dunelink_replication::Blob::Snapshot { index: 3, term: 3, membership };
-    single.receive(1, Message::Chunk { term: 3, blob, offset: 0, total: 2, bytes: vec![7, 7] });
+    let header = dunelink_replication::TransferHeader::Snapshot { index: 3, term: 3, membership };
+    single.receive(1, Message::Chunk { term: 3, header, offset: 0, total_bytes: 2, bytes: vec![7, 7] });
     let records = single.records();
     assert_eq!(records[0], Record::Truncate { from: 3 });
     assert!(matches!(&records[1], Record::Snapshot(snapshot) if snapshot.index == 3));
@@ -259,11 +264,11 @@
 
 #[test]
 fn the_founding_snapshot_removes_nothing_from_an_empty_log() {
-    let mut single = Single::new(Recovered::default());
+    let mut single = Single::new(RecoveredState::default());
     single.heartbeat(1, 1, 1);
     let membership = Membership::of_voters(voters());
-    let blob = dunelink_replication::Blob::Snapshot { index: 0, term: 0, membership };
-    single.receive(1, Message::Chunk { term: 1, blob, offset: 0, total: 0, bytes: Vec::new() });
+    let header = dunelink_replication::TransferHeader::Snapshot { index: 0, term: 0, membership };
+    single.receive(1, Message::Chunk { term: 1, header, offset: 0, total_bytes: 0, bytes: Vec::new() });
     let records = single.records();
     assert!(!records.iter().any(|record| matches!(record, Record::Truncate { .. })), "{records:?}");
     assert!(records.iter().any(|record| matches!(record, Record::Snapshot(snapshot) if snapshot.index == 0)));
@@ -275,14 +280,14 @@
 fn promises_that_were_refused_are_asked_for_again_within_a_heartbeat() {
     let mut single = Single::new(recovered(1, &[1]));
     single.input(single.replica.next_deadline(), Input::Tick);
-    let asked = |message: &Message| matches!(message, Message::PreVote { term: 2, .. });
-    assert_eq!(single.sent(asked), 2);
-    single.receive(1, Message::PreVoteReply { term: 1, asked: 2, granted: false });
-    single.receive(2, Message::PreVoteReply { term: 1, asked: 2, granted: false });
+    let pre_vote_request = |message: &Message| matches!(message, Message::PreVoteRequest { term: 2, .. });
+    assert_eq!(single.sent(pre_vote_request), 2);
+    single.receive(1, Message::PreVoteReply { term: 1, requested_term: 2, granted: false });
+    single.receive(2, Message::PreVoteReply { term: 1, requested_term: 2, granted: false });
     let next = single.replica.next_deadline();
-    assert!(next <= single.now + Settings::default().heartbeat, "{} us", next - single.now);
+    assert!(next <= single.now + Settings::default().heartbeat_interval, "{} us", next - single.now);
     single.input(next, Input::Tick);
-    assert_eq!(single.sent(asked), 2);
+    assert_eq!(single.sent(pre_vote_request), 2);
     assert_eq!(single.replica.term(), 1, "asking costs no term");
 }
 
@@ -293,14 +298,14 @@
     let term = single.replica.term();
     single.input(single.now, Input::Join(member(5, 1)));
     assert!(single.replica.membership().learners.is_empty(), "nothing is committed in this term yet");
-    single.receive(1, Message::Appended { term, matched: 1 });
+    single.receive(1, Message::AppendAccepted { term, match_index: 1 });
     single.sync();
     single.input(single.now, Input::Join(member(6, 1)));
     let learners = single.replica.membership().learners.len();
     assert_eq!(learners, 2);
     single.input(single.now, Input::Join(member(7, 1)));
     assert_eq!(single.replica.membership().learners.len(), learners);
-    single.receive(1, Message::Appended { term, matched: 2 });
+    single.receive(1, Message::AppendAccepted { term, match_index: 2 });
     single.sync();
     assert_eq!(single.replica.membership().learners.len(), learners + 1);
 }
@@ -327,7 +332,7 @@
     assert_eq!(records[1..], expected);
     assert!(single.sequences[0] > second + 1, "a number is skipped");
     single.sync();
-    assert_eq!(single.sent(|message| matches!(message, Message::Appended { matched: 4, .. })), 1);
+    assert_eq!(single.sent(|message| matches!(message, Message::AppendAccepted { match_index: 4, .. })), 1);
 }
 
 #[test]
@@ -338,7 +343,7 @@
     single.input(single.now, Input::WriteFailed { sequence });
     for _ in 0..50 {
         single.input(single.replica.next_deadline(), Input::Tick);
-        assert_eq!(single.sent(|message| matches!(message, Message::PreVote { .. })), 0);
+        assert_eq!(single.sent(|message| matches!(message, Message::PreVoteRequest { .. })), 0);
         if let Some(sequence) = single.sequences.pop() {
             single.input(single.now, Input::WriteFailed { sequence });
         }
@@ -351,14 +356,14 @@
     let mut out = Vec::new();
     let founding = Some(voters());
     let mut replica =
-        Replica::new(Settings::default(), member(0, 1), founding, Recovered::default(), 1, START);
+        Replica::new(Settings::default(), member(0, 1), founding, RecoveredState::default(), 1, START);
     replica.handle(START, Input::Tick, &mut out);
     let Some(Output::Write { records, .. }) =
         out.iter().find(|output| matches!(output, Output::Write { .. }))
     else {
         panic!("no write: {out:?}");
     };
-    let mut disk = Recovered::default();
+    let mut disk = RecoveredState::default();
     records.iter().cloned().for_each(|record| disk.replay(record));
     assert_eq!(disk.snapshot.map(|snapshot| snapshot.membership.voters), Some(voters()));
 }
@@ -374,5 +379,5 @@
     }
     single.sync();
     assert!(single.out.len() < 5, "{} outputs", single.out.len());
-    assert_eq!(single.sent(|message| matches!(message, Message::Appended { matched: 2, .. })), 1);
+    assert_eq!(single.sent(|message| matches!(message, Message::AppendAccepted { match_index: 2, .. })), 1);
 }
--- a/crates/replication/tests/seeded_changes.rs
+++ b/crates/replication/tests/seeded_changes.rs
@@ -37,7 +37,7 @@
     SeededChange {
         name: "a change of voters without its joint half",
         file: "reconfigure.rs",
-        from: "Some(Membership { incoming: Some(voters), ..membership.clone() })",
+        from: "Some(Membership { incoming_voters: Some(voters), ..membership.clone() })",
         to: "Some(Membership { voters, ..membership.clone() })",
     },
     SeededChange {
@@ -49,26 +49,26 @@
     SeededChange {
         name: "entries of earlier terms committed by count",
         file: "leader.rs",
-        from: "if index <= self.commit || self.log.term_at(index) != Some(self.hard_state.term) {",
-        to: "if index <= self.commit {",
+        from: "if index <= self.commit_index || self.log.term_at(index) != Some(self.hard_state.term) {",
+        to: "if index <= self.commit_index {",
     },
     SeededChange {
         name: "a second change of voters before the first is committed",
         file: "reconfigure.rs",
-        from: "let settled = self.memberships.newest_index() <= self.commit && self.commit >= leading.first_index;",
-        to: "let settled = self.commit >= leading.first_index;",
+        from: "let settled =\n            self.memberships.newest_index() <= self.commit_index && self.commit_index >= leading.first_index;",
+        to: "let settled = self.commit_index >= leading.first_index;",
     },
     SeededChange {
         name: "a lease held before the term's first entry is applied",
         file: "lease.rs",
-        from: "self.commit >= leading.first_index && self.lease_end",
+        from: "self.commit_index >= leading.first_index && self.lease_end",
         to: "leading.first_index > 0 && self.lease_end",
     },
     SeededChange {
         name: "a commit beyond what the follower has verified",
         file: "follower.rs",
-        from: "self.commit_to(commit.min(self.verified));",
-        to: "self.commit_to(commit);",
+        from: "self.commit_to(commit_index.min(self.verified));",
+        to: "self.commit_to(commit_index);",
     },
     SeededChange {
         name: "one that refuses a candidate for its shorter log does not stand",
--- a/crates/replication/tests/storage.rs
+++ b/crates/replication/tests/storage.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use dunelink_replication::{
-    Entry, HardState, Membership, Payload, Record, Recovered, ReplicaId, Snapshot, WriteGate, decode, encode,
+    Entry, HardState, Membership, Payload, Record, RecoveredState, ReplicaId, Snapshot, WriteFence, decode,
+    encode,
 };
 use support::machine::member;
 
@@ -20,11 +21,11 @@
 fn records_survive_encoding() {
     let joint = Membership {
         voters: vec![member(0, 1)],
-        incoming: Some(vec![member(1, 1)]),
+        incoming_voters: Some(vec![member(1, 1)]),
         learners: vec![member(2, 3)],
     };
     let records = [
-        Record::HardState(HardState { term: 4, vote: Some(ReplicaId(7)) }),
+        Record::HardState(HardState { term: 4, voted_for: Some(ReplicaId(7)) }),
         Record::HardState(HardState::default()),
         Record::Append(entry(3, 2)),
         Record::Append(Entry { index: 1, term: 1, payload: Payload::Noop }),
@@ -46,13 +47,13 @@
 
 #[test]
 fn replay_gives_the_state_of_the_last_record() {
-    let mut recovered = Recovered::default();
+    let mut recovered = RecoveredState::default();
     assert!(recovered.is_empty());
     (1..=5).for_each(|index| recovered.replay(Record::Append(entry(index, 1))));
     recovered.replay(Record::Truncate { from: 5 });
     recovered.replay(Record::Append(entry(3, 2)));
     recovered.replay(Record::Append(entry(4, 2)));
-    recovered.replay(Record::HardState(HardState { term: 2, vote: None }));
+    recovered.replay(Record::HardState(HardState { term: 2, voted_for: None }));
     recovered.replay(Record::Snapshot(snapshot(2)));
     let terms: Vec<(u64, u64)> = recovered.entries.iter().map(|entry| (entry.index, entry.term)).collect();
     assert_eq!(terms, [(3, 2), (4, 2)]);
@@ -61,10 +62,10 @@
 
 #[test]
 fn gate_refuses_writes_behind_a_failed_one() {
-    let mut gate = WriteGate::default();
-    assert!(gate.accepts(1) && gate.accepts(2));
-    gate.failed(2);
-    assert!(!gate.accepts(3) && !gate.accepts(4));
-    assert!(gate.accepts(6));
-    assert!(gate.accepts(7));
+    let mut fence = WriteFence::default();
+    assert!(fence.accepts(1) && fence.accepts(2));
+    fence.record_failure(2);
+    assert!(!fence.accepts(3) && !fence.accepts(4));
+    assert!(fence.accepts(6));
+    assert!(fence.accepts(7));
 }
--- a/crates/replication/tests/support/cluster.rs
+++ b/crates/replication/tests/support/cluster.rs
@@ -42,7 +42,7 @@
     next_event: u64,
     next_proposal: u64,
     next_command: u64,
-    tickets: HashMap<u64, u64>,
+    proposal_ids: HashMap<u64, u64>,
     pub uncertain: u64,
     starts: Vec<u64>,
 }
@@ -74,7 +74,7 @@
             next_event: 0,
             next_proposal: 0,
             next_command: 1,
-            tickets: HashMap::new(),
+            proposal_ids: HashMap::new(),
             uncertain: 0,
             starts: vec![0; size],
         };
@@ -200,8 +200,8 @@
         self.next_command += 1;
         let mut bytes = command.to_le_bytes().to_vec();
         bytes.resize(8 + padding, 7);
-        self.tickets.insert(command, command);
-        self.handle(place, Input::Propose { ticket: command, command: bytes });
+        self.proposal_ids.insert(command, command);
+        self.handle(place, Input::Propose { proposal_id: command, command: bytes });
         command
     }
 
@@ -284,7 +284,9 @@
     }
 
     fn place_of(&self, member: &Member) -> Option<usize> {
-        self.machines.iter().position(|machine| machine.member.internal == member.internal && !machine.gone)
+        self.machines
+            .iter()
+            .position(|machine| machine.member.internal_address == member.internal_address && !machine.gone)
     }
 
     fn on_disk(&mut self, place: usize, id: ReplicaId, start: u64) {
@@ -334,16 +336,16 @@
             Output::Write { sequence, records } => self.machines[place].disk.submit(sequence, records),
             Output::Apply { index, command } => self.apply(place, index, &command),
             Output::Restore { index, state } => self.restore(place, index, &state),
-            Output::Answer { ticket, result: Ok(index) } => {
-                let command = self.tickets[&ticket];
+            Output::ProposalResult { proposal_id, result: Ok(index) } => {
+                let command = self.proposal_ids[&proposal_id];
                 self.checks.on_acknowledged(&self.machines[place], index, command);
             }
-            Output::Answer { result: Err(_), .. } => self.uncertain += 1,
+            Output::ProposalResult { result: Err(_), .. } => self.uncertain += 1,
             Output::TakeSnapshot { index } => {
-                let bytes = self.machines[place].encode_state(self.state_padding);
-                self.handle(place, Input::State { index, bytes });
+                let state = self.machines[place].encode_state(self.state_padding);
+                self.handle(place, Input::SnapshotTaken { index, state });
             }
-            Output::Removed => {
+            Output::RemovedFromGroup => {
                 self.machines[place].was_removed += 1;
                 self.wipe(place);
             }
@@ -392,7 +394,8 @@
     pub fn settled_membership(&self) -> Option<&Membership> {
         let replica = self.replica(self.leader()?);
         let membership = replica.membership();
-        let settled = membership.incoming.is_none() && replica.commit_index() == replica.status(0).last_index;
+        let settled =
+            membership.incoming_voters.is_none() && replica.commit_index() == replica.status(0).last_index;
         settled.then_some(membership)
     }
 
--- a/crates/replication/tests/support/disk.rs
+++ b/crates/replication/tests/support/disk.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use dunelink_replication::{Record, Recovered, WriteGate};
+use dunelink_replication::{Record, RecoveredState, WriteFence};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
@@ -13,9 +13,9 @@
 
 pub struct Disk {
     pub mode: Mode,
-    pub synced: Recovered,
+    pub synced: RecoveredState,
     queue: VecDeque<(u64, Vec<Record>)>,
-    gate: WriteGate,
+    fence: WriteFence,
     pub due: Option<u64>,
 }
 
@@ -23,9 +23,9 @@
     pub fn new() -> Self {
         Self {
             mode: Mode::Normal,
-            synced: Recovered::default(),
+            synced: RecoveredState::default(),
             queue: VecDeque::new(),
-            gate: WriteGate::default(),
+            fence: WriteFence::default(),
             due: None,
         }
     }
@@ -41,11 +41,11 @@
     /// Ends the first write of the queue: its sequence, and whether it is synced.
     pub fn finish(&mut self, random: &mut fastrand::Rng) -> Option<(u64, bool)> {
         let (sequence, records) = self.queue.pop_front()?;
-        if !self.gate.accepts(sequence) {
+        if !self.fence.accepts(sequence) {
             return Some((sequence, false));
         }
         if self.mode == Mode::Full {
-            self.gate.failed(sequence);
+            self.fence.record_failure(sequence);
             self.write_some(records, random);
             return Some((sequence, false));
         }
@@ -59,11 +59,11 @@
     pub fn lose_power(&mut self, random: &mut fastrand::Rng) {
         let under_way = self.queue.drain(..).next();
         if let Some((sequence, records)) = under_way
-            && self.gate.accepts(sequence)
+            && self.fence.accepts(sequence)
         {
             self.write_some(records, random);
         }
-        self.gate = WriteGate::default();
+        self.fence = WriteFence::default();
         self.due = None;
     }
 
--- a/crates/replication/tests/support/faults.rs
+++ b/crates/replication/tests/support/faults.rs
@@ -63,7 +63,7 @@
         15 | 16 => running.iter().for_each(|place| cluster.set_disk(*place, Mode::Normal)),
         17 if cluster.disks_are_whole() => cluster.wipe(place),
         18 if cluster.disks_are_whole() => drop(cluster.replace(place)),
-        19 => cluster.handle(place, Input::HandOver),
+        19 => cluster.handle(place, Input::PrepareShutdown),
         _ => {
             cluster.network.heal();
             start_all(cluster);
--- a/crates/replication/tests/support/machine.rs
+++ b/crates/replication/tests/support/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use dunelink_replication::{Input, Member, Output, Recovered, Replica, ReplicaId, Settings};
+use dunelink_replication::{Input, Member, Output, RecoveredState, Replica, ReplicaId, Settings};
 
 use super::disk::Disk;
 
@@ -33,8 +33,8 @@
 pub fn member(place: usize, generation: u64) -> Member {
     Member {
         id: ReplicaId(place as u64 * 1_000 + generation),
-        internal: address(place, 7000),
-        control: address(place, 8000),
+        internal_address: address(place, 7000),
+        control_address: address(place, 8000),
         zone: format!("zone-{}", place % 3),
     }
 }
@@ -77,7 +77,7 @@
     }
 
     pub fn start(&mut self, founders: &[Member], settings: &Settings, seed: u64, now: u64) {
-        let recovered: Recovered = self.disk.synced.clone();
+        let recovered: RecoveredState = self.disk.synced.clone();
         let founding = self.founder.then(|| founders.to_vec());
         self.state.clear();
         self.applied = 0;
