--- a/crates/grants/src/allocator.rs
+++ b/crates/grants/src/allocator.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunelink_protocol::{GrantUpdate, HeldTenant, NodeDemand, TenantDemand, TenantGrant};
+use dunelink_protocol::{GrantUpdate, NodeDemand, TenantDemand, TenantGrant, ThrottledTenant};
 
 use crate::bounds::{FLOOR_SHARE, OVERDRAFT_SHARE, RATE_LAPSE_US};
 use crate::bucket::{Bucket, InheritedUsage};
@@ -38,8 +38,8 @@
 #[derive(Debug, Default)]
 struct Node {
     reported_at: Micros,
-    /// Age of the proxy process at its last report, in milliseconds.
-    age_ms: u64,
+    /// Uptime of the proxy process at its last report, in milliseconds.
+    uptime_ms: u64,
     /// Whether the node rejects earlier leaders, and what it could admit at that point has been accounted
     /// for.
     is_synced: bool,
@@ -89,8 +89,8 @@
     pub fn observe_report(&mut self, now: Micros, name: &str, report: &NodeDemand) {
         let node = self.nodes.entry(name.to_owned()).or_default();
         node.reported_at = now;
-        if report.age_ms > 0 {
-            node.age_ms = report.age_ms;
+        if report.uptime_ms > 0 {
+            node.uptime_ms = report.uptime_ms;
         }
         for state in node.tenants.values_mut() {
             (state.is_reported, state.rate_per_s) = (false, 0.0);
@@ -107,7 +107,7 @@
         if !is_current_term || !node.is_synced && !report.has_history {
             return;
         }
-        let process_started_at = now.saturating_sub(report.age_ms.saturating_mul(MILLISECOND));
+        let process_started_at = now.saturating_sub(report.uptime_ms.saturating_mul(MILLISECOND));
         // If the inherited state is incomplete, what nodes could admit at the takeover counts as spent
         // already.
         let charges_holdings =
@@ -118,7 +118,7 @@
             if let Some(bucket) = self.buckets.get_mut(&demand.tenant) {
                 bucket.level -= excess;
                 if is_first_sync {
-                    bucket.record_late_sync(demand.granted_rate);
+                    bucket.record_late_sync(demand.granted_rate_per_s);
                 }
             }
         }
@@ -129,21 +129,21 @@
 
     /// The message that asks a node what it admitted in the last window, before any node has reported.
     pub fn history_request(&self) -> GrantUpdate {
-        GrantUpdate { asks_history: true, ..self.empty_update(0, 0) }
+        GrantUpdate { requests_history: true, ..self.empty_update(0, 0) }
     }
 
     /// A grant update without tenants.
     fn empty_update(&self, nodes: u32, configuration_version: u64) -> GrantUpdate {
         GrantUpdate {
             valid_ms: GRANT_VALID_MS,
-            nodes,
+            node_count: nodes,
             configuration_version,
             tenants: Vec::new(),
-            held: Vec::new(),
+            throttled: Vec::new(),
             term: self.term,
             round: self.round,
-            asked_age_ms: 0,
-            asks_history: false,
+            report_uptime_ms: 0,
+            requests_history: false,
         }
     }
 
@@ -173,8 +173,8 @@
         };
         let unsynced = self.nodes.iter().filter(|(_, node)| !node.is_synced && !node.is_silent(now));
         let history_requests = unsynced.map(|(name, node)| {
-            let asked_age_ms = node.age_ms;
-            (name.clone(), GrantUpdate { asks_history: true, asked_age_ms, ..empty_update.clone() })
+            let report_uptime_ms = node.uptime_ms;
+            (name.clone(), GrantUpdate { requests_history: true, report_uptime_ms, ..empty_update.clone() })
         });
         grants.into_iter().chain(history_requests).collect()
     }
@@ -209,7 +209,7 @@
             let level = usage.level(quota, &self.bounds, inherited_state.history_span);
             // Credit that was offered from a bucket was in it.
             let level = if self.inherited_complete { level } else { level.min(usage.credit) };
-            let missing_rate_per_s = (quota.rate_per_s - usage.granted_rate).max(0.0);
+            let missing_rate_per_s = (quota.rate_per_s - usage.granted_rate_per_s).max(0.0);
             self.buckets.insert(quota.name.clone(), Bucket::from_takeover(level, missing_rate_per_s, now));
         }
         self.incomplete_takeover =
@@ -224,7 +224,7 @@
         let is_complete =
             synced_count == self.nodes.len() && synced_count >= inherited_state.known_node_count as usize;
         if is_complete {
-            let youngest_ms = self.nodes.values().map(|node| node.age_ms).min().unwrap_or(0);
+            let youngest_ms = self.nodes.values().map(|node| node.uptime_ms).min().unwrap_or(0);
             let history_span = youngest_ms.saturating_mul(MILLISECOND);
             for quota in limited_quotas {
                 let Some(bucket) = self.buckets.get_mut(&quota.name) else { continue };
@@ -250,7 +250,7 @@
         empty_update: &GrantUpdate,
     ) -> Vec<(String, GrantUpdate)> {
         let mut tenants: BTreeMap<String, Vec<TenantGrant>> = BTreeMap::new();
-        let mut over_quota = Vec::new();
+        let mut throttled = Vec::new();
         let any_silent = self.nodes.values().any(|node| node.is_silent(now));
         let known = self.known_tenants();
         for quota in limited_quotas {
@@ -260,7 +260,7 @@
             }
             let (pass_share, grants) = self.issue_grants(now, quota);
             if pass_share < 1.0 {
-                over_quota.push(HeldTenant { tenant: quota.name.clone(), pass_share });
+                throttled.push(ThrottledTenant { tenant: quota.name.clone(), pass_share });
             }
             for (node, grant) in grants {
                 tenants.entry(node).or_default().push(grant);
@@ -272,10 +272,15 @@
         reachable
             .map(|(name, node)| {
                 let tenants = tenants.remove(name).unwrap_or_default();
-                let asked_age_ms = node.age_ms;
+                let report_uptime_ms = node.uptime_ms;
                 (
                     name.clone(),
-                    GrantUpdate { tenants, held: over_quota.clone(), asked_age_ms, ..empty_update.clone() },
+                    GrantUpdate {
+                        tenants,
+                        throttled: throttled.clone(),
+                        report_uptime_ms,
+                        ..empty_update.clone()
+                    },
                 )
             })
             .collect()
@@ -337,7 +342,7 @@
         let unused: f64 = all_states().map(|(_, state)| state.unused_units()).sum();
         let mut credit: f64 = all_states().map(|(_, state)| state.credit()).sum();
         // Any node may get the next request, even one that reported no demand.
-        let largest_request = active.iter().map(|(_, state)| state.request_units).fold(0.0, f64::max);
+        let largest_request = active.iter().map(|(_, state)| state.mean_request_units).fold(0.0, f64::max);
         let is_oversubscribed = depth * OVERDRAFT_SHARE < largest_request * nodes;
         let max_level = if is_oversubscribed { depth - self.bounds.margin(quota) } else { depth };
         bucket.level = bucket.level.min(max_level - unused);
@@ -360,7 +365,7 @@
         active.rotate_left(offset);
         let grants = active.iter_mut().map(|(name, state)| {
             let shortfall = state.shortfall(&supply);
-            let issued = shortfall.min((shortfall * share).max(state.request_units)).min(budget);
+            let issued = shortfall.min((shortfall * share).max(state.mean_request_units)).min(budget);
             budget -= issued;
             bucket.level -= issued;
             let ceiling = state.issue(&supply, issued);
@@ -384,8 +389,8 @@
                 rate_per_s,
                 incarnation: state.incarnation,
                 pass_share,
-                spare: new_credit,
-                counted: state.admitted,
+                reserved: new_credit,
+                acknowledged: state.admitted,
             };
             (name.clone(), grant)
         });
@@ -413,7 +418,7 @@
     /// Units per second that a silent node may be using: the last granted rate until it lapses, then the
     /// floor.
     fn max_rate_per_s(&self, now: Micros, quota: &TenantQuota, floor_per_s: f64) -> f64 {
-        let granted = self.tenants.get(&quota.name).map_or(0.0, NodeTenant::granted_rate);
+        let granted = self.tenants.get(&quota.name).map_or(0.0, NodeTenant::granted_rate_per_s);
         if self.reported_at + MAX_GRANT_LIFETIME_US + RATE_LAPSE_US > now {
             granted.max(floor_per_s)
         } else {
@@ -442,7 +447,8 @@
 
 /// Whether the reported figures are finite and not negative, so that they can be added up.
 pub(crate) fn is_valid(demand: &TenantDemand) -> bool {
-    let amounts = [demand.passed, demand.request_units, demand.counted, demand.held, demand.lent];
-    let values = amounts.into_iter().chain([demand.rate_per_s, demand.granted_rate]);
+    let amounts =
+        [demand.admitted, demand.mean_request_units, demand.acknowledged, demand.available, demand.borrowed];
+    let values = amounts.into_iter().chain([demand.rate_per_s, demand.granted_rate_per_s]);
     values.chain(demand.history.iter().copied()).all(|value| value.is_finite() && value >= 0.0)
 }
--- a/crates/grants/src/bucket.rs
+++ b/crates/grants/src/bucket.rs
@@ -45,8 +45,8 @@
     }
 
     /// Records that a missing node has reported: its granted rate is known from its reports from now on.
-    pub(crate) fn record_late_sync(&mut self, granted_rate: f64) {
-        self.missing_rate_per_s = (self.missing_rate_per_s - granted_rate).max(0.0);
+    pub(crate) fn record_late_sync(&mut self, granted_rate_per_s: f64) {
+        self.missing_rate_per_s = (self.missing_rate_per_s - granted_rate_per_s).max(0.0);
     }
 
     /// Fills the bucket at the tenant's rate less `reserved_per_s`.
@@ -68,7 +68,7 @@
     /// Units that nodes may admit beyond `unused`, which are still in the bucket.
     pub(crate) credit: f64,
     /// Units per second at which the nodes' allowance grows without new grants.
-    pub(crate) granted_rate: f64,
+    pub(crate) granted_rate_per_s: f64,
     /// The largest request size that any node reported, in units.
     largest_request: f64,
     /// Number of nodes that reported.
@@ -85,10 +85,10 @@
         for (sum, units) in self.admitted.iter_mut().zip(history) {
             *sum += units;
         }
-        self.unused += demand.held;
-        self.credit += demand.lent;
-        self.granted_rate += demand.granted_rate;
-        self.largest_request = self.largest_request.max(demand.request_units);
+        self.unused += demand.available;
+        self.credit += demand.borrowed;
+        self.granted_rate_per_s += demand.granted_rate_per_s;
+        self.largest_request = self.largest_request.max(demand.mean_request_units);
         self.node_count += 1.0;
     }
 
--- a/crates/grants/src/gate.rs
+++ b/crates/grants/src/gate.rs
@@ -48,8 +48,8 @@
 
 /// Upper bound of a grant's validity, in milliseconds.
 const MAX_GRANT_VALID_MS: u64 = 60_000;
-/// Upper bound of the process age in a grant update, in milliseconds. No process is older.
-const MAX_PROCESS_AGE_MS: u64 = 1 << 42;
+/// Upper bound of the uptime in a grant update, in milliseconds. No process runs for longer.
+const MAX_UPTIME_MS: u64 = 1 << 42;
 /// A grant older than this is no longer fresh, in microseconds: the leader may have failed. The node then
 /// admits beyond its ceiling only what all nodes may use without coordination, and continues at the last
 /// granted rate.
@@ -90,7 +90,7 @@
             ceiling: grant.ceiling,
             overdraft: grant.overdraft,
             overdraft_requests: 0.0,
-            credit: grant.spare,
+            credit: grant.reserved,
             rate_per_s: grant.rate_per_s,
             pass_share: grant.pass_share,
             is_over_quota: grant.pass_share < 1.0,
@@ -245,32 +245,33 @@
         for state in self.tenants.values_mut() {
             state.fill_floor(now, &self.bounds, self.nodes);
         }
-        let is_first_request = update.asks_history && update.term > self.term;
-        (self.term, self.round, self.history_requested) = (update.term, update.round, update.asks_history);
+        let is_first_request = update.requests_history && update.term > self.term;
+        (self.term, self.round, self.history_requested) =
+            (update.term, update.round, update.requests_history);
         if is_first_request {
             self.tenants.values_mut().for_each(|state| state.freeze_for_history(now));
             return ApplyOutcome::HistoryRequested;
         }
-        if update.asks_history {
+        if update.requests_history {
             return ApplyOutcome::Ignored;
         }
-        self.nodes = update.nodes.max(1);
+        self.nodes = update.node_count.max(1);
         self.has_node_count = true;
         let valid_until = self.grant_expiry(now, update);
         let granted =
             update.tenants.iter().filter(|grant| grant.incarnation == self.incarnation && is_valid(grant));
         let granted: HashMap<&str, &TenantGrant> =
             granted.map(|grant| (grant.tenant.as_str(), grant)).collect();
-        let over_quota = update.held.iter().map(|limited| (limited.tenant.as_str(), limited.pass_share));
-        let over_quota: HashMap<&str, f64> = over_quota.collect();
+        let throttled = update.throttled.iter().map(|limited| (limited.tenant.as_str(), limited.pass_share));
+        let throttled: HashMap<&str, f64> = throttled.collect();
         for (name, state) in &mut self.tenants {
             if let Some(grant) = granted.get(name.as_str()) {
                 // The floor's units were reported as usable, so the ceiling now includes them.
                 state.floor_level = state.floor_level.min(0.0);
-                state.acknowledged = grant.counted;
+                state.acknowledged = grant.acknowledged;
                 state.grant = Grant::from_update(now, valid_until, grant);
             } else {
-                let pass_share = over_quota.get(name.as_str()).copied().unwrap_or(1.0);
+                let pass_share = throttled.get(name.as_str()).copied().unwrap_or(1.0);
                 state.grant = state.grant.for_unreported(now, valid_until, pass_share);
             }
         }
@@ -281,7 +282,7 @@
     /// grant is not valid for longer.
     fn grant_expiry(&self, now: Micros, update: &GrantUpdate) -> Micros {
         let valid_us = update.valid_ms.min(MAX_GRANT_VALID_MS) * MILLISECOND;
-        let reported_at = self.started_at + update.asked_age_ms.min(MAX_PROCESS_AGE_MS) * MILLISECOND;
+        let reported_at = self.started_at + update.report_uptime_ms.min(MAX_UPTIME_MS) * MILLISECOND;
         reported_at.min(now) + valid_us
     }
 
@@ -335,13 +336,13 @@
         let is_included = |demand: &TenantDemand| {
             reports_all
                 || demand.rate_per_s >= MIN_REPORTED_DEMAND_PER_S
-                || demand.passed != demand.counted
+                || demand.admitted != demand.acknowledged
                 || !demand.history.is_empty()
         };
         NodeDemand {
             term: self.term,
-            age_ms: now.saturating_sub(self.started_at) / MILLISECOND,
-            nodes: if self.has_node_count { self.nodes } else { 0 },
+            uptime_ms: now.saturating_sub(self.started_at) / MILLISECOND,
+            node_count: if self.has_node_count { self.nodes } else { 0 },
             round: self.round,
             has_history: self.history_requested,
             tenants: reports.filter(is_included).collect(),
@@ -372,14 +373,14 @@
         TenantDemand {
             tenant: name.to_owned(),
             rate_per_s: self.demand.rate(now),
-            passed: self.admitted,
-            request_units: self.mean_request_units,
+            admitted: self.admitted,
+            mean_request_units: self.mean_request_units,
             incarnation,
-            counted: self.acknowledged,
-            held: self.unused_units(),
-            granted_rate: if now < self.grant.rate_lapses_at() { self.grant.rate_per_s } else { 0.0 },
+            acknowledged: self.acknowledged,
+            available: self.unused_units(),
+            granted_rate_per_s: if now < self.grant.rate_lapses_at() { self.grant.rate_per_s } else { 0.0 },
             history: if intervals > 0 { self.history.recent(now, intervals) } else { Vec::new() },
-            lent: if intervals > 0 { self.unused_credit(now) } else { 0.0 },
+            borrowed: if intervals > 0 { self.unused_credit(now) } else { 0.0 },
         }
     }
 
@@ -524,7 +525,13 @@
 }
 
 fn is_valid(grant: &TenantGrant) -> bool {
-    let values =
-        [grant.ceiling, grant.overdraft, grant.rate_per_s, grant.pass_share, grant.spare, grant.counted];
+    let values = [
+        grant.ceiling,
+        grant.overdraft,
+        grant.rate_per_s,
+        grant.pass_share,
+        grant.reserved,
+        grant.acknowledged,
+    ];
     values.iter().all(|value| value.is_finite())
 }
--- a/crates/grants/src/history.rs
+++ b/crates/grants/src/history.rs
@@ -2,12 +2,12 @@
 
 use std::collections::VecDeque;
 
-use dunelink_protocol::report::HISTORY_PART_MS;
+use dunelink_protocol::report::HISTORY_INTERVAL_MS;
 
 use crate::{MILLISECOND, Micros, QuotaBounds, SECOND};
 
 /// Length of an interval, in microseconds.
-pub(crate) const INTERVAL_US: Micros = HISTORY_PART_MS * MILLISECOND;
+pub(crate) const INTERVAL_US: Micros = HISTORY_INTERVAL_MS * MILLISECOND;
 
 /// Number of intervals to store for a window. The oldest one may partly lie outside it.
 pub(crate) fn interval_count(bounds: &QuotaBounds) -> usize {
--- a/crates/grants/src/node_tenant.rs
+++ b/crates/grants/src/node_tenant.rs
@@ -71,7 +71,7 @@
     pub(crate) is_reported: bool,
     /// Demand in units per second.
     pub(crate) rate_per_s: f64,
-    pub(crate) request_units: f64,
+    pub(crate) mean_request_units: f64,
     /// Units admitted, as last reported.
     pub(crate) admitted: f64,
     /// The part of `admitted` that was inherited with the node's history.
@@ -90,10 +90,10 @@
     pub(crate) fn from_takeover(demand: &TenantDemand) -> Self {
         let mut state = Self { incarnation: demand.incarnation, ..Self::default() };
         state.update_demand(demand);
-        state.inherited_admitted = demand.passed;
-        state.ceiling = demand.passed + demand.held;
-        let (ceiling, rate_per_s) = (state.ceiling, demand.granted_rate);
-        state.outstanding.push(IssuedGrant { round: 0, ceiling, credit: demand.lent, rate_per_s });
+        state.inherited_admitted = demand.admitted;
+        state.ceiling = demand.admitted + demand.available;
+        let (ceiling, rate_per_s) = (state.ceiling, demand.granted_rate_per_s);
+        state.outstanding.push(IssuedGrant { round: 0, ceiling, credit: demand.borrowed, rate_per_s });
         state
     }
 
@@ -109,7 +109,7 @@
         }
         self.update_demand(demand);
         self.outstanding.acknowledge(round);
-        let committed = self.admitted + demand.held;
+        let committed = self.admitted + demand.available;
         let excess = (committed - self.ceiling).max(0.0);
         let released = self.lower_ceiling(committed);
         (excess - std::mem::take(&mut self.reserved)).max(0.0) + written_off - released
@@ -125,7 +125,7 @@
     /// Raises the ceiling by the issued units. If nothing is issued and the node has more unused units than
     /// its target plus a request, a lower ceiling is granted instead. Returns the ceiling to grant.
     pub(crate) fn issue(&mut self, supply: &BucketSupply, issued: f64) -> f64 {
-        let slack = if self.is_sparse() { 0.0 } else { self.request_units };
+        let slack = if self.is_sparse() { 0.0 } else { self.mean_request_units };
         let max_unused = self.target_units(supply) + slack;
         if issued <= 0.0 && self.unused_units() > max_unused {
             return self.admitted + max_unused;
@@ -140,7 +140,7 @@
     }
 
     /// Units per second at which the node may continue without hearing from the leader, as far as is known.
-    pub(crate) fn granted_rate(&self) -> f64 {
+    pub(crate) fn granted_rate_per_s(&self) -> f64 {
         self.outstanding.0.iter().map(|grant| grant.rate_per_s).fold(0.0, f64::max)
     }
 
@@ -160,8 +160,8 @@
     fn update_demand(&mut self, demand: &TenantDemand) {
         self.is_reported = true;
         self.rate_per_s = demand.rate_per_s;
-        self.request_units = demand.request_units;
-        self.admitted = demand.passed;
+        self.mean_request_units = demand.mean_request_units;
+        self.admitted = demand.admitted;
     }
 
     /// Units admitted since the node reported its history.
@@ -177,7 +177,7 @@
     /// Whether less than one request would be issued in advance. Whole requests issued to many such nodes
     /// would lie unused at some while others need them, so these nodes exceed their ceilings instead.
     fn is_sparse(&self) -> bool {
-        self.rate_per_s * LOOKAHEAD_S < self.request_units
+        self.rate_per_s * LOOKAHEAD_S < self.mean_request_units
     }
 
     /// Units by which the node may exceed its ceiling with the probability `pass_share`.
@@ -201,10 +201,10 @@
         }
         match (self.is_sparse(), supply) {
             (true, BucketSupply { covers_each_node: true, spare_per_node, .. }) => {
-                (spare_per_node - self.request_units).clamp(0.0, self.request_units)
+                (spare_per_node - self.mean_request_units).clamp(0.0, self.mean_request_units)
             }
             (true, BucketSupply { is_oversubscribed: true, .. }) => 0.0,
-            (true, _) => self.request_units,
+            (true, _) => self.mean_request_units,
             (false, _) => self.rate_per_s * LOOKAHEAD_S,
         }
     }
--- a/crates/grants/src/takeover.rs
+++ b/crates/grants/src/takeover.rs
@@ -48,7 +48,7 @@
 
     /// Records a node's report. It replaces an earlier one.
     pub(crate) fn observe_report(&mut self, term: u64, name: &str, report: &NodeDemand) {
-        self.known_node_count = self.known_node_count.max(report.nodes);
+        self.known_node_count = self.known_node_count.max(report.node_count);
         if report.term == term && report.has_history {
             self.reports.insert(name.to_owned(), report.clone());
         }
@@ -62,7 +62,7 @@
         }
         let all_reported =
             self.reports.len() >= reporting_count && reporting_count >= self.known_node_count as usize;
-        let youngest_ms = self.reports.values().map(|report| report.age_ms).min().unwrap_or(0);
+        let youngest_ms = self.reports.values().map(|report| report.uptime_ms).min().unwrap_or(0);
         let mut tenants: BTreeMap<String, InheritedUsage> = BTreeMap::new();
         for demand in
             self.reports.values().flat_map(|report| &report.tenants).filter(|demand| is_valid(demand))
@@ -84,7 +84,7 @@
 impl InheritedState {
     /// Adds the report of a node that was missing.
     pub(crate) fn add_late_report(&mut self, report: &NodeDemand) {
-        self.known_node_count = self.known_node_count.max(report.nodes);
+        self.known_node_count = self.known_node_count.max(report.node_count);
         for demand in report.tenants.iter().filter(|demand| is_valid(demand)) {
             self.tenants.entry(demand.tenant.clone()).or_default().add(demand);
         }
