--- a/bench/src/gossip.rs
+++ b/bench/src/gossip.rs
@@ -5,7 +5,7 @@
 use anyhow::anyhow;
 use clap::Args;
 use dunelink_gossip::sim::{Net, Weather};
-use dunelink_gossip::{Micros, Note, Sighting, Standing, needed};
+use dunelink_gossip::{Micros, Note, ServerObservation, Standing, needed};
 use plotters::prelude::*;
 
 const SERVER: u64 = 7;
@@ -88,7 +88,9 @@
 fn run(net: &mut Net, span: Micros, stalled: bool) {
     let witnesses = needed(net.nodes.len()) as usize + 1;
     let see = move |node: usize, _: Micros| match stalled && node < witnesses {
-        true => vec![Sighting { server: SERVER, strength: 1.0, answers: 0, rests_on: 4 }],
+        true => {
+            vec![ServerObservation { server: SERVER, suspicion: 1.0, recent_answers: 0, sample_count: 4 }]
+        }
         false => Vec::new(),
     };
     let end = net.now + span;
--- a/crates/cherryusher/benches/decide.rs
+++ b/crates/cherryusher/benches/decide.rs
@@ -15,17 +15,17 @@
 fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: S,
-            aim_stretch: 0.0,
+            target_latency: S,
+            target_latency_per_work: 0.0,
             deadline: 10 * S,
-            worth: 1.0,
-            late_worth: 0.2,
-            effect: Effect::Safe,
+            value: 1.0,
+            late_value_fraction: 0.2,
+            idempotency: Idempotency::Idempotent,
         }],
         tenants: vec![Tenant { quota_per_s: 1e9, share: 0.25 }; 4],
         max_attempts: 3,
         cancelling: true,
-        second_copies: true,
+        hedging: true,
         ..Settings::default()
     }
 }
@@ -48,7 +48,7 @@
         let balancer = Balancer::new(settings(), 7).expect("settings that fit");
         let (open, actions) = (VecDeque::new(), Vec::new());
         let mut node = Node { balancer, now: 100 * S, next: 0, open, actions };
-        node.tell(Event::CachedList((1..=servers).map(entry).collect()));
+        node.tell(Event::CachedServerList((1..=servers).map(entry).collect()));
         while node.open.len() < OPEN {
             node.arrive();
         }
@@ -65,7 +65,7 @@
         self.next += 1;
         let (id, tenant) = (self.next, Some((self.next % 4) as u32));
         let request = Request { id, class: 0, remaining: 9 * S, expected_work: None, key: Some(id), tenant };
-        self.tell(Event::Arrived(request));
+        self.tell(Event::RequestArrived(request));
         self.open.push_back(id);
     }
 
@@ -73,7 +73,13 @@
     fn turn(&mut self) {
         self.arrive();
         let Some(request) = self.open.pop_front() else { return };
-        let ended = Ended { request, attempt: 0, outcome: Outcome::Served, took: 2_000, finished: true };
+        let ended = AttemptEnd {
+            request,
+            attempt: 0,
+            outcome: Outcome::Served,
+            elapsed: 2_000,
+            request_finished: true,
+        };
         self.tell(Event::AttemptEnded(ended));
     }
 }
@@ -84,7 +90,7 @@
         let mut node = Node::new(servers);
         (0..10_000).for_each(|_| node.turn());
         group.bench_function(BenchmarkId::from_parameter(servers), |b| b.iter(|| node.turn()));
-        black_box(node.balancer.requests_kept());
+        black_box(node.balancer.tracked_requests());
     }
     group.finish();
 }
--- a/crates/cherryusher/src/api.rs
+++ b/crates/cherryusher/src/api.rs
@@ -15,23 +15,23 @@
 
 /// What may happen to a request that is sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats do no harm.
-    Safe,
+    Idempotent,
     /// The servers of one group drop a repeat for `window` after the first attempt was sent.
-    Keyed {
+    Deduplicated {
         /// Which servers share what they remember.
-        group: Group,
+        scope: DedupScope,
         /// For how long they remember it.
         window: Micros,
     },
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The servers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All servers.
     All,
     /// The servers of one zone.
@@ -44,17 +44,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub target_latency: Micros,
     /// The aim grows by this multiple of the request's expected work, up to the deadline.
-    pub aim_stretch: f64,
+    pub target_latency_per_work: f64,
     /// The client's whole wait.
     pub deadline: Micros,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub value: f64,
     /// The share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_value_fraction: f64,
     /// Whether a request may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// A tenant and its share.
@@ -72,9 +72,9 @@
     /// Changes come by themselves.
     Pushed,
     /// Changes come after [`Action::Subscribe`]; without a subscription the node has to ask this often.
-    Asked {
+    Subscribed {
         /// The longest time without asking.
-        every: Micros,
+        max_retry_interval: Micros,
     },
 }
 
@@ -92,15 +92,15 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What a request beyond its tenant's share is worth, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// The most attempts one request may have.
     pub max_attempts: u16,
     /// Whether attempts may be cancelled.
     pub cancelling: bool,
     /// Whether a second attempt may be sent while the first is out.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether related requests are cheaper on a server that met their key lately.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// What crossing zones costs, for every request once, as a part of all worth.
     pub cross_zone_price: f64,
     /// Whether weights shrink while a server holds requests, and so tell of load as well as of size.
@@ -108,19 +108,19 @@
     /// How the server list comes.
     pub discovery: Discovery,
     /// A starting server has at least this part of its capacity.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// A server is warm after this time at most.
     pub warm_up: Micros,
     /// A cold server falls over when it is sent this multiple of what it can do at that moment.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// The longest time between two looks at the clock.
-    pub step: Micros,
+    pub timer_resolution: Micros,
     /// The longest stay away that a refused client honours.
     pub max_retry_after: Micros,
     /// How many labels tenants are hashed to; few, so that pools keep room. At least one.
     pub labels: u16,
     /// The least that a label's pool takes while servers last; four or more.
-    pub pool_min: u16,
+    pub min_pool_size: u16,
 }
 
 /// Why settings were turned down.
@@ -144,21 +144,21 @@
             zone: 0,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_value: 1.0,
             max_attempts: 1,
             cancelling: false,
-            second_copies: false,
-            warm_keys: false,
+            hedging: false,
+            key_affinity: false,
             cross_zone_price: 0.0,
             live_weights: false,
             discovery: Discovery::Pushed,
-            cold_from: 0.1,
+            cold_capacity: 0.1,
             warm_up: 30_000_000,
-            fall_multiple: 2.0,
-            step: 5_000,
+            overload_factor: 2.0,
+            timer_resolution: 5_000,
             max_retry_after: 0,
             labels: 2,
-            pool_min: 4,
+            min_pool_size: 4,
         }
     }
 }
@@ -169,25 +169,25 @@
         let positive = |x: f64| x.is_finite() && x >= 0.0;
         let rules: [(bool, &'static str); 11] = [
             (self.labels > 0, "there are no labels"),
-            (self.pool_min >= 4, "a pool takes fewer than four servers"),
+            (self.min_pool_size >= 4, "a pool takes fewer than four servers"),
             (!self.classes.is_empty(), "there are no request classes"),
             (self.balancers > 0, "there are no balancers"),
             (self.rank < self.balancers, "the rank is not below the number of balancers"),
             (self.max_attempts > 0, "no attempt is allowed"),
-            (self.cold_from > 0.0 && self.cold_from <= 1.0, "cold_from is not within 0 to 1"),
-            (positive(self.fall_multiple), "the fall multiple is negative"),
-            (positive(self.over_share_worth) && positive(self.cross_zone_price), "a price is negative"),
+            (self.cold_capacity > 0.0 && self.cold_capacity <= 1.0, "cold_from is not within 0 to 1"),
+            (positive(self.overload_factor), "the fall multiple is negative"),
+            (positive(self.over_quota_value) && positive(self.cross_zone_price), "a price is negative"),
             (
                 self.tenants.iter().all(|t| positive(t.quota_per_s) && positive(t.share)),
                 "a tenant's quota or share is negative",
             ),
             (
                 self.classes.iter().all(|c| {
-                    c.aim > 0
+                    c.target_latency > 0
                         && c.deadline > 0
-                        && positive(c.worth)
-                        && positive(c.late_worth)
-                        && positive(c.aim_stretch)
+                        && positive(c.value)
+                        && positive(c.late_value_fraction)
+                        && positive(c.target_latency_per_work)
                 }),
                 "a class has no aim, no deadline or a negative worth",
             ),
@@ -248,9 +248,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Upload {
     /// How long its last byte is expected to take.
-    pub expected: Micros,
+    pub expected_duration: Micros,
     /// How long it may take at most.
-    pub most: Micros,
+    pub max_duration: Micros,
 }
 
 /// How an attempt ended.
@@ -261,7 +261,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen; it did not run.
-    TurnedAway,
+    Rejected,
     /// No answer in time; it may have run or may still be running.
     TimedOut,
     /// No connection; it did not run.
@@ -277,13 +277,13 @@
 impl Outcome {
     /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
     /// Which of its attempts.
@@ -291,31 +291,31 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long after it was sent.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// Whether the request is finished.
-    pub finished: bool,
+    pub request_finished: bool,
 }
 
 /// What a node has seen of a server lately by its own requests, for others to be told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sighting {
+pub struct ServerObservation {
     /// The server.
     pub server: ServerId,
     /// How surely it stalls, fails or is slow against what is usual, from 0 to 1.
-    pub strength: f64,
+    pub suspicion: f64,
     /// How many answers it gave lately; 0 if none came in the last second.
-    pub answers: u32,
+    pub recent_answers: u32,
     /// How many requests the strength rests on.
-    pub rests_on: u32,
+    pub sample_count: u32,
 }
 
 /// What other nodes say of a server, weighed by how many say it and how far they are believed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Doubt {
+pub struct PeerSuspicion {
     /// The server.
     pub server: ServerId,
     /// From 0 to 1.
-    pub doubt: f64,
+    pub level: f64,
 }
 
 /// What a node tells the module.
@@ -324,37 +324,37 @@
     /// The whole list of servers; one that is missing is gone.
     ServerList(Vec<ServerEntry>),
     /// The whole list as held before the start; it may be old, and does not answer a call.
-    CachedList(Vec<ServerEntry>),
+    CachedServerList(Vec<ServerEntry>),
     /// Changes to the list.
     ServerChanges(Vec<ServerEntry>),
     /// A call to discovery failed, or the subscription broke.
     DiscoveryFailed,
     /// A request has arrived; one final answer is owed from now on.
-    Arrived(Request),
+    RequestArrived(Request),
     /// A request has begun to arrive and is passed on as it comes. It has one attempt out at a time, and its client's
-    /// patience begins with its last byte: until [`Event::CameWhole`] the times are a guess.
-    ArrivedInPart(Request, Upload),
+    /// patience begins with its last byte: until [`Event::BodyReceived`] the times are a guess.
+    StreamedRequestArrived(Request, Upload),
     /// The last byte of such a request has come, and this is how long until its client gives up.
-    CameWhole(RequestId, Micros),
+    BodyReceived(RequestId, Micros),
     /// Some of the body of such a request is gone: it can't be sent once more.
-    BodySpent(RequestId),
+    BodyConsumed(RequestId),
     /// The client has left; no answer is owed any more.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// A streamed answer has begun; the attempt now belongs to the client.
-    StreamBegan(RequestId, AttemptNo),
+    ResponseStreamStarted(RequestId, AttemptNo),
     /// An attempt has ended; each one sent does so once.
-    AttemptEnded(Ended),
+    AttemptEnded(AttemptEnd),
     /// What other nodes say of servers: all of it. It has to be said again, else it is forgotten.
-    Hearsay(Vec<Doubt>),
+    PeerSuspicions(Vec<PeerSuspicion>),
     /// The number of nodes that share the work has changed, or this node's place among them.
-    Fleet {
+    FleetChanged {
         /// How many nodes there are to reckon with.
         balancers: u32,
         /// This node's place; it may lie beyond their number while some are away.
         rank: u32,
     },
     /// A wake-up asked for has come due.
-    Woken(u64),
+    TimerFired(u64),
 }
 
 /// What the module wants done.
@@ -368,7 +368,7 @@
         server: ServerId,
         /// Until when its first byte may leave, by the clock of events: an earlier attempt may have run, and its
         /// deduplication window closes then. One that could not begin by then ends as [`Outcome::NotSent`].
-        until: Option<Micros>,
+        start_before: Option<Micros>,
     },
     /// Final answer: turned away, and harmless to try again.
     Refuse {
@@ -381,8 +381,8 @@
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel(RequestId, AttemptNo),
-    /// Ask for [`Event::Woken`] with this token after this time.
-    Wake {
+    /// Ask for [`Event::TimerFired`] with this token after this time.
+    SetTimer {
         /// How long from now.
         after: Micros,
         /// What to be woken with.
--- a/crates/cherryusher/src/policy/admission.rs
+++ b/crates/cherryusher/src/policy/admission.rs
@@ -17,15 +17,17 @@
         let Some(class) = self.settings.classes.get(request.class) else {
             return self.actions.push(Action::Refuse { request: request.id, retry_after: 0 });
         };
-        let stretch = request.expected_work.map_or(0.0, |work| work as f64 * class.aim_stretch);
-        let aim_at = self.now + class.aim.saturating_add(stretch as Micros).min(class.deadline);
+        let stretch = request.expected_work.map_or(0.0, |work| work as f64 * class.target_latency_per_work);
+        let aim_at = self.now + class.target_latency.saturating_add(stretch as Micros).min(class.deadline);
         let (in_part, upload) = (upload.is_some(), upload.unwrap_or_default());
-        let aim_at = aim_at + upload.expected;
+        let aim_at = aim_at + upload.expected_duration;
         let bucket = request.tenant.and_then(|t| self.buckets.get_mut(t as usize));
         let in_share = bucket.is_none_or(|bucket| bucket.take(self.now));
         let ask = Ask { id: request.id, class: request.class, in_share, aim_at };
         let pool = self.pool_of(request.tenant);
-        let give_up_at = self.now + upload.most + request.remaining.saturating_sub(2 * self.settings.step);
+        let give_up_at = self.now
+            + upload.max_duration
+            + request.remaining.saturating_sub(2 * self.settings.timer_resolution);
         let place_until = self.now + (request.remaining as f64 * PLACE) as Micros;
         self.held[pool].push(ask);
         let job = Job { ask, pool, give_up_at, place_until, held: true, ..Job::default() };
@@ -48,12 +50,12 @@
 
     /// A request that is passed on as it comes has come whole: its client's patience begins.
     pub(super) fn came_whole(&mut self, id: RequestId, remaining: Micros) {
-        let (now, step) = (self.now, self.settings.step);
+        let (now, step) = (self.now, self.settings.timer_resolution);
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.coming) else { return };
         job.coming = false;
         job.give_up_at = now + remaining.saturating_sub(2 * step);
         job.place_until = now + (remaining as f64 * PLACE) as Micros;
-        job.ask.aim_at = now + self.settings.classes[job.ask.class].aim;
+        job.ask.aim_at = now + self.settings.classes[job.ask.class].target_latency;
         let (ask, pool) = (job.ask, job.pool);
         // Now its server begins with it.
         let out = job.attempts.iter_mut().find(|a| a.fate == Fate::Out);
@@ -79,7 +81,7 @@
             return 1.0 - blind;
         }
         let wait = self.waits.now(self.now);
-        let slack = self.settings.classes[ask.class].aim as f64 - self.times[ask.class].base;
+        let slack = self.settings.classes[ask.class].target_latency as f64 - self.times[ask.class].base;
         // Shedding begins at a quarter of the aim's slack, but the few attempts seen vary by nearly a
         // request's whole time with no load at all.
         let (from, span) = ((0.24 * slack).max(self.waits.typical * 0.9), 0.48 * slack);
@@ -94,9 +96,9 @@
     /// What answering a held request now would earn for the time it takes.
     fn merit(&self, ask: &Ask) -> f64 {
         let class = &self.settings.classes[ask.class];
-        let share = if ask.in_share { 1.0 } else { self.settings.over_share_worth };
-        let timely = if self.too_late(ask) { class.late_worth } else { 1.0 };
-        class.worth * share * timely / self.times[ask.class].usual
+        let share = if ask.in_share { 1.0 } else { self.settings.over_quota_value };
+        let timely = if self.too_late(ask) { class.late_value_fraction } else { 1.0 };
+        class.value * share * timely / self.times[ask.class].usual
     }
 
     /// Sends what is held, best first, while pools have room.
@@ -121,7 +123,7 @@
         }
         if !self.looking && self.held.iter().any(|h| !h.is_empty()) {
             self.looking = true;
-            self.actions.push(Action::Wake { after: 2 * self.settings.step, token: LOOK });
+            self.actions.push(Action::SetTimer { after: 2 * self.settings.timer_resolution, token: LOOK });
         }
     }
 
--- a/crates/cherryusher/src/policy/attempts.rs
+++ b/crates/cherryusher/src/policy/attempts.rs
@@ -4,16 +4,20 @@
 
 impl Balancer {
     pub(super) fn allowed(&self, job: &Job, to: &ServerEntry) -> bool {
-        let again = |a: &Attempt| match self.settings.classes[job.ask.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { window, .. } if self.now + self.settings.step >= a.sent_at + window => false,
-            Effect::Keyed { group: Group::All, .. } => true,
-            Effect::Keyed { group: Group::Zone, .. } => a.to.zone == to.zone,
-            Effect::Keyed { group: Group::Cell, .. } => a.to.cell == to.cell,
+        let again = |a: &Attempt| match self.settings.classes[job.ask.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Deduplicated { window, .. }
+                if self.now + self.settings.timer_resolution >= a.sent_at + window =>
+            {
+                false
+            }
+            Idempotency::Deduplicated { scope: DedupScope::All, .. } => true,
+            Idempotency::Deduplicated { scope: DedupScope::Zone, .. } => a.to.zone == to.zone,
+            Idempotency::Deduplicated { scope: DedupScope::Cell, .. } => a.to.cell == to.cell,
         };
         job.attempts.len() < usize::from(self.settings.max_attempts)
-            && (job.out() == 0 || self.settings.second_copies && !job.in_part)
+            && (job.out() == 0 || self.settings.hedging && !job.in_part)
             && !job.spent
             && job.attempts.iter().all(|a| a.fate == Fate::NeverRan || again(a))
     }
@@ -26,9 +30,12 @@
 
     /// Until when it may go again: to the end of the first window of those attempts that may have run.
     fn until(&self, job: &Job) -> Option<Micros> {
-        let Effect::Keyed { window, .. } = self.settings.classes[job.ask.class].effect else { return None };
+        let Idempotency::Deduplicated { window, .. } = self.settings.classes[job.ask.class].idempotency
+        else {
+            return None;
+        };
         let ran = job.attempts.iter().filter(|a| a.fate != Fate::NeverRan);
-        ran.map(|a| a.sent_at.saturating_add(window).saturating_sub(self.settings.step)).min()
+        ran.map(|a| a.sent_at.saturating_add(window).saturating_sub(self.settings.timer_resolution)).min()
     }
 
     pub(super) fn send(&mut self, id: RequestId, i: usize) {
@@ -42,7 +49,7 @@
         job.held = false;
         let in_hand = !job.coming;
         job.attempts.push(Attempt { to: entry, sent_at: self.now, fate: Fate::Out, in_hand });
-        self.actions.push(Action::Send { request: id, server: entry.id, until });
+        self.actions.push(Action::Send { request: id, server: entry.id, start_before: until });
         if in_hand {
             self.in_hand(i);
         }
@@ -74,7 +81,7 @@
         let times = [Some(job.give_up_at), self.overdue_at(job), held(hopeless), held(job.place_until)];
         let next = times.into_iter().flatten().filter(|t| *t > self.now).min().unwrap_or(self.now);
         if next > self.now && (job.wake_at <= self.now || next < job.wake_at) {
-            self.actions.push(Action::Wake { after: next - self.now, token: id });
+            self.actions.push(Action::SetTimer { after: next - self.now, token: id });
             self.change(id, |job| job.wake_at = next);
         }
     }
@@ -84,7 +91,7 @@
         if job.done || job.wake_at > self.now {
             return;
         }
-        let worthless = !job.ask.in_share || self.settings.classes[job.ask.class].late_worth == 0.0;
+        let worthless = !job.ask.in_share || self.settings.classes[job.ask.class].late_value_fraction == 0.0;
         // To be told late that it was never sent costs a client more than a poor chance of a turn is worth.
         let waited = self.now >= job.place_until && job.never_ran();
         let late = self.too_late(&job.ask) && (worthless || waited);
@@ -102,13 +109,13 @@
         self.wake(id);
     }
 
-    pub(super) fn attempt_ended(&mut self, end: Ended) {
+    pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
         let id = end.request;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let out = |a: &&mut Attempt| a.fate == Fate::Out;
         let Some(ended) = job.attempts.get_mut(usize::from(end.attempt)).filter(out) else { return };
         ended.fate = if end.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-        job.done |= end.finished;
+        job.done |= end.request_finished;
         let (ask, to, in_hand) = (job.ask, ended.to, ended.in_hand);
         if end.outcome == Outcome::Served && job.out() > 0 {
             self.copies_win += STEP * (f64::from(u8::from(end.attempt > 0)) - self.copies_win);
@@ -140,8 +147,8 @@
     /// The final answer: turned away where that is true and harmless, else failed.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let harmless = match self.settings.classes[job.ask.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        let harmless = match self.settings.classes[job.ask.class].idempotency {
+            Idempotency::Idempotent | Idempotency::Deduplicated { scope: DedupScope::All, .. } => true,
             _ => job.never_ran(),
         };
         // What would come back into the same crowd, and too late, is asked to stay away.
--- a/crates/cherryusher/src/policy/feedback.rs
+++ b/crates/cherryusher/src/policy/feedback.rs
@@ -19,7 +19,7 @@
 
 impl Balancer {
     /// Learns from an outcome how much the server takes and how long the class usually needs.
-    pub(super) fn learn(&mut self, ask: Ask, to: ServerId, in_hand: bool, end: Ended) {
+    pub(super) fn learn(&mut self, ask: Ask, to: ServerId, in_hand: bool, end: AttemptEnd) {
         let (class, Some(i)) = (ask.class, self.find(to)) else { return };
         let waiting = self.held.iter().flatten().any(|ask| ask.in_share);
         if in_hand {
@@ -28,8 +28,8 @@
         }
         // One given up has waited too; but a few very slow servers must not look like an overload of all.
         let base = self.times[class].base;
-        let slack = (self.settings.classes[class].aim as f64 - base).max(0.0);
-        let waited = (end.took as f64 - base).min(1.2 * slack);
+        let slack = (self.settings.classes[class].target_latency as f64 - base).max(0.0);
+        let waited = (end.elapsed as f64 - base).min(1.2 * slack);
         if end.outcome == Outcome::Served || waited > self.waits.mean && !end.outcome.never_ran() {
             // Long requests vary by more than they wait: the short ones tell of waits best.
             let shortest = self.times.iter().map(|t| t.base).fold(f64::MAX, f64::min);
@@ -37,14 +37,14 @@
         }
         let counts_for = 1.0 + SELDOM * self.blindness();
         if end.outcome == Outcome::Served {
-            let (times, took) = (&mut self.times[class], end.took as f64);
+            let (times, elapsed) = (&mut self.times[class], end.elapsed as f64);
             let server = &mut self.servers[i];
-            let slower: f64 = if took > times.usual * server.pace { 1.0 + STEP } else { 1.0 - STEP };
+            let slower: f64 = if elapsed > times.usual * server.pace { 1.0 + STEP } else { 1.0 - STEP };
             server.pace = (server.pace * slower.powf(counts_for)).clamp(PACES.0, PACES.1);
             (server.refusals, server.answered_at) = (0, self.now);
             server.answers.add(self.now, 1.0);
-            times.answered(took);
-            let late = end.took > self.settings.classes[class].aim;
+            times.answered(elapsed);
+            let late = end.elapsed > self.settings.classes[class].target_latency;
             // Late answers may come from pauses; while the usual time is up, more work only jams servers.
             let slowed = times.usual > times.base * SLOWED;
             let grown = if waiting && !late && !slowed { 1.0 + STEP / 10.0 } else { 1.0 };
@@ -60,7 +60,7 @@
             let now = self.now;
             // What drains or is gone before the list says so, or has no place for more connections, is
             // known by that at once, and may well be most of a pool. Nodes come back to it spread out.
-            if matches!(end.outcome, Outcome::ConnectFailed | Outcome::TurnedAway) {
+            if matches!(end.outcome, Outcome::ConnectFailed | Outcome::Rejected) {
                 let server = &mut self.servers[i];
                 // Of many nodes each would find it out anew, and one that stays away does no harm.
                 let longest = (SHUT as f64 * counts_for * counts_for) as Micros;
@@ -97,7 +97,7 @@
     pub(super) fn ramp(&self, entry: &ServerEntry) -> f64 {
         let age = if entry.ready_at == 0 { Micros::MAX } else { self.now.saturating_sub(entry.ready_at) };
         let warmed = (age as f64 / self.settings.warm_up.max(1) as f64).min(1.0);
-        self.settings.cold_from + (1.0 - self.settings.cold_from) * warmed
+        self.settings.cold_capacity + (1.0 - self.settings.cold_capacity) * warmed
     }
 
     /// How little own counts tell: a node whose part of a server is under half an attempt sees little load.
--- a/crates/cherryusher/src/policy/mod.rs
+++ b/crates/cherryusher/src/policy/mod.rs
@@ -4,12 +4,12 @@
 //!
 //! `pools` says who is in which pool, `pick` draws two and takes one, `admission` keeps the queue and says
 //! what is let in, `attempts` sends, retries, hedges and gives up, `feedback` learns limits from outcomes,
-//! `hearsay` says what this node has seen and how far it goes by what others say.
+//! `peer_health` says what this node has seen and how far it goes by what others say.
 
 mod admission;
 mod attempts;
 mod feedback;
-mod hearsay;
+mod peer_health;
 mod pick;
 mod pools;
 
@@ -90,7 +90,7 @@
     /// Builds a node's module; its first event should be the list the node last held.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.check()?;
-        let times = settings.classes.iter().map(|c| Times::guess(c.aim as f64 / 4.0)).collect();
+        let times = settings.classes.iter().map(|c| Times::guess(c.target_latency as f64 / 4.0)).collect();
         let part = |t: &Tenant| t.quota_per_s / f64::from(settings.balancers);
         let buckets =
             settings.tenants.iter().map(|t| Bucket::full(part(t), part(t).max(DEPTH_LEAST))).collect();
@@ -138,34 +138,34 @@
         match event {
             Event::ServerList(list) => self.list_changed(list, true),
             Event::ServerChanges(list) => self.list_changed(list, false),
-            Event::CachedList(list) => {
+            Event::CachedServerList(list) => {
                 self.list_changed(list, true);
                 self.ask();
             }
             Event::DiscoveryFailed => self.ask_later(),
-            Event::Arrived(request) => self.arrived(request, None),
-            Event::ArrivedInPart(request, upload) => self.arrived(request, Some(upload)),
-            Event::CameWhole(id, remaining) => self.came_whole(id, remaining),
-            Event::BodySpent(id) => self.change(id, |job| job.spent = true),
-            Event::Left(id) => self.finish(id),
-            Event::StreamBegan(id, attempt) => {
+            Event::RequestArrived(request) => self.arrived(request, None),
+            Event::StreamedRequestArrived(request, upload) => self.arrived(request, Some(upload)),
+            Event::BodyReceived(id, remaining) => self.came_whole(id, remaining),
+            Event::BodyConsumed(id) => self.change(id, |job| job.spent = true),
+            Event::ClientLeft(id) => self.finish(id),
+            Event::ResponseStreamStarted(id, attempt) => {
                 self.change(id, |job| job.done = true);
                 self.cancel_others(id, Some(attempt));
             }
             Event::AttemptEnded(ended) => self.attempt_ended(ended),
-            Event::Hearsay(doubts) => self.heard(&doubts),
-            Event::Fleet { balancers, rank } => self.fleet_changed(balancers, rank),
-            Event::Woken(ASK) => self.ask(),
-            Event::Woken(LOOK) => {
+            Event::PeerSuspicions(doubts) => self.heard(&doubts),
+            Event::FleetChanged { balancers, rank } => self.fleet_changed(balancers, rank),
+            Event::TimerFired(ASK) => self.ask(),
+            Event::TimerFired(LOOK) => {
                 self.looking = false;
                 self.dispatch();
             }
-            Event::Woken(POOLS) => {
+            Event::TimerFired(POOLS) => {
                 self.build_asked = false;
                 self.build_if_due();
                 self.dispatch();
             }
-            Event::Woken(id) => self.look_at(id),
+            Event::TimerFired(id) => self.look_at(id),
         }
         actions.append(&mut self.actions);
     }
@@ -179,13 +179,13 @@
     /// back spread over the whole of it, so that a service which takes few at a time is neither idle nor
     /// swamped. Never less often than the rules want.
     fn ask_later(&mut self) {
-        let Discovery::Asked { every } = self.settings.discovery else { return };
+        let Discovery::Subscribed { max_retry_interval } = self.settings.discovery else { return };
         let longest = ASK_AGAIN.max(ASK_EACH * u64::from(self.settings.balancers));
-        let most = ASK_WITHIN.max(longest / 2 * 3).min(every / 4 * 3);
+        let most = ASK_WITHIN.max(longest / 2 * 3).min(max_retry_interval / 4 * 3);
         let longest = (longest << self.failed_asks.min(3)).min(most).max(8);
         self.failed_asks += 1;
         let least = longest / 8;
-        self.actions.push(Action::Wake { after: least + self.random.u64(..longest - least), token: ASK });
+        self.actions.push(Action::SetTimer { after: least + self.random.u64(..longest - least), token: ASK });
     }
 
     fn change(&mut self, id: RequestId, how: impl FnOnce(&mut Job)) {
--- a/crates/cherryusher/src/policy/hearsay.rs
+++ b/crates/cherryusher/src/policy/peer_health.rs
@@ -28,7 +28,7 @@
 
 impl Balancer {
     /// Takes in all that others say; of whom nothing is said there is no doubt.
-    pub(super) fn heard(&mut self, doubts: &[Doubt]) {
+    pub(super) fn heard(&mut self, doubts: &[PeerSuspicion]) {
         if doubts.is_empty() && !self.doubting {
             return;
         }
@@ -38,7 +38,7 @@
             if let Some(i) = self.find(told.server) {
                 let server = &mut self.servers[i];
                 // What is no number is no doubt.
-                server.doubt = if told.doubt > 0.0 { told.doubt.min(1.0) } else { 0.0 };
+                server.doubt = if told.level > 0.0 { told.level.min(1.0) } else { 0.0 };
                 server.doubted_at = self.now;
             }
         }
@@ -91,12 +91,12 @@
 
     /// An attempt has ended: what was given up in silence is kept in mind, an answer ends that. Where others
     /// say the same of a server, one own silence is enough to leave it alone for a while.
-    pub(super) fn hushed(&mut self, i: usize, class: usize, end: &Ended) {
+    pub(super) fn hushed(&mut self, i: usize, class: usize, end: &AttemptEnd) {
         let (now, id) = (self.now, self.servers[i].entry.id);
         match end.outcome {
             Outcome::Served => self.servers[i].silences = Fading::default(),
             Outcome::Cancelled | Outcome::TimedOut => {
-                let quiet = self.quiet(class, id, now, now.saturating_sub(end.took));
+                let quiet = self.quiet(class, id, now, now.saturating_sub(end.elapsed));
                 let stay = quiet * self.doubt(i) * STAY;
                 let server = &mut self.servers[i];
                 server.silences.add(now, quiet);
@@ -107,7 +107,7 @@
     }
 
     /// What this node has seen of the servers that it sent to lately.
-    pub(crate) fn seen(&self, now: Micros) -> Vec<Sighting> {
+    pub(crate) fn seen(&self, now: Micros) -> Vec<ServerObservation> {
         let mut silent: HashMap<ServerId, (u32, f64)> = HashMap::new();
         for job in self.jobs.values() {
             for a in job.attempts.iter().filter(|a| a.fate == Fate::Out && a.in_hand) {
@@ -124,13 +124,13 @@
             let (answers, excess) = (s.answers.now(now), self.excess(i));
             // A starting server is slow for a reason that all know.
             let slow = (s.pace_at(now) * self.ramp(&s.entry) - SLOW.0) / (SLOW.1 - SLOW.0);
-            let strength = slow.max(sum + silences).max(excess / FAILS).clamp(0.0, 1.0);
+            let suspicion = slow.max(sum + silences).max(excess / FAILS).clamp(0.0, 1.0);
             let lately = now.saturating_sub(s.answered_at) < LATELY;
-            Sighting {
+            ServerObservation {
                 server: s.entry.id,
-                strength,
-                answers: if lately { answers as u32 } else { 0 },
-                rests_on: quiet + (answers + excess + silences) as u32,
+                suspicion,
+                recent_answers: if lately { answers as u32 } else { 0 },
+                sample_count: quiet + (answers + excess + silences) as u32,
             }
         };
         let tried = |i: &usize| {
--- a/crates/cherryusher/src/policy/pick.rs
+++ b/crates/cherryusher/src/policy/pick.rs
@@ -39,7 +39,7 @@
         // Where crossing zones has a price, work stays in the own zone while the node sees room there.
         let stays = self.settings.cross_zone_price > 0.0 && self.blindness() == 0.0;
         let home = |i: usize| !stays || self.servers[i].entry.zone == self.settings.zone;
-        let key = job.key.filter(|_| self.settings.warm_keys);
+        let key = job.key.filter(|_| self.settings.key_affinity);
         if pool.members.len() <= scan_most || key.is_some() {
             return self.look_through(pool, key.unwrap_or(chance), &fits, &home);
         }
@@ -89,7 +89,7 @@
 
     /// The part of all requests that a server is in reach of, from half of what a cold one bears to all.
     fn reach(&self, i: usize) -> f64 {
-        self.ramp(&self.servers[i].entry) * (self.settings.fall_multiple / 2.0).max(1.0)
+        self.ramp(&self.servers[i].entry) * (self.settings.overload_factor / 2.0).max(1.0)
     }
 
     /// What its draws weigh beside its share, so that with its reach it gets the part that its capacity is
--- a/crates/cherryusher/src/policy/pools.rs
+++ b/crates/cherryusher/src/policy/pools.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 
 use super::*;
-use crate::labels::{claim, label};
+use crate::labels::{claim_servers, tenant_label};
 
 /// How many nodes a server of mean size is the first choice of.
 const SHARED_BY: f64 = 4.0;
@@ -18,7 +18,7 @@
 pub(super) fn shares(settings: &Settings, salt: u64) -> Vec<f64> {
     let mut shares = vec![0.0; usize::from(settings.labels)];
     for (i, tenant) in settings.tenants.iter().enumerate() {
-        shares[label(i as u64, salt, settings.labels)] += tenant.share;
+        shares[tenant_label(i as u64, salt, settings.labels)] += tenant.share;
     }
     shares
 }
@@ -103,7 +103,7 @@
 
     /// A tenant's pool; tenantless requests have the unlabelled one.
     pub(super) fn pool_of(&self, tenant: Option<u32>) -> usize {
-        tenant.map_or(self.unlabelled(), |t| label(t.into(), self.salt, self.settings.labels))
+        tenant.map_or(self.unlabelled(), |t| tenant_label(t.into(), self.salt, self.settings.labels))
     }
 
     fn unlabelled(&self) -> usize {
@@ -127,11 +127,11 @@
         }
         let wait = BUILD_EVERY * self.servers.len() as Micros;
         let due = self.built_at.saturating_add(wait);
-        if self.built_at == 0 || due <= self.now || wait < self.settings.step {
+        if self.built_at == 0 || due <= self.now || wait < self.settings.timer_resolution {
             self.build_pools();
         } else if !self.build_asked {
             self.build_asked = true;
-            self.actions.push(Action::Wake { after: due - self.now, token: POOLS });
+            self.actions.push(Action::SetTimer { after: due - self.now, token: POOLS });
         }
     }
 
@@ -149,7 +149,7 @@
             let size = self.stated_size(&self.servers[i].entry);
             self.servers[i].size = if size > 0.0 { size / mean } else { 1.0 };
         }
-        let (least, labels) = (usize::from(self.settings.pool_min), self.unlabelled());
+        let (least, labels) = (usize::from(self.settings.min_pool_size), self.unlabelled());
         let (mut free, ready, mut share) = (all.clone(), all.len(), 0.0);
         let mut built = Vec::with_capacity(labels + 2);
         for label in 0..labels {
@@ -158,7 +158,7 @@
             let size = ((ready as f64 * share.min(1.0)).round() as usize).saturating_sub(taken).max(least);
             let later = least * (labels - 1 - label);
             let size = size.min(free.len().saturating_sub(later).max(least)).min(free.len());
-            built.push(claim(&mut free, label, size, |i| self.servers[*i].entry.id));
+            built.push(claim_servers(&mut free, label, size, |i| self.servers[*i].entry.id));
         }
         free.sort_unstable_by_key(|i| self.servers[*i].entry.id);
         built.push(free);
@@ -256,7 +256,7 @@
         let (slope, mut next) = match start {
             0 => (0.0, Micros::MAX),
             _ if self.now < start => (0.0, start),
-            _ if self.now < warm_at => ((1.0 - self.settings.cold_from) / whole as f64, warm_at),
+            _ if self.now < warm_at => ((1.0 - self.settings.cold_capacity) / whole as f64, warm_at),
             _ => (0.0, Micros::MAX),
         };
         let avoided = s.avoid_until > self.now;
--- a/crates/cherryusher/src/state.rs
+++ b/crates/cherryusher/src/state.rs
@@ -282,10 +282,10 @@
     }
 
     /// Takes in an answer; by large steps at first, as the shortest median has to be met before servers fill.
-    pub(crate) fn answered(&mut self, took: f64) {
+    pub(crate) fn answered(&mut self, elapsed: f64) {
         self.seen += 1.0;
         let step = (1.0 / self.seen).max(USUAL_STEP);
-        self.usual *= if took > self.usual { 1.0 + step } else { 1.0 / (1.0 + step) };
+        self.usual *= if elapsed > self.usual { 1.0 + step } else { 1.0 / (1.0 + step) };
         let shorter = self.usual < self.base;
         self.base = if shorter { self.base + step * (self.usual - self.base) } else { self.base * BASE_LEAK };
     }
--- a/crates/cherryusher/src/tests.rs
+++ b/crates/cherryusher/src/tests.rs
@@ -11,15 +11,15 @@
 fn settings(max_attempts: u16, cross_zone_price: f64) -> Settings {
     Settings {
         classes: vec![Class {
-            aim: S,
-            aim_stretch: 0.0,
+            target_latency: S,
+            target_latency_per_work: 0.0,
             deadline: 60 * S,
-            worth: 1.0,
-            late_worth: 0.2,
-            effect: Effect::Safe,
+            value: 1.0,
+            late_value_fraction: 0.2,
+            idempotency: Idempotency::Idempotent,
         }],
         max_attempts,
-        second_copies: true,
+        hedging: true,
         cross_zone_price,
         ..Settings::default()
     }
@@ -48,7 +48,7 @@
 impl Node {
     fn new(settings: Settings, list: Vec<ServerEntry>) -> Node {
         let mut node = Node { balancer: Balancer::new(settings, 7).unwrap(), now: 100 * S, next: 0 };
-        node.tell(Event::CachedList(list));
+        node.tell(Event::CachedServerList(list));
         node
     }
 
@@ -63,15 +63,21 @@
         let id = self.next;
         let request =
             Request { id, class: 0, remaining: 60 * S, expected_work: None, key: None, tenant: None };
-        self.tell(Event::Arrived(request)).into_iter().find_map(|action| match action {
+        self.tell(Event::RequestArrived(request)).into_iter().find_map(|action| match action {
             Action::Send { request, server, .. } if request == id => Some((id, server)),
             _ => None,
         })
     }
 
-    fn end(&mut self, request: RequestId, outcome: Outcome, took: Micros) {
-        let finished = outcome == Outcome::Served;
-        self.tell(Event::AttemptEnded(Ended { request, attempt: 0, outcome, took, finished }));
+    fn end(&mut self, request: RequestId, outcome: Outcome, elapsed: Micros) {
+        let request_finished = outcome == Outcome::Served;
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt: 0,
+            outcome,
+            elapsed,
+            request_finished,
+        }));
     }
 
     /// Some history: paces that differ, failures, attempts out.
@@ -147,7 +153,7 @@
     let steps = |count: u64| {
         let mut node = Node::new(settings(1, 0.0), fleet(count));
         node.age(2_000);
-        node.balancer.servers_looked_at() as f64 / 2_000.0
+        node.balancer.servers_examined() as f64 / 2_000.0
     };
     let few = steps(100);
     for count in [1_000, 10_000] {
@@ -192,7 +198,7 @@
     for entry in fleet(5_000) {
         let (id, entry) = (entry.id, ServerEntry { state: ServerState::Draining, ..entry });
         let actions = node.tell(Event::ServerChanges(vec![entry]));
-        wakes += actions.iter().filter(|a| matches!(a, Action::Wake { .. })).count();
+        wakes += actions.iter().filter(|a| matches!(a, Action::SetTimer { .. })).count();
         drained.insert(id);
         if id % 100 == 0 {
             let (_, server) = node.arrive().unwrap();
@@ -243,10 +249,15 @@
             let request = node.next;
             let arrived =
                 Request { id: request, class: 0, remaining: S, expected_work: None, key: None, tenant: None };
-            node.tell(Event::Arrived(arrived));
+            node.tell(Event::RequestArrived(arrived));
             node.now += S;
-            let ended =
-                Ended { request, attempt: 0, outcome: Outcome::Served, took: 900_000, finished: true };
+            let ended = AttemptEnd {
+                request,
+                attempt: 0,
+                outcome: Outcome::Served,
+                elapsed: 900_000,
+                request_finished: true,
+            };
             node.tell(Event::AttemptEnded(ended));
         }
         let slowest = node.balancer.slowest();
--- a/crates/cherryusher/tests/common/mod.rs
+++ b/crates/cherryusher/tests/common/mod.rs
@@ -6,8 +6,15 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: 300 * MS, aim_stretch: 0.0, deadline: S, worth: 1.0, late_worth: 0.2, effect }
+pub fn class(idempotency: Idempotency) -> Class {
+    Class {
+        target_latency: 300 * MS,
+        target_latency_per_work: 0.0,
+        deadline: S,
+        value: 1.0,
+        late_value_fraction: 0.2,
+        idempotency,
+    }
 }
 
 pub const SAFE: usize = 0;
@@ -17,33 +24,33 @@
 
 /// Four tenants with large quotas; one class of each kind.
 pub fn settings() -> Settings {
-    let keyed = |group| Effect::Keyed { group, window: 400 * MS };
+    let keyed = |scope| Idempotency::Deduplicated { scope, window: 400 * MS };
     Settings {
         balancers: 2,
         rank: 0,
         zone: 0,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(keyed(Group::Cell)),
-            class(keyed(Group::All)),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            class(keyed(DedupScope::Cell)),
+            class(keyed(DedupScope::All)),
         ],
         tenants: vec![Tenant { quota_per_s: 1_000.0, share: 0.25 }; 4],
-        over_share_worth: 0.05,
+        over_quota_value: 0.05,
         max_attempts: 4,
         cancelling: true,
-        second_copies: true,
-        warm_keys: false,
+        hedging: true,
+        key_affinity: false,
         cross_zone_price: 0.0,
         live_weights: false,
         discovery: Discovery::Pushed,
-        cold_from: 0.2,
+        cold_capacity: 0.2,
         warm_up: 20 * S,
-        fall_multiple: 2.0,
-        step: 5 * MS,
+        overload_factor: 2.0,
+        timer_resolution: 5 * MS,
         max_retry_after: 0,
         labels: 2,
-        pool_min: 4,
+        min_pool_size: 4,
     }
 }
 
@@ -73,7 +80,7 @@
 impl Node {
     pub fn new(settings: Settings, list: Vec<ServerEntry>) -> Node {
         let mut node = Node { balancer: Balancer::new(settings, 7).unwrap(), now: 10 * S, next: 0 };
-        node.tell(Event::CachedList(list));
+        node.tell(Event::CachedServerList(list));
         node
     }
 
@@ -87,7 +94,7 @@
         self.next += 1;
         let id = self.next;
         let request = Request { id, class, remaining: S, expected_work: None, key: None, tenant };
-        (id, self.tell(Event::Arrived(request)))
+        (id, self.tell(Event::RequestArrived(request)))
     }
 
     pub fn end(
@@ -95,16 +102,16 @@
         request: RequestId,
         attempt: AttemptNo,
         outcome: Outcome,
-        took: Micros,
+        elapsed: Micros,
     ) -> Vec<Action> {
-        let finished = outcome == Outcome::Served;
-        self.tell(Event::AttemptEnded(Ended { request, attempt, outcome, took, finished }))
+        let request_finished = outcome == Outcome::Served;
+        self.tell(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, elapsed, request_finished }))
     }
 
     /// Lets time pass and wakes the node for this request.
     pub fn wake(&mut self, request: RequestId, after: Micros) -> Vec<Action> {
         self.now += after;
-        self.tell(Event::Woken(request))
+        self.tell(Event::TimerFired(request))
     }
 }
 
--- a/crates/cherryusher/tests/hearsay.rs
+++ b/crates/cherryusher/tests/peer_health.rs
@@ -25,7 +25,7 @@
     for round in 0..rounds {
         node.now += 5 * MS;
         if round == 0 || again && round % 100 == 0 {
-            node.tell(Event::Hearsay(vec![Doubt { server, doubt }]));
+            node.tell(Event::PeerSuspicions(vec![PeerSuspicion { server, level: doubt }]));
         }
         let (id, actions) = node.arrive(SAFE, None);
         got += f64::from(u8::from(sends(&actions, id)[0] == server));
@@ -59,7 +59,9 @@
         }
         if round % 40 == 0 {
             let others = (0..12).filter(|server| *server != cold);
-            node.tell(Event::Hearsay(others.map(|server| Doubt { server, doubt }).collect()));
+            node.tell(Event::PeerSuspicions(
+                others.map(|server| PeerSuspicion { server, level: doubt }).collect(),
+            ));
         }
         let (id, actions) = node.arrive(SAFE, None);
         got += u32::from(sends(&actions, id).first() == Some(&cold));
@@ -98,13 +100,13 @@
             node.end(id, 0, Outcome::Served, 20 * MS);
         }
     }
-    let seen = node.balancer.sightings(node.now);
+    let seen = node.balancer.observations(node.now);
     let of = |server: ServerId| seen.iter().find(|s| s.server == server).unwrap();
     let silent = silent.unwrap();
-    assert!(of(silent).strength > 0.9 && of(silent).answers == 0, "{:?}", of(silent));
-    let others: Vec<&Sighting> = seen.iter().filter(|s| s.server != silent).collect();
-    assert!(others.iter().all(|s| s.strength < 0.25), "{seen:?}");
-    assert!(others.iter().filter(|s| s.answers >= 4).count() >= 5, "{seen:?}");
+    assert!(of(silent).suspicion > 0.9 && of(silent).recent_answers == 0, "{:?}", of(silent));
+    let others: Vec<&ServerObservation> = seen.iter().filter(|s| s.server != silent).collect();
+    assert!(others.iter().all(|s| s.suspicion < 0.25), "{seen:?}");
+    assert!(others.iter().filter(|s| s.recent_answers >= 4).count() >= 5, "{seen:?}");
 }
 
 #[test]
@@ -115,10 +117,10 @@
         let (mut tries, mut out) = (0, None);
         for _ in 0..1000 {
             node.now += 5 * MS;
-            node.tell(Event::Hearsay(vec![Doubt { server: stalled, doubt }]));
+            node.tell(Event::PeerSuspicions(vec![PeerSuspicion { server: stalled, level: doubt }]));
             // Who waits gives up after a while.
             if let Some((id, at)) = out.filter(|(_, at)| node.now - at > 500 * MS) {
-                node.tell(Event::Left(id));
+                node.tell(Event::ClientLeft(id));
                 node.end(id, 0, Outcome::Cancelled, node.now - at);
                 out = None;
             }
@@ -138,22 +140,22 @@
 fn what_others_say_is_not_told_on() {
     let mut node = Node::new(few(), servers(0..12));
     for _ in 0..100 {
-        node.tell(Event::Hearsay(vec![Doubt { server: 11, doubt: 1.0 }]));
+        node.tell(Event::PeerSuspicions(vec![PeerSuspicion { server: 11, level: 1.0 }]));
         let (id, _) = node.arrive(SAFE, None);
         node.now += 20 * MS;
         node.end(id, 0, Outcome::Served, 20 * MS);
     }
-    assert!(node.balancer.sightings(node.now).iter().all(|s| s.strength < 0.25));
+    assert!(node.balancer.observations(node.now).iter().all(|s| s.suspicion < 0.25));
 }
 
 #[test]
 fn a_servers_restart_ends_what_was_said_of_it() {
-    let mut node = Node::new(Settings { cold_from: 1.0, ..few() }, servers(0..12));
+    let mut node = Node::new(Settings { cold_capacity: 1.0, ..few() }, servers(0..12));
     let (first, mut got) = (unlabelled(&mut node), 0);
     for round in 0..1000 {
         node.now += 2 * MS;
         if round == 0 {
-            node.tell(Event::Hearsay(vec![Doubt { server: first, doubt: 1.0 }]));
+            node.tell(Event::PeerSuspicions(vec![PeerSuspicion { server: first, level: 1.0 }]));
             let again = ServerEntry { ready_at: node.now, ..server(first) };
             node.tell(Event::ServerChanges(vec![again]));
         }
@@ -182,10 +184,10 @@
         served
     };
     let before = within(&mut node);
-    node.tell(Event::Fleet { balancers: 0, rank: 0 });
-    node.tell(Event::Fleet { balancers: 64, rank: 70 });
+    node.tell(Event::FleetChanged { balancers: 0, rank: 0 });
+    node.tell(Event::FleetChanged { balancers: 64, rank: 70 });
     let many = within(&mut node);
     assert!(before > many, "{before} and {many}");
-    node.tell(Event::Fleet { balancers: 2, rank: 1 });
+    node.tell(Event::FleetChanged { balancers: 2, rank: 1 });
     assert!(within(&mut node) >= 190, "a node of two has room for all of that");
 }
--- a/crates/cherryusher/tests/rules.rs
+++ b/crates/cherryusher/tests/rules.rs
@@ -42,14 +42,14 @@
 fn drawn_settings(dice: &mut fastrand::Rng) -> Settings {
     let mut s = settings();
     s.cancelling = dice.bool();
-    s.second_copies = dice.bool();
+    s.hedging = dice.bool();
     s.max_attempts = dice.u16(1..5);
     s.balancers = dice.u32(1..4);
     s.tenants.truncate(dice.usize(..5));
     s.tenants.iter_mut().for_each(|t| t.quota_per_s = 20.0);
     s.cross_zone_price = if dice.bool() { 0.05 } else { 0.0 };
     if dice.bool() {
-        s.discovery = Discovery::Asked { every: 10 * S };
+        s.discovery = Discovery::Subscribed { max_retry_interval: 10 * S };
     }
     s
 }
@@ -72,7 +72,7 @@
             log: Vec::new(),
         };
         world.told = list.iter().map(|s| (s.id, *s)).collect();
-        world.tell(Event::CachedList(list));
+        world.tell(Event::CachedServerList(list));
         world
     }
 
@@ -100,11 +100,12 @@
                     if earlier.outcome.is_some_and(Outcome::never_ran) {
                         continue;
                     }
-                    let harmless = match s.classes[asked.class].effect {
-                        Effect::Safe => true,
-                        Effect::Unsafe => false,
-                        Effect::Keyed { group, window } => {
-                            now < earlier.at + window && (group == Group::All || earlier.to.cell == to.cell)
+                    let harmless = match s.classes[asked.class].idempotency {
+                        Idempotency::Idempotent => true,
+                        Idempotency::NonIdempotent => false,
+                        Idempotency::Deduplicated { scope, window } => {
+                            now < earlier.at + window
+                                && (scope == DedupScope::All || earlier.to.cell == to.cell)
                         }
                     };
                     assert!(harmless, "an effect could happen twice");
@@ -134,7 +135,7 @@
                     "cancelled what was never sent"
                 );
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.wakes.insert((now + after, token));
             }
             Action::Subscribe => {}
@@ -146,7 +147,7 @@
         while let Some(&(at, token)) = self.wakes.first().filter(|(at, _)| *at <= until) {
             self.wakes.remove(&(at, token));
             self.node.now = self.node.now.max(at);
-            self.tell(Event::Woken(token));
+            self.tell(Event::TimerFired(token));
         }
         self.node.now = until;
         let late = self.asked.values().find(|a| !a.closed && a.give_up_at < until);
@@ -159,14 +160,18 @@
         let (class, remaining) = (self.dice.usize(..4), self.dice.u64(20 * MS..S));
         let tenant = self.dice.bool().then(|| self.dice.u32(..6));
         let in_part = self.dice.u32(..4) == 0;
-        let upload = Upload { expected: self.dice.u64(..S), most: self.dice.u64(S..3 * S) };
-        let give_up_at = self.node.now + remaining + if in_part { upload.most } else { 0 };
+        let upload = Upload { expected_duration: self.dice.u64(..S), max_duration: self.dice.u64(S..3 * S) };
+        let give_up_at = self.node.now + remaining + if in_part { upload.max_duration } else { 0 };
         let coming = in_part.then_some(remaining);
         let asked =
             Asked { class, give_up_at, closed: false, coming, in_part, spent: false, sent: Vec::new() };
         self.asked.insert(id, asked);
         let request = Request { id, class, remaining, expected_work: None, key: Some(id % 7), tenant };
-        self.tell(if in_part { Event::ArrivedInPart(request, upload) } else { Event::Arrived(request) });
+        self.tell(if in_part {
+            Event::StreamedRequestArrived(request, upload)
+        } else {
+            Event::RequestArrived(request)
+        });
     }
 
     /// The last byte of a random request that is still coming.
@@ -177,7 +182,7 @@
         if let Some(asked) = self.asked.get_mut(&id) {
             (asked.coming, asked.give_up_at) = (None, self.node.now + patience);
         }
-        self.tell(Event::CameWhole(id, patience));
+        self.tell(Event::BodyReceived(id, patience));
     }
 
     /// Ends a random attempt that is out.
@@ -195,7 +200,7 @@
             Outcome::Served,
             Outcome::Served,
             Outcome::Error,
-            Outcome::TurnedAway,
+            Outcome::Rejected,
             Outcome::TimedOut,
             Outcome::ConnectFailed,
             Outcome::Reset,
@@ -210,11 +215,11 @@
         let (closed, spent) = (asked.closed, asked.in_part && (!outcome.never_ran() || n % 2 == 0));
         asked.spent |= spent;
         if spent {
-            self.tell(Event::BodySpent(request));
+            self.tell(Event::BodyConsumed(request));
         }
-        let (took, finished) = (now - self.asked[&request].sent[n].at, closed);
+        let (elapsed, request_finished) = (now - self.asked[&request].sent[n].at, closed);
         let attempt = n as AttemptNo;
-        self.tell(Event::AttemptEnded(Ended { request, attempt, outcome, took, finished }));
+        self.tell(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, elapsed, request_finished }));
         true
     }
 
@@ -239,12 +244,13 @@
     /// Other nodes say something, or there are more or fewer of them.
     fn hear(&mut self) {
         if self.dice.bool() {
-            let doubt = |dice: &mut fastrand::Rng| Doubt { server: dice.u64(1..16), doubt: dice.f64() * 1.2 };
+            let doubt =
+                |dice: &mut fastrand::Rng| PeerSuspicion { server: dice.u64(1..16), level: dice.f64() * 1.2 };
             let doubts = (0..self.dice.u64(..6)).map(|_| doubt(&mut self.dice)).collect();
-            self.tell(Event::Hearsay(doubts));
+            self.tell(Event::PeerSuspicions(doubts));
         } else {
             let (balancers, rank) = (self.dice.u32(..12), self.dice.u32(..12));
-            self.tell(Event::Fleet { balancers, rank });
+            self.tell(Event::FleetChanged { balancers, rank });
         }
     }
 
@@ -262,7 +268,7 @@
                     if let Some(asked) = world.asked.get_mut(&id) {
                         asked.closed = true;
                     }
-                    world.tell(Event::Left(id));
+                    world.tell(Event::ClientLeft(id));
                 }
                 91 => world.hear(),
                 _ => {
@@ -299,7 +305,7 @@
 fn nothing_is_kept_of_requests_that_have_ended() {
     for seed in 0..20 {
         let world = World::run(seed, 600);
-        assert_eq!(world.node.balancer.requests_kept(), 0, "seed {seed}");
+        assert_eq!(world.node.balancer.tracked_requests(), 0, "seed {seed}");
     }
 }
 
@@ -341,7 +347,7 @@
         for &from in &cold {
             let within = cold.iter().filter(|t| (from..from + WINDOW).contains(t)).count() as f64;
             let age = (from - started) as f64 / s.warm_up as f64;
-            let able = warm_rate * WINDOW as f64 * (s.cold_from + (1.0 - s.cold_from) * age.min(1.0));
+            let able = warm_rate * WINDOW as f64 * (s.cold_capacity + (1.0 - s.cold_capacity) * age.min(1.0));
             assert!(within <= FALLS_AT * able + 2.0, "seed {seed}: {within} against {able}");
         }
     }
--- a/crates/cherryusher/tests/scenarios.rs
+++ b/crates/cherryusher/tests/scenarios.rs
@@ -65,7 +65,7 @@
 fn an_unsafe_request_goes_again_only_when_it_surely_never_ran() {
     let mut node = Node::new(settings(), servers(1..11));
     let (id, _) = node.arrive(UNSAFE, Some(0));
-    let actions = node.end(id, 0, Outcome::TurnedAway, MS);
+    let actions = node.end(id, 0, Outcome::Rejected, MS);
     assert_eq!(sends(&actions, id).len(), 1);
     let actions = node.end(id, 1, Outcome::Reset, MS);
     assert!(failed(&actions, id) && sends(&actions, id).is_empty());
@@ -91,8 +91,8 @@
         self.next += 1;
         let id = self.next;
         let request = Request { id, class, remaining: S, expected_work: None, key: None, tenant };
-        let upload = Upload { expected: 5 * S, most: 20 * S };
-        (id, self.tell(Event::ArrivedInPart(request, upload)))
+        let upload = Upload { expected_duration: 5 * S, max_duration: 20 * S };
+        (id, self.tell(Event::StreamedRequestArrived(request, upload)))
     }
 }
 
@@ -101,12 +101,12 @@
     let mut node = Node::new(settings(), servers(1..11));
     let (id, _) = node.arrive_in_part(BY_ALL, Some(0));
     assert_eq!(sends(&node.end(id, 0, Outcome::ConnectFailed, MS), id).len(), 1, "all of it is there");
-    node.tell(Event::BodySpent(id));
+    node.tell(Event::BodyConsumed(id));
     let actions = node.end(id, 1, Outcome::ConnectFailed, MS);
     assert!(refused(&actions, id) && sends(&actions, id).is_empty(), "it has not run");
     let (id, _) = node.arrive_in_part(UNSAFE, Some(0));
-    node.tell(Event::CameWhole(id, S));
-    node.tell(Event::BodySpent(id));
+    node.tell(Event::BodyReceived(id, S));
+    node.tell(Event::BodyConsumed(id));
     assert!(failed(&node.end(id, 0, Outcome::Reset, MS), id), "it may have");
 }
 
@@ -118,11 +118,11 @@
     // No copy, and no end, long after it would have been late.
     for _ in 0..10 {
         let actions = node.wake(id, S);
-        assert!(matches!(actions[..], [] | [Action::Wake { .. }]), "{actions:?}");
+        assert!(matches!(actions[..], [] | [Action::SetTimer { .. }]), "{actions:?}");
     }
-    node.tell(Event::CameWhole(id, S));
+    node.tell(Event::BodyReceived(id, S));
     let actions = node.wake(id, 900 * MS);
-    assert!(matches!(actions[..], [] | [Action::Wake { .. }]), "{actions:?}");
+    assert!(matches!(actions[..], [] | [Action::SetTimer { .. }]), "{actions:?}");
     let actions = node.wake(id, 95 * MS);
     assert!(failed(&actions, id), "{actions:?}");
 }
@@ -140,7 +140,7 @@
     node.end(id, 0, Outcome::Served, 10 * MS);
     // Once they are whole, they do.
     for id in 1..=400 {
-        node.tell(Event::CameWhole(id, S));
+        node.tell(Event::BodyReceived(id, S));
     }
     let (id, actions) = node.arrive(SAFE, Some(0));
     assert_eq!(sends(&actions, id), []);
@@ -160,7 +160,7 @@
 fn nothing_is_sent_after_the_client_left() {
     let mut node = Node::new(settings(), servers(1..11));
     let (id, _) = node.arrive(SAFE, Some(0));
-    assert_eq!(node.tell(Event::Left(id)), [Action::Cancel(id, 0)]);
+    assert_eq!(node.tell(Event::ClientLeft(id)), [Action::Cancel(id, 0)]);
     assert_eq!(sends(&node.end(id, 0, Outcome::Cancelled, MS), id), []);
     assert_eq!(node.end(id, 0, Outcome::Cancelled, MS), [], "an unknown request's outcome is ignored");
 }
@@ -264,14 +264,14 @@
 #[test]
 fn discovery_is_asked_at_the_start_and_again_after_a_failure() {
     let mut asked = settings();
-    asked.discovery = Discovery::Asked { every: 10 * S };
+    asked.discovery = Discovery::Subscribed { max_retry_interval: 10 * S };
     let mut node = Node::new(asked, vec![]);
-    assert_eq!(node.tell(Event::CachedList(servers(1..3))), [Action::Subscribe]);
+    assert_eq!(node.tell(Event::CachedServerList(servers(1..3))), [Action::Subscribe]);
     for _ in 0..10 {
         let actions = node.tell(Event::DiscoveryFailed);
-        let [Action::Wake { after, token }] = actions[..] else { panic!("{actions:?}") };
+        let [Action::SetTimer { after, token }] = actions[..] else { panic!("{actions:?}") };
         assert!((100 * MS..=10 * S).contains(&after));
-        assert_eq!(node.tell(Event::Woken(token)), [Action::Subscribe]);
+        assert_eq!(node.tell(Event::TimerFired(token)), [Action::Subscribe]);
     }
 }
 
@@ -280,11 +280,12 @@
 #[test]
 fn a_list_that_can_be_had_again_is_asked_for_in_time_however_often_calls_failed() {
     for (nodes, seed) in [(2, 1), (6, 2), (20, 3), (50, 4)] {
-        let asked = Settings { discovery: Discovery::Asked { every: 10 * S }, ..many(nodes, 0) };
+        let asked =
+            Settings { discovery: Discovery::Subscribed { max_retry_interval: 10 * S }, ..many(nodes, 0) };
         let mut node = Node { balancer: Balancer::new(asked, seed).unwrap(), now: 10 * S, next: 0 };
         for failures in 0..200 {
             let actions = node.tell(Event::DiscoveryFailed);
-            let [Action::Wake { after, .. }] = actions[..] else { panic!("{actions:?}") };
+            let [Action::SetTimer { after, .. }] = actions[..] else { panic!("{actions:?}") };
             assert!(after <= 4 * S, "{after} us after {failures} failures at {nodes} nodes");
         }
     }
@@ -294,13 +295,13 @@
 #[test]
 fn nodes_that_failed_together_do_not_come_back_together() {
     let mut asked = settings();
-    asked.discovery = Discovery::Asked { every: 10 * S };
+    asked.discovery = Discovery::Subscribed { max_retry_interval: 10 * S };
     let mut waits = [Vec::new(), Vec::new(), Vec::new()];
     for seed in 0..100 {
         let mut node = Node { balancer: Balancer::new(asked.clone(), seed).unwrap(), now: 10 * S, next: 0 };
         for waits in &mut waits {
             let actions = node.tell(Event::DiscoveryFailed);
-            let [Action::Wake { after, .. }] = actions[..] else { panic!("{actions:?}") };
+            let [Action::SetTimer { after, .. }] = actions[..] else { panic!("{actions:?}") };
             waits.push(after);
         }
     }
@@ -318,14 +319,14 @@
 #[test]
 fn a_hundred_nodes_leave_their_list_service_time_for_all_of_them() {
     let mut asked = many(100, 0);
-    asked.discovery = Discovery::Asked { every: 10 * S };
+    asked.discovery = Discovery::Subscribed { max_retry_interval: 10 * S };
     let mut calls = vec![0; 20];
     for seed in 0..100 {
         let mut node = Node { balancer: Balancer::new(asked.clone(), seed).unwrap(), now: 10 * S, next: 0 };
         let mut at = 0;
         while at < 20 * S {
             let actions = node.tell(Event::DiscoveryFailed);
-            let [Action::Wake { after, .. }] = actions[..] else { panic!("{actions:?}") };
+            let [Action::SetTimer { after, .. }] = actions[..] else { panic!("{actions:?}") };
             assert!(after <= 8 * S);
             // Each call waits for 2 s in vain.
             at += after + 2 * S;
@@ -356,7 +357,7 @@
 #[test]
 fn nonsense_settings_are_turned_down() {
     let cases: [fn(&mut Settings); 4] =
-        [|s| s.classes.clear(), |s| s.balancers = 0, |s| s.rank = 2, |s| s.cold_from = f64::NAN];
+        [|s| s.classes.clear(), |s| s.balancers = 0, |s| s.rank = 2, |s| s.cold_capacity = f64::NAN];
     for spoil in cases {
         let mut s = settings();
         spoil(&mut s);
@@ -370,11 +371,15 @@
     let (id, _) = node.arrive(SAFE, Some(0));
     let copy = node.wake(id, 250 * MS);
     assert_eq!(sends(&copy, id).len(), 1);
-    assert_eq!(node.tell(Event::StreamBegan(id, 0)), [Action::Cancel(id, 1)], "its copy is not needed");
+    assert_eq!(
+        node.tell(Event::ResponseStreamStarted(id, 0)),
+        [Action::Cancel(id, 1)],
+        "its copy is not needed"
+    );
     assert_eq!(node.wake(id, 5 * S), [], "its deadline has halted");
     node.end(id, 1, Outcome::Cancelled, S);
     node.end(id, 0, Outcome::Served, 5 * S);
-    assert_eq!(node.balancer.requests_kept(), 0);
+    assert_eq!(node.balancer.tracked_requests(), 0);
 }
 
 #[test]
@@ -423,12 +428,12 @@
 #[test]
 fn a_key_keeps_to_two_servers_only_where_they_are_warm_for_it() {
     for (warm, few) in [(true, true), (false, false)] {
-        let mut node = Node::new(Settings { warm_keys: warm, ..settings() }, servers(1..11));
+        let mut node = Node::new(Settings { key_affinity: warm, ..settings() }, servers(1..11));
         let mut seen = BTreeSet::new();
         for id in 1..=200 {
             let request =
                 Request { id, class: SAFE, remaining: S, expected_work: None, key: Some(9), tenant: Some(0) };
-            seen.extend(sends(&node.tell(Event::Arrived(request)), id));
+            seen.extend(sends(&node.tell(Event::RequestArrived(request)), id));
             node.now += 10 * MS;
             node.end(id, 0, Outcome::Served, 10 * MS);
         }
@@ -514,9 +519,9 @@
         })
     };
     node.now += 295 * MS;
-    assert_eq!(stay(&node.tell(Event::Woken(20)), 20), Some(2 * S));
+    assert_eq!(stay(&node.tell(Event::TimerFired(20)), 20), Some(2 * S));
     node.now += 695 * MS;
-    assert_eq!(stay(&node.tell(Event::Woken(1)), 1), Some(0));
+    assert_eq!(stay(&node.tell(Event::TimerFired(1)), 1), Some(0));
 }
 
 /// Answers five times slower than usual, but in time, while more work waits than fits: holding more jams servers.
@@ -537,7 +542,9 @@
         for action in actions {
             match action {
                 Action::Send { request, .. } => out.push((node.now + 50 * MS, request)),
-                Action::Wake { token, .. } if token > node.next => drop(node.tell(Event::Woken(token))),
+                Action::SetTimer { token, .. } if token > node.next => {
+                    drop(node.tell(Event::TimerFired(token)))
+                }
                 _ => {}
             }
         }
@@ -587,7 +594,7 @@
 /// The time of a class not met yet is a guess: counted for real, the first answers lifted the limit tenfold.
 #[test]
 fn a_guess_does_not_lift_the_limit() {
-    let classes = vec![Class { aim: 40 * S, deadline: 50 * S, ..class(Effect::Safe) }];
+    let classes = vec![Class { target_latency: 40 * S, deadline: 50 * S, ..class(Idempotency::Idempotent) }];
     let mut node = Node::new(Settings { classes, balancers: 1, ..settings() }, servers(1..9));
     for _ in 0..3 {
         let id = node.arrive(SAFE, Some(0)).0;
@@ -610,7 +617,7 @@
 /// taken room from work that could make it: in overload a fifth of all answers.
 #[test]
 fn held_work_is_refused_while_its_answer_might_just_be_in_time() {
-    let classes = vec![Class { late_worth: 0.0, ..class(Effect::Safe) }];
+    let classes = vec![Class { late_value_fraction: 0.0, ..class(Idempotency::Idempotent) }];
     let mut node = Node::new(Settings { classes, ..settings() }, servers(1..9));
     let arrivals = (0..100).map(|_| node.arrive(SAFE, Some(0)));
     let id = arrivals.collect::<Vec<_>>().iter().find(|(id, a)| sends(a, *id).is_empty()).unwrap().0;
@@ -636,7 +643,7 @@
     assert!(stays(&node.wake(id, 151 * MS), id));
     // Beyond its tenant's share it does not wait for a miss of the aim.
     let tenants = vec![Tenant { quota_per_s: 4.0, share: 1.0 }];
-    let classes = vec![Class { aim: 800 * MS, ..class(Effect::Safe) }];
+    let classes = vec![Class { target_latency: 800 * MS, ..class(Idempotency::Idempotent) }];
     let tight = Settings { max_retry_after: 2 * S, tenants, classes, ..settings() };
     let mut node = Node::new(tight, servers(1..9));
     let id = held(&mut node);
@@ -827,7 +834,7 @@
         .collect();
     let (mut cold, mut all) = (0, 0);
     for rank in 0..100 {
-        let mut node = Node::new(Settings { fall_multiple: 3.0, ..many(100, rank) }, list.clone());
+        let mut node = Node::new(Settings { overload_factor: 3.0, ..many(100, rank) }, list.clone());
         for n in 0..40 {
             let (id, actions) = node.arrive(UNSAFE, Some(n % 4));
             let to = sends(&actions, id)[0];
@@ -856,11 +863,11 @@
                 for attempt in 0..4 {
                     let Some(to) = sends(&actions, id).first().copied() else { break };
                     served = back || !gone(to);
-                    let (outcome, took) = match served {
+                    let (outcome, elapsed) = match served {
                         true => (Outcome::Served, 20 * MS),
                         false => (Outcome::ConnectFailed, MS),
                     };
-                    actions = node.end(id, attempt, outcome, took);
+                    actions = node.end(id, attempt, outcome, elapsed);
                     refused_connects += u32::from(!served);
                     used.extend(served.then_some(to));
                 }
@@ -910,16 +917,20 @@
     node.end(id, 7, Outcome::Error, MS);
     let request =
         Request { id: 900, class: 99, remaining: 0, expected_work: None, key: None, tenant: Some(77) };
-    assert!(refused(&node.tell(Event::Arrived(request)), 900), "an unknown class");
+    assert!(refused(&node.tell(Event::RequestArrived(request)), 900), "an unknown class");
     let request = Request { id: 901, class: SAFE, expected_work: Some(u64::MAX), ..request };
-    assert!(refused(&node.tell(Event::Arrived(request)), 901), "no time left");
-    node.tell(Event::StreamBegan(12_345, 3));
-    node.tell(Event::Left(12_345));
-    node.tell(Event::Woken(12_345));
-    assert_eq!(node.balancer.requests_kept(), 0);
+    assert!(refused(&node.tell(Event::RequestArrived(request)), 901), "no time left");
+    node.tell(Event::ResponseStreamStarted(12_345, 3));
+    node.tell(Event::ClientLeft(12_345));
+    node.tell(Event::TimerFired(12_345));
+    assert_eq!(node.balancer.tracked_requests(), 0);
     let mut unlisted = Balancer::new(settings(), 1).unwrap();
     let mut actions = Vec::new();
-    unlisted.handle(S, Event::Arrived(Request { id: 1, class: SAFE, remaining: S, ..request }), &mut actions);
+    unlisted.handle(
+        S,
+        Event::RequestArrived(Request { id: 1, class: SAFE, remaining: S, ..request }),
+        &mut actions,
+    );
     assert!(refused(&actions, 1), "a request before any list");
 }
 
@@ -928,22 +939,22 @@
 #[test]
 fn a_starting_server_gets_no_request_twice_from_one_of_many_nodes() {
     let list = servers(1..3).into_iter().map(|s| ServerEntry { ready_at: 10 * S, ..s }).collect();
-    let classes = vec![Class { aim: 40 * S, deadline: 50 * S, ..class(Effect::Safe) }];
-    let mut node = Node::new(Settings { classes, fall_multiple: 4.0, ..many(9, 0) }, list);
+    let classes = vec![Class { target_latency: 40 * S, deadline: 50 * S, ..class(Idempotency::Idempotent) }];
+    let mut node = Node::new(Settings { classes, overload_factor: 4.0, ..many(9, 0) }, list);
     for _ in 0..20 {
         node.next += 1;
         let id = node.next;
         let request =
             Request { id, class: 0, remaining: 30 * S, expected_work: None, key: None, tenant: Some(0) };
-        let actions = node.tell(Event::Arrived(request));
+        let actions = node.tell(Event::RequestArrived(request));
         let mut got = sends(&actions, id);
         for attempt in 0..2 {
-            let mut actions = node.end(id, attempt, Outcome::TurnedAway, MS);
+            let mut actions = node.end(id, attempt, Outcome::Rejected, MS);
             // Longer than any server is left alone for one refusal.
             for _ in 0..20 {
                 got.extend(sends(&actions, id));
                 node.now += 300 * MS;
-                actions = node.tell(Event::Woken(u64::MAX - 1));
+                actions = node.tell(Event::TimerFired(u64::MAX - 1));
             }
         }
         let met: BTreeSet<ServerId> = got.iter().copied().collect();
@@ -954,7 +965,7 @@
 
 /// One of many nodes, whose tenants have next to no share, so that each label's pool is as small as can be.
 fn small(nodes: u32, rank: u32) -> Settings {
-    let mut settings = Settings { fall_multiple: 3.0, ..many(nodes, rank) };
+    let mut settings = Settings { overload_factor: 3.0, ..many(nodes, rank) };
     settings.tenants.iter_mut().for_each(|t| t.share = 0.01);
     settings
 }
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -60,7 +60,7 @@
                 Record::Event(event) => event,
             };
             let Some(node) = nodes.get_mut(&at) else { continue };
-            if let Event::Arrived(request) = &mut event {
+            if let Event::RequestArrived(request) = &mut event {
                 request.tenant = request.tenant.filter(|_| node.tenants);
             }
             node.balancer.handle(batch.now, event, &mut actions);
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -128,20 +128,27 @@
                 let (work, key, flags, tenant) = (f.u32()?, f.u64()?, f.u8()?, f.u32()?);
                 let expected_work = (flags & 1 != 0).then_some(Micros::from(work));
                 let key = (key != 0).then_some(key);
-                Event::Arrived(Request { id, class, remaining, expected_work, key, tenant: Some(tenant) })
+                Event::RequestArrived(Request {
+                    id,
+                    class,
+                    remaining,
+                    expected_work,
+                    key,
+                    tenant: Some(tenant),
+                })
             }
             4 => {
                 let (request, _server, attempt, _took) = (f.u64()?, f.server()?, f.u16()?, f.u32()?);
-                Event::StreamBegan(request, attempt)
+                Event::ResponseStreamStarted(request, attempt)
             }
             5 => {
-                let (request, attempt, finished) = (f.u64()?, f.u16()?, f.u8()? != 0);
-                let (outcome, took, _server) = (outcome(f.u8()?)?, Micros::from(f.u32()?), f.server()?);
+                let (request, attempt, request_finished) = (f.u64()?, f.u16()?, f.u8()? != 0);
+                let (outcome, elapsed, _server) = (outcome(f.u8()?)?, Micros::from(f.u32()?), f.server()?);
                 f.load_report()?;
-                Event::AttemptEnded(Ended { request, attempt, outcome, took, finished })
+                Event::AttemptEnded(AttemptEnd { request, attempt, outcome, elapsed, request_finished })
             }
-            6 => Event::Left(f.u64()?),
-            7 => Event::Woken(f.u64()?),
+            6 => Event::ClientLeft(f.u64()?),
+            7 => Event::TimerFired(f.u64()?),
             8 => {
                 let (_took, _server, _status) = (f.u32()?, f.server()?, f.u8()?);
                 f.load_report()?;
@@ -179,7 +186,7 @@
         match how {
             0 => Ok(Event::ServerChanges(list)),
             1 => Ok(Event::ServerList(list)),
-            2 => Ok(Event::CachedList(list)),
+            2 => Ok(Event::CachedServerList(list)),
             _ => bad(format!("unknown kind of list {how}")),
         }
     }
@@ -215,7 +222,7 @@
     Ok(match status {
         0 => Outcome::Served,
         5 => Outcome::Error,
-        11 => Outcome::TurnedAway,
+        11 => Outcome::Rejected,
         104 => Outcome::Reset,
         110 => Outcome::TimedOut,
         111 => Outcome::ConnectFailed,
@@ -272,26 +279,26 @@
     let mut classes = Vec::new();
     for i in 0..s.count("services")? {
         let key = |name: &str| format!("services.{i}.{name}");
-        let group = match s.get(&key("dedup_scope"), "all".to_string())?.as_str() {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+        let scope = match s.get(&key("dedup_scope"), "all".to_string())?.as_str() {
+            "all" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            "cell" => DedupScope::Cell,
             other => return bad(format!("setting {} is '{other}'", key("dedup_scope"))),
         };
-        let effect = match s.get(&key("idempotency"), "side_effect".to_string())?.as_str() {
-            "pure" => Effect::Safe,
-            "token" => Effect::Keyed { group, window: s.micros(&key("window_us"), 0)? },
-            "side_effect" => Effect::Unsafe,
+        let idempotency = match s.get(&key("idempotency"), "side_effect".to_string())?.as_str() {
+            "pure" => Idempotency::Idempotent,
+            "token" => Idempotency::Deduplicated { scope, window: s.micros(&key("window_us"), 0)? },
+            "side_effect" => Idempotency::NonIdempotent,
             other => return bad(format!("setting {} is '{other}'", key("idempotency"))),
         };
         let deadline = s.micros(&key("deadline_us"), 1_000_000)?;
         classes.push(Class {
-            aim: s.micros(&key("goal_time_us"), deadline)?,
-            aim_stretch: s.get(&key("aim_stretch"), 0.0)?,
+            target_latency: s.micros(&key("goal_time_us"), deadline)?,
+            target_latency_per_work: s.get(&key("aim_stretch"), 0.0)?,
             deadline,
-            worth: s.get(&key("points"), 1.0)?,
-            late_worth: s.get(&key("late_value"), 0.0)?,
-            effect,
+            value: s.get(&key("points"), 1.0)?,
+            late_value_fraction: s.get(&key("late_value"), 0.0)?,
+            idempotency,
         });
     }
     let mut tenants = Vec::new();
@@ -303,7 +310,9 @@
     }
     let discovery = match s.get("discovery", "automatic".to_string())?.as_str() {
         "automatic" => Discovery::Pushed,
-        "subscribe" => Discovery::Asked { every: s.micros("obligations.ask_every_us", 10_000_000)? },
+        "subscribe" => {
+            Discovery::Subscribed { max_retry_interval: s.micros("obligations.ask_every_us", 10_000_000)? }
+        }
         other => return bad(format!("setting discovery is '{other}'")),
     };
     let d = Settings::default();
@@ -313,24 +322,24 @@
         zone: s.get("zone", d.zone)?,
         classes,
         tenants,
-        over_share_worth: s.get("over_share_worth", d.over_share_worth)?,
+        over_quota_value: s.get("over_share_worth", d.over_quota_value)?,
         max_attempts: s.get("allowed.max_attempts", d.max_attempts)?,
         cancelling: s.flag("allowed.cancelling", d.cancelling)?,
-        second_copies: s.flag("allowed.second_copies", d.second_copies)?,
-        warm_keys: s.flag("domain.warm_keys", d.warm_keys)?,
+        hedging: s.flag("allowed.second_copies", d.hedging)?,
+        key_affinity: s.flag("domain.warm_keys", d.key_affinity)?,
         cross_zone_price: s.get("prices.cross_zone", d.cross_zone_price)?,
         live_weights: s.get("weights", String::new())? == "live",
         discovery,
-        cold_from: s.get("obligations.cold_from", d.cold_from)?,
+        cold_capacity: s.get("obligations.cold_from", d.cold_capacity)?,
         warm_up: s.micros("obligations.warm_up_us", d.warm_up)?,
-        fall_multiple: s.get("obligations.fall_multiple", d.fall_multiple)?,
-        step: s.micros("step_us", d.step)?,
+        overload_factor: s.get("obligations.fall_multiple", d.overload_factor)?,
+        timer_resolution: s.micros("step_us", d.timer_resolution)?,
         max_retry_after: match s.flag("allowed.retry_after", false)? {
             true => s.micros("allowed.max_retry_after_us", d.max_retry_after)?,
             false => 0,
         },
         labels: d.labels,
-        pool_min: d.pool_min,
+        min_pool_size: d.min_pool_size,
     })
 }
 
@@ -382,7 +391,7 @@
                 out.extend(request.to_le_bytes());
                 out.extend(attempt.to_le_bytes());
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 let out = self.record(5);
                 out.extend(short(after));
                 out.extend(token.to_le_bytes());
--- a/crates/drill/tests/wire.rs
+++ b/crates/drill/tests/wire.rs
@@ -38,7 +38,7 @@
         key: Some(0x91f0_3b7c_55d2_0a64),
         tenant: Some(2),
     };
-    let expected = [Record::Node(3), Record::Event(Event::Arrived(request))];
+    let expected = [Record::Node(3), Record::Event(Event::RequestArrived(request))];
     assert_eq!(records(&mut Decoder::default(), text), expected);
 }
 
@@ -46,19 +46,25 @@
 fn absent_values_of_a_request() {
     let text = "0300 0100000000000000 02 01000000 e02e0000 0000000000000000 02 00000000";
     let got = records(&mut Decoder::default(), text);
-    let [Record::Event(Event::Arrived(request))] = got[..] else { panic!("{got:?}") };
+    let [Record::Event(Event::RequestArrived(request))] = got[..] else { panic!("{got:?}") };
     assert_eq!((request.expected_work, request.key, request.class), (None, None, 2));
 }
 
 #[test]
 fn every_other_event() {
     let ended = "0500 0100000000000000 0200 01 68 44480000 0a124a07 8b13 02 0000803f 00000040";
-    let ended_event = Ended { request: 1, attempt: 2, outcome: Outcome::Reset, took: 18_500, finished: true };
+    let ended_event = AttemptEnd {
+        request: 1,
+        attempt: 2,
+        outcome: Outcome::Reset,
+        elapsed: 18_500,
+        request_finished: true,
+    };
     let cases = [
-        ("0400 0100000000000000 0a124a07 8b13 0200 44480000", vec![Event::StreamBegan(1, 2)]),
+        ("0400 0100000000000000 0a124a07 8b13 0200 44480000", vec![Event::ResponseStreamStarted(1, 2)]),
         (ended, vec![Event::AttemptEnded(ended_event)]),
-        ("0600 192b6f0eec3e0600", vec![Event::Left(0x0006_3eec_0e6f_2b19)]),
-        ("0700 4d00000000000000", vec![Event::Woken(0x4d)]),
+        ("0600 192b6f0eec3e0600", vec![Event::ClientLeft(0x0006_3eec_0e6f_2b19)]),
+        ("0700 4d00000000000000", vec![Event::TimerFired(0x4d)]),
         ("0800 44480000 0a124a07 8b13 00 01 0000803f", vec![]),
         ("0900 01000000 0200 6869", vec![]),
         ("0200 03 0000000000000000 ff", vec![Event::DiscoveryFailed]),
@@ -75,7 +81,7 @@
     let known = [
         ("00", Outcome::Served),
         ("05", Outcome::Error),
-        ("0b", Outcome::TurnedAway),
+        ("0b", Outcome::Rejected),
         ("68", Outcome::Reset),
         ("6e", Outcome::TimedOut),
         ("6f", Outcome::ConnectFailed),
@@ -86,7 +92,7 @@
         let text = format!("0500 0100000000000000 0000 00 {code} 44480000 0a124a07 8b13 00");
         let got = records(&mut Decoder::default(), &text);
         let [Record::Event(Event::AttemptEnded(ended))] = &got[..] else { panic!("{got:?}") };
-        assert_eq!((ended.outcome, ended.finished), (outcome, false));
+        assert_eq!((ended.outcome, ended.request_finished), (outcome, false));
     }
 }
 
@@ -115,8 +121,10 @@
         kind: 3,
         ..ready
     };
-    let expected =
-        [Record::Event(Event::CachedList(vec![ready])), Record::Event(Event::ServerChanges(vec![draining]))];
+    let expected = [
+        Record::Event(Event::CachedServerList(vec![ready])),
+        Record::Event(Event::ServerChanges(vec![draining])),
+    ];
     assert_eq!(got, expected);
     let later = records(&mut decoder, "0200 01 2900000000000000 00");
     assert_eq!(later, [Record::Event(Event::ServerList(vec![draining]))]);
@@ -127,7 +135,7 @@
     for weight in ["0000c07f", "0000807f", "000080bf"] {
         let list = format!("0b00 00 01000000 02 0000000000000000 00 0a124a07 8b13 0000 {weight} 00");
         let got = records(&mut Decoder::default(), &format!("{list} 0200 02 2900000000000000 00"));
-        let [Record::Event(Event::CachedList(entries))] = &got[..] else { panic!("{got:?}") };
+        let [Record::Event(Event::CachedServerList(entries))] = &got[..] else { panic!("{got:?}") };
         assert_eq!(entries[0].weight, 0.0, "{weight}");
     }
 }
@@ -138,10 +146,13 @@
                 services.0.dedup_scope=cell\nservices.0.window_us=4000000\nparties.count=1\n\
                 parties.0.quota_rps=52.0\ndiscovery=subscribe\nobligations.ask_every_us=10000000\n";
     let s = parse_settings(text.as_bytes()).unwrap();
-    assert_eq!(s.classes[0].effect, Effect::Keyed { group: Group::Cell, window: 4_000_000 });
+    assert_eq!(
+        s.classes[0].idempotency,
+        Idempotency::Deduplicated { scope: DedupScope::Cell, window: 4_000_000 }
+    );
     assert_eq!((s.balancers, s.rank, s.tenants[0].quota_per_s), (2, 1, 52.0));
-    assert_eq!(s.discovery, Discovery::Asked { every: 10_000_000 });
-    assert_eq!((s.max_attempts, s.cancelling, s.second_copies), (1, false, false));
+    assert_eq!(s.discovery, Discovery::Subscribed { max_retry_interval: 10_000_000 });
+    assert_eq!((s.max_attempts, s.cancelling, s.hedging), (1, false, false));
     let count = parse_settings(b"services.count=4000000000").unwrap_err();
     assert!(count.to_string().contains("services.count"));
 }
@@ -149,8 +160,8 @@
 #[test]
 fn a_reply() {
     let mut reply = Reply::default();
-    reply.action(3, Action::Send { request: 0x0007_dde1_5d3a_91c4, server: SERVER, until: None });
-    reply.action(3, Action::Wake { after: 500_000, token: 0x4d });
+    reply.action(3, Action::Send { request: 0x0007_dde1_5d3a_91c4, server: SERVER, start_before: None });
+    reply.action(3, Action::SetTimer { after: 500_000, token: 0x4d });
     reply.action(5, Action::Refuse { request: 1, retry_after: 9 });
     reply.action(5, Action::Fail(2));
     reply.action(5, Action::Cancel(2, 1));
@@ -208,9 +219,9 @@
 fn what_is_stated_of_weights_and_cold_servers_is_read() {
     let read = |text: &str| cherryusher_drill::wire::parse_settings(text.as_bytes()).unwrap();
     let stated = read("weights=live\nobligations.fall_multiple=2.5\n");
-    assert!(stated.live_weights && stated.fall_multiple == 2.5);
+    assert!(stated.live_weights && stated.overload_factor == 2.5);
     let silent = read("weights=nominal\n");
-    assert!(!silent.live_weights && silent.fall_multiple == Settings::default().fall_multiple);
+    assert!(!silent.live_weights && silent.overload_factor == Settings::default().overload_factor);
 }
 
 #[test]
--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -244,7 +244,7 @@
             _ if matches!(read, Read::Broken) => Outcome::Reset,
             Meaning::Done | Meaning::ClientError if self.answers == Answers::Ok => Outcome::Error,
             Meaning::Served | Meaning::Done | Meaning::ClientError => Outcome::Served,
-            Meaning::Declined => Outcome::TurnedAway,
+            Meaning::Declined => Outcome::Rejected,
             Meaning::Error => Outcome::Error,
         };
         answer::onward(&mut parts);
--- a/crates/dunelink/src/config/settings.rs
+++ b/crates/dunelink/src/config/settings.rs
@@ -14,24 +14,27 @@
     /// What the decision module is told.
     pub fn settings(&self) -> policy::Settings {
         let group = |group| match group {
-            Group::All => policy::Group::All,
-            Group::Zone => policy::Group::Zone,
-            Group::Cell => policy::Group::Cell,
+            Group::All => policy::DedupScope::All,
+            Group::Zone => policy::DedupScope::Zone,
+            Group::Cell => policy::DedupScope::Cell,
         };
         let class = |class: &Class| policy::Class {
-            aim: micros(class.aim()),
-            aim_stretch: class.aim_stretch,
+            target_latency: micros(class.aim()),
+            target_latency_per_work: class.aim_stretch,
             deadline: micros(class.deadline.min(LONGEST)),
-            worth: class.worth,
-            late_worth: class.late_worth,
-            effect: match (class.effect, class.dedup) {
-                (Effect::Safe, _) => policy::Effect::Safe,
-                (Effect::Unsafe, _) => policy::Effect::Unsafe,
-                (Effect::Keyed, Some(dedup)) => {
-                    policy::Effect::Keyed { group: group(dedup.group), window: micros(dedup.window) }
-                }
+            value: class.worth,
+            late_value_fraction: class.late_worth,
+            idempotency: match (class.effect, class.dedup) {
+                (Effect::Safe, _) => policy::Idempotency::Idempotent,
+                (Effect::Unsafe, _) => policy::Idempotency::NonIdempotent,
+                (Effect::Keyed, Some(dedup)) => policy::Idempotency::Deduplicated {
+                    scope: group(dedup.group),
+                    window: micros(dedup.window),
+                },
                 // Checked before; without a window nothing may go again.
-                (Effect::Keyed, None) => policy::Effect::Keyed { group: policy::Group::Cell, window: 0 },
+                (Effect::Keyed, None) => {
+                    policy::Idempotency::Deduplicated { scope: policy::DedupScope::Cell, window: 0 }
+                }
             },
         };
         let f = &self.fleet;
@@ -45,26 +48,26 @@
                 .iter()
                 .map(|t| policy::Tenant { quota_per_s: t.quota_per_s, share: t.share })
                 .collect(),
-            over_share_worth: self.over_share_worth,
+            over_quota_value: self.over_share_worth,
             max_attempts: self.attempts.most,
             cancelling: self.attempts.cancel,
-            second_copies: self.attempts.hedge,
-            warm_keys: f.warm_keys,
+            hedging: self.attempts.hedge,
+            key_affinity: f.warm_keys,
             cross_zone_price: f.cross_zone_price,
             live_weights: f.live_weights,
             discovery: match &self.roster {
                 RosterConfig::Watch { ask_every: Some(every), .. } => {
-                    policy::Discovery::Asked { every: micros(*every) }
+                    policy::Discovery::Subscribed { max_retry_interval: micros(*every) }
                 }
                 _ => policy::Discovery::Pushed,
             },
-            cold_from: f.cold_from,
+            cold_capacity: f.cold_from,
             warm_up: micros(f.warm_up),
-            fall_multiple: f.fall_multiple,
-            step: micros(f.step),
+            overload_factor: f.fall_multiple,
+            timer_resolution: micros(f.step),
             max_retry_after: micros(self.attempts.retry_after),
             labels: f.labels,
-            pool_min: f.pool_min,
+            min_pool_size: f.pool_min,
         }
     }
 }
--- a/crates/dunelink/src/engine.rs
+++ b/crates/dunelink/src/engine.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use cherryusher::{
-    Action, AttemptNo, Balancer, Ended, Event, Micros, Outcome, Request, RequestId, ServerId, Sighting,
-    Upload,
+    Action, AttemptEnd, AttemptNo, Balancer, Event, Micros, Outcome, Request, RequestId, ServerId,
+    ServerObservation, Upload,
 };
 use dunelink_reach::ZoneReach;
 use hyper::Response;
@@ -46,7 +46,7 @@
     /// Someone wants to know how things stand.
     Look(oneshot::Sender<Snapshot>),
     /// Other nodes are to be told what this one has seen of servers.
-    Sight(oneshot::Sender<Vec<Sighting>>),
+    Sight(oneshot::Sender<Vec<ServerObservation>>),
     /// Other nodes are to be told how servers answer this one.
     Reach(oneshot::Sender<Vec<ZoneReach>>),
     /// The process is out of descriptors.
@@ -234,12 +234,12 @@
         Snapshot {
             servers,
             open: self.open.values().filter(|open| open.answer.is_some()).count(),
-            kept: self.open.len().max(self.balancer.requests_kept()),
-            held: self.balancer.requests_held(),
+            kept: self.open.len().max(self.balancer.tracked_requests()),
+            held: self.balancer.queued_requests(),
             in_flight: attempts().count(),
             connections: self.servers.connections(),
-            listed: self.balancer.servers_listed(),
-            avoided: self.balancer.servers_avoided(self.now),
+            listed: self.balancer.listed_servers(),
+            avoided: self.balancer.ejected_servers(self.now),
             counts: self.tally.counts(),
         }
     }
@@ -265,19 +265,19 @@
                 self.tally.arrived();
                 self.open.insert(request.id, open);
                 self.queue.push_back(match upload {
-                    None => Event::Arrived(request),
-                    Some(upload) => Event::ArrivedInPart(request, upload),
+                    None => Event::RequestArrived(request),
+                    Some(upload) => Event::StreamedRequestArrived(request, upload),
                 });
             }
-            Happening::CameWhole(id, remaining) => self.queue.push_back(Event::CameWhole(id, remaining)),
+            Happening::CameWhole(id, remaining) => self.queue.push_back(Event::BodyReceived(id, remaining)),
             Happening::Left(id) => {
                 if self.open.get_mut(&id).and_then(Open::finish).is_some() {
                     self.tally.left();
-                    self.queue.push_back(Event::Left(id));
+                    self.queue.push_back(Event::ClientLeft(id));
                 }
             }
             Happening::Look(ask) => drop(ask.send(self.look())),
-            Happening::Sight(ask) => drop(ask.send(self.balancer.sightings(self.now))),
+            Happening::Sight(ask) => drop(ask.send(self.balancer.observations(self.now))),
             Happening::Reach(ask) => drop(ask.send(self.servers.reach())),
             Happening::Evict => drop(self.servers.evict()),
             Happening::Shutdown(at) => self.ends = Some(self.ends.map_or(at, |before| before.min(at))),
@@ -308,10 +308,16 @@
             .map(|at| self.started_us + (at - self.started).as_micros() as Micros);
         let took = now.saturating_sub(whole.map_or(ended.sent_at, |whole| whole.max(ended.sent_at)));
         if open.outgoing.body.is_spent() {
-            self.queue.push_back(Event::BodySpent(request));
+            self.queue.push_back(Event::BodyConsumed(request));
         }
         let finished = open.answer.is_none();
-        self.queue.push_back(Event::AttemptEnded(Ended { request, attempt, outcome, took, finished }));
+        self.queue.push_back(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            elapsed: took,
+            request_finished: finished,
+        }));
     }
 
     /// Hands the module all that has happened, and does what it says.
@@ -319,7 +325,7 @@
         let mut actions = Vec::new();
         while let Some(event) = self.queue.pop_front() {
             let about = match &event {
-                Event::Left(id) => Some(*id),
+                Event::ClientLeft(id) => Some(*id),
                 Event::AttemptEnded(ended) => Some(ended.request),
                 _ => None,
             };
@@ -333,7 +339,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, until } => self.send(request, server, until),
+            Action::Send { request, server, start_before: until } => self.send(request, server, until),
             Action::Refuse { request, retry_after } => {
                 let stay_away = (retry_after > 0).then(|| Duration::from_micros(retry_after));
                 self.answer(request, Answer::Refused { retry_after: stay_away });
@@ -344,7 +350,7 @@
                 self.answer(request, Answer::Failed { timed_out });
             }
             Action::Cancel(request, attempt) => self.attempt_ended(request, attempt, Outcome::Cancelled),
-            Action::Wake { after, token } => self.wake(after, token),
+            Action::SetTimer { after, token } => self.wake(after, token),
             Action::Subscribe => self.subscribe.notify_one(),
         }
     }
@@ -370,7 +376,7 @@
         if let Some(open) = self.open.get_mut(&token) {
             open.timer.take_if(|(_, due)| *due <= now);
         }
-        self.queue.push_back(Event::Woken(token));
+        self.queue.push_back(Event::TimerFired(token));
     }
 
     fn send(&mut self, request: RequestId, server: ServerId, until: Option<Micros>) {
--- a/crates/dunelink/src/feeding.rs
+++ b/crates/dunelink/src/feeding.rs
@@ -67,7 +67,7 @@
 impl Fed for ToEngine {
     fn update(&self, update: &Update, news: News) {
         let event = match news {
-            News::Cached => Event::CachedList,
+            News::Cached => Event::CachedServerList,
             News::Current if update.whole => Event::ServerList,
             News::Current => Event::ServerChanges,
         };
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use cherryusher::{Event, ServerId, Sighting};
+use cherryusher::{Event, ServerId, ServerObservation};
 use dunelink_gossip::{
     Figures, Gossip, Input, MemberId, MemberView, Micros, Output, PACKET_MOST, Settings, SuspicionView,
 };
@@ -271,7 +271,7 @@
         for (shard, engine) in (0..).zip(&self.engines) {
             let balancers = nodes.saturating_mul(shards);
             let rank = self.place.saturating_mul(shards).saturating_add(shard);
-            engine.send(Happening::Module(Event::Fleet { balancers, rank }));
+            engine.send(Happening::Module(Event::FleetChanged { balancers, rank }));
         }
     }
 
@@ -281,7 +281,7 @@
             Output::Send(to, bytes) => drop(socket.try_send_to(&bytes, to)),
             Output::Doubts(doubts) => {
                 for engine in &self.engines {
-                    engine.send(Happening::Module(Event::Hearsay(doubts.clone())));
+                    engine.send(Happening::Module(Event::PeerSuspicions(doubts.clone())));
                 }
             }
             // Where the fleet decides, parts follow leases.
@@ -394,18 +394,18 @@
 }
 
 /// What all shards have seen, each by as many requests as it rests on.
-fn together(seen: impl Iterator<Item = Sighting>) -> Vec<Sighting> {
-    let mut whole: HashMap<ServerId, Sighting> = HashMap::new();
+fn together(seen: impl Iterator<Item = ServerObservation>) -> Vec<ServerObservation> {
+    let mut whole: HashMap<ServerId, ServerObservation> = HashMap::new();
     for one in seen {
         whole
             .entry(one.server)
             .and_modify(|all| {
-                let (a, b) = (f64::from(all.rests_on), f64::from(one.rests_on));
+                let (a, b) = (f64::from(all.sample_count), f64::from(one.sample_count));
                 if a + b > 0.0 {
-                    all.strength = (all.strength * a + one.strength * b) / (a + b);
+                    all.suspicion = (all.suspicion * a + one.suspicion * b) / (a + b);
                 }
-                all.answers = all.answers.saturating_add(one.answers);
-                all.rests_on = all.rests_on.saturating_add(one.rests_on);
+                all.recent_answers = all.recent_answers.saturating_add(one.recent_answers);
+                all.sample_count = all.sample_count.saturating_add(one.sample_count);
             })
             .or_insert(one);
     }
--- a/crates/dunelink/src/node/body.rs
+++ b/crates/dunelink/src/node/body.rs
@@ -117,7 +117,7 @@
         let expected = self.length.map_or(UNKNOWN, |length| span(left(length), SLOW));
         let most = self.patience.left + span(left(self.length.unwrap_or(self.most)), PACE);
         let micros = |time: Duration| time.as_micros() as u64;
-        Upload { expected: micros(expected), most: micros(most) }
+        Upload { expected_duration: micros(expected), max_duration: micros(most) }
     }
 
     /// Passes it on to its end; `patience` is the client's from then on. When nobody takes it any more, it is over.
--- a/crates/dunelinkd/tests/gossip/main.rs
+++ b/crates/dunelinkd/tests/gossip/main.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunelink_gossip::{Gossip, Input, KeyRing, Output, Secret, Settings, Sighting, bound};
+use dunelink_gossip::{Gossip, Input, KeyRing, Output, Secret, ServerObservation, Settings, bound};
 use process::{program, write_as};
 use testkit::rig::clients::Load;
 use testkit::rig::faults::{Conduct, Fault};
@@ -132,7 +132,7 @@
             Ok((length, from)) => gossip.handle(now(), Input::Packet(from, &bytes[..length]), &mut out),
             Err(_) => gossip.handle(now(), Input::Tick, &mut out),
         }
-        let lie = Sighting { server, strength: 1.0, answers: 0, rests_on: 60_000 };
+        let lie = ServerObservation { server, suspicion: 1.0, recent_answers: 0, sample_count: 60_000 };
         gossip.handle(now(), Input::Sightings(vec![lie]), &mut out);
         for output in out.drain(..) {
             if let Output::Send(to, bytes) = output {
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use cherryusher::{Doubt, Sighting};
+use cherryusher::{PeerSuspicion, ServerObservation};
 
 use crate::Micros;
 use crate::keys::MemberId;
@@ -110,7 +110,12 @@
     }
 
     /// Weighs what others say, and gives or takes credit by what this node sees itself.
-    pub(crate) fn weigh(&mut self, now: Micros, members: &Members, own: &[Sighting]) -> Vec<Doubt> {
+    pub(crate) fn weigh(
+        &mut self,
+        now: Micros,
+        members: &Members,
+        own: &[ServerObservation],
+    ) -> Vec<PeerSuspicion> {
         let needed = needed(members.all.len() + 1);
         let words = self.words(now, members);
         let passed = now.saturating_sub(self.weighed_at).min(FORGOTTEN) as f64;
@@ -119,11 +124,11 @@
         for (server, witnesses) in &words {
             let Some(seen) = own.iter().find(|seen| seen.server == *server) else { continue };
             let total: f64 = witnesses.iter().map(|w| w.weight).sum();
-            let healthy = seen.answers >= PROOF && seen.strength < TOLD_FROM && total < needed;
+            let healthy = seen.recent_answers >= PROOF && seen.suspicion < TOLD_FROM && total < needed;
             for witness in witnesses {
                 if healthy {
                     contradicted.insert(witness.witness, true);
-                } else if seen.strength >= TOLD_FROM {
+                } else if seen.suspicion >= TOLD_FROM {
                     contradicted.entry(witness.witness).or_insert(false);
                 }
             }
@@ -143,12 +148,17 @@
         self.credit.retain(|_, credit| *credit < 1.0);
         let doubt =
             |witnesses: &[Witness]| (witnesses.iter().map(|w| w.weight).sum::<f64>() / needed).min(1.0);
-        words.iter().map(|(server, w)| Doubt { server: *server, doubt: doubt(w) }).collect()
+        words.iter().map(|(server, w)| PeerSuspicion { server: *server, level: doubt(w) }).collect()
     }
 
     /// What this node should say of servers now, if that differs from what it said. What enough others say already is
     /// not said too, so that a stall which all nodes see costs no more than one that few see.
-    pub(crate) fn say(&mut self, now: Micros, members: &Members, own: &[Sighting]) -> Option<Vec<Suspicion>> {
+    pub(crate) fn say(
+        &mut self,
+        now: Micros,
+        members: &Members,
+        own: &[ServerObservation],
+    ) -> Option<Vec<Suspicion>> {
         if now.saturating_sub(self.said_at) < RESTATE {
             return None;
         }
@@ -160,16 +170,16 @@
                 .get(&server)
                 .is_some_and(|w| w.iter().filter(renewed).map(|w| w.weight).sum::<f64>() >= enough)
         };
-        let mut seen: Vec<&Sighting> = own.iter().filter(|s| s.strength >= TOLD_FROM).collect();
-        seen.sort_by(|a, b| b.strength.total_cmp(&a.strength).then(a.server.cmp(&b.server)));
+        let mut seen: Vec<&ServerObservation> = own.iter().filter(|s| s.suspicion >= TOLD_FROM).collect();
+        seen.sort_by(|a, b| b.suspicion.total_cmp(&a.suspicion).then(a.server.cmp(&b.server)));
         seen.truncate(SUSPICIONS_MOST);
         let say: Vec<Suspicion> = seen
             .into_iter()
             .filter(|s| !known(s.server))
             .map(|s| Suspicion {
                 server: s.server,
-                strength: (s.strength.min(1.0) * f64::from(STRONGEST)) as u8,
-                rests_on: s.rests_on.min(u32::from(u16::MAX)) as u16,
+                strength: (s.suspicion.min(1.0) * f64::from(STRONGEST)) as u8,
+                rests_on: s.sample_count.min(u32::from(u16::MAX)) as u16,
                 age_ms: 0,
             })
             .collect();
--- a/crates/gossip/src/gossip/mod.rs
+++ b/crates/gossip/src/gossip/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use cherryusher::Sighting;
+use cherryusher::ServerObservation;
 
 use crate::Micros;
 use crate::evidence::{self, Evidence, Witness};
@@ -90,7 +90,7 @@
     news: News,
     prober: Prober,
     evidence: Evidence,
-    sightings: Vec<Sighting>,
+    sightings: Vec<ServerObservation>,
     places: Places,
     told: Option<Fleet>,
     for_probes: Bucket,
@@ -488,7 +488,7 @@
         self.tell(to, message, false, false);
     }
 
-    fn saw(&mut self, seen: Vec<Sighting>) {
+    fn saw(&mut self, seen: Vec<ServerObservation>) {
         self.sightings = seen;
         let doubts = self.evidence.weigh(self.now, &self.members, &self.sightings);
         if let Some(say) = self.evidence.say(self.now, &self.members, &self.sightings) {
--- a/crates/gossip/src/gossip/types.rs
+++ b/crates/gossip/src/gossip/types.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cherryusher::{Doubt, Sighting};
+use cherryusher::{PeerSuspicion, ServerObservation};
 
 use crate::Micros;
 use crate::evidence::Witness;
@@ -43,7 +43,7 @@
     /// Time has passed.
     Tick,
     /// What this node has seen of servers lately, by itself: all of it.
-    Sightings(Vec<Sighting>),
+    Sightings(Vec<ServerObservation>),
     /// Bytes for a member's process that are none of gossip's business, at most [`CARRIED_MOST`].
     Carry(MemberId, Vec<u8>),
     /// Other keys count from now on.
@@ -61,7 +61,7 @@
     /// Send a packet.
     Send(SocketAddr, Vec<u8>),
     /// What others say of servers, weighed: all of it.
-    Doubts(Vec<Doubt>),
+    Doubts(Vec<PeerSuspicion>),
     /// The number of nodes or this node's place has changed.
     Fleet(Fleet),
     /// Bytes that a member's process, told by its instance, had carried here.
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -26,7 +26,7 @@
 mod probe;
 pub mod sim;
 
-pub use cherryusher::{Doubt, Sighting};
+pub use cherryusher::{PeerSuspicion, ServerObservation};
 pub use evidence::{Witness, bound, needed};
 pub use gossip::{CARRIED_MOST, Figures, Gossip, Input, MemberView, Note, Output, Settings, SuspicionView};
 pub use keys::{KeyError, KeyRing, MemberId, Secret};
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -304,7 +304,7 @@
             }
             let nodes = members.all.len() + 1;
             for doubt in Evidence::default().weigh(seconds * 1_000_000, &members, &[]) {
-                prop_assert!(doubt.doubt <= crate::bound(liars, nodes) + 1e-9);
+                prop_assert!(doubt.level <= crate::bound(liars, nodes) + 1e-9);
             }
         }
     }
--- a/crates/gossip/src/sim.rs
+++ b/crates/gossip/src/sim.rs
@@ -6,7 +6,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use crate::limits::HEADERS;
-use crate::{Fleet, Gossip, Input, KeyRing, MemberId, Micros, Note, Output, Secret, Settings, Sighting};
+use crate::{
+    Fleet, Gossip, Input, KeyRing, MemberId, Micros, Note, Output, Secret, ServerObservation, Settings,
+};
 
 /// How often nodes look at their servers.
 const LOOK: Micros = 200_000;
@@ -57,7 +59,7 @@
 }
 
 /// What a node sees of servers by itself at some time.
-pub type See<'a> = &'a dyn Fn(usize, Micros) -> Vec<Sighting>;
+pub type See<'a> = &'a dyn Fn(usize, Micros) -> Vec<ServerObservation>;
 
 /// The network and all on it.
 pub struct Net {
@@ -240,7 +242,7 @@
             match output {
                 Output::Send(to, bytes) => self.send(node, to, bytes),
                 Output::Doubts(doubts) => {
-                    self.nodes[node].doubts = doubts.into_iter().map(|d| (d.server, d.doubt)).collect();
+                    self.nodes[node].doubts = doubts.into_iter().map(|d| (d.server, d.level)).collect();
                 }
                 Output::Carried(from, instance, bytes) => self.carried.push((node, from, instance, bytes)),
                 Output::Fleet(fleet) => self.nodes[node].fleet = Some(fleet),
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -1,17 +1,17 @@
 //! Many nodes in memory: who is there, what they know of servers, and what trouble does to that.
 
 use dunelink_gossip::sim::{Net, Weather, address};
-use dunelink_gossip::{Input, Micros, Note, Sighting, Standing, bound};
+use dunelink_gossip::{Input, Micros, Note, ServerObservation, Standing, bound};
 
 const S: Micros = 1_000_000;
 const SERVER: u64 = 7;
 
-fn seen(server: u64, strength: f64, answers: u32) -> Sighting {
-    Sighting { server, strength, answers, rests_on: 10 }
+fn seen(server: u64, strength: f64, answers: u32) -> ServerObservation {
+    ServerObservation { server, suspicion: strength, recent_answers: answers, sample_count: 10 }
 }
 
 /// All see all servers healthy.
-fn well(_: usize, _: Micros) -> Vec<Sighting> {
+fn well(_: usize, _: Micros) -> Vec<ServerObservation> {
     (0..20).map(|server| seen(server, 0.0, 10)).collect()
 }
 
--- a/crates/gossip/tests/packets.rs
+++ b/crates/gossip/tests/packets.rs
@@ -1,7 +1,7 @@
 //! What comes over the wire: the fuzz target's corpus, and whatever chance brings.
 
 use dunelink_gossip::sim::{Net, address};
-use dunelink_gossip::{Input, KeyRing, PACKET_MOST, Secret, Sighting, Unreadable, parse};
+use dunelink_gossip::{Input, KeyRing, PACKET_MOST, Secret, ServerObservation, Unreadable, parse};
 use proptest::prelude::*;
 use testkit::corpus;
 
@@ -13,7 +13,12 @@
     net.start_all();
     let seen = |node: usize, now| {
         let strength = if now % 3_000_000 < 1_500_000 { 1.0 } else { 0.0 };
-        vec![Sighting { server: node as u64, strength, answers: 0, rests_on: 3 }]
+        vec![ServerObservation {
+            server: node as u64,
+            suspicion: strength,
+            recent_answers: 0,
+            sample_count: 3,
+        }]
     };
     net.run_until(10_000_000, &seen);
     net.tap.take().unwrap().into_iter().map(|(_, _, bytes)| bytes).collect()
--- a/crates/lab/src/rivals/mod.rs
+++ b/crates/lab/src/rivals/mod.rs
@@ -7,8 +7,8 @@
 mod prequal;
 
 use cherryusher::{
-    Action, Balancer, Class, Discovery, Effect, Event, Group, ServerId, Settings, SettingsError, Sighting,
-    Tenant,
+    Action, Balancer, Class, DedupScope, Discovery, Event, Idempotency, ServerId, ServerObservation,
+    Settings, SettingsError, Tenant,
 };
 use rand::RngCore;
 
@@ -41,7 +41,7 @@
     fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, out: &mut Vec<Action>);
 
     /// What it has seen of servers by itself, for nodes that gossip. Who has nothing to say leaves it at that.
-    fn sightings(&self, _now: Micros) -> Vec<Sighting> {
+    fn sightings(&self, _now: Micros) -> Vec<ServerObservation> {
         Vec::new()
     }
 }
@@ -51,8 +51,8 @@
         Balancer::handle(self, now, event, out);
     }
 
-    fn sightings(&self, now: Micros) -> Vec<Sighting> {
-        Balancer::sightings(self, now)
+    fn sightings(&self, now: Micros) -> Vec<ServerObservation> {
+        Balancer::observations(self, now)
     }
 }
 
@@ -64,17 +64,19 @@
 /// What the decision module is told at a node.
 pub fn settings(e: &Experiment, rank: u32) -> Settings {
     let effect = |effect: experiment::Effect| match effect {
-        experiment::Effect::Safe => Effect::Safe,
-        experiment::Effect::Keyed => Effect::Keyed { group: Group::Cell, window: KEY_WINDOW },
-        experiment::Effect::Unsafe => Effect::Unsafe,
+        experiment::Effect::Safe => Idempotency::Idempotent,
+        experiment::Effect::Keyed => {
+            Idempotency::Deduplicated { scope: DedupScope::Cell, window: KEY_WINDOW }
+        }
+        experiment::Effect::Unsafe => Idempotency::NonIdempotent,
     };
     let class = |class: &experiment::Class| Class {
-        aim: micros(class.aim),
-        aim_stretch: 0.0,
+        target_latency: micros(class.aim),
+        target_latency_per_work: 0.0,
         deadline: micros(class.deadline),
-        worth: class.worth,
-        late_worth: class.late_worth,
-        effect: effect(class.effect),
+        value: class.worth,
+        late_value_fraction: class.late_worth,
+        idempotency: effect(class.effect),
     };
     let tenants = f64::from(e.tenants.count.max(1));
     let tenant = Tenant { quota_per_s: e.quota_per_s(), share: 1.0 / tenants };
@@ -84,21 +86,21 @@
         zone: (rank % u32::from(e.servers.zones)) as u8,
         classes: e.classes.iter().map(class).collect(),
         tenants: vec![tenant; e.tenants.count as usize],
-        over_share_worth: e.tenants.over_share_worth,
+        over_quota_value: e.tenants.over_share_worth,
         max_attempts: e.nodes.attempts,
         cancelling: e.nodes.cancelling,
-        second_copies: e.nodes.copies,
-        warm_keys: false,
+        hedging: e.nodes.copies,
+        key_affinity: false,
         cross_zone_price: 0.0,
         live_weights: false,
         discovery: Discovery::Pushed,
-        cold_from: e.servers.cold_from,
+        cold_capacity: e.servers.cold_from,
         warm_up: micros(e.servers.warm_up),
-        fall_multiple: if e.servers.falls_at > 0.0 { e.servers.falls_at } else { 3.0 },
-        step: 5_000,
+        overload_factor: if e.servers.falls_at > 0.0 { e.servers.falls_at } else { 3.0 },
+        timer_resolution: 5_000,
         max_retry_after: micros(e.nodes.retry_after),
         labels: e.nodes.labels,
-        pool_min: e.nodes.pool_min,
+        min_pool_size: e.nodes.pool_min,
     }
 }
 
--- a/crates/lab/src/rivals/plain.rs
+++ b/crates/lab/src/rivals/plain.rs
@@ -4,7 +4,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use cherryusher::{
-    Action, Effect, Ended, Event, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState, Settings,
+    Action, AttemptEnd, Event, Idempotency, Outcome, Request, RequestId, ServerEntry, ServerId, ServerState,
+    Settings,
 };
 use rand_pcg::Pcg64;
 
@@ -102,10 +103,10 @@
         let server = &mut self.servers[place];
         server.in_flight += 1;
         job.attempts.push((server.id, true));
-        out.push(Action::Send { request, server: server.id, until: None });
+        out.push(Action::Send { request, server: server.id, start_before: None });
     }
 
-    fn ended(&mut self, now: Micros, end: &Ended, truth: &Truth<'_>, out: &mut Vec<Action>) {
+    fn ended(&mut self, now: Micros, end: &AttemptEnd, truth: &Truth<'_>, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&end.request) else { return };
         let Some(attempt) = job.attempts.get_mut(usize::from(end.attempt)) else { return };
         if !std::mem::take(&mut attempt.1) {
@@ -114,12 +115,16 @@
         if let Some(place) = self.places.get(&attempt.0) {
             let server = &mut self.servers[*place];
             server.in_flight = server.in_flight.saturating_sub(1);
-            self.chooser.ended(now, *place, end.outcome, end.took);
+            self.chooser.ended(now, *place, end.outcome, end.elapsed);
         }
-        let safe = self.settings.classes.get(job.class).is_some_and(|class| class.effect == Effect::Safe);
+        let safe = self
+            .settings
+            .classes
+            .get(job.class)
+            .is_some_and(|class| class.idempotency == Idempotency::Idempotent);
         let (tries, never) = (job.attempts.len(), end.outcome.never_ran());
         let timed_out = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
-        if end.finished || end.outcome == Outcome::Served {
+        if end.request_finished || end.outcome == Outcome::Served {
             self.jobs.remove(&end.request);
         } else if tries < usize::from(self.settings.max_attempts) && !timed_out && (never || safe) {
             self.send(now, end.request, truth, out);
@@ -150,7 +155,7 @@
 
     fn arrived(&mut self, now: Micros, request: &Request, truth: &Truth<'_>, out: &mut Vec<Action>) {
         self.jobs.insert(request.id, Job { class: request.class, attempts: Vec::new() });
-        out.push(Action::Wake { after: request.remaining.saturating_sub(BEFORE), token: request.id });
+        out.push(Action::SetTimer { after: request.remaining.saturating_sub(BEFORE), token: request.id });
         self.send(now, request.id, truth, out);
     }
 }
@@ -158,12 +163,12 @@
 impl Policy for Plain {
     fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, out: &mut Vec<Action>) {
         match event {
-            Event::ServerList(list) | Event::CachedList(list) => self.listed(&list, true),
+            Event::ServerList(list) | Event::CachedServerList(list) => self.listed(&list, true),
             Event::ServerChanges(list) => self.listed(&list, false),
-            Event::Arrived(request) => self.arrived(now, &request, truth, out),
+            Event::RequestArrived(request) => self.arrived(now, &request, truth, out),
             Event::AttemptEnded(end) => self.ended(now, &end, truth, out),
-            Event::Woken(request) => self.give_up(request, out),
-            Event::Left(request) => {
+            Event::TimerFired(request) => self.give_up(request, out),
+            Event::ClientLeft(request) => {
                 let mut unheard = Vec::new();
                 self.give_up(request, &mut unheard);
                 out.extend(unheard.into_iter().filter(|action| matches!(action, Action::Cancel(..))));
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/world/nodes.rs
@@ -1,6 +1,6 @@
 //! Nodes: what they are told, and what they do about it.
 
-use cherryusher::{Action, AttemptNo, Event, Outcome, ServerId, Sighting};
+use cherryusher::{Action, AttemptNo, Event, Outcome, ServerId, ServerObservation};
 use rand::Rng;
 
 use super::events::{Due, Reply};
@@ -34,7 +34,7 @@
     }
 
     /// What it has seen of servers by itself.
-    pub(super) fn sightings(&self, now: Micros) -> Vec<Sighting> {
+    pub(super) fn sightings(&self, now: Micros) -> Vec<ServerObservation> {
         self.policy.as_ref().map_or(Vec::new(), |policy| policy.sightings(now))
     }
 }
@@ -138,7 +138,7 @@
                     self.ends(id, Outcome::Cancelled);
                 }
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 let serial = match self.requests.get_mut(&token) {
                     Some(request) => {
                         request.timer += 1;
@@ -156,7 +156,7 @@
     pub(super) fn woken(&mut self, node: usize, token: u64, serial: u64) {
         let of_request = self.requests.get(&token).map(|request| request.timer);
         if serial == 0 || of_request == Some(serial) {
-            self.tell(node, Event::Woken(token));
+            self.tell(node, Event::TimerFired(token));
         }
     }
 
@@ -169,7 +169,7 @@
         self.agenda.put(self.now + remaining, Due::Expires(number));
         let arrived =
             cherryusher::Request { id: number, class, remaining, expected_work: None, key: None, tenant };
-        self.tell(node, Event::Arrived(arrived));
+        self.tell(node, Event::RequestArrived(arrived));
     }
 
     pub(super) fn expires(&mut self, number: u64) {
@@ -275,7 +275,7 @@
         let (pushed, ramp) = (taken != Taken::Down && station.pushed(now, work), station.ramp(now));
         let outcome = match taken {
             Taken::Down => Some(Outcome::ConnectFailed),
-            Taken::Full => Some(Outcome::TurnedAway),
+            Taken::Full => Some(Outcome::Rejected),
             _ => None,
         };
         match (outcome, taken) {
@@ -374,7 +374,13 @@
             self.agenda.put(self.now + way, Due::Answer(number, Reply::Served));
         }
         let took = self.now - sent;
-        let ended = cherryusher::Ended { request: number, attempt: no, outcome, took, finished };
+        let ended = cherryusher::AttemptEnd {
+            request: number,
+            attempt: no,
+            outcome,
+            elapsed: took,
+            request_finished: finished,
+        };
         self.tell(node, Event::AttemptEnded(ended));
         self.let_go(number);
     }
--- a/crates/lab/src/world/talk.rs
+++ b/crates/lab/src/world/talk.rs
@@ -114,9 +114,9 @@
                         self.agenda.put(self.now + way, Due::Packet(to, node, bytes));
                     }
                 }
-                Output::Doubts(doubts) => self.tell(node, Event::Hearsay(doubts)),
+                Output::Doubts(doubts) => self.tell(node, Event::PeerSuspicions(doubts)),
                 Output::Fleet(fleet) => {
-                    self.tell(node, Event::Fleet { balancers: fleet.nodes, rank: fleet.place });
+                    self.tell(node, Event::FleetChanged { balancers: fleet.nodes, rank: fleet.place });
                 }
                 Output::Carried(..) | Output::Note(_) => {}
             }
--- a/crates/lab/src/world/wants.rs
+++ b/crates/lab/src/world/wants.rs
@@ -105,7 +105,7 @@
             let node = request.node;
             self.rules
                 .breach(Rule::NoAnswer, self.now - BEGIN, || format!("request {number} at node {node}"));
-            self.tell(node, Event::Left(number));
+            self.tell(node, Event::ClientLeft(number));
         }
         self.let_go(number);
         self.concludes(want, Reply::Failed);
--- a/crates/lab/tests/worlds.rs
+++ b/crates/lab/tests/worlds.rs
@@ -127,12 +127,12 @@
                 self.lists += 1;
                 self.to = list[3].id;
             }
-            Event::Arrived(request) if self.rule != Some(Rule::NoAnswer) => {
-                out.push(Action::Send { request: request.id, server: self.to, until: None });
+            Event::RequestArrived(request) if self.rule != Some(Rule::NoAnswer) => {
+                out.push(Action::Send { request: request.id, server: self.to, start_before: None });
                 match self.rule {
                     Some(Rule::TwoAnswers) => out.extend([Action::Fail(request.id); 2]),
                     Some(Rule::RanTwice) => {
-                        out.push(Action::Send { request: request.id, server: self.to, until: None })
+                        out.push(Action::Send { request: request.id, server: self.to, start_before: None })
                     }
                     Some(Rule::RefusedAfterRunning) => {
                         out.push(Action::Refuse { request: request.id, retry_after: 0 })
@@ -140,7 +140,7 @@
                     _ => {}
                 }
             }
-            Event::AttemptEnded(end) if !end.finished => out.push(Action::Fail(end.request)),
+            Event::AttemptEnded(end) if !end.request_finished => out.push(Action::Fail(end.request)),
             _ => {}
         }
     }
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -48,7 +48,7 @@
         for label in 0..labels {
             let rest_too = kept_back == 0 && label + 1 == labels;
             let size = if rest_too { free.len() } else { size.min(free.len()) };
-            labelled.push(labels::claim(&mut free, label, size, |(hash, _)| *hash));
+            labelled.push(labels::claim_servers(&mut free, label, size, |(hash, _)| *hash));
         }
         free.sort_unstable();
         Pools { labelled, unlabelled: free, ready }
@@ -64,7 +64,7 @@
         let own = match tenant {
             Some(tenant) => {
                 let labels = self.labelled.len().max(1) as u16;
-                let label = labels::label(xxh3_64(tenant.as_bytes()), 0, labels);
+                let label = labels::tenant_label(xxh3_64(tenant.as_bytes()), 0, labels);
                 self.labelled.get(label)
             }
             None => Some(&self.unlabelled),
