--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -52,7 +52,7 @@
         for label in 0..labels {
             let takes_rest = reserved == 0 && label + 1 == labels;
             let size = if takes_rest { unclaimed.len() } else { size.min(unclaimed.len()) };
-            labelled.push(labels::claim(&mut unclaimed, label, size, |(hash, _)| *hash));
+            labelled.push(labels::claim_servers(&mut unclaimed, label, size, |(hash, _)| *hash));
         }
         unclaimed.sort_unstable();
         Pools { labelled, unlabelled: unclaimed, ready }
@@ -69,7 +69,7 @@
         let own = match tenant {
             Some(tenant) => {
                 let labels = self.labelled.len().max(1) as u16;
-                let label = labels::label(xxh3_64(tenant.as_bytes()), 0, labels);
+                let label = labels::tenant_label(xxh3_64(tenant.as_bytes()), 0, labels);
                 self.labelled.get(label)
             }
             None => Some(&self.unlabelled),
