--- a/crates/feed/src/configuration.rs
+++ b/crates/feed/src/configuration.rs
@@ -1,26 +1,26 @@
-//! Configurations, whole and in parts.
+//! Configurations, and their transfer in chunks.
 
 use bytes::Bytes;
 use dunelink_protocol::ConfigurationChunk;
 
 use crate::FeedError;
 
-/// Largest configuration that is assembled, in bytes.
+/// Largest configuration that is accepted, in bytes.
 pub const MAX_CONFIGURATION_BYTES: u64 = 8 * 1024 * 1024;
-/// Bytes of one part.
+/// Size of a chunk in bytes; the last one may be smaller.
 pub const CHUNK_BYTES: usize = 64 * 1024;
 
-/// A whole configuration. Clones share the bytes.
+/// A complete configuration. Clones share the bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Configuration {
-    /// Its version; above 0.
+    /// Version of the configuration, at least 1.
     pub version: u64,
-    /// The operator's JSON as it was accepted.
+    /// The operator's JSON, unchanged since it was accepted.
     pub bytes: Bytes,
 }
 
 impl Configuration {
-    /// The part that begins at `offset`, at most [`CHUNK_BYTES`] long; nothing at or beyond the end.
+    /// The chunk that begins at `offset`, at most [`CHUNK_BYTES`] long; `None` at or beyond the end.
     pub fn chunk(&self, offset: u64) -> Option<ConfigurationChunk> {
         let start = usize::try_from(offset).ok()?;
         let rest = self.bytes.get(start..)?;
@@ -33,65 +33,68 @@
     }
 }
 
-/// Puts the parts of configurations from one connection together.
+/// Assembles configurations from the chunks of one connection.
 ///
-/// Parts of a version come in order; the first part begins it anew. A part of a newer version abandons the older
-/// one; parts of versions older than what is being assembled, or not newer than what is held, are ignored.
+/// The chunks of a version arrive in order; the chunk at offset 0 restarts its assembly. A chunk of a newer
+/// version discards the partial older one. Chunks are ignored if their version is older than the partial one,
+/// or not newer than the version that the receiver already has.
 #[derive(Debug, Default)]
 pub struct ConfigurationAssembler {
-    partial: Option<Partial>,
+    partial: Option<PartialConfiguration>,
 }
 
 #[derive(Debug)]
-struct Partial {
+struct PartialConfiguration {
     version: u64,
     total_bytes: u64,
     bytes: Vec<u8>,
 }
 
 impl ConfigurationAssembler {
-    /// Takes a part; gives the configuration that it completes. `held` is the version held already, 0 for none.
+    /// Accepts a chunk and returns the configuration if the chunk completes it. `current_version` is the
+    /// version that the receiver already has; 0 for none.
     ///
     /// # Errors
     ///
-    /// The part is too large or does not follow the one before it; nothing is assembled any more.
+    /// The configuration is too large, or the chunk does not follow the one before it. The partial
+    /// configuration is discarded.
     pub fn accept(
         &mut self,
         chunk: ConfigurationChunk,
-        held: u64,
+        current_version: u64,
     ) -> Result<Option<Configuration>, FeedError> {
-        self.discard_up_to(held);
-        if chunk.version <= held
+        self.discard_up_to(current_version);
+        if chunk.version <= current_version
             || self.partial.as_ref().is_some_and(|partial| chunk.version < partial.version)
         {
             return Ok(None);
         }
         let partial = match self.partial.take() {
             Some(partial) if partial.version == chunk.version && chunk.offset > 0 => partial,
-            _ => Partial::begin(&chunk)?,
+            _ => PartialConfiguration::begin(&chunk)?,
         };
         let partial = partial.append(chunk)?;
-        if partial.is_whole() {
+        if partial.is_complete() {
             return Ok(Some(partial.finish()));
         }
         self.partial = Some(partial);
         Ok(None)
     }
 
-    /// Gives up what is being assembled if it is not newer than `held`.
-    pub fn discard_up_to(&mut self, held: u64) {
-        if self.partial.as_ref().is_some_and(|partial| partial.version <= held) {
+    /// Discards the partial configuration if it is not newer than `current_version`.
+    pub fn discard_up_to(&mut self, current_version: u64) {
+        if self.partial.as_ref().is_some_and(|partial| partial.version <= current_version) {
             self.partial = None;
         }
     }
 
-    /// True while parts are still to come.
+    /// Whether a configuration is partially received.
     pub fn is_partial(&self) -> bool {
         self.partial.is_some()
     }
 }
 
-impl Partial {
+impl PartialConfiguration {
     fn begin(chunk: &ConfigurationChunk) -> Result<Self, FeedError> {
         let (version, total_bytes) = (chunk.version, chunk.total_bytes);
         if total_bytes > MAX_CONFIGURATION_BYTES {
@@ -106,10 +109,10 @@
         if chunk.offset != expected {
             return Err(FeedError::ConfigurationGap { version, offset: chunk.offset, expected });
         }
-        let misfit = chunk.total_bytes != self.total_bytes
+        let mismatch = chunk.total_bytes != self.total_bytes
             || chunk.bytes.is_empty()
             || expected + chunk.bytes.len() as u64 > self.total_bytes;
-        if misfit {
+        if mismatch {
             return Err(FeedError::ConfigurationChunkMismatch { version });
         }
         if self.bytes.is_empty() {
@@ -119,7 +122,7 @@
         Ok(self)
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.bytes.len() as u64 == self.total_bytes
     }
 
--- a/crates/feed/src/error.rs
+++ b/crates/feed/src/error.rs
@@ -1,14 +1,14 @@
-//! Messages that end a connection.
+//! Protocol violations that end a connection.
 
 use dunelink_protocol::RosterOffset;
 use thiserror::Error;
 
 use crate::{MAX_CONFIGURATION_BYTES, MAX_SERVERS};
 
-/// A message that breaks the rules of the feed. The connection it came on is of no use afterwards.
+/// A message that violates the feed protocol. The connection that it arrived on must be closed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FeedError {
-    /// A configuration's length is above [`MAX_CONFIGURATION_BYTES`].
+    /// The length of a configuration is above [`MAX_CONFIGURATION_BYTES`].
     #[error(
         "configuration {version} has {total_bytes} bytes, above the limit of {MAX_CONFIGURATION_BYTES}: \
          close the connection and read from another source"
@@ -16,39 +16,41 @@
     ConfigurationTooLarge {
         /// Version of the configuration.
         version: u64,
-        /// Its length in bytes.
+        /// Length of the configuration in bytes.
         total_bytes: u64,
     },
-    /// A part of a configuration does not follow the part before it.
+    /// A chunk of a configuration does not follow the chunk before it.
     #[error(
-        "configuration {version}: a part begins at {offset} instead of {expected}: connect and subscribe anew"
+        "configuration {version}: a chunk begins at {offset}, not {expected}: reconnect and subscribe again"
     )]
     ConfigurationGap {
         /// Version of the configuration.
         version: u64,
-        /// Where the part begins.
+        /// Offset at which the chunk begins.
         offset: u64,
-        /// Where it should begin.
+        /// Offset at which the next chunk has to begin.
         expected: u64,
     },
-    /// A part of a configuration is empty, goes beyond its end or changes its length.
-    #[error("configuration {version}: a part does not fit its total length: connect and subscribe anew")]
+    /// A chunk of a configuration is empty, reaches beyond the total length or states another total length.
+    #[error(
+        "configuration {version}: a chunk does not match the total length: reconnect and subscribe again"
+    )]
     ConfigurationChunkMismatch {
         /// Version of the configuration.
         version: u64,
     },
-    /// A roster holds more than [`MAX_SERVERS`] servers.
+    /// A roster would have more than [`MAX_SERVERS`] servers.
     #[error("a roster of {servers} servers is above the limit of {MAX_SERVERS}: read from another source")]
     RosterTooLarge {
-        /// Servers it would hold.
+        /// Number of servers that the roster would have.
         servers: usize,
     },
-    /// A change to the roster leads backwards.
-    #[error("a change to the roster leads from {base:?} to {offset:?}: connect and subscribe anew")]
+    /// A roster update ends at or before the position where it begins.
+    #[error("a roster update leads backwards from {base:?} to {offset:?}: reconnect and subscribe again")]
     RosterBackwards {
-        /// Where the change begins.
+        /// Position before the update.
         base: RosterOffset,
-        /// Where it ends.
+        /// Position after the update.
         offset: RosterOffset,
     },
 }
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,12 +1,13 @@
 //! A change feed: bootstrap from a snapshot, tail from an offset; no I/O.
 //!
-//! What is fed is a configuration, a roster of servers, and signs of how far both can be trusted. [`FeedState`]
-//! holds the newest of each. A [`FeedReader`] takes the messages of one connection into it; a [`FeedSource`]
-//! tells one connection's reader what it lacks. A process that reads from several sources has one state and one
-//! reader for each connection, so that parts of a configuration from different sources are never mixed.
+//! The feed carries a configuration, a server roster, and heartbeats that state how fresh both are.
+//! [`FeedState`] has the newest of each. A [`FeedReader`] applies the messages of one connection to it; a
+//! [`FeedSource`] produces the messages that the reader of one connection lacks. A process that reads from
+//! several sources has one state, and one reader per connection, so that chunks of a configuration from
+//! different sources are never mixed.
 //!
-//! Nothing held ever goes back: neither the version of the configuration nor the position in the roster.
-//! Times are microseconds on a steady clock, given by the caller.
+//! Neither the version of the configuration nor the position of the roster ever decreases.
+//! Times are microseconds on a monotonic clock, passed in by the caller.
 
 #![forbid(unsafe_code)]
 
--- a/crates/feed/src/reader.rs
+++ b/crates/feed/src/reader.rs
@@ -5,46 +5,46 @@
 use crate::roster::UpdateOutcome;
 use crate::{ConfigurationAssembler, FeedError, FeedState};
 
-/// Takes the messages of one connection into a state.
+/// Applies the messages of one connection to a state.
 #[derive(Debug, Default)]
 pub struct FeedReader {
-    assembly: ConfigurationAssembler,
+    assembler: ConfigurationAssembler,
 }
 
-/// What a message changed.
+/// The part of the state that a message changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: a part of a configuration that is still incomplete, or something old.
+    /// Nothing changed: the message was a chunk of an incomplete configuration, or stale.
     Nothing,
     /// The configuration.
     Configuration,
     /// The roster.
     Roster,
-    /// The freshness: a sign of life, as received.
+    /// The freshness, by this heartbeat.
     Heartbeat(Heartbeat),
     /// The grants.
     Grants,
     /// The list of control machines.
     Members,
-    /// The servers suspected.
+    /// The suspected servers.
     Suspicions,
-    /// The requests of the fleet at servers.
+    /// The requests in flight at the servers.
     Loads,
-    /// Nothing, as the source's changes do not follow what is held: the reader has to subscribe anew.
+    /// Nothing changed, as the roster update starts from another position: the reader has to subscribe again.
     Resubscribe,
 }
 
 impl FeedReader {
-    /// A reader for a new connection.
+    /// Creates the reader of a new connection.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a message received at `now`.
+    /// Applies a message received at `now`.
     ///
     /// # Errors
     ///
-    /// The message breaks the rules of the feed; the state is as before, and the connection is of no use.
+    /// The message violates the protocol; the state is unchanged, and the connection must be closed.
     pub fn apply(
         &mut self,
         state: &mut FeedState,
@@ -53,7 +53,7 @@
     ) -> Result<Change, FeedError> {
         match message {
             FeedMessage::Configuration(chunk) => {
-                let Some(configuration) = self.assembly.accept(chunk, state.configuration_version())? else {
+                let Some(configuration) = self.assembler.accept(chunk, state.configuration_version())? else {
                     return Ok(Change::Nothing);
                 };
                 state.configuration = Some(configuration);
@@ -64,10 +64,10 @@
                 UpdateOutcome::Stale => Change::Nothing,
                 UpdateOutcome::Gap => Change::Resubscribe,
             }),
-            FeedMessage::Heartbeat(tick) => {
-                let roster_held = state.roster.offset().is_some_and(|held| held >= tick.roster);
-                state.freshness.update(&tick, roster_held, now);
-                Ok(Change::Heartbeat(tick))
+            FeedMessage::Heartbeat(heartbeat) => {
+                let has_roster = state.roster.offset().is_some_and(|offset| offset >= heartbeat.roster);
+                state.freshness.update(&heartbeat, has_roster, now);
+                Ok(Change::Heartbeat(heartbeat))
             }
             FeedMessage::Grants(grants) => {
                 state.grants.set(grants, now);
@@ -88,8 +88,8 @@
         }
     }
 
-    /// True while parts of a configuration are still to come.
+    /// Whether a configuration is partially received.
     pub fn is_assembling(&self) -> bool {
-        self.assembly.is_partial()
+        self.assembler.is_partial()
     }
 }
--- a/crates/feed/src/roster.rs
+++ b/crates/feed/src/roster.rs
@@ -1,4 +1,4 @@
-//! The roster of servers: held whole, changed by updates, given out whole or as changes.
+//! The server roster: updated from a feed, and passed on in full or as changes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,68 +6,72 @@
 
 use crate::FeedError;
 
-/// Most servers in a roster.
+/// Maximum number of servers in a roster.
 pub const MAX_SERVERS: usize = 65_536;
-/// Most updates that are remembered for readers that are a little behind.
-const REMEMBERED_UPDATES: usize = 64;
-/// Most ids of servers that are remembered with them.
-const REMEMBERED_IDS: usize = 4_096;
-/// Microseconds in a millisecond.
-const MICROS: u64 = 1_000;
-
-/// The servers known, at a position in the change feed.
+/// Maximum number of recent updates that are kept for readers that are slightly behind.
+const MAX_RECENT_UPDATES: usize = 64;
+/// Maximum number of server ids that are kept with the recent updates.
+const MAX_RECENT_IDS: usize = 4_096;
+/// Microseconds per millisecond.
+const MICROS_PER_MS: u64 = 1_000;
+
+/// The known servers, at a position in the change feed.
 #[derive(Debug, Default)]
 pub struct Roster {
+    /// `None` before the first full roster.
     offset: Option<RosterOffset>,
     servers: BTreeMap<String, RosterEntry>,
-    recent: VecDeque<Step>,
-    remembered_ids: usize,
+    /// Recent updates, oldest first.
+    recent: VecDeque<RecentUpdate>,
+    /// Number of ids in all of `recent`.
+    recent_ids: usize,
 }
 
-/// A server and when it was heard of.
+/// A server and the time at which its entry was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RosterEntry {
-    /// What the list tells of it.
+    /// The server as received.
     pub entry: ServerEntry,
-    /// When that was received, in microseconds.
+    /// Time of receipt in microseconds.
     pub received_at_us: u64,
 }
 
-/// What became of an update.
+/// Outcome of applying an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateOutcome {
-    /// The roster is now at the update's position.
+    /// The update was applied: the roster is now at its position.
     Applied,
-    /// The roster is at that position or beyond it already.
+    /// The update was ignored: the roster is already at its position or beyond.
     Stale,
-    /// The update follows a position that the roster is not at: the whole roster has to be asked for.
+    /// The update starts from a position that the roster is not at: a full roster has to be requested.
     Gap,
 }
 
-/// One update that was applied: where it began, and which servers it touched.
+/// An applied update: the position where it began, and the ids of the servers that it changed or removed.
 #[derive(Debug)]
-struct Step {
+struct RecentUpdate {
     base: RosterOffset,
     ids: Vec<String>,
 }
 
 impl RosterEntry {
-    /// The entry as it is to be passed on at `now`: what was left of the slow start is counted down.
+    /// The entry to pass on at `now`, with the remaining time of its slow start reduced by the time since
+    /// receipt.
     pub fn entry_at(&self, now: u64) -> ServerEntry {
         let mut entry = self.entry.clone();
-        let passed_ms = now.saturating_sub(self.received_at_us) / MICROS;
-        entry.cold_remaining_ms = entry.cold_remaining_ms.saturating_sub(passed_ms);
+        let elapsed_ms = now.saturating_sub(self.received_at_us) / MICROS_PER_MS;
+        entry.cold_remaining_ms = entry.cold_remaining_ms.saturating_sub(elapsed_ms);
         entry
     }
 }
 
 impl Roster {
-    /// Where the roster stands; nothing before the first whole one.
+    /// Position of the roster; `None` before the first full roster.
     pub fn offset(&self) -> Option<RosterOffset> {
         self.offset
     }
 
-    /// The servers, by id.
+    /// The servers, ordered by id.
     pub fn servers(&self) -> impl Iterator<Item = &RosterEntry> {
         self.servers.values()
     }
@@ -82,21 +86,21 @@
         self.servers.len()
     }
 
-    /// True without any server.
+    /// Whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Takes an update received at `now`.
+    /// Applies an update received at `now`.
     ///
     /// # Errors
     ///
-    /// The update leads backwards, or to a roster that is too large; nothing is changed.
+    /// The update leads backwards, or to a roster that is too large; the roster is unchanged.
     pub fn apply(&mut self, update: RosterUpdate, now: u64) -> Result<UpdateOutcome, FeedError> {
         if let Some(base) = update.base.filter(|base| update.offset <= *base) {
             return Err(FeedError::RosterBackwards { base, offset: update.offset });
         }
-        if self.offset.is_some_and(|held| update.offset <= held) {
+        if self.offset.is_some_and(|current| update.offset <= current) {
             return Ok(UpdateOutcome::Stale);
         }
         let servers = update.changed.len() + update.base.map_or(0, |_| self.servers.len());
@@ -111,23 +115,24 @@
         Ok(UpdateOutcome::Applied)
     }
 
-    /// The whole roster as an update, at `now`; nothing before the first one.
+    /// The full roster as an update to send at `now`; `None` before the first full roster.
     pub fn full_update(&self, now: u64) -> Option<RosterUpdate> {
         let offset = self.offset?;
-        let changed = self.servers.values().map(|listed| listed.entry_at(now)).collect();
+        let changed = self.servers.values().map(|server| server.entry_at(now)).collect();
         Some(RosterUpdate { base: None, offset, changed, removed: Vec::new() })
     }
 
-    /// What a reader that stands at `base` lacks, at `now`; nothing if the changes since are not remembered.
+    /// The changes after `base` as one update to send at `now`; `None` if they are no longer kept, or if
+    /// there are none.
     pub fn changes_since(&self, base: RosterOffset, now: u64) -> Option<RosterUpdate> {
         let offset = self.offset?;
-        let first = self.recent.iter().position(|step| step.base == base)?;
-        let ids: BTreeSet<&String> = self.recent.range(first..).flat_map(|step| &step.ids).collect();
+        let first = self.recent.iter().position(|update| update.base == base)?;
+        let ids: BTreeSet<&String> = self.recent.range(first..).flat_map(|update| &update.ids).collect();
         let mut changed = Vec::new();
         let mut removed = Vec::new();
         for id in ids {
             match self.servers.get(id) {
-                Some(listed) => changed.push(listed.entry_at(now)),
+                Some(server) => changed.push(server.entry_at(now)),
                 None => removed.push(id.clone()),
             }
         }
@@ -137,7 +142,7 @@
     fn replace(&mut self, update: RosterUpdate, now: u64) {
         self.servers.clear();
         self.recent.clear();
-        self.remembered_ids = 0;
+        self.recent_ids = 0;
         self.insert(update.changed, now);
         self.offset = Some(update.offset);
     }
@@ -150,7 +155,7 @@
         }
         self.insert(update.changed, now);
         self.offset = Some(update.offset);
-        self.remember(Step { base, ids });
+        self.keep_recent(RecentUpdate { base, ids });
     }
 
     fn insert(&mut self, entries: Vec<ServerEntry>, now: u64) {
@@ -159,12 +164,12 @@
         }
     }
 
-    fn remember(&mut self, step: Step) {
-        self.remembered_ids += step.ids.len();
-        self.recent.push_back(step);
-        while self.recent.len() > REMEMBERED_UPDATES || self.remembered_ids > REMEMBERED_IDS {
+    fn keep_recent(&mut self, update: RecentUpdate) {
+        self.recent_ids += update.ids.len();
+        self.recent.push_back(update);
+        while self.recent.len() > MAX_RECENT_UPDATES || self.recent_ids > MAX_RECENT_IDS {
             let Some(oldest) = self.recent.pop_front() else { break };
-            self.remembered_ids -= oldest.ids.len();
+            self.recent_ids -= oldest.ids.len();
         }
     }
 }
--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -4,70 +4,76 @@
 
 use crate::{Configuration, FeedState};
 
-/// Microseconds in a millisecond.
-const MICROS: u64 = 1_000;
-/// Loads that were received longer ago say nothing any more, in microseconds.
-const LOADS_FOR: u64 = 500_000;
+/// Microseconds per millisecond.
+const MICROS_PER_MS: u64 = 1_000;
+/// Loads older than this are too stale to send, in microseconds.
+const MAX_LOADS_AGE_US: u64 = 500_000;
 
-/// Tells one reader what it lacks, one message at a time.
+/// Produces the messages that one reader lacks, one at a time.
 ///
-/// Messages are made when the connection can take them, from the state as it is then: a slow reader gets the
-/// newest of everything and nothing that is outdated.
+/// Each message is built from the state at the time when the connection can take it: a slow reader gets the
+/// newest data and no outdated messages.
 #[derive(Debug)]
 pub struct FeedSource {
     configuration_version: u64,
-    sending: Option<Sending>,
+    sending: Option<ConfigurationTransfer>,
     roster: Option<RosterOffset>,
     grants: u64,
     suspicions: u64,
     loads: u64,
-    tick: Option<SentTick>,
+    heartbeat: Option<SentHeartbeat>,
 }
 
-/// A configuration that is being sent, and where its next part begins. It holds the bytes until the last part.
+/// A configuration that is being sent, and the offset of its next chunk. It shares the bytes until the last
+/// chunk.
 #[derive(Debug)]
-struct Sending {
+struct ConfigurationTransfer {
     configuration: Configuration,
     offset: u64,
 }
 
-/// When the last sign of life was sent, and what it told.
+/// Time and contents of the last heartbeat sent.
 #[derive(Debug)]
-struct SentTick {
+struct SentHeartbeat {
     at: u64,
     configuration_version: u64,
     roster: RosterOffset,
 }
 
 impl FeedSource {
-    /// Serves a reader that stands where `subscribe` tells.
-    pub fn new(subscribe: &FeedPosition) -> Self {
-        let roster = Some(subscribe.roster).filter(|offset| *offset != RosterOffset::default());
+    /// Creates the source for a reader at `position`.
+    pub fn new(position: &FeedPosition) -> Self {
+        let roster = Some(position.roster).filter(|offset| *offset != RosterOffset::default());
         Self {
-            configuration_version: subscribe.configuration_version,
+            configuration_version: position.configuration_version,
             sending: None,
             roster,
             grants: 0,
             suspicions: 0,
             loads: 0,
-            tick: None,
+            heartbeat: None,
         }
     }
 
-    /// Serves a reader that has nothing.
+    /// Creates the source for a reader without any data.
     pub fn for_empty_reader() -> Self {
         Self::new(&FeedPosition { configuration_version: 0, roster: RosterOffset::default() })
     }
 
-    /// The next message to send at `now`; nothing if the reader has everything. A sign of life is due when what it
-    /// tells has changed, or `tick_period` microseconds after the one before.
-    pub fn next_message(&mut self, state: &FeedState, tick_period: u64, now: u64) -> Option<FeedMessage> {
+    /// The next message to send at `now`; `None` if the reader is up to date. A heartbeat is due when the
+    /// versions that it states have changed, or `heartbeat_period` microseconds after the last one.
+    pub fn next_message(
+        &mut self,
+        state: &FeedState,
+        heartbeat_period: u64,
+        now: u64,
+    ) -> Option<FeedMessage> {
         self.next_configuration(state)
             .or_else(|| self.next_roster(state, now))
             .or_else(|| self.next_grants(state, now))
             .or_else(|| self.next_suspicions(state))
             .or_else(|| self.next_loads(state, now))
-            .or_else(|| self.next_tick(state, tick_period, now))
+            .or_else(|| self.next_heartbeat(state, heartbeat_period, now))
     }
 
     fn next_configuration(&mut self, state: &FeedState) -> Option<FeedMessage> {
@@ -75,7 +81,7 @@
             state.configuration.as_ref().filter(|newest| newest.version > self.configuration_version);
         if let Some(newest) = newest {
             self.configuration_version = newest.version;
-            self.sending = Some(Sending { configuration: newest.clone(), offset: 0 });
+            self.sending = Some(ConfigurationTransfer { configuration: newest.clone(), offset: 0 });
         }
         let sending = self.sending.as_mut()?;
         let chunk = sending.configuration.chunk(sending.offset);
@@ -103,7 +109,7 @@
         }
         self.grants = state.grants.version();
         let (grants, received_at) = state.grants.get()?;
-        remaining(grants, received_at, now).map(FeedMessage::Grants)
+        unexpired(grants, received_at, now).map(FeedMessage::Grants)
     }
 
     fn next_suspicions(&mut self, state: &FeedState) -> Option<FeedMessage> {
@@ -121,28 +127,28 @@
         }
         self.loads = state.loads.version();
         let (loads, received_at) = state.loads.get()?;
-        (now < received_at + LOADS_FOR).then(|| FeedMessage::Loads(loads.clone()))
+        (now < received_at + MAX_LOADS_AGE_US).then(|| FeedMessage::Loads(loads.clone()))
     }
 
-    fn next_tick(&mut self, state: &FeedState, period: u64, now: u64) -> Option<FeedMessage> {
-        let tick = state.heartbeat(now);
-        let told = self.tick.as_ref().is_some_and(|sent| {
-            sent.configuration_version == tick.configuration_version
-                && sent.roster == tick.roster
+    fn next_heartbeat(&mut self, state: &FeedState, period: u64, now: u64) -> Option<FeedMessage> {
+        let heartbeat = state.heartbeat(now);
+        let is_up_to_date = self.heartbeat.as_ref().is_some_and(|sent| {
+            sent.configuration_version == heartbeat.configuration_version
+                && sent.roster == heartbeat.roster
                 && now < sent.at.saturating_add(period)
         });
-        if told {
+        if is_up_to_date {
             return None;
         }
-        let (configuration_version, roster) = (tick.configuration_version, tick.roster);
-        self.tick = Some(SentTick { at: now, configuration_version, roster });
-        Some(FeedMessage::Heartbeat(tick))
+        let (configuration_version, roster) = (heartbeat.configuration_version, heartbeat.roster);
+        self.heartbeat = Some(SentHeartbeat { at: now, configuration_version, roster });
+        Some(FeedMessage::Heartbeat(heartbeat))
     }
 }
 
-/// The grants with the validity that is left; nothing once they have run out.
-fn remaining(grants: &GrantUpdate, received_at: u64, now: u64) -> Option<GrantUpdate> {
-    let held_ms = now.saturating_sub(received_at).div_ceil(MICROS);
-    let valid_ms = grants.valid_ms.checked_sub(held_ms).filter(|left| *left > 0)?;
+/// The grants with their remaining lifetime at `now`; `None` if they have expired.
+fn unexpired(grants: &GrantUpdate, received_at: u64, now: u64) -> Option<GrantUpdate> {
+    let elapsed_ms = now.saturating_sub(received_at).div_ceil(MICROS_PER_MS);
+    let valid_ms = grants.valid_ms.checked_sub(elapsed_ms).filter(|remaining_ms| *remaining_ms > 0)?;
     Some(GrantUpdate { valid_ms, ..grants.clone() })
 }
--- a/crates/feed/src/state.rs
+++ b/crates/feed/src/state.rs
@@ -1,4 +1,4 @@
-//! The newest of everything that is fed.
+//! The newest data of the feed.
 
 use dunelink_protocol::{
     ControlMember, FeedPosition, FleetLoads, GrantUpdate, Heartbeat, RosterOffset, ServerSuspicion,
@@ -6,70 +6,71 @@
 
 use crate::{Configuration, Freshness, Roster};
 
-/// The newest of everything that is fed, from whatever source.
+/// The newest data of the feed, merged from all sources.
 #[derive(Debug, Default)]
 pub struct FeedState {
-    /// The configuration; nothing before the first one.
+    /// The configuration; `None` before the first one.
     pub configuration: Option<Configuration>,
-    /// The servers.
+    /// The server roster.
     pub roster: Roster,
-    /// How far configuration and roster can be trusted.
+    /// Freshness of configuration and roster.
     pub freshness: Freshness,
-    /// Grants, as received.
+    /// The last grants received.
     pub grants: Versioned<GrantUpdate>,
-    /// Servers suspected, as received.
+    /// The last list of suspected servers received.
     pub suspicions: Versioned<Vec<ServerSuspicion>>,
-    /// Requests of the fleet at servers, as received.
+    /// The last requests in flight at the servers received.
     pub loads: Versioned<FleetLoads>,
-    /// Control machines, as last told.
+    /// The last list of control machines received.
     pub members: Vec<ControlMember>,
 }
 
-/// The latest value of a kind, numbered so that a receiver can tell whether it has been sent.
+/// A value with a version that counts its replacements, by which a sender knows whether it has sent the
+/// value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<T> {
-    number: u64,
+    version: u64,
     received_at: u64,
     value: Option<T>,
 }
 
 impl<T> Default for Versioned<T> {
     fn default() -> Self {
-        Self { number: 0, received_at: 0, value: None }
+        Self { version: 0, received_at: 0, value: None }
     }
 }
 
 impl<T> Versioned<T> {
-    /// Replaces the value by one received at `now`.
+    /// Replaces the value with one received at `now`.
     pub fn set(&mut self, value: T, now: u64) {
-        self.number += 1;
+        self.version += 1;
         self.received_at = now;
         self.value = Some(value);
     }
 
-    /// Number of the value; 0 before the first.
+    /// Number of values set so far.
     pub fn version(&self) -> u64 {
-        self.number
+        self.version
     }
 
-    /// The value with the time of its receipt.
+    /// The value and the time of its receipt in microseconds; `None` before the first value.
     pub fn get(&self) -> Option<(&T, u64)> {
         self.value.as_ref().map(|value| (value, self.received_at))
     }
 }
 
 impl FeedState {
-    /// Version of the configuration held; 0 for none.
+    /// Version of the configuration; 0 for none.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |configuration| configuration.version)
     }
 
-    /// Where this state stands, for a new subscription.
+    /// Position of this state in the feed, for a new subscription.
     pub fn position(&self) -> FeedPosition {
         FeedPosition { configuration_version: self.configuration_version(), roster: self.roster_offset() }
     }
 
-    /// The sign of life that passes this state's freshness on, at `now`.
+    /// The heartbeat to send at `now`, which states the freshness of this state.
     pub fn heartbeat(&self, now: u64) -> Heartbeat {
         Heartbeat {
             confirmed_age_ms: self.freshness.confirmed_age_ms(now),
--- a/crates/feed/tests/configurations.rs
+++ b/crates/feed/tests/configurations.rs
@@ -1,98 +1,106 @@
-//! Configurations in parts: order, superseding, bounds, never back.
+//! Assembly of configurations from chunks: order, newer versions, limits; versions never decrease.
 
 use bytes::Bytes;
 use dunelink_feed::{CHUNK_BYTES, Configuration, ConfigurationAssembler, FeedError, MAX_CONFIGURATION_BYTES};
 use dunelink_protocol::ConfigurationChunk;
 
-fn part(version: u64, total_bytes: u64, offset: u64, bytes: &[u8]) -> ConfigurationChunk {
+fn chunk(version: u64, total_bytes: u64, offset: u64, bytes: &[u8]) -> ConfigurationChunk {
     ConfigurationChunk { version, total_bytes, offset, bytes: bytes.to_vec() }
 }
 
-fn whole(version: u64, text: &str) -> Configuration {
+fn configuration(version: u64, text: &str) -> Configuration {
     Configuration { version, bytes: Bytes::copy_from_slice(text.as_bytes()) }
 }
 
 #[test]
-fn parts_in_order_make_the_whole() {
-    let mut assembly = ConfigurationAssembler::default();
-    assert_eq!(assembly.accept(part(3, 5, 0, b"ab"), 0), Ok(None));
-    assert!(assembly.is_partial());
-    assert_eq!(assembly.accept(part(3, 5, 2, b"cde"), 0), Ok(Some(whole(3, "abcde"))));
-    assert!(!assembly.is_partial());
+fn chunks_in_order_complete_the_configuration() {
+    let mut assembler = ConfigurationAssembler::default();
+    assert_eq!(assembler.accept(chunk(3, 5, 0, b"ab"), 0), Ok(None));
+    assert!(assembler.is_partial());
+    assert_eq!(assembler.accept(chunk(3, 5, 2, b"cde"), 0), Ok(Some(configuration(3, "abcde"))));
+    assert!(!assembler.is_partial());
 }
 
 #[test]
-fn a_newer_version_abandons_the_older_one() {
-    let mut assembly = ConfigurationAssembler::default();
-    assembly.accept(part(3, 5, 0, b"ab"), 0).expect("fits");
-    assert_eq!(assembly.accept(part(4, 2, 0, b"xy"), 0), Ok(Some(whole(4, "xy"))));
-    assert_eq!(assembly.accept(part(3, 5, 2, b"cde"), 4), Ok(None), "the rest of the older one is ignored");
+fn newer_version_discards_the_partial_older_one() {
+    let mut assembler = ConfigurationAssembler::default();
+    assembler.accept(chunk(3, 5, 0, b"ab"), 0).expect("valid chunk");
+    assert_eq!(assembler.accept(chunk(4, 2, 0, b"xy"), 0), Ok(Some(configuration(4, "xy"))));
+    assert_eq!(
+        assembler.accept(chunk(3, 5, 2, b"cde"), 4),
+        Ok(None),
+        "chunks of the older version are ignored"
+    );
 }
 
 #[test]
-fn parts_of_an_older_version_do_not_disturb_a_newer_one() {
-    let mut assembly = ConfigurationAssembler::default();
-    assembly.accept(part(4, 4, 0, b"wx"), 0).expect("fits");
-    assert_eq!(assembly.accept(part(3, 2, 0, b"ab"), 0), Ok(None));
-    assert_eq!(assembly.accept(part(4, 4, 2, b"yz"), 0), Ok(Some(whole(4, "wxyz"))));
+fn chunks_of_an_older_version_are_ignored() {
+    let mut assembler = ConfigurationAssembler::default();
+    assembler.accept(chunk(4, 4, 0, b"wx"), 0).expect("valid chunk");
+    assert_eq!(assembler.accept(chunk(3, 2, 0, b"ab"), 0), Ok(None));
+    assert_eq!(assembler.accept(chunk(4, 4, 2, b"yz"), 0), Ok(Some(configuration(4, "wxyz"))));
 }
 
 #[test]
-fn a_version_that_begins_anew_is_taken_from_its_first_part() {
-    let mut assembly = ConfigurationAssembler::default();
-    assembly.accept(part(3, 4, 0, b"ab"), 0).expect("fits");
-    assembly.accept(part(3, 4, 0, b"ab"), 0).expect("the source was asked again");
-    assert_eq!(assembly.accept(part(3, 4, 2, b"cd"), 0), Ok(Some(whole(3, "abcd"))));
+fn chunk_at_offset_zero_restarts_the_assembly() {
+    let mut assembler = ConfigurationAssembler::default();
+    assembler.accept(chunk(3, 4, 0, b"ab"), 0).expect("valid chunk");
+    assembler.accept(chunk(3, 4, 0, b"ab"), 0).expect("assembly restarts");
+    assert_eq!(assembler.accept(chunk(3, 4, 2, b"cd"), 0), Ok(Some(configuration(3, "abcd"))));
 }
 
 #[test]
-fn what_is_held_or_older_is_ignored() {
-    let mut assembly = ConfigurationAssembler::default();
-    assert_eq!(assembly.accept(part(7, 2, 0, b"ab"), 7), Ok(None));
-    assert_eq!(assembly.accept(part(6, 2, 0, b"ab"), 7), Ok(None));
-    assembly.accept(part(8, 4, 0, b"ab"), 7).expect("fits");
-    assert_eq!(assembly.accept(part(8, 4, 2, b"cd"), 8), Ok(None), "another source was faster");
-    assert!(!assembly.is_partial());
+fn current_and_older_versions_are_ignored() {
+    let mut assembler = ConfigurationAssembler::default();
+    assert_eq!(assembler.accept(chunk(7, 2, 0, b"ab"), 7), Ok(None));
+    assert_eq!(assembler.accept(chunk(6, 2, 0, b"ab"), 7), Ok(None));
+    assembler.accept(chunk(8, 4, 0, b"ab"), 7).expect("valid chunk");
+    assert_eq!(
+        assembler.accept(chunk(8, 4, 2, b"cd"), 8),
+        Ok(None),
+        "another source completed this version first"
+    );
+    assert!(!assembler.is_partial());
 }
 
 #[test]
-fn parts_that_do_not_fit_end_the_connection() {
+fn mismatching_chunks_are_errors() {
     let gap = FeedError::ConfigurationGap { version: 3, offset: 3, expected: 2 };
-    let misfit = FeedError::ConfigurationChunkMismatch { version: 3 };
+    let mismatch = FeedError::ConfigurationChunkMismatch { version: 3 };
     let total_bytes = MAX_CONFIGURATION_BYTES + 1;
-    let large = FeedError::ConfigurationTooLarge { version: 9, total_bytes };
+    let too_large = FeedError::ConfigurationTooLarge { version: 9, total_bytes };
     let cases = [
-        (part(3, 5, 3, b"de"), gap),
-        (part(3, 6, 2, b"cd"), misfit.clone()),
-        (part(3, 5, 2, b"cdef"), misfit.clone()),
-        (part(3, 5, 2, b""), misfit),
-        (part(9, total_bytes, 0, b"a"), large),
+        (chunk(3, 5, 3, b"de"), gap),
+        (chunk(3, 6, 2, b"cd"), mismatch.clone()),
+        (chunk(3, 5, 2, b"cdef"), mismatch.clone()),
+        (chunk(3, 5, 2, b""), mismatch),
+        (chunk(9, total_bytes, 0, b"a"), too_large),
     ];
-    for (wrong, error) in cases {
-        let mut assembly = ConfigurationAssembler::default();
-        assembly.accept(part(3, 5, 0, b"ab"), 0).expect("fits");
-        assert_eq!(assembly.accept(wrong, 0), Err(error));
+    for (invalid, error) in cases {
+        let mut assembler = ConfigurationAssembler::default();
+        assembler.accept(chunk(3, 5, 0, b"ab"), 0).expect("valid chunk");
+        assert_eq!(assembler.accept(invalid, 0), Err(error));
     }
     let gap = FeedError::ConfigurationGap { version: 3, offset: 2, expected: 0 };
     assert_eq!(
-        ConfigurationAssembler::default().accept(part(3, 5, 2, b"cd"), 0),
+        ConfigurationAssembler::default().accept(chunk(3, 5, 2, b"cd"), 0),
         Err(gap),
-        "a later part cannot come first"
+        "the first chunk must begin at offset 0"
     );
 }
 
 #[test]
-fn a_configuration_cut_into_parts_is_put_together_again() {
+fn chunked_configuration_is_reassembled() {
     let bytes: Vec<u8> = (0..CHUNK_BYTES * 2 + 7).map(|index| index as u8).collect();
     let configuration = Configuration { version: 2, bytes: Bytes::from(bytes) };
-    let mut assembly = ConfigurationAssembler::default();
+    let mut assembler = ConfigurationAssembler::default();
     let mut offset = 0;
-    let mut taken = None;
+    let mut assembled = None;
     while let Some(chunk) = configuration.chunk(offset) {
         offset += chunk.bytes.len() as u64;
-        taken = assembly.accept(chunk, 0).expect("fits");
+        assembled = assembler.accept(chunk, 0).expect("valid chunk");
     }
-    assert_eq!(taken, Some(configuration.clone()));
+    assert_eq!(assembled, Some(configuration.clone()));
     assert_eq!(configuration.chunk(offset + 1), None);
     assert_eq!(configuration.chunk(u64::MAX), None);
 }
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -1,27 +1,27 @@
-//! What nodes send to one another.
+//! Messages between nodes.
 
 use std::net::SocketAddr;
 
 use minicbor::{Decode, Encode};
 
-/// Most descriptors in one message. Those beyond it are ignored.
+/// Maximum number of descriptors in one message; further ones are ignored.
 pub const SHUFFLE_LENGTH: usize = 8;
-/// Most hops that a walk of a newcomer takes. A larger number in a message counts as this one.
+/// Maximum number of hops of a random walk for a joining node. Larger numbers in messages are reduced to it.
 pub const MAX_HOPS: u8 = 5;
 
-/// A node as others tell of it.
+/// Descriptor of a node, exchanged between nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Descriptor {
-    /// Where it takes messages.
+    /// Address at which the node receives messages.
     #[n(0)]
     pub address: SocketAddr,
-    /// Rounds since it told of itself.
+    /// Number of rounds since the node itself issued the descriptor.
     #[n(1)]
     pub age: u16,
 }
 
 impl Descriptor {
-    /// A node that tells of itself now.
+    /// A new descriptor of a node, with age 0.
     pub fn fresh(address: SocketAddr) -> Self {
         Self { address, age: 0 }
     }
@@ -30,26 +30,26 @@
 /// A message between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum PeerMessage {
-    /// A part of the sender's view, with the sender itself; asks for a part of the receiver's.
+    /// A part of the sender's view and the sender's own descriptor; requests a part of the receiver's view.
     #[n(0)]
     Shuffle(#[n(0)] Vec<Descriptor>),
-    /// A part of the sender's view, for the part that came in a [`PeerMessage::Shuffle`].
+    /// A part of the sender's view, in reply to a [`PeerMessage::Shuffle`].
     #[n(1)]
     ShuffleReply(#[n(0)] Vec<Descriptor>),
-    /// The sender is new and asks to be introduced.
+    /// The sender is new and requests to be introduced to other nodes.
     #[n(2)]
     Join,
-    /// A newcomer walks from node to node.
+    /// A step of a random walk that introduces a new node.
     #[n(3)]
     Walk {
-        /// The newcomer.
+        /// Address of the new node.
         #[n(0)]
         newcomer: SocketAddr,
-        /// Hops left.
+        /// Number of remaining hops.
         #[n(1)]
         hops: u8,
     },
-    /// To a newcomer: a node that it may take into its view.
+    /// To a new node: a node that it may add to its view.
     #[n(4)]
     Welcome(#[n(0)] Descriptor),
 }
@@ -57,8 +57,8 @@
 /// A message to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// Where to.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// What.
+    /// The message.
     pub message: PeerMessage,
 }
--- a/crates/peers/src/sampler.rs
+++ b/crates/peers/src/sampler.rs
@@ -1,36 +1,43 @@
-//! The state machine of one node.
+//! The peer sampling state machine of one node.
 
 use std::net::SocketAddr;
 
 use crate::{Descriptor, MAX_HOPS, OutgoingMessage, PeerMessage, SHUFFLE_LENGTH, VIEW_LENGTH, View};
 
-/// A view with fewer nodes than this asks an introducer again.
-const POOR_VIEW: usize = 4;
-/// Newcomers that a node introduces in one round. Further ones ask again later.
-const JOINS_A_ROUND: u32 = 4;
+/// A node with fewer nodes in its view joins again at an introducer.
+const MIN_VIEW_LENGTH: usize = 4;
+/// Maximum number of new nodes that a node introduces per round. The others have to ask again.
+const MAX_JOINS_PER_ROUND: u32 = 4;
 
-/// The view of one node, and its exchanges with others.
+/// The view of one node, and its exchanges with other nodes.
 #[derive(Debug)]
 pub struct PeerSampler {
     own: SocketAddr,
     view: View,
     introducers: Vec<SocketAddr>,
-    pending: Option<Exchange>,
+    pending: Option<PendingExchange>,
     joins_left: u32,
     random: fastrand::Rng,
 }
 
-/// An exchange that waits for its answer.
+/// An exchange that waits for the reply of the peer.
 #[derive(Debug)]
-struct Exchange {
+struct PendingExchange {
     peer: SocketAddr,
     sent: Vec<Descriptor>,
 }
 
 impl PeerSampler {
-    /// The node at `own`, which knows nobody but its introducers.
+    /// Creates the state of the node at `own`, which knows only its introducers.
     pub fn new(own: SocketAddr, introducers: Vec<SocketAddr>, random: fastrand::Rng) -> Self {
-        Self { own, view: View::new(own), introducers, pending: None, joins_left: JOINS_A_ROUND, random }
+        Self {
+            own,
+            view: View::new(own),
+            introducers,
+            pending: None,
+            joins_left: MAX_JOINS_PER_ROUND,
+            random,
+        }
     }
 
     /// Replaces the introducers.
@@ -38,40 +45,41 @@
         self.introducers = introducers;
     }
 
-    /// The nodes known.
+    /// The view of the node.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// A node at random, of those known.
+    /// A random node of the view; `None` if the view is empty.
     pub fn random_peer(&mut self) -> Option<SocketAddr> {
         self.random.choice(self.view.entries()).map(|entry| entry.address)
     }
 
-    /// Notes that a node cannot be reached.
+    /// Removes an unreachable node from the view.
     pub fn mark_unreachable(&mut self, address: SocketAddr) {
         self.view.remove(address);
     }
 
-    /// Begins a round: what to send. A peer that did not answer in the round before is gone from the view.
+    /// Begins a round and returns the messages to send. A peer that did not reply in the previous round was
+    /// already removed from the view.
     pub fn begin_round(&mut self) -> Vec<OutgoingMessage> {
         self.pending = None;
-        self.joins_left = JOINS_A_ROUND;
+        self.joins_left = MAX_JOINS_PER_ROUND;
         self.view.increment_ages();
         let join = self.join();
         self.shuffle().into_iter().chain(join).collect()
     }
 
-    /// Takes a message that came from `from`: what to send for it.
+    /// Handles a message from the node at `from` and returns the messages to send.
     pub fn receive(&mut self, from: SocketAddr, message: PeerMessage) -> Vec<OutgoingMessage> {
         match message {
-            PeerMessage::Shuffle(received) => vec![self.answer(from, &received)],
+            PeerMessage::Shuffle(received) => vec![self.reply_to_shuffle(from, &received)],
             PeerMessage::ShuffleReply(received) => {
-                self.finish(from, &received);
+                self.complete_exchange(from, &received);
                 Vec::new()
             }
             PeerMessage::Join => self.introduce(from),
-            PeerMessage::Walk { newcomer, hops } => self.walk(newcomer, hops).into_iter().collect(),
+            PeerMessage::Walk { newcomer, hops } => self.forward_walk(newcomer, hops).into_iter().collect(),
             PeerMessage::Welcome(descriptor) => {
                 self.view.add(descriptor);
                 Vec::new()
@@ -79,18 +87,19 @@
         }
     }
 
-    /// Takes the oldest peer out and offers it a part of the view in which this node stands in its place.
+    /// Removes the oldest peer from the view and starts an exchange with it, which includes the descriptor of
+    /// this node.
     fn shuffle(&mut self) -> Option<OutgoingMessage> {
         let peer = self.view.take_oldest()?.address;
         let sent = self.view.sample(SHUFFLE_LENGTH - 1, &mut self.random);
         let mut offered = sent.clone();
         offered.push(Descriptor::fresh(self.own));
-        self.pending = Some(Exchange { peer, sent });
+        self.pending = Some(PendingExchange { peer, sent });
         Some(OutgoingMessage { to: peer, message: PeerMessage::Shuffle(offered) })
     }
 
     fn join(&mut self) -> Option<OutgoingMessage> {
-        if self.view.entries().len() >= POOR_VIEW {
+        if self.view.entries().len() >= MIN_VIEW_LENGTH {
             return None;
         }
         let own = self.own;
@@ -100,20 +109,20 @@
         Some(OutgoingMessage { to, message: PeerMessage::Join })
     }
 
-    fn answer(&mut self, from: SocketAddr, received: &[Descriptor]) -> OutgoingMessage {
+    fn reply_to_shuffle(&mut self, from: SocketAddr, received: &[Descriptor]) -> OutgoingMessage {
         let sent = self.view.sample(SHUFFLE_LENGTH, &mut self.random);
         self.view.merge(bounded(received), &sent);
         OutgoingMessage { to: from, message: PeerMessage::ShuffleReply(sent) }
     }
 
-    fn finish(&mut self, from: SocketAddr, received: &[Descriptor]) {
+    fn complete_exchange(&mut self, from: SocketAddr, received: &[Descriptor]) {
         let Some(exchange) = self.pending.take_if(|exchange| exchange.peer == from) else { return };
         self.view.merge(bounded(received), &exchange.sent);
-        // Who answers is alive: it comes back if the exchange left room.
+        // A peer that replies is alive: it returns to the view if there is room.
         self.view.add(Descriptor::fresh(from));
     }
 
-    /// Sends the newcomer on walks to as many nodes as a view holds, so that it stands in as many views.
+    /// Starts a random walk for the new node at every node of the view, so that it is added to as many views.
     fn introduce(&mut self, newcomer: SocketAddr) -> Vec<OutgoingMessage> {
         if self.joins_left == 0 || newcomer == self.own {
             return Vec::new();
@@ -131,8 +140,9 @@
         walks
     }
 
-    /// Passes a newcomer on, or takes it in at the end of its walk, in place of a node that it gets to know.
-    fn walk(&mut self, newcomer: SocketAddr, hops: u8) -> Option<OutgoingMessage> {
+    /// Forwards the walk of a new node. At the end of the walk, adds the new node to the view, if need be in
+    /// place of a random node, which the new node gets for its own view.
+    fn forward_walk(&mut self, newcomer: SocketAddr, hops: u8) -> Option<OutgoingMessage> {
         if newcomer == self.own {
             return None;
         }
@@ -144,12 +154,12 @@
         if self.view.contains(newcomer) {
             return None;
         }
-        let replaced = match self.view.entries().len() < VIEW_LENGTH {
+        let introduced = match self.view.entries().len() < VIEW_LENGTH {
             true => Some(Descriptor::fresh(self.own)),
             false => self.view.take_random(&mut self.random),
         };
         self.view.add(Descriptor::fresh(newcomer));
-        replaced.map(|known| OutgoingMessage { to: newcomer, message: PeerMessage::Welcome(known) })
+        introduced.map(|known| OutgoingMessage { to: newcomer, message: PeerMessage::Welcome(known) })
     }
 
     fn next_hop(&mut self, newcomer: SocketAddr) -> Option<SocketAddr> {
@@ -164,6 +174,7 @@
     }
 }
 
+/// The first [`SHUFFLE_LENGTH`] descriptors.
 fn bounded(received: &[Descriptor]) -> &[Descriptor] {
     &received[..received.len().min(SHUFFLE_LENGTH)]
 }
--- a/crates/peers/tests/messages.rs
+++ b/crates/peers/tests/messages.rs
@@ -1,4 +1,4 @@
-//! One node and what others send it: bounds hold whatever comes.
+//! One node and the messages of others: its limits hold for arbitrary messages.
 
 use std::net::SocketAddr;
 
@@ -20,18 +20,18 @@
 }
 
 #[test]
-fn a_node_that_knows_nobody_asks_an_introducer() {
+fn empty_view_joins_at_an_introducer() {
     assert_eq!(node(&[]).begin_round(), []);
-    assert_eq!(node(&[0]).begin_round(), [], "it does not ask itself");
+    assert_eq!(node(&[0]).begin_round(), [], "it does not join at itself");
     assert_eq!(node(&[0, 4]).begin_round(), [OutgoingMessage { to: address(4), message: PeerMessage::Join }]);
 }
 
 #[test]
-fn the_oldest_peer_is_asked_and_is_gone_if_it_stays_silent() {
+fn silent_peer_is_removed_after_a_shuffle() {
     let mut node = node(&[]);
     node.receive(address(1), PeerMessage::Shuffle(descriptors([1])));
     node.begin_round();
-    assert!(node.view().is_empty(), "it was taken out for the exchange");
+    assert!(node.view().is_empty(), "the peer is removed during the exchange");
     node.receive(address(1), PeerMessage::ShuffleReply(descriptors([2])));
     assert!(node.view().contains(address(1)) && node.view().contains(address(2)));
     let first = node.begin_round();
@@ -42,21 +42,21 @@
 }
 
 #[test]
-fn an_answer_that_nobody_asked_for_is_ignored() {
+fn unexpected_shuffle_reply_is_ignored() {
     let mut node = node(&[]);
     node.receive(address(9), PeerMessage::ShuffleReply(descriptors([1, 2])));
     assert!(node.view().is_empty());
 }
 
 #[test]
-fn a_long_message_is_cut() {
+fn long_shuffle_is_truncated() {
     let mut node = node(&[]);
     node.receive(address(1), PeerMessage::Shuffle(descriptors(1..=200)));
     assert_eq!(node.view().entries().len(), SHUFFLE_LENGTH);
 }
 
 #[test]
-fn an_unreachable_peer_is_forgotten() {
+fn unreachable_peer_is_removed() {
     let mut node = node(&[]);
     node.receive(address(1), PeerMessage::Shuffle(descriptors([1])));
     node.mark_unreachable(address(1));
@@ -64,17 +64,17 @@
 }
 
 #[test]
-fn newcomers_are_introduced_a_few_a_round() {
+fn joins_per_round_are_limited() {
     let mut node = node(&[]);
-    let answered: Vec<bool> =
+    let introduced: Vec<bool> =
         (1..=10).map(|number| !node.receive(address(number), PeerMessage::Join).is_empty()).collect();
-    assert_eq!(answered.iter().filter(|answered| **answered).count(), 4);
+    assert_eq!(introduced.iter().filter(|introduced| **introduced).count(), 4);
     node.begin_round();
     assert!(!node.receive(address(9), PeerMessage::Join).is_empty());
 }
 
 #[test]
-fn messages_are_read_as_written() {
+fn messages_round_trip() {
     let messages = [
         PeerMessage::Shuffle(descriptors([1, 2])),
         PeerMessage::ShuffleReply(Vec::new()),
@@ -89,19 +89,19 @@
 }
 
 #[test]
-fn hostile_bytes_do_not_panic() {
+fn malformed_bytes_do_not_panic() {
     bolero::check!().for_each(|bytes: &[u8]| drop(minicbor::decode::<PeerMessage>(bytes)));
 }
 
 #[test]
-fn whatever_comes_the_view_stays_within_its_bounds() {
+fn view_limits_hold_for_arbitrary_messages() {
     bolero::check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|events| {
         let mut node = node(&[3, 4]);
         for (kind, from, value) in events {
-            let few = descriptors((0..value % 12).map(|index| index.wrapping_mul(*from)));
+            let received = descriptors((0..value % 12).map(|index| index.wrapping_mul(*from)));
             let sent = match kind % 7 {
-                0 => node.receive(address(*from), PeerMessage::Shuffle(few)),
-                1 => node.receive(address(*from), PeerMessage::ShuffleReply(few)),
+                0 => node.receive(address(*from), PeerMessage::Shuffle(received)),
+                1 => node.receive(address(*from), PeerMessage::ShuffleReply(received)),
                 2 => node.receive(address(*from), PeerMessage::Join),
                 3 => {
                     let newcomer = address(*value);
@@ -118,15 +118,15 @@
                 _ => node.begin_round(),
             };
             assert!(sent.len() <= VIEW_LENGTH + 1);
-            for one in sent {
-                if let PeerMessage::Walk { hops, .. } = one.message {
+            for outgoing in sent {
+                if let PeerMessage::Walk { hops, .. } = outgoing.message {
                     assert!(hops <= MAX_HOPS);
                 }
             }
-            let known: std::collections::BTreeSet<SocketAddr> =
+            let addresses: std::collections::BTreeSet<SocketAddr> =
                 node.view().entries().iter().map(|entry| entry.address).collect();
-            assert_eq!(known.len(), node.view().entries().len(), "each address once");
-            assert!(known.len() <= VIEW_LENGTH && !known.contains(&address(0)));
+            assert_eq!(addresses.len(), node.view().entries().len(), "no duplicate addresses");
+            assert!(addresses.len() <= VIEW_LENGTH && !addresses.contains(&address(0)));
         }
     });
 }
--- a/crates/peers/tests/overlay.rs
+++ b/crates/peers/tests/overlay.rs
@@ -1,4 +1,5 @@
-//! Many nodes in memory: the overlay stays connected when nodes join and when a third of them is gone.
+//! Many nodes in memory: the overlay stays connected while nodes join, and after nearly a third of them is
+//! removed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,8 +19,9 @@
 }
 
 impl Overlay {
-    /// Nodes that join one after the other, at three introducers, with a round after each ten.
-    fn grown(seed: u64) -> Self {
+    /// An overlay of nodes that join one after the other at three introducers, with a round after every ten
+    /// joins.
+    fn build(seed: u64) -> Self {
         let mut overlay =
             Self { nodes: BTreeMap::new(), random: fastrand::Rng::with_seed(seed), delivered: 0 };
         let introducers: Vec<SocketAddr> = (0..3).map(address).collect();
@@ -41,7 +43,8 @@
         }
     }
 
-    /// Every node begins a round, in random order; each message arrives before the next node begins.
+    /// Lets every node begin a round, in random order; all messages are delivered before the next node
+    /// begins.
     fn round(&mut self) {
         let mut order: Vec<SocketAddr> = self.nodes.keys().copied().collect();
         self.random.shuffle(&mut order);
@@ -51,26 +54,26 @@
         }
     }
 
-    /// Messages to nodes that are gone are lost.
+    /// Delivers messages and the replies to them. Messages to removed nodes are lost.
     fn deliver(&mut self, from: SocketAddr, sent: Vec<OutgoingMessage>) {
-        let mut waiting: VecDeque<(SocketAddr, OutgoingMessage)> =
-            sent.into_iter().map(|one| (from, one)).collect();
-        while let Some((from, OutgoingMessage { to, message })) = waiting.pop_front() {
+        let mut queue: VecDeque<(SocketAddr, OutgoingMessage)> =
+            sent.into_iter().map(|outgoing| (from, outgoing)).collect();
+        while let Some((from, OutgoingMessage { to, message })) = queue.pop_front() {
             let Some(node) = self.nodes.get_mut(&to) else { continue };
             self.delivered += 1;
-            waiting.extend(node.receive(from, message).into_iter().map(|one| (to, one)));
+            queue.extend(node.receive(from, message).into_iter().map(|outgoing| (to, outgoing)));
         }
     }
 
     fn remove_share(&mut self, share: f64) {
         let mut all: Vec<SocketAddr> = self.nodes.keys().copied().collect();
         self.random.shuffle(&mut all);
-        let gone = (all.len() as f64 * share) as usize;
-        all[..gone].iter().for_each(|address| drop(self.nodes.remove(address)));
+        let removed = (all.len() as f64 * share) as usize;
+        all[..removed].iter().for_each(|address| drop(self.nodes.remove(address)));
     }
 
-    /// Nodes that can be reached from the first one, over links in either direction between nodes that are there.
-    fn reached(&self) -> usize {
+    /// Number of nodes that are connected with the first one, over undirected links between present nodes.
+    fn connected_nodes(&self) -> usize {
         let mut links: BTreeMap<SocketAddr, BTreeSet<SocketAddr>> = BTreeMap::new();
         for (own, node) in &self.nodes {
             for entry in node.view().entries().iter().filter(|entry| self.nodes.contains_key(&entry.address))
@@ -79,20 +82,22 @@
                 links.entry(entry.address).or_default().insert(*own);
             }
         }
-        let mut seen: BTreeSet<SocketAddr> = self.nodes.keys().take(1).copied().collect();
-        let mut waiting: Vec<SocketAddr> = seen.iter().copied().collect();
-        while let Some(node) = waiting.pop() {
-            let known = links.get(&node).into_iter().flatten();
-            waiting.extend(known.filter(|other| seen.insert(**other)));
+        let mut visited: BTreeSet<SocketAddr> = self.nodes.keys().take(1).copied().collect();
+        let mut unexplored: Vec<SocketAddr> = visited.iter().copied().collect();
+        while let Some(node) = unexplored.pop() {
+            let neighbours = links.get(&node).into_iter().flatten();
+            unexplored.extend(neighbours.filter(|other| visited.insert(**other)));
         }
-        seen.len()
+        visited.len()
     }
 
+    /// Number of view entries that refer to removed nodes.
     fn dead_links(&self) -> usize {
         let entries = self.nodes.values().flat_map(|node| node.view().entries());
         entries.filter(|entry| !self.nodes.contains_key(&entry.address)).count()
     }
 
+    /// Number of views that each node is in.
     fn in_degrees(&self) -> BTreeMap<SocketAddr, usize> {
         let mut degrees: BTreeMap<SocketAddr, usize> = self.nodes.keys().map(|node| (*node, 0)).collect();
         for entry in self.nodes.values().flat_map(|node| node.view().entries()) {
@@ -103,9 +108,9 @@
 }
 
 #[test]
-fn nodes_that_join_become_one_overlay_with_even_views() {
-    let overlay = Overlay::grown(1);
-    assert_eq!(overlay.reached(), usize::from(NODES));
+fn joined_nodes_form_a_connected_overlay_with_full_views() {
+    let overlay = Overlay::build(1);
+    assert_eq!(overlay.connected_nodes(), usize::from(NODES));
     let degrees = overlay.in_degrees();
     assert!(degrees.values().all(|degree| (1..=4 * VIEW_LENGTH).contains(degree)), "{degrees:?}");
     let full = overlay.nodes.values().filter(|node| node.view().entries().len() >= VIEW_LENGTH - 2).count();
@@ -113,41 +118,41 @@
 }
 
 #[test]
-fn the_overlay_stays_connected_when_a_third_is_gone() {
+fn overlay_stays_connected_after_losing_30_percent() {
     for seed in 0..5 {
-        let mut overlay = Overlay::grown(seed);
+        let mut overlay = Overlay::build(seed);
         overlay.remove_share(0.3);
-        let left = overlay.nodes.len();
-        assert_eq!(overlay.reached(), left, "seed {seed}, at once");
+        let remaining = overlay.nodes.len();
+        assert_eq!(overlay.connected_nodes(), remaining, "seed {seed}, immediately");
         overlay.rounds(30);
-        assert_eq!(overlay.reached(), left, "seed {seed}, after 30 rounds");
+        assert_eq!(overlay.connected_nodes(), remaining, "seed {seed}, after 30 rounds");
         assert_eq!(overlay.dead_links(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_round_costs_a_node_two_messages() {
-    let mut overlay = Overlay::grown(3);
+fn round_costs_two_messages_per_node() {
+    let mut overlay = Overlay::build(3);
     overlay.delivered = 0;
     overlay.rounds(10);
     assert!(overlay.delivered <= u64::from(NODES) * 2 * 10, "{} messages", overlay.delivered);
 }
 
 #[test]
-fn random_peers_come_from_everywhere() {
-    let mut overlay = Overlay::grown(4);
+fn random_peers_cover_many_nodes() {
+    let mut overlay = Overlay::build(4);
     let own = address(7);
-    let mut seen = BTreeSet::new();
+    let mut peers = BTreeSet::new();
     for _ in 0..200 {
         overlay.round();
-        seen.extend(overlay.nodes.get_mut(&own).and_then(PeerSampler::random_peer));
+        peers.extend(overlay.nodes.get_mut(&own).and_then(PeerSampler::random_peer));
     }
-    assert!(seen.len() > 100, "{} different peers in 200 rounds", seen.len());
+    assert!(peers.len() > 100, "{} different peers in 200 rounds", peers.len());
 }
 
 #[test]
-fn walks_end() {
-    let mut overlay = Overlay::grown(5);
+fn walks_terminate() {
+    let mut overlay = Overlay::build(5);
     let newcomer = address(NODES + 1);
     overlay.delivered = 0;
     overlay.deliver(newcomer, vec![OutgoingMessage { to: address(9), message: PeerMessage::Join }]);
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -1,171 +1,174 @@
-//! What travels towards the data plane: configuration, roster of servers, grants, signs of life.
+//! Messages towards the data plane: configuration, server roster, quota grants and heartbeats.
 
 use minicbor::{Decode, Encode};
 
 use crate::FleetLoads;
 
-/// A message towards an agent or a proxy.
+/// A message to an agent or a proxy.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum FeedMessage {
-    /// A part of the newest configuration.
+    /// A chunk of the newest configuration.
     #[n(0)]
     Configuration(#[n(0)] ConfigurationChunk),
-    /// The roster of servers, whole or changed.
+    /// The full server roster, or changes to it.
     #[n(1)]
     Roster(#[n(0)] RosterUpdate),
-    /// Sign of life.
+    /// Liveness of the sender and freshness of its data.
     #[n(2)]
     Heartbeat(#[n(0)] Heartbeat),
-    /// What this node may use of budgets that all nodes share.
+    /// The receiving node's part of the quotas that all nodes share.
     #[n(3)]
     Grants(#[n(0)] GrantUpdate),
-    /// The control machines as now known.
+    /// All control machines that the sender knows.
     #[n(4)]
     Members(#[n(0)] Vec<ControlMember>),
-    /// Servers that several nodes found failing.
+    /// Servers that several nodes report as failing.
     #[n(5)]
     Suspicions(#[n(0)] Vec<ServerSuspicion>),
-    /// Requests of the fleet at servers.
+    /// Requests that all nodes together have in flight at the servers.
     #[n(6)]
     Loads(#[n(0)] FleetLoads),
 }
 
-/// A part of a configuration. Parts of one version come in order; the last one ends at `total_bytes`.
+/// A contiguous part of a configuration. The chunks of one version arrive in order; the last one ends at
+/// `total_bytes`.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationChunk {
     /// Version of the configuration.
     #[n(0)]
     pub version: u64,
-    /// Length of the whole configuration in bytes.
+    /// Length of the complete configuration in bytes.
     #[n(1)]
     pub total_bytes: u64,
-    /// Where this part begins.
+    /// Position of the first byte of this chunk in the configuration.
     #[n(2)]
     pub offset: u64,
-    /// The part's bytes: the operator's JSON as it was accepted.
+    /// Bytes of the operator's JSON, unchanged since it was accepted.
     #[cbor(n(3), with = "minicbor::bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// A position in the roster's change feed. Positions of one epoch are ordered by sequence; a new epoch begins with
-/// a whole roster.
+/// A position in the roster's change feed. Positions of one epoch are ordered by sequence; a new epoch begins
+/// with a full roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Encode, Decode)]
 pub struct RosterOffset {
-    /// Term of the leader that read the list.
+    /// Term of the leader that read the server list.
     #[n(0)]
     pub epoch: u64,
-    /// Number of changes since the epoch began.
+    /// Number of updates since the epoch began.
     #[n(1)]
     pub sequence: u64,
 }
 
-/// The roster of servers, whole or as changes that follow `base`.
+/// The full roster of servers, or the changes that follow `base`.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct RosterUpdate {
-    /// Where the reader has to stand for these changes; absent for a whole roster.
+    /// Position that the reader must be at to apply these changes; `None` for a full roster.
     #[n(0)]
     pub base: Option<RosterOffset>,
-    /// Where the reader stands afterwards.
+    /// Position of the reader after the update.
     #[n(1)]
     pub offset: RosterOffset,
-    /// New and changed servers.
+    /// Servers that are new or changed.
     #[n(2)]
     pub changed: Vec<ServerEntry>,
-    /// Ids of servers that are gone.
+    /// Ids of removed servers.
     #[n(3)]
     pub removed: Vec<String>,
 }
 
-/// A server as the platform's list tells of it.
+/// A server as described by the platform's server list.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ServerEntry {
-    /// Incarnation of the server: new with each start.
+    /// Identity of one run of the server: each start has a new id.
     #[n(0)]
     pub id: String,
-    /// Name of its service.
+    /// Name of the service that the server belongs to.
     #[n(1)]
     pub service: String,
-    /// Address and port.
+    /// IP address and port.
     #[n(2)]
     pub address: String,
-    /// Zone it is in.
+    /// Zone of the server.
     #[n(3)]
     pub zone: String,
-    /// How many requests it works on at once.
+    /// Number of requests that the server processes concurrently.
     #[n(4)]
     pub slots: u32,
-    /// Whether new requests may be sent to it; false while it drains.
+    /// Whether the server accepts new requests; false while it drains.
     #[n(5)]
     pub ready: bool,
-    /// For how long it stays slow after its start, in milliseconds from when the list was read.
+    /// Remaining time of the server's slow start, in milliseconds from the time the list was read.
     #[n(6)]
     pub cold_remaining_ms: u64,
-    /// Version of its software.
+    /// Version of the server's software.
     #[n(7)]
     pub software_version: String,
-    /// Version of the model's weights, if the list tells it.
+    /// Version of the model's weights; `None` if the list does not state it.
     #[n(8)]
     pub weights_version: Option<u64>,
 }
 
-/// Sign of life of the sender, with how far what it feeds can be trusted.
+/// Sent periodically to show that the sender is alive, and how fresh the data is that it feeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
-    /// Age in milliseconds of the sender's last proof that its state is current: 0 at a leader that holds its
-    /// lease, otherwise the time since such a leader was heard.
+    /// Time in milliseconds since the sender's state was last confirmed as current: 0 at a leader that holds
+    /// its lease, otherwise the time since the last contact with such a leader.
     #[n(0)]
     pub confirmed_age_ms: u64,
-    /// Version of the newest configuration the sender knows to be committed; 0 for none.
+    /// Newest version of the configuration that the sender knows to be committed; 0 for none.
     #[n(1)]
     pub configuration_version: u64,
-    /// Where the sender's roster stands.
+    /// Position of the sender's roster.
     #[n(2)]
     pub roster: RosterOffset,
-    /// Age in milliseconds of the roster: time since the platform's list was last read.
+    /// Time in milliseconds since the roster was last read from the platform's server list.
     #[n(3)]
     pub roster_age_ms: u64,
 }
 
-/// Parts of shared budgets, valid for a short time. A node whose grants have run out falls back to its floor.
+/// The receiving node's parts of shared quotas, valid for a short time. A node whose grants have expired
+/// falls back to its floor.
 #[derive(Debug, Clone, PartialEq, Default, Encode, Decode)]
 pub struct GrantUpdate {
-    /// For how long the grants hold, in milliseconds, counted from when the node made the report that they answer.
+    /// Lifetime of the grants in milliseconds, counted from the time of the node's report that they answer.
     #[n(0)]
     pub valid_ms: u64,
-    /// Proxies that the budgets are divided among: the floor of each is one part in this many.
+    /// Number of proxies that share the quotas; the floor of each proxy is the quota divided by this number.
     #[n(1)]
     pub node_count: u32,
     /// Version of the configuration that the grants were computed for.
     #[n(2)]
     pub configuration_version: u64,
-    /// One entry for each tenant that the node has told of. Of all others it may let a few requests pass before it tells
-    /// of them.
+    /// One grant for each tenant that the node has reported. The node may admit a few requests of any other
+    /// tenant before it reports that tenant.
     #[n(3)]
     pub tenants: Vec<TenantGrant>,
-    /// Tenants that ask for more than their quota in the whole fleet.
+    /// Tenants whose demand over all nodes exceeds their quota.
     #[n(4)]
     pub throttled: Vec<ThrottledTenant>,
-    /// Term of the leader that grants. A node that has seen a newer one refuses the grants.
+    /// Term of the granting leader. A node that has seen a newer term rejects the grants.
     #[n(5)]
     pub term: u64,
-    /// Number of the grants within the term, rising; the node tells which it has taken.
+    /// Sequence number of the update within the term, increasing; the node reports the last one it applied.
     #[n(7)]
     pub round: u64,
-    /// [`NodeDemand::uptime_ms`](crate::NodeDemand::uptime_ms) of the last report that the leader has taken in.
+    /// [`NodeDemand::uptime_ms`](crate::NodeDemand::uptime_ms) of the node's last report that the leader
+    /// processed.
     #[n(8)]
     pub report_uptime_ms: u64,
-    /// A new leader asks for what passed in the window; nothing is granted by this message.
+    /// Whether a new leader requests the history of admitted units; such a message grants nothing.
     #[n(6)]
     pub requests_history: bool,
 }
 
-/// A tenant that asks for more than its quota.
+/// A tenant whose demand exceeds its quota.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct ThrottledTenant {
     /// Name of the tenant.
     #[n(0)]
     pub tenant: String,
-    /// Part of its requests that may pass, 0 to 1.
+    /// Fraction of its requests to admit, 0 to 1.
     #[n(1)]
     pub pass_share: f64,
 }
@@ -176,28 +179,28 @@
     /// Name of the tenant.
     #[n(0)]
     pub tenant: String,
-    /// The sum of units (tokens or requests) let pass since the proxy's start up to which it may go on.
+    /// Total of units (tokens or requests) that the proxy may have admitted since it started.
     #[n(1)]
     pub ceiling: f64,
-    /// Units by which this node may exceed the ceiling while grants come. Beyond `reserved` only as many requests pass as
-    /// `pass_share` says.
+    /// Units by which this node may exceed the ceiling while it receives grants. Beyond `reserved` only the
+    /// fraction `pass_share` of the requests is admitted.
     #[n(2)]
     pub overdraft: f64,
-    /// Units a second that the ceiling rises by at present demand.
+    /// Units per second by which the ceiling rises at the present demand.
     #[n(3)]
     pub rate_per_s: f64,
-    /// The start of the proxy that the ceiling was computed for; it means nothing to another.
+    /// Incarnation of the proxy that the ceiling was computed for; after a restart the grant does not apply.
     #[n(4)]
     pub incarnation: u64,
-    /// Part of the requests beyond the ceiling that may pass, 0 to 1, so that the sum over all nodes keeps the quota
-    /// while grants come.
+    /// Fraction of the requests beyond the ceiling to admit, 0 to 1, chosen so that all nodes together keep
+    /// the quota while grants arrive.
     #[n(5)]
     pub pass_share: f64,
-    /// Units kept for this node alone, though not issued to it: what it may use beyond its ceiling without harm, also
-    /// once no more grants come.
+    /// Units reserved for this node alone, though not issued to it. The node may exceed its ceiling by them
+    /// even after grants have stopped arriving, without exceeding the quota.
     #[n(6)]
     pub reserved: f64,
-    /// What the node let pass since its start as far as the leader has taken it in, in units.
+    /// Units admitted since the node's start that the leader has accounted for.
     #[n(7)]
     pub acknowledged: f64,
 }
@@ -205,24 +208,24 @@
 /// A control machine.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ControlMember {
-    /// Address for internal connections.
+    /// IP address and port for internal connections.
     #[n(0)]
     pub internal_address: String,
-    /// Zone it is in.
+    /// Zone of the machine.
     #[n(1)]
     pub zone: String,
 }
 
-/// A server that fails requests, by what several nodes have reported.
+/// A server that fails requests, according to the reports of several nodes.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct ServerSuspicion {
     /// Id of the server.
     #[n(0)]
     pub server: String,
-    /// Part of the lately reported requests that failed, 0 to 1.
+    /// Fraction of the recently reported requests that failed, 0 to 1.
     #[n(1)]
     pub failed_share: f32,
-    /// Nodes that reported failures.
+    /// Number of nodes that reported failures.
     #[n(2)]
     pub reporters: u32,
 }
--- a/crates/protocol/src/hello.rs
+++ b/crates/protocol/src/hello.rs
@@ -1,11 +1,11 @@
-//! The first message of every internal connection.
+//! Handshake: the first message of every internal connection.
 
 use minicbor::{Decode, Encode};
 
-/// Format of the internal protocol. A peer with another one is refused.
+/// Version of the internal protocol. A peer with another version is refused.
 pub const PROTOCOL_VERSION: u32 = 3;
 
-/// What a connection is used for.
+/// Purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum LinkKind {
@@ -23,19 +23,19 @@
     ReplicaBulk,
 }
 
-/// Opens a connection.
+/// Identifies the node that opens a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Hello {
     /// [`PROTOCOL_VERSION`] of the sender.
     #[n(0)]
     pub protocol_version: u32,
-    /// What the connection is for.
+    /// Purpose of the connection.
     #[n(1)]
     pub link: LinkKind,
     /// Name of the sending node.
     #[n(2)]
     pub node: String,
-    /// Address of the sending machine.
+    /// IP address of the sending machine.
     #[n(3)]
     pub ip: String,
     /// Zone of the sending machine.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,13 +1,14 @@
 //! Messages between the programs of the fleet, and their framing; no I/O.
 //!
-//! Two links use them:
+//! They are used on two kinds of connection:
 //!
-//! - agent to control, over TCP to a control machine's first internal port: [`AgentMessage`] one way,
-//!   [`FeedMessage`] the other;
-//! - proxy to agent, over TCP on one machine: [`ProxyMessage`] one way, [`FeedMessage`] the other.
+//! - agent to control, over TCP to a control machine's first internal port: [`AgentMessage`] in one
+//!   direction, [`FeedMessage`] in the other;
+//! - proxy to agent, over TCP on one machine: [`ProxyMessage`] in one direction, [`FeedMessage`] in the
+//!   other.
 //!
-//! Every connection begins with a [`Hello`] from its opener, which names the kind of link.
-//! A message is CBOR behind a length of four bytes, little endian ([`frame`]).
+//! Every connection begins with a [`Hello`] from the node that opened it, which states the purpose of the
+//! connection. A message is encoded as CBOR with a length prefix of four bytes, little endian ([`frame`]).
 
 #![forbid(unsafe_code)]
 
--- a/crates/protocol/src/load.rs
+++ b/crates/protocol/src/load.rs
@@ -1,4 +1,5 @@
-//! How many requests of the fleet are at each server: told by each node, summed up by the leader, told to all nodes.
+//! Requests in flight at each server: reported by each node, summed by the leader and distributed to all
+//! nodes.
 
 use std::collections::BTreeMap;
 
@@ -7,58 +8,61 @@
 
 use crate::RosterOffset;
 
-/// Requests of one node that are at servers.
+/// Requests that one node has in flight, by server.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Encode, Decode)]
 pub struct NodeLoads {
-    /// Whether a server that is not named has none; otherwise what was told of it before stands.
+    /// Whether the report is complete: servers without an entry then have no requests. Otherwise they keep
+    /// their last reported load.
     #[n(0)]
     pub is_full: bool,
-    /// One entry a server.
+    /// One entry per server.
     #[n(1)]
     pub servers: Vec<ServerLoad>,
 }
 
-/// Requests of one node at one server.
+/// Requests that one node has in flight at one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct ServerLoad {
-    /// [`server_key`] of its id.
+    /// [`server_key`] of the server's id.
     #[n(0)]
     pub server_key: u32,
-    /// Requests sent there and not ended.
+    /// Number of requests that were sent and have not ended.
     #[n(1)]
     pub in_flight: u32,
-    /// Prompt tokens to be read for those of them that have not begun, in units of [`PROMPT_UNIT_TOKENS`].
+    /// Prompt tokens of those requests that the server has not begun to process, in units of
+    /// [`PROMPT_UNIT_TOKENS`].
     #[n(2)]
     pub pending_prompt_units: u32,
 }
 
-/// Unit in which prompt tokens to be read are told.
+/// Number of prompt tokens per unit of pending prompt in [`ServerLoad`] and [`FleetLoads`].
 pub const PROMPT_UNIT_TOKENS: u32 = 512;
 
-/// Requests of all nodes at a run of servers.
+/// Requests that all nodes together have in flight at a range of servers.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct FleetLoads {
-    /// The roster whose servers are meant.
+    /// Position of the roster that the servers are taken from.
     #[n(0)]
     pub roster: RosterOffset,
-    /// Position of the first of them, in the order of ids.
+    /// Index of the first server of the range, in the roster's order of ids.
     #[n(1)]
     pub first_server: u32,
-    /// Requests at each server from there on; 255 stands for that many or more.
+    /// Requests in flight at each server of the range; 255 means 255 or more.
     #[cbor(n(2), with = "minicbor::bytes")]
     pub in_flight: Vec<u8>,
-    /// Prompt tokens to be read at each of them, in units of [`PROMPT_UNIT_TOKENS`]; 255 stands for that many or more.
+    /// Pending prompt tokens at each server of the range, in units of [`PROMPT_UNIT_TOKENS`]; 255 means 255
+    /// or more.
     #[cbor(n(3), with = "minicbor::bytes")]
     pub pending_prompt_units: Vec<u8>,
 }
 
-/// What names a server in [`ServerLoad`]: a hash of its id. Two servers with the same key share their sum.
+/// Key of a server in [`ServerLoad`]: a hash of its id. Servers whose keys collide share one sum.
 pub fn server_key(id: &str) -> u32 {
     xxh3_64(id.as_bytes()) as u32
 }
 
 impl NodeLoads {
-    /// Adds what the same node told later.
+    /// Merges a later report of the same node into this one.
     pub fn merge(&mut self, later: Self) {
         if later.is_full {
             *self = later;
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Framing: what is written is read, in pieces too; nothing hostile panics.
+//! Framing: messages survive a round trip, also when split into single bytes; malformed input does not panic.
 
 use bytes::BytesMut;
 use dunelink_protocol::{
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn messages_arrive_as_sent_however_the_bytes_are_cut() {
-    let mut whole = BytesMut::new();
-    encode(&chunk(), &mut whole);
-    encode(&chunk(), &mut whole);
+fn messages_decode_when_bytes_arrive_one_by_one() {
+    let mut sent = BytesMut::new();
+    encode(&chunk(), &mut sent);
+    encode(&chunk(), &mut sent);
     let mut received = BytesMut::new();
     let mut messages = Vec::new();
-    for byte in whole.iter().copied() {
+    for byte in sent.iter().copied() {
         received.extend_from_slice(&[byte]);
         if let Some(message) = decode::<FeedMessage>(&mut received).expect("well-formed") {
             messages.push(message);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn both_directions_round_trip() {
+fn agent_messages_round_trip() {
     let demand = vec![TenantDemand {
         tenant: "a".into(),
         rate_per_s: 12.5,
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn an_oversized_length_is_refused_before_its_bytes_come() {
+fn oversized_length_is_refused_before_the_body_arrives() {
     let mut buffer = BytesMut::from(&[0xff, 0xff, 0xff, 0x7f][..]);
     assert!(matches!(decode::<FeedMessage>(&mut buffer), Err(FrameError::TooLarge(_))));
 }
 
 #[test]
-fn hostile_bytes_do_not_panic() {
+fn malformed_bytes_do_not_panic() {
     bolero::check!().with_iterations(20_000).for_each(|bytes: &[u8]| {
         let mut buffer = BytesMut::from(bytes);
         while let Ok(Some(_)) = decode::<FeedMessage>(&mut buffer) {}
--- a/crates/shards/src/lib.rs
+++ b/crates/shards/src/lib.rs
@@ -1,9 +1,11 @@
-//! Which shard of the control state a service belongs to, and who serves the shard; no I/O.
+//! Sharding of the control state: the shard of each service, and the replicas and owner of each shard; no
+//! I/O.
 //!
-//! Services are spread over a fixed number of shards by a hash of their names. Shard 0 holds the configuration and no
-//! service. Every member works out the same [`Assignment`] from the same list of members: the replicas of a shard by
-//! rendezvous hashing (Thaler and Ravishankar, 1998), spread over zones first, and out of these a preferred owner, by
-//! matching with a limit for each member (Gale and Shapley, 1962) so that owners are even. After a change of members
+//! Services are distributed over a fixed number of shards by a hash of their names. Shard 0 has the
+//! configuration and no services. Every member computes the same [`Assignment`] from the same list of
+//! members: the replicas of a shard by rendezvous hashing (Thaler and Ravishankar, 1998), distributed over
+//! zones first, and one of the replicas as preferred owner, by stable matching with a capacity per member
+//! (Gale and Shapley, 1962), so that all members own about equally many shards. After a membership change
 //! [`Assignment::rebalanced`] keeps most owners.
 //!
 //! ```
--- a/crates/shards/src/rendezvous.rs
+++ b/crates/shards/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Members in the order in which a shard prefers them.
+//! Rendezvous hashing: the order in which a shard prefers members.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use crate::assignment::{Member, MemberId};
 use crate::shard::ShardId;
 
-/// The seed of the hash that ranks members. All members must use the same one.
+/// Seed of the hash that ranks members. All members must use the same seed.
 const RANK_SEED: u64 = 0x0000_0072_616e_6b73;
 
-/// How much a shard prefers a member: the highest weight comes first.
+/// Rendezvous weight of a member for a shard; the member with the highest weight is preferred.
 pub(crate) fn weight(shard: ShardId, member: MemberId) -> u64 {
     let mut bytes = [0; 12];
     bytes[..4].copy_from_slice(&shard.0.to_le_bytes());
@@ -18,38 +18,39 @@
     xxh3_64_with_seed(&bytes, RANK_SEED)
 }
 
-/// The places in `members` of the replicas of a shard: the one with the highest weight, then each time the highest
-/// among the members of the zones used least.
-pub(crate) fn choose(shard: ShardId, members: &[Member], replicas: usize) -> Vec<usize> {
-    let mut left = ranked(shard, members);
-    let mut used: BTreeMap<&str, usize> = BTreeMap::new();
+/// Indices in `members` of the replicas of a shard: the member with the highest weight, then repeatedly the
+/// member with the highest weight among the zones with the fewest replicas so far.
+pub(crate) fn choose(shard: ShardId, members: &[Member], replica_count: usize) -> Vec<usize> {
+    let mut remaining = ranked(shard, members);
+    let mut replicas_by_zone: BTreeMap<&str, usize> = BTreeMap::new();
     let mut chosen = Vec::new();
-    while chosen.len() < replicas && !left.is_empty() {
-        let place = next(&left, members, &used);
-        let member = left.remove(place);
-        *used.entry(&members[member].zone).or_default() += 1;
+    while chosen.len() < replica_count && !remaining.is_empty() {
+        let next = next_replica(&remaining, members, &replicas_by_zone);
+        let member = remaining.remove(next);
+        *replicas_by_zone.entry(&members[member].zone).or_default() += 1;
         chosen.push(member);
     }
     chosen
 }
 
-/// The first of those left whose zone is used least.
-fn next(left: &[usize], members: &[Member], used: &BTreeMap<&str, usize>) -> usize {
-    let uses = |member: usize| used.get(members[member].zone.as_str()).copied().unwrap_or(0);
+/// Index in `remaining` of the first member whose zone has the fewest replicas.
+fn next_replica(remaining: &[usize], members: &[Member], replicas_by_zone: &BTreeMap<&str, usize>) -> usize {
+    let replicas = |member: usize| replicas_by_zone.get(members[member].zone.as_str()).copied().unwrap_or(0);
     let mut best = 0;
-    for place in 1..left.len() {
-        if uses(left[place]) < uses(left[best]) {
-            best = place;
+    for candidate in 1..remaining.len() {
+        if replicas(remaining[candidate]) < replicas(remaining[best]) {
+            best = candidate;
         }
     }
     best
 }
 
+/// Indices of all members, the most preferred first.
 fn ranked(shard: ShardId, members: &[Member]) -> Vec<usize> {
-    let mut places: Vec<usize> = (0..members.len()).collect();
-    places.sort_by_key(|place| {
-        let id = members[*place].id;
+    let mut indices: Vec<usize> = (0..members.len()).collect();
+    indices.sort_by_key(|index| {
+        let id = members[*index].id;
         (std::cmp::Reverse(weight(shard, id)), id)
     });
-    places
+    indices
 }
--- a/crates/shards/tests/assignment.rs
+++ b/crates/shards/tests/assignment.rs
@@ -1,4 +1,5 @@
-//! Replicas are spread over zones, owners are even, and a change of members moves few.
+//! Replicas are distributed over zones, members own about equally many shards, and a membership change moves
+//! few.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,12 +20,12 @@
     members.iter().map(|member| owned(member.id)).collect()
 }
 
-fn spread(loads: &[usize]) -> usize {
+fn load_range(loads: &[usize]) -> usize {
     loads.iter().max().unwrap() - loads.iter().min().unwrap()
 }
 
 #[test]
-fn every_shard_has_distinct_replicas_and_an_owner_among_them() {
+fn owner_is_one_of_distinct_replicas() {
     for count in 1..12 {
         let members = members(count, 4);
         let assignment = Assignment::new(&members, SHARDS, 3);
@@ -39,43 +40,43 @@
 }
 
 #[test]
-fn replicas_are_in_as_many_zones_as_there_are() {
+fn replicas_are_distributed_over_all_zones() {
     for (count, zones, replicas) in [(3, 3, 3), (9, 3, 3), (17, 10, 5), (6, 2, 3), (7, 3, 5)] {
         let members = members(count, zones);
         let zone_of: BTreeMap<_, _> = members.iter().map(|member| (member.id, &member.zone)).collect();
         let assignment = Assignment::new(&members, SHARDS, replicas);
         for shard in assignment.shards() {
-            let mut uses: BTreeMap<_, usize> = BTreeMap::new();
+            let mut replicas_by_zone: BTreeMap<_, usize> = BTreeMap::new();
             for replica in assignment.replicas(shard) {
-                *uses.entry(zone_of[replica]).or_default() += 1;
+                *replicas_by_zone.entry(zone_of[replica]).or_default() += 1;
             }
-            assert_eq!(uses.len() as u64, zones.min(replicas as u64), "{count} members");
-            assert!(uses.values().all(|uses| *uses <= replicas.div_ceil(zones as usize)));
+            assert_eq!(replicas_by_zone.len() as u64, zones.min(replicas as u64), "{count} members");
+            assert!(replicas_by_zone.values().all(|count| *count <= replicas.div_ceil(zones as usize)));
         }
     }
 }
 
 #[test]
-fn owners_are_even_to_within_one_if_all_members_hold_all_shards() {
+fn loads_differ_by_at_most_one_with_full_replication() {
     for count in 1..=7 {
         let members = members(count, 3);
         let assignment = Assignment::new(&members, SHARDS, count as usize);
         let loads = loads(&assignment, &members);
-        assert!(spread(&loads) <= 1, "{loads:?}");
+        assert!(load_range(&loads) <= 1, "{loads:?}");
     }
 }
 
 #[test]
-fn owners_are_even_in_larger_groups_too() {
+fn loads_differ_by_at_most_two_with_partial_replication() {
     for (count, zones) in [(5, 3), (9, 3), (12, 4), (17, 10)] {
         let members = members(count, zones);
         let loads = loads(&Assignment::new(&members, SHARDS, 3), &members);
-        assert!(spread(&loads) <= 2, "{count} members: {loads:?}");
+        assert!(load_range(&loads) <= 2, "{count} members: {loads:?}");
     }
 }
 
 #[test]
-fn the_order_of_the_members_and_repeated_ones_do_not_matter() {
+fn member_order_and_duplicates_are_ignored() {
     let mut members = members(9, 3);
     let assignment = Assignment::new(&members, SHARDS, 3);
     members.reverse();
@@ -84,64 +85,66 @@
 }
 
 #[test]
-fn without_members_there_is_no_owner() {
+fn no_members_means_no_owner() {
     let assignment = Assignment::new(&[], 2, 3);
     assert_eq!(assignment.owner(CONFIGURATION_SHARD), None);
     assert!(assignment.replicas(ShardId(1)).is_empty());
     assert_eq!(assignment.owner(ShardId(9)), None);
 }
 
-/// Places of replicas that differ, and owners that differ, out of all.
-fn moved(before: &Assignment, after: &Assignment) -> (f64, f64) {
+/// Fraction of the replicas and fraction of the owners that differ between two assignments.
+fn moved_fractions(before: &Assignment, after: &Assignment) -> (f64, f64) {
     let mut replicas = 0;
     let mut owners = 0;
     for shard in before.shards() {
-        let kept = after.replicas(shard);
-        replicas += before.replicas(shard).iter().filter(|replica| !kept.contains(replica)).count();
+        let new_replicas = after.replicas(shard);
+        replicas += before.replicas(shard).iter().filter(|replica| !new_replicas.contains(replica)).count();
         owners += usize::from(before.owner(shard) != after.owner(shard));
     }
     let shards = before.shards().count() as f64;
     (replicas as f64 / (shards * before.replicas(CONFIGURATION_SHARD).len() as f64), owners as f64 / shards)
 }
 
-/// A member holds its part of the replicas and of the owners; no change of one member moves more than twice that.
+/// Adding or removing one of `count` members moves at most twice its even share `1 / count` of replicas and
+/// owners.
 #[test]
-fn a_change_of_one_member_moves_few() {
+fn change_of_one_member_moves_few() {
     for (count, zones, replicas) in [(3, 3, 3), (5, 5, 3), (9, 3, 3), (12, 4, 3), (17, 10, 5)] {
         let all = members(count, zones);
         let before = Assignment::new(&all, SHARDS, replicas);
-        let part = 1.0 / count as f64;
-        for place in 0..all.len() {
+        let even_share = 1.0 / count as f64;
+        for index in 0..all.len() {
             let mut fewer = all.clone();
-            fewer.remove(place);
-            let (replicas_moved, owners_moved) = moved(&before, &before.rebalanced(&fewer, replicas));
-            assert!(replicas_moved <= 2.0 * part, "{count}: {replicas_moved:.2} of the replicas");
-            assert!(owners_moved <= 2.0 * part, "{count}: {owners_moved:.2} of the owners");
+            fewer.remove(index);
+            let (replicas_moved, owners_moved) =
+                moved_fractions(&before, &before.rebalanced(&fewer, replicas));
+            assert!(replicas_moved <= 2.0 * even_share, "{count}: {replicas_moved:.2} of the replicas");
+            assert!(owners_moved <= 2.0 * even_share, "{count}: {owners_moved:.2} of the owners");
         }
         let more = [all.as_slice(), &[member(count, zones)]].concat();
-        let (replicas_moved, owners_moved) = moved(&before, &before.rebalanced(&more, replicas));
-        assert!(replicas_moved <= 2.0 * part, "{count}: {replicas_moved:.2} of the replicas");
-        assert!(owners_moved <= 2.0 * part, "{count}: {owners_moved:.2} of the owners");
+        let (replicas_moved, owners_moved) = moved_fractions(&before, &before.rebalanced(&more, replicas));
+        assert!(replicas_moved <= 2.0 * even_share, "{count}: {replicas_moved:.2} of the replicas");
+        assert!(owners_moved <= 2.0 * even_share, "{count}: {owners_moved:.2} of the owners");
     }
 }
 
 #[test]
-fn owners_stay_even_over_many_changes() {
-    let mut present = members(9, 3);
-    let mut assignment = Assignment::new(&present, SHARDS, 3);
+fn loads_stay_balanced_over_many_changes() {
+    let mut current = members(9, 3);
+    let mut assignment = Assignment::new(&current, SHARDS, 3);
     for change in 0..40 {
-        // One is replaced by a new one in another zone at times, and then one leaves or comes.
-        present.remove(change * 5 % present.len());
-        present.push(member(100 + change as u64, 3));
+        // Replaces a member, sometimes in another zone; in some rounds another member leaves or joins.
+        current.remove(change * 5 % current.len());
+        current.push(member(100 + change as u64, 3));
         if change % 4 == 1 {
-            present.pop();
+            current.pop();
         }
         if change % 4 == 3 {
-            present.push(member(200 + change as u64, 3));
+            current.push(member(200 + change as u64, 3));
         }
-        assignment = assignment.rebalanced(&present, 3);
-        let loads = loads(&assignment, &present);
-        assert!(spread(&loads) <= 2, "change {change}: {loads:?}");
+        assignment = assignment.rebalanced(&current, 3);
+        let loads = loads(&assignment, &current);
+        assert!(load_range(&loads) <= 2, "change {change}: {loads:?}");
         for shard in assignment.shards() {
             assert!(assignment.replicas(shard).contains(&assignment.owner(shard).unwrap()));
         }
@@ -149,7 +152,7 @@
 }
 
 #[test]
-fn a_change_of_nothing_moves_nothing() {
+fn rebalancing_unchanged_members_moves_nothing() {
     for count in [1, 3, 9, 17] {
         let members = members(count, 4);
         let assignment = Assignment::new(&members, SHARDS, 3);
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn any_members_are_assigned() {
+fn arbitrary_members_get_all_replicas() {
     bolero::check!().with_iterations(300).with_type::<(Vec<(u8, u8)>, u8, u8)>().for_each(
         |(members, shards, replicas)| {
             let members: Vec<_> = members
--- a/crates/storage/src/checkpoint.rs
+++ b/crates/storage/src/checkpoint.rs
@@ -1,4 +1,4 @@
-//! What is stored, without the contents of entries and snapshots.
+//! State of the store, without the contents of entries and snapshots.
 
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
@@ -6,67 +6,67 @@
 use crate::error::StorageError;
 use crate::frame::PREFIX_BYTES;
 
-/// The file of a snapshot, as named by a frame that was written after it.
+/// Reference to a snapshot file, stored in a frame that is written after the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct SnapshotReference {
-    /// The number in its name.
+    /// The file number.
     #[n(0)]
     pub(crate) number: u64,
-    /// The last entry that it covers.
+    /// Index of the last entry that the snapshot covers.
     #[n(1)]
     pub(crate) index: u64,
-    /// The length of its contents, in bytes.
+    /// Length of the snapshot in bytes, without the file prefix.
     #[n(2)]
     pub(crate) length: u64,
-    /// The checksum of its contents.
+    /// CRC-32 of the snapshot.
     #[n(3)]
     pub(crate) checksum: u32,
 }
 
 impl SnapshotReference {
-    /// The length of its file, in bytes.
+    /// Length of the file in bytes.
     pub(crate) fn file_bytes(&self) -> u64 {
         PREFIX_BYTES as u64 + self.length
     }
 
-    /// True if the other one is of the same contents, whatever its file.
-    pub(crate) fn has_contents_of(&self, other: &Self) -> bool {
+    /// Whether both refer to the same snapshot contents, possibly in different files.
+    pub(crate) fn has_same_contents(&self, other: &Self) -> bool {
         let Self { number: _, index, length, checksum } = *other;
         (self.index, self.length, self.checksum) == (index, length, checksum)
     }
 }
 
-/// The state at one place in the log; each segment's header holds one.
+/// State of the store at one position in the log; the header of each segment has one.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Checkpoint {
-    /// The first entry kept.
+    /// Index of the first retained entry.
     #[n(0)]
     pub(crate) first: u64,
-    /// The last entry; one below `first` if there is none.
+    /// Index of the last entry; `first - 1` if there are no entries.
     #[n(1)]
     pub(crate) last: u64,
-    /// The lowest number of a segment that is still needed.
+    /// Number of the oldest segment that is still needed.
     #[n(2)]
-    pub(crate) floor: u64,
-    /// Something durable was lost, and the store was not wiped since.
+    pub(crate) oldest_segment: u64,
+    /// Whether durable data was lost and the store has not been wiped since.
     #[n(3)]
     pub(crate) damaged: bool,
-    /// The latest metadata.
+    /// The latest metadata; `None` if none was written.
     #[n(4)]
     pub(crate) metadata: Option<ByteVec>,
-    /// The snapshot in use.
+    /// The current snapshot; `None` if there is none.
     #[n(5)]
     pub(crate) snapshot: Option<SnapshotReference>,
 }
 
 impl Checkpoint {
-    /// Nothing is stored.
-    pub(crate) fn empty(floor: u64) -> Self {
-        Self { first: 1, last: 0, floor, damaged: false, metadata: None, snapshot: None }
+    /// The state of an empty store.
+    pub(crate) fn empty(oldest_segment: u64) -> Self {
+        Self { first: 1, last: 0, oldest_segment, damaged: false, metadata: None, snapshot: None }
     }
 
-    /// The last entry covered by the snapshot; 0 without one.
-    pub(crate) fn covered(&self) -> u64 {
+    /// Index of the last entry that the snapshot covers; 0 without a snapshot.
+    pub(crate) fn snapshot_index(&self) -> u64 {
         self.snapshot.map_or(0, |snapshot| snapshot.index)
     }
 
@@ -88,7 +88,7 @@
     }
 
     pub(crate) fn release(&mut self, through: u64) -> Result<(), StorageError> {
-        let covered = self.covered();
+        let covered = self.snapshot_index();
         if through > covered {
             return Err(StorageError::ReleasesUncovered { through, covered });
         }
@@ -97,7 +97,7 @@
     }
 
     pub(crate) fn set_snapshot(&mut self, snapshot: SnapshotReference) -> Result<(), StorageError> {
-        let newest = self.covered();
+        let newest = self.snapshot_index();
         if snapshot.index < newest {
             return Err(StorageError::OlderSnapshot { index: snapshot.index, newest });
         }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,88 +1,90 @@
-//! Why the store refused or failed.
+//! Errors of the store.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why a batch is not durable, or the store can't be opened. After an error of `apply` the store is as before the
-/// batch, and the batch may be applied again.
+/// Reason why a batch was not applied, or the store can't be opened. After an error of
+/// [`LogStore::apply`](crate::LogStore::apply) the store is unchanged, and the batch may be applied again.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// The disk failed.
+    /// A disk operation failed.
     #[error("{action} {file} failed: {source}; check the disk's space and state, then apply the batch again")]
     Disk {
-        /// What was tried.
+        /// The failed operation.
         action: &'static str,
-        /// The file, or the folder.
+        /// Name of the file, or a description of the folder.
         file: String,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The batch would take the files above the configured limit.
+    /// The batch would exceed the configured disk limit.
     #[error(
-        "{needed} bytes of disk would be in use, {limit} are allowed; take a snapshot and release entries"
+        "disk usage would be {needed} bytes, above the limit of {limit}; take a snapshot and release entries"
     )]
     OverLimit {
-        /// Bytes in use with the batch.
+        /// Disk usage with the batch, in bytes.
         needed: u64,
-        /// Bytes allowed for such a batch.
+        /// Limit for such a batch, in bytes.
         limit: u64,
     },
-    /// A batch is too large for one frame.
+    /// The batch is too large for one frame.
     #[error("a batch of {bytes} bytes does not fit in one frame; split it")]
     BatchTooLarge {
-        /// Its length in bytes.
+        /// Length of the encoded batch in bytes.
         bytes: u64,
     },
-    /// An entry does not follow the last one.
-    #[error("entry {index} does not follow; append entry {expected}, or truncate first")]
+    /// An appended entry does not follow the last entry.
+    #[error("entry {index} does not follow the last entry; append entry {expected}, or truncate first")]
     NotContiguous {
-        /// The index given.
+        /// Index of the appended entry.
         index: u64,
-        /// The index that would follow.
+        /// Index of the next entry.
         expected: u64,
     },
-    /// A truncation reaches into entries that were released.
-    #[error("can't truncate from entry {from}: the first entry kept is {first}; install a snapshot instead")]
+    /// A truncation begins at a released entry.
+    #[error(
+        "can't truncate from entry {from}: the first retained entry is {first}; install a snapshot instead"
+    )]
     TruncatesReleased {
-        /// The index given.
+        /// First index to truncate.
         from: u64,
-        /// The first entry kept.
+        /// Index of the first retained entry.
         first: u64,
     },
-    /// Entries were released that no snapshot covers.
-    #[error("can't release entries through {through}: the snapshot covers {covered}; take a snapshot first")]
+    /// A release includes entries that the snapshot does not cover.
+    #[error("can't release entries through {through}: the snapshot ends at {covered}; take a snapshot first")]
     ReleasesUncovered {
-        /// The index given.
+        /// Last index to release.
         through: u64,
-        /// The last entry covered by the snapshot in use; 0 without one.
+        /// Index of the last entry that the current snapshot covers; 0 without a snapshot.
         covered: u64,
     },
-    /// A snapshot is older than the one in use.
-    #[error("a snapshot at {index} is older than the one in use at {newest}; drop it")]
+    /// The snapshot is older than the current one.
+    #[error("a snapshot at index {index} is older than the current one at {newest}; discard it")]
     OlderSnapshot {
-        /// The index given.
+        /// Index of the rejected snapshot.
         index: u64,
-        /// The index of the one in use.
+        /// Index of the current snapshot.
         newest: u64,
     },
-    /// A file was written by another version of the program.
+    /// A file has a format version that this program does not read.
     #[error(
         "{file} has format version {found}, this program reads {supported}; run the version that wrote it, or \
-         empty the data folder and let the replica join anew"
+         empty the data folder and let the replica join as a new member"
     )]
     UnknownVersion {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Its version.
+        /// Format version of the file.
         found: u16,
-        /// The version that this program reads and writes.
+        /// Format version that this program reads and writes.
         supported: u16,
     },
 }
 
 impl StorageError {
-    /// True if there was no space: the disk is full, or the limit reached.
+    /// Whether the cause is lack of space: a full disk, an exceeded quota or the configured limit.
     #[must_use]
     pub fn is_full(&self) -> bool {
         match self {
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! The disk of a real machine: a folder, by plain reads and writes.
+//! A disk backed by a folder of the file system, with blocking reads and writes.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -6,7 +6,8 @@
 
 use crate::disk::{Disk, FileEntry};
 
-/// A folder of the file system. The file last written stays open, so that an append is one write and one sync.
+/// A folder of the file system. The file that was written last stays open, so that an append costs one write
+/// and one sync.
 #[derive(Debug)]
 pub struct FolderDisk {
     folder: PathBuf,
@@ -21,11 +22,11 @@
 }
 
 impl FolderDisk {
-    /// The folder at `path`. It is made if it is missing, unless its parent is missing too.
+    /// Opens the folder at `path`, and creates it if it does not exist. The parent folder must exist.
     ///
     /// # Errors
     ///
-    /// The folder is missing and can't be made.
+    /// The folder does not exist and can't be created.
     pub fn new(path: impl Into<PathBuf>) -> io::Result<Self> {
         let folder = path.into();
         if !folder.is_dir() {
@@ -39,10 +40,10 @@
             let file = OpenOptions::new().write(true).open(self.folder.join(name))?;
             self.writer = Some(Writer { name: name.to_owned(), file, position: 0 });
         }
-        self.writer.as_mut().ok_or_else(|| io::Error::other("the file was just opened"))
+        self.writer.as_mut().ok_or_else(|| io::Error::other("the file opened for writing is missing"))
     }
 
-    fn forget_writer(&mut self, name: &str) {
+    fn close_writer(&mut self, name: &str) {
         if self.writer.as_ref().is_some_and(|writer| writer.name == name) {
             self.writer = None;
         }
@@ -65,10 +66,10 @@
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let entry = entry?;
-            let about = entry.metadata()?;
+            let file_metadata = entry.metadata()?;
             let Ok(name) = entry.file_name().into_string() else { continue };
-            if about.is_file() {
-                files.push(FileEntry { name, length: about.len() });
+            if file_metadata.is_file() {
+                files.push(FileEntry { name, length: file_metadata.len() });
             }
         }
         Ok(files)
@@ -93,8 +94,8 @@
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let written = self.writer(name)?.write(offset, bytes);
         if written.is_err() {
-            // The position of the handle is unknown after a partial write.
-            self.forget_writer(name);
+            // The position of the file handle is unknown after a partial write.
+            self.close_writer(name);
         }
         written
     }
@@ -104,7 +105,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.forget_writer(name);
+        self.close_writer(name);
         fs::remove_file(self.folder.join(name))
     }
 
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -1,17 +1,17 @@
-//! Files begin with a format version; frames with checksums follow.
+//! File format: a prefix with the format version, followed by frames with checksums.
 
 use crate::error::StorageError;
 
-/// The format version written, and the only one read.
+/// The format version that is written, and the only one that is read.
 pub(crate) const FORMAT_VERSION: u16 = 1;
-/// The length of the part of a file before its first frame or snapshot, in bytes.
+/// Length of the file prefix: magic, format version and checksum, in bytes.
 pub(crate) const PREFIX_BYTES: usize = 12;
-/// The length of a frame without its payload, in bytes.
+/// Length of a frame header, in bytes.
 pub(crate) const FRAME_HEADER_BYTES: usize = 28;
 const FILE_MAGIC: [u8; 6] = *b"dnlink";
 const FRAME_MAGIC: [u8; 4] = [0xd5, 0x1e, 0x9a, 0x4b];
 
-/// The first bytes of a file.
+/// The prefix of every file.
 pub(crate) fn prefix() -> [u8; PREFIX_BYTES] {
     let mut bytes = [0; PREFIX_BYTES];
     bytes[..6].copy_from_slice(&FILE_MAGIC);
@@ -21,44 +21,46 @@
     bytes
 }
 
-/// Whether the file begins as it should: true if so, false if it is cut short or damaged.
+/// Whether the file begins with a valid prefix; false if the prefix is truncated or damaged. An error if its
+/// format version is unknown.
 pub(crate) fn check_prefix(file: &str, bytes: &[u8]) -> Result<bool, StorageError> {
-    let Some(head) = bytes.get(..PREFIX_BYTES) else { return Ok(false) };
-    if head[..6] != FILE_MAGIC || u32_at(head, 8) != crc32fast::hash(&head[..8]) {
+    let Some(prefix) = bytes.get(..PREFIX_BYTES) else { return Ok(false) };
+    if prefix[..6] != FILE_MAGIC || u32_at(prefix, 8) != crc32fast::hash(&prefix[..8]) {
         return Ok(false);
     }
-    let found = u16::from_le_bytes([head[6], head[7]]);
+    let found = u16::from_le_bytes([prefix[6], prefix[7]]);
     if found != FORMAT_VERSION {
         return Err(StorageError::UnknownVersion { file: file.to_owned(), found, supported: FORMAT_VERSION });
     }
     Ok(true)
 }
 
-/// A frame whose checksums are right.
+/// A frame with valid checksums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// The number of the segment that it was written to.
+    /// Number of the segment that the frame was written to.
     pub segment: u64,
-    /// Its place in the segment, from 0.
+    /// Position of the frame in the segment, from 0.
     pub sequence: u32,
-    /// The records.
+    /// The encoded records.
     pub payload: &'a [u8],
 }
 
 impl Frame<'_> {
-    /// Its length with the header, in bytes.
+    /// Length of the frame including its header, in bytes.
     #[must_use]
     pub fn length(&self) -> usize {
         FRAME_HEADER_BYTES + self.payload.len()
     }
 }
 
-/// Why there is no frame.
+/// Reason why no frame can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameFault {
-    /// The header is cut short or damaged.
+    /// The header is truncated or damaged.
     Header,
-    /// The header is right and the payload is cut short or damaged; the length of the frame is given, in bytes.
+    /// The header is valid, but the payload is truncated or damaged. The value is the length of the frame in
+    /// bytes, according to the header.
     Payload(usize),
 }
 
@@ -66,7 +68,7 @@
 ///
 /// # Errors
 ///
-/// The fault found; any bytes are accepted.
+/// There is no valid frame. Arbitrary bytes are safe as input.
 pub fn read_frame(bytes: &[u8]) -> Result<Frame<'_>, FrameFault> {
     let header = bytes.get(..FRAME_HEADER_BYTES).ok_or(FrameFault::Header)?;
     if header[..4] != FRAME_MAGIC || u32_at(header, 24) != crc32fast::hash(&header[..24]) {
@@ -80,7 +82,7 @@
     Ok(Frame { segment: u64_at(header, 8), sequence: u32_at(header, 16), payload })
 }
 
-/// The length of the frame at the start of `bytes`, if its header is right.
+/// Length in bytes of the frame at the start of `bytes`; `None` if its header is invalid.
 pub(crate) fn frame_length(bytes: &[u8]) -> Option<usize> {
     match read_frame(bytes) {
         Ok(frame) => Some(frame.length()),
@@ -89,7 +91,7 @@
     }
 }
 
-/// Adds a frame to `out`.
+/// Appends a frame to `out`.
 pub(crate) fn write_frame(
     out: &mut Vec<u8>,
     segment: u64,
@@ -111,12 +113,12 @@
     Ok(())
 }
 
-/// True if a valid frame of the segment with a sequence above `after` begins anywhere in `bytes`.
+/// Whether a valid frame of the segment with a sequence above `after` begins anywhere in `bytes`.
 pub(crate) fn has_later_frame(bytes: &[u8], segment: u64, after: u32) -> bool {
     let mut start = 0;
-    while let Some(found) = find_magic(&bytes[start..]) {
-        let at = start + found;
-        if is_later(&bytes[at..], segment, after) {
+    while let Some(position) = find_magic(&bytes[start..]) {
+        let at = start + position;
+        if is_later_frame(&bytes[at..], segment, after) {
             return true;
         }
         start = at + 1;
@@ -124,9 +126,9 @@
     false
 }
 
-fn is_later(bytes: &[u8], segment: u64, after: u32) -> bool {
+fn is_later_frame(bytes: &[u8], segment: u64, after: u32) -> bool {
     let Some(header) = bytes.get(..FRAME_HEADER_BYTES) else { return false };
-    // The payload is read only where the header fits.
+    // Reads the payload only if the header matches.
     u64_at(header, 8) == segment && u32_at(header, 16) > after && read_frame(bytes).is_ok()
 }
 
--- a/crates/storage/src/inspect.rs
+++ b/crates/storage/src/inspect.rs
@@ -1,4 +1,4 @@
-//! Looks at a folder without changing anything in it.
+//! Inspection of a data folder without changes to it.
 
 use std::fs;
 use std::io;
@@ -13,72 +13,73 @@
 use crate::record;
 use crate::recovery;
 
-/// What a folder holds, as an opening would find it.
+/// Contents of a folder, as [`LogStore::open`](crate::LogStore::open) would recover them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inspection {
-    /// What an opening would return.
+    /// The state that would be recovered.
     pub recovered: RecoveredState,
-    /// The files of the store, by the number in their names.
+    /// The files of the store, ordered by file number.
     pub files: Vec<FileReport>,
 }
 
-/// One file of the store.
+/// A file of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileReport {
-    /// Its name.
+    /// File name.
     pub name: String,
-    /// Its length in bytes.
+    /// Length of the file in bytes.
     pub length: u64,
-    /// Whether it begins with the format version that is read here.
+    /// Whether the file has a valid prefix with the supported format version.
     pub is_readable: bool,
-    /// For a segment: frames with right checksums from its start on.
+    /// Number of consecutive valid frames from the start of a segment; 0 for a snapshot.
     pub frames: u32,
-    /// For a segment: records in those frames, the header apart.
+    /// Number of records in those frames, without the header; 0 for a snapshot.
     pub records: u64,
-    /// Bytes up to the end of the last such frame; for a snapshot its length.
+    /// End of the last valid frame of a segment, or length of a snapshot file, in bytes.
     pub valid_bytes: u64,
-    /// Whether it is a snapshot, and if so whether it is the one in use.
+    /// Use of a snapshot file; `None` for a segment.
     pub snapshot: Option<SnapshotUse>,
 }
 
-/// What a snapshot's file is to the store.
+/// Whether the store uses a snapshot file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotUse {
-    /// The snapshot in use; its checksum is right.
+    /// The current snapshot, with a valid checksum.
     InUse,
-    /// Another one, or one that can't be used.
+    /// Any other snapshot, including a damaged one.
     NotUsed,
 }
 
-/// Reads a folder as an opening does, and writes nothing. The disk is read while it may be in use: the last frame may
-/// then be cut short.
+/// Reads a folder as [`LogStore::open`](crate::LogStore::open) does, without writing. If a process is using
+/// the folder, the last frame may be incomplete.
 ///
 /// # Errors
 ///
-/// The disk failed, or a file has an unknown format version. Damage is no error; see [`RecoveredState::damaged`].
+/// A disk operation failed, or a file has an unknown format version. Damage is not an error; see
+/// [`RecoveredState::damaged`].
 pub fn inspect<D: Disk>(disk: &mut D) -> Result<Inspection, StorageError> {
-    let found = recovery::read(disk)?;
-    let in_use = found.replay.state.snapshot.filter(|_| found.recovered.snapshot.is_some());
+    let contents = recovery::read(disk)?;
+    let in_use = contents.replay.state.snapshot.filter(|_| contents.recovered.snapshot.is_some());
     let mut files = disk.list().map_err(StorageError::disk("listing", "the data folder"))?;
     files.sort_by_key(|file| names::parse(&file.name).map(FileKind::number));
     let mut reports = Vec::new();
     for file in files {
         match names::parse(&file.name) {
-            Some(FileKind::Segment(number)) => reports.push(segment(disk, number, &file)?),
+            Some(FileKind::Segment(number)) => reports.push(segment_report(disk, number, &file)?),
             Some(FileKind::Snapshot(number)) => {
                 let is_in_use = in_use.is_some_and(|reference| reference.number == number);
-                reports.push(snapshot(disk, &file, is_in_use)?);
+                reports.push(snapshot_report(disk, &file, is_in_use)?);
             }
             None => {}
         }
     }
-    Ok(Inspection { recovered: found.recovered, files: reports })
+    Ok(Inspection { recovered: contents.recovered, files: reports })
 }
 
-fn segment<D: Disk>(disk: &mut D, number: u64, file: &FileEntry) -> Result<FileReport, StorageError> {
+fn segment_report<D: Disk>(disk: &mut D, number: u64, file: &FileEntry) -> Result<FileReport, StorageError> {
     let bytes = disk.read(&file.name, 0, file.length as usize);
     let bytes = bytes.map_err(StorageError::disk("reading", &file.name))?;
-    let mut report = report(file, frame::check_prefix(&file.name, &bytes)?);
+    let mut report = new_report(file, frame::check_prefix(&file.name, &bytes)?);
     if !report.is_readable {
         return Ok(report);
     }
@@ -98,16 +99,20 @@
     Ok(report)
 }
 
-fn snapshot<D: Disk>(disk: &mut D, file: &FileEntry, is_in_use: bool) -> Result<FileReport, StorageError> {
+fn snapshot_report<D: Disk>(
+    disk: &mut D,
+    file: &FileEntry,
+    is_in_use: bool,
+) -> Result<FileReport, StorageError> {
     let bytes = disk.read(&file.name, 0, PREFIX_BYTES);
     let bytes = bytes.map_err(StorageError::disk("reading", &file.name))?;
-    let mut report = report(file, frame::check_prefix(&file.name, &bytes)?);
+    let mut report = new_report(file, frame::check_prefix(&file.name, &bytes)?);
     report.valid_bytes = file.length;
     report.snapshot = Some(if is_in_use { SnapshotUse::InUse } else { SnapshotUse::NotUsed });
     Ok(report)
 }
 
-fn report(file: &FileEntry, is_readable: bool) -> FileReport {
+fn new_report(file: &FileEntry, is_readable: bool) -> FileReport {
     FileReport {
         name: file.name.clone(),
         length: file.length,
@@ -119,18 +124,18 @@
     }
 }
 
-/// A folder of the file system that is only read: every change is refused.
+/// A read-only folder of the file system: every change fails.
 #[derive(Debug)]
 pub struct ReadOnlyFolder {
     folder: FolderDisk,
 }
 
 impl ReadOnlyFolder {
-    /// The folder at `path`, which must be there.
+    /// Opens the folder at `path`, which must exist.
     ///
     /// # Errors
     ///
-    /// It is missing, is no folder or can't be read.
+    /// The path does not exist, is not a folder or can't be read.
     pub fn new(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         fs::read_dir(&path)?;
@@ -138,8 +143,8 @@
     }
 }
 
-fn refused<T>() -> io::Result<T> {
-    Err(io::Error::new(io::ErrorKind::ReadOnlyFilesystem, "the folder is open for reading only"))
+fn read_only_error<T>() -> io::Result<T> {
+    Err(io::Error::new(io::ErrorKind::ReadOnlyFilesystem, "the folder is opened read-only"))
 }
 
 impl Disk for ReadOnlyFolder {
@@ -148,7 +153,7 @@
     }
 
     fn create(&mut self, _name: &str) -> io::Result<()> {
-        refused()
+        read_only_error()
     }
 
     fn read(&mut self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
@@ -156,22 +161,22 @@
     }
 
     fn write(&mut self, _name: &str, _offset: u64, _bytes: &[u8]) -> io::Result<()> {
-        refused()
+        read_only_error()
     }
 
     fn set_len(&mut self, _name: &str, _length: u64) -> io::Result<()> {
-        refused()
+        read_only_error()
     }
 
     fn remove(&mut self, _name: &str) -> io::Result<()> {
-        refused()
+        read_only_error()
     }
 
     fn sync_file(&mut self, _name: &str) -> io::Result<()> {
-        refused()
+        read_only_error()
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        refused()
+        read_only_error()
     }
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,25 +1,30 @@
-//! A log in checksummed segments with snapshots beside it, over a disk that may fail.
+//! A log in checksummed segments, with snapshots, on a disk that may fail.
 //!
 //! # Files
 //!
-//! | file | holds |
+//! | file | contents |
 //! | --- | --- |
 //! | `segment-<number>.log` | a format version, a header frame, then one frame for each batch |
 //! | `snapshot-<number>.bin` | a format version, then the bytes of one snapshot |
 //!
-//! Numbers only grow, so the segment with the highest number is the one in use. A frame has a checksum and is
-//! taken whole or not at all. The header frame of a segment repeats what the older segments said (metadata, bounds
-//! of the entries, the snapshot in use) and names the segment before it with the length up to which that one counts.
+//! File numbers only increase, so the segment with the highest number is the one being written. A frame has a
+//! checksum and is applied completely or not at all. The header frame of a segment repeats the state after
+//! the older segments (metadata, range of the entries, current snapshot) and names the previous segment with
+//! its valid length.
 //!
-//! # Rules that recovery relies on
+//! # Invariants that recovery relies on
 //!
-//! - A batch is one write and one sync, and a frame follows another only when that one has been synced. A valid
-//!   frame behind an invalid one is therefore damage; an invalid frame at the end is a write that was cut short.
-//! - After any error of the disk the segment in use is left for good, and its length for the next header is what its
-//!   last good sync covered. Nothing that a failed sync may have dropped is ever relied upon.
-//! - Opening writes the last frame once more into a new segment: it may have been read from memory only.
-//! - A snapshot counts once a synced frame names it; files are removed after the frame that makes them needless.
-//!   A removed file that comes back is not named by the newest segment, and is removed again.
+//! - A batch is one write and one sync, and a frame is written only after the one before it was synced. A
+//!   valid frame after an invalid one therefore means damage; an invalid frame at the end means an
+//!   interrupted write.
+//! - After any disk error the current segment is never written again, and its valid length in the next header
+//!   is the length covered by its last successful sync. Data that a failed sync may have dropped is never
+//!   relied upon.
+//! - Opening rewrites the last frame into a new segment, as the frame may have been read from the page cache
+//!   without being durable.
+//! - A snapshot is valid once a synced frame refers to it. Files are removed only after the frame that makes
+//!   them unneeded. A removed file that reappears after a power loss is not referred to by the newest
+//!   segment, and is removed again.
 
 #![forbid(unsafe_code)]
 
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -1,9 +1,11 @@
-//! Names of the files. The number in a name only grows, over segments and snapshots together.
+//! File names. Segments and snapshots share one sequence of increasing file numbers.
 
-const SEGMENT: (&str, &str) = ("segment-", ".log");
-const SNAPSHOT: (&str, &str) = ("snapshot-", ".bin");
+/// Prefix and suffix of the name of a segment file.
+const SEGMENT_AFFIXES: (&str, &str) = ("segment-", ".log");
+/// Prefix and suffix of the name of a snapshot file.
+const SNAPSHOT_AFFIXES: (&str, &str) = ("snapshot-", ".bin");
 
-/// What a file holds, by its name.
+/// Kind and number of a file, according to its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Segment(u64),
@@ -11,7 +13,7 @@
 }
 
 impl FileKind {
-    /// The number in the name.
+    /// The file number.
     pub(crate) fn number(self) -> u64 {
         match self {
             Self::Segment(number) | Self::Snapshot(number) => number,
@@ -19,26 +21,26 @@
     }
 }
 
-/// The name of a segment's file.
-pub(crate) fn segment(number: u64) -> String {
-    format!("{}{number:016x}{}", SEGMENT.0, SEGMENT.1)
+/// File name of a segment.
+pub(crate) fn segment_file(number: u64) -> String {
+    format!("{}{number:016x}{}", SEGMENT_AFFIXES.0, SEGMENT_AFFIXES.1)
 }
 
-/// The name of a snapshot's file.
-pub(crate) fn snapshot(number: u64) -> String {
-    format!("{}{number:016x}{}", SNAPSHOT.0, SNAPSHOT.1)
+/// File name of a snapshot.
+pub(crate) fn snapshot_file(number: u64) -> String {
+    format!("{}{number:016x}{}", SNAPSHOT_AFFIXES.0, SNAPSHOT_AFFIXES.1)
 }
 
-/// What the name stands for; none if the store did not make it.
+/// Parses a file name; `None` if it is not a file of the store.
 pub(crate) fn parse(name: &str) -> Option<FileKind> {
-    if let Some(number) = number(name, SEGMENT) {
+    if let Some(number) = parse_number(name, SEGMENT_AFFIXES) {
         return Some(FileKind::Segment(number));
     }
-    number(name, SNAPSHOT).map(FileKind::Snapshot)
+    parse_number(name, SNAPSHOT_AFFIXES).map(FileKind::Snapshot)
 }
 
-fn number(name: &str, (start, end): (&str, &str)) -> Option<u64> {
-    let digits = name.strip_prefix(start)?.strip_suffix(end)?;
+fn parse_number(name: &str, (prefix, suffix): (&str, &str)) -> Option<u64> {
+    let digits = name.strip_prefix(prefix)?.strip_suffix(suffix)?;
     if digits.len() != 16 || digits.bytes().any(|byte| byte.is_ascii_uppercase() || byte == b'+') {
         return None;
     }
--- a/crates/storage/src/operation.rs
+++ b/crates/storage/src/operation.rs
@@ -1,75 +1,79 @@
-//! What is stored, and what comes back when the store is opened.
+//! Operations on the store, and the state recovered when it is opened.
 
-/// The default length of a segment, in bytes.
-const SEGMENT_BYTES: u64 = 4 << 20;
-/// The default for all files together: the disk of a core machine less what the machine itself may need, in bytes.
-const DISK_BYTES: u64 = 112 << 20;
-/// The part of the disk kept for batches that make room or that must not wait: one in so many.
-const RESERVE_PART: u64 = 8;
+/// Default for [`Limits::segment_bytes`].
+const DEFAULT_SEGMENT_BYTES: u64 = 4 << 20;
+/// Default for [`Limits::disk_bytes`]: the disk of a core machine less the space that the machine itself may
+/// need.
+const DEFAULT_DISK_BYTES: u64 = 112 << 20;
+/// One part in this many of the disk is reserved for batches that free space, and for metadata, which must
+/// not wait.
+const RESERVE_DIVISOR: u64 = 8;
 
-/// How much disk the store may use.
+/// Limits on disk usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// A segment ends before the batch that would take it above this many bytes. A larger batch has a segment of
-    /// its own.
+    /// Maximum length of a segment in bytes. A batch that would exceed it begins a new segment; a larger
+    /// batch has a segment of its own.
     pub segment_bytes: u64,
-    /// All files together, in bytes. Batches with entries may use seven eighths of it.
+    /// Maximum length of all files together, in bytes. Batches that append entries and free no space may use
+    /// seven eighths of it.
     pub disk_bytes: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { segment_bytes: SEGMENT_BYTES, disk_bytes: DISK_BYTES }
+        Self { segment_bytes: DEFAULT_SEGMENT_BYTES, disk_bytes: DEFAULT_DISK_BYTES }
     }
 }
 
 impl Limits {
-    /// The bytes allowed after this batch: appended entries leave a part for the snapshot that ends the shortage.
+    /// Disk usage allowed with this batch, in bytes. Appended entries leave a reserve for the snapshot that
+    /// later frees space.
     pub(crate) fn for_batch(&self, batch: &[Operation]) -> u64 {
         let appends = batch.iter().any(|operation| matches!(operation, Operation::Append { .. }));
-        let makes_room = batch.iter().any(Operation::makes_room);
-        if appends && !makes_room {
-            self.disk_bytes - self.disk_bytes / RESERVE_PART
+        let frees_space = batch.iter().any(Operation::frees_space);
+        if appends && !frees_space {
+            self.disk_bytes - self.disk_bytes / RESERVE_DIVISOR
         } else {
             self.disk_bytes
         }
     }
 }
 
-/// A change of what is stored.
+/// A change to the stored state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Replaces the metadata (term, vote, identity): small, the latest wins.
+    /// Replaces the metadata (term, vote, identity), which is small.
     Metadata(Vec<u8>),
-    /// Adds the entry that follows the last one.
+    /// Appends the next entry.
     Append {
-        /// Its index; the first ever is 1.
+        /// Index of the entry; the first entry of a log has index 1.
         index: u64,
-        /// Its contents.
+        /// Contents of the entry.
         bytes: Vec<u8>,
     },
-    /// Drops the entries from this index on.
+    /// Removes the entries from an index on.
     Truncate {
-        /// The first index dropped.
+        /// First index to remove.
         from: u64,
     },
-    /// Replaces the snapshot. Entries stay until they are released, unless the snapshot lies beyond the last one:
-    /// then all of them go, and the next entry is the one after the snapshot.
+    /// Replaces the snapshot. Entries are retained until they are released, unless the snapshot is beyond the
+    /// last entry: then all entries are removed, and the next entry is the one after the snapshot.
     Snapshot {
-        /// The last entry that it covers.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// Its contents.
+        /// Contents of the snapshot.
         bytes: Vec<u8>,
     },
-    /// The entries up to here are not needed any more. Segments that hold nothing else are removed.
+    /// Releases entries that are no longer needed. Segments without other entries are removed.
     Release {
-        /// The last index released; at most that of the snapshot.
+        /// Last index to release; at most that of the snapshot.
         through: u64,
     },
 }
 
 impl Operation {
-    fn makes_room(&self) -> bool {
+    fn frees_space(&self) -> bool {
         matches!(self, Self::Snapshot { .. } | Self::Release { .. } | Self::Truncate { .. })
     }
 }
@@ -77,69 +81,69 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredEntry {
-    /// Its index.
+    /// Index of the entry.
     pub index: u64,
-    /// Its contents.
+    /// Contents, as passed to the operation.
     pub bytes: Vec<u8>,
 }
 
-/// A snapshot of the state that the log leads to.
+/// A snapshot of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredSnapshot {
-    /// The last entry that it covers.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
-    /// Its contents.
+    /// Contents, as passed to the operation.
     pub bytes: Vec<u8>,
 }
 
-/// What was found when the store was opened; all of it is durable.
+/// State recovered when the store was opened; all of it is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
-    /// The latest metadata; none if the disk was empty.
+    /// The latest metadata; `None` if none was written.
     pub metadata: Option<Vec<u8>>,
-    /// The snapshot in use.
+    /// The current snapshot; `None` if there is none or it is damaged.
     pub snapshot: Option<StoredSnapshot>,
-    /// Contiguous entries; the first is at most the one after the snapshot.
+    /// Entries with contiguous indices; there is no gap between the snapshot and the first entry.
     pub entries: Vec<StoredEntry>,
-    /// True if something that had been durable is lost, now or at an earlier opening with no `wipe` since. The
-    /// replica may have forgotten votes and entries: it must join anew under another identity.
+    /// Whether durable data was lost, found now or at an earlier opening without a `wipe` since. The replica
+    /// may have lost votes and entries: it must join again under another identity.
     pub damaged: bool,
-    /// What was put right or is lost, for the log.
+    /// Repairs and losses, to be logged.
     pub notes: Vec<RecoveryNote>,
 }
 
-/// Something found and dealt with at opening.
+/// A repair or loss found when the store was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryNote {
-    /// A write at the end of the log was cut short; it had never been acknowledged.
+    /// The last write to the log was interrupted; it was never acknowledged.
     TornTail {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Bytes kept.
+        /// Length of the valid part in bytes.
         kept: u64,
-        /// Bytes dropped.
+        /// Number of bytes discarded.
         dropped: u64,
     },
-    /// A file that is not needed was removed.
+    /// An unneeded file was removed.
     Leftover {
-        /// The file.
+        /// Name of the file.
         file: String,
     },
-    /// A segment is damaged in what had been durable; entries from there on are lost.
+    /// Durable data of a segment is damaged; the entries from there on are lost.
     DamagedSegment {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Where the damage begins, in bytes.
+        /// Offset of the damage in bytes.
         offset: u64,
     },
-    /// A file that the log needs is missing.
+    /// A file that the store needs is missing.
     MissingFile {
-        /// The file.
+        /// Name of the file.
         file: String,
     },
-    /// The snapshot in use is damaged.
+    /// The current snapshot is damaged.
     DamagedSnapshot {
-        /// The file.
+        /// Name of the file.
         file: String,
     },
 }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,33 +1,33 @@
-//! What frames hold: records in CBOR, one after the other.
+//! Payload of frames: a sequence of records in CBOR.
 
 use minicbor::bytes::ByteSlice;
 use minicbor::{Decode, Decoder, Encode};
 
 use crate::checkpoint::{Checkpoint, SnapshotReference};
 
-/// The segment before another, and how much of it counts.
+/// Reference to the segment before another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Previous {
-    /// Its number.
+pub(crate) struct PreviousSegment {
+    /// Number of the segment.
     #[n(0)]
     pub(crate) number: u64,
-    /// The bytes of it that count.
+    /// Valid length of the segment in bytes.
     #[n(1)]
     pub(crate) length: u64,
 }
 
-/// The only record of a segment's first frame.
+/// The only record of the first frame of a segment.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct SegmentHeader {
-    /// The segment before it.
+    /// The previous segment; `None` if no older segment exists.
     #[n(0)]
-    pub(crate) previous: Option<Previous>,
-    /// The state after the segments before it.
+    pub(crate) previous: Option<PreviousSegment>,
+    /// State after the previous segments.
     #[n(1)]
     pub(crate) checkpoint: Checkpoint,
 }
 
-/// A record of any later frame.
+/// A record of any later frame: the stored form of an [`Operation`](crate::Operation).
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Record<'a> {
     #[n(0)]
@@ -40,18 +40,19 @@
     Snapshot(#[n(0)] SnapshotReference),
     #[n(4)]
     Release(#[n(0)] u64),
+    /// Number of the oldest segment that is still needed; older ones may be removed.
     #[n(5)]
-    Floor(#[n(0)] u64),
+    OldestSegment(#[n(0)] u64),
 }
 
 impl Record<'_> {
-    /// Adds the record to a payload.
+    /// Appends the record to a payload.
     pub(crate) fn write(&self, payload: &mut Vec<u8>) {
-        minicbor::encode(self, payload).expect("a vector takes all bytes");
+        minicbor::encode(self, payload).expect("writing to a vector does not fail");
     }
 }
 
-/// The records of a payload; none if it does not decode.
+/// Decodes the records of a payload; `None` if it is malformed.
 pub(crate) fn read_records(payload: &[u8]) -> Option<Vec<Record<'_>>> {
     let mut decoder = Decoder::new(payload);
     let mut records = Vec::new();
@@ -61,13 +62,13 @@
     Some(records)
 }
 
-/// The number of records in a payload, for tests of the decoder; none if it does not decode.
+/// The number of records in a payload; `None` if it is malformed. Public for tests of the decoder.
 #[must_use]
 pub fn count_records(payload: &[u8]) -> Option<usize> {
     read_records(payload).map(|records| records.len())
 }
 
-/// The header in a payload; none if it does not decode.
+/// Decodes the segment header in a payload; `None` if it is malformed.
 pub(crate) fn read_header(payload: &[u8]) -> Option<SegmentHeader> {
     minicbor::decode(payload).ok()
 }
--- a/crates/storage/src/replay.rs
+++ b/crates/storage/src/replay.rs
@@ -1,4 +1,4 @@
-//! Applies the records of segments, oldest first.
+//! Replays the records of segments, oldest first.
 
 use std::collections::VecDeque;
 
@@ -7,31 +7,33 @@
 use crate::checkpoint::Checkpoint;
 use crate::frame::{self, Frame, FrameFault, PREFIX_BYTES};
 use crate::operation::StoredEntry;
-use crate::record::{self, Previous, Record, SegmentHeader};
+use crate::record::{self, PreviousSegment, Record, SegmentHeader};
 use crate::store::Segment;
 
-/// Why the reading of a segment ended.
+/// Reason why the reading of a segment ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// All of it is valid.
-    Whole,
-    /// What follows was cut short while it was written.
+pub(crate) enum SegmentEnd {
+    /// All frames are valid.
+    Complete,
+    /// The rest is an interrupted write.
     Torn,
-    /// What follows is damaged.
+    /// The rest is damaged.
     Damaged,
 }
 
-/// The state while segments are read.
+/// State reconstructed from the segments read so far.
 #[derive(Debug)]
 pub(crate) struct Replay {
     pub(crate) state: Checkpoint,
     pub(crate) entries: VecDeque<StoredEntry>,
-    /// The segments read, each up to the start of its last frame or to its sealed length.
+    /// The segments read. A sealed segment has the length stated in the next header; the length of the last
+    /// segment excludes its last frame.
     pub(crate) segments: Vec<Segment>,
-    /// The lowest index appended by the last frame.
-    pub(crate) carried_from: u64,
-    /// Where the frame that was written with the header begins, in the newest segment read.
-    opening_offset: u64,
+    /// Lowest index appended by the last frame, which is rewritten into a new segment; `u64::MAX` if there is
+    /// none.
+    pub(crate) rewritten_from: u64,
+    /// Offset of the first frame after the header in the last segment, in bytes.
+    first_frame_offset: u64,
 }
 
 impl Replay {
@@ -40,69 +42,75 @@
             state: Checkpoint::empty(0),
             entries: VecDeque::new(),
             segments: Vec::new(),
-            carried_from: u64::MAX,
-            opening_offset: 0,
+            rewritten_from: u64::MAX,
+            first_frame_offset: 0,
         }
     }
 
-    /// Reads one segment, of which `bytes` count. Returns where the valid part ends, and why.
-    pub(crate) fn segment(&mut self, number: u64, bytes: &[u8]) -> (usize, End) {
+    /// Replays one segment with the given contents. Returns the length of the valid part, and why it ends.
+    pub(crate) fn replay_segment(&mut self, number: u64, bytes: &[u8]) -> (usize, SegmentEnd) {
         let mut offset = PREFIX_BYTES;
         let mut sequence = 0;
         while offset < bytes.len() {
-            let Some(length) = self.next_frame(number, sequence, &bytes[offset..], offset) else {
-                return (offset, end_at(&bytes[offset..], number, sequence));
+            let Some(length) = self.replay_next_frame(number, sequence, &bytes[offset..], offset) else {
+                return (offset, classify_end(&bytes[offset..], number, sequence));
             };
             offset += length;
             sequence += 1;
         }
         if sequence < MINIMUM_FRAMES {
-            return (offset, End::Torn);
+            return (offset, SegmentEnd::Torn);
         }
-        (offset, End::Whole)
+        (offset, SegmentEnd::Complete)
     }
 
-    fn next_frame(&mut self, number: u64, sequence: u32, bytes: &[u8], offset: usize) -> Option<usize> {
-        let frame = frame::read_frame(bytes).ok().filter(|frame| belongs(frame, number, sequence))?;
+    fn replay_next_frame(
+        &mut self,
+        number: u64,
+        sequence: u32,
+        bytes: &[u8],
+        offset: usize,
+    ) -> Option<usize> {
+        let frame = frame::read_frame(bytes).ok().filter(|frame| belongs_to(frame, number, sequence))?;
         if sequence == 0 {
-            self.begin(number, record::read_header(frame.payload)?);
-            self.opening_offset = (offset + frame.length()) as u64;
+            self.begin_segment(number, record::read_header(frame.payload)?);
+            self.first_frame_offset = (offset + frame.length()) as u64;
         } else {
             let records = record::read_records(frame.payload)?;
-            self.frame(offset as u64, &records)?;
+            self.replay_frame(offset as u64, &records)?;
         }
         Some(frame.length())
     }
 
-    fn begin(&mut self, number: u64, header: SegmentHeader) {
+    fn begin_segment(&mut self, number: u64, header: SegmentHeader) {
         if let (Some(last), Some(previous)) = (self.segments.last_mut(), header.previous) {
             last.length = previous.length;
         }
-        let floor = self.state.floor.max(header.checkpoint.floor);
-        self.state = Checkpoint { floor, ..header.checkpoint };
+        let oldest_segment = self.state.oldest_segment.max(header.checkpoint.oldest_segment);
+        self.state = Checkpoint { oldest_segment, ..header.checkpoint };
         self.drop_after_last();
-        self.segments.push(Segment { number, length: 0, highest: 0 });
-        self.carried_from = u64::MAX;
+        self.segments.push(Segment { number, length: 0, highest_index: 0 });
+        self.rewritten_from = u64::MAX;
     }
 
-    /// Applies one frame; none if a record can't follow, which a store never writes.
-    fn frame(&mut self, offset: u64, records: &[Record<'_>]) -> Option<()> {
-        self.carried_from = u64::MAX;
+    /// Applies one frame; `None` if a record is invalid in the current state, which a store never writes.
+    fn replay_frame(&mut self, offset: u64, records: &[Record<'_>]) -> Option<()> {
+        self.rewritten_from = u64::MAX;
         for record in records {
-            self.record(record)?;
+            self.replay_record(record)?;
         }
         self.segments.last_mut()?.length = offset;
         Some(())
     }
 
-    fn record(&mut self, record: &Record<'_>) -> Option<()> {
+    fn replay_record(&mut self, record: &Record<'_>) -> Option<()> {
         match record {
             Record::Metadata(bytes) => self.state.metadata = Some(ByteVec::from(bytes.to_vec())),
             Record::Append(index, bytes) => self.append(*index, bytes)?,
             Record::Truncate(from) => self.state.truncate(*from).ok()?,
             Record::Snapshot(reference) => self.state.set_snapshot(*reference).ok()?,
             Record::Release(through) => self.state.release(*through).ok()?,
-            Record::Floor(floor) => self.state.floor = *floor,
+            Record::OldestSegment(oldest_segment) => self.state.oldest_segment = *oldest_segment,
         }
         self.drop_after_last();
         self.drop_before_first();
@@ -112,9 +120,9 @@
     fn append(&mut self, index: u64, bytes: &[u8]) -> Option<()> {
         self.state.append(index).ok()?;
         self.entries.push_back(StoredEntry { index, bytes: bytes.to_vec() });
-        self.carried_from = self.carried_from.min(index);
+        self.rewritten_from = self.rewritten_from.min(index);
         let segment = self.segments.last_mut()?;
-        segment.highest = segment.highest.max(index);
+        segment.highest_index = segment.highest_index.max(index);
         Some(())
     }
 
@@ -124,7 +132,7 @@
             self.entries.pop_back();
         }
         for segment in &mut self.segments {
-            segment.highest = segment.highest.min(last);
+            segment.highest_index = segment.highest_index.min(last);
         }
     }
 
@@ -134,56 +142,58 @@
         }
     }
 
-    /// True if every entry that the state speaks of is there.
+    /// Whether all entries of the range in the state are present.
     pub(crate) fn is_complete(&mut self) -> bool {
         self.drop_before_first();
         let count = (self.state.last + 1).saturating_sub(self.state.first);
         self.entries.len() as u64 == count
     }
 
-    /// True if a segment was read with its header and the frame written with it.
-    pub(crate) fn is_begun(&self) -> bool {
+    /// Whether the last segment has its header and the frame that was written with it.
+    pub(crate) fn has_minimum_frames(&self) -> bool {
         self.segments.last().is_some_and(|last| last.length > 0)
     }
 
-    /// Leaves the last frame to a new segment, which repeats it. A segment with nothing else is left out.
-    pub(crate) fn seal(&mut self) {
-        if self.segments.last().is_some_and(|last| last.length <= self.opening_offset) {
+    /// Removes the last segment if its only frame after the header is the one that is rewritten into a new
+    /// segment.
+    pub(crate) fn drop_rewritten_segment(&mut self) {
+        if self.segments.last().is_some_and(|last| last.length <= self.first_frame_offset) {
             self.segments.pop();
         }
     }
 }
 
-/// A segment counts from its header and the frame written with it on.
+/// Number of frames in the first write of a segment: the header and one more. A segment with fewer is
+/// invalid.
 pub(crate) const MINIMUM_FRAMES: u32 = 2;
 
-fn belongs(frame: &Frame<'_>, number: u64, sequence: u32) -> bool {
+fn belongs_to(frame: &Frame<'_>, number: u64, sequence: u32) -> bool {
     frame.segment == number && frame.sequence == sequence
 }
 
-fn end_at(bytes: &[u8], number: u64, sequence: u32) -> End {
+fn classify_end(bytes: &[u8], number: u64, sequence: u32) -> SegmentEnd {
     let skip = match frame::read_frame(bytes) {
-        // Valid and not acceptable: no cut write leaves that.
-        Ok(_) => return End::Damaged,
+        // A valid frame that does not fit here is never the result of an interrupted write.
+        Ok(_) => return SegmentEnd::Damaged,
         Err(FrameFault::Payload(length)) => length,
         Err(FrameFault::Header) => 1,
     };
-    // The header and the frame after it are one write.
+    // The header and the frame after it are written together.
     let after = sequence.max(MINIMUM_FRAMES - 1);
     let rest = bytes.get(skip..).unwrap_or_default();
-    if frame::has_later_frame(rest, number, after) { End::Damaged } else { End::Torn }
+    if frame::has_later_frame(rest, number, after) { SegmentEnd::Damaged } else { SegmentEnd::Torn }
 }
 
-/// The header of a segment, from the first bytes of its file.
+/// Decodes the header of a segment from the first bytes of its file.
 pub(crate) fn header_of(number: u64, bytes: &[u8]) -> Option<SegmentHeader> {
     let frame = frame::read_frame(bytes.get(PREFIX_BYTES..)?).ok()?;
-    if !belongs(&frame, number, 0) {
+    if !belongs_to(&frame, number, 0) {
         return None;
     }
     record::read_header(frame.payload)
 }
 
-/// The segment that a header names before it, if it is still needed.
-pub(crate) fn needed_previous(header: &SegmentHeader, floor: u64) -> Option<Previous> {
-    header.previous.filter(|previous| previous.number >= floor)
+/// The previous segment according to a header; `None` if it is no longer needed.
+pub(crate) fn needed_previous(header: &SegmentHeader, oldest_segment: u64) -> Option<PreviousSegment> {
+    header.previous.filter(|previous| previous.number >= oldest_segment)
 }
--- a/crates/storage/src/simulated.rs
+++ b/crates/storage/src/simulated.rs
@@ -1,4 +1,5 @@
-//! A disk in memory for tests: it keeps apart what is synced and what is not, loses power, fills up and fails.
+//! An in-memory disk for tests: it tracks which operations are synced, and simulates power loss, a full disk
+//! and faults.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,50 +7,57 @@
 
 use crate::disk::{Disk, FileEntry};
 
-/// What a loss of power does to one operation that no sync covered.
+/// Effect of a power loss on one unsynced operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashOutcome {
-    /// It is there.
+    /// The operation is on the disk.
     Kept,
-    /// It is gone.
+    /// The operation is lost.
     Lost,
-    /// Of a write, only so many of its first bytes are there; any other operation is gone.
+    /// Only this many of the first bytes of a write are on the disk; any other operation is lost.
     Torn(usize),
 }
 
-/// How an operation fails.
+/// Kind of an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The disk refuses writes, new files and longer lengths, until it is told otherwise.
+    /// From this operation on the disk is full: writes and new files fail, until [`SimulatedDisk::set_full`]
+    /// ends that.
     Full,
-    /// One operation fails. A failed write leaves its first half; a failed sync drops the writes that it should
-    /// have covered from what later syncs cover, while reads still show them.
+    /// The operation fails. A failed write writes its first half. After a failed sync, the writes that it
+    /// should have covered are visible to reads but are not covered by later syncs.
     Error,
-    /// One operation is done and reported as failed.
+    /// The operation is done but reported as failed.
     LateError,
-    /// From here on every operation fails. A write that is cut off may be there, as any other without a sync.
+    /// From this operation on every operation fails. An interrupted write counts as any other unsynced write.
     PowerLoss,
 }
 
-/// A disk in memory. Clones share the same contents.
+/// An in-memory disk. Clones share the contents.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<DiskState>>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Inner {
+struct DiskState {
+    /// Files by number.
     files: BTreeMap<u64, SimulatedFile>,
+    /// Numbers of files by name, as of the last sync of the folder.
     synced_names: BTreeMap<String, u64>,
+    /// Numbers of files by name, as visible to reads.
     names: BTreeMap<String, u64>,
-    pending: Vec<Pending>,
+    unsynced: Vec<UnsyncedOperation>,
     next_file: u64,
-    operations: u64,
-    syncs: u64,
+    operation_count: u64,
+    sync_count: u64,
+    /// The injected fault, with the number of the operation that it applies to.
     fault: Option<(u64, Fault)>,
-    full: bool,
-    off: bool,
-    late: bool,
+    is_full: bool,
+    is_off: bool,
+    /// Whether the current operation is reported as failed once it is done.
+    fails_late: bool,
+    /// Limit for all files together, in bytes.
     capacity: Option<u64>,
 }
 
@@ -60,14 +68,14 @@
 }
 
 #[derive(Clone, Debug)]
-enum Pending {
+enum UnsyncedOperation {
     Write { file: u64, offset: u64, bytes: Vec<u8> },
     SetLen { file: u64, length: u64 },
     Create { name: String, file: u64 },
     Remove { name: String },
 }
 
-impl Pending {
+impl UnsyncedOperation {
     fn file(&self) -> Option<u64> {
         match self {
             Self::Write { file, .. } | Self::SetLen { file, .. } => Some(*file),
@@ -77,195 +85,197 @@
 }
 
 impl SimulatedDisk {
-    /// An empty disk without limit.
+    /// An empty disk of unlimited size.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A disk of its own with the same contents and no fault ahead; synced and unsynced stay apart.
+    /// An independent copy of the disk, with its synced and unsynced contents and without faults.
     #[must_use]
     pub fn fork(&self) -> Self {
-        let mut inner = self.lock().clone();
-        inner.fault = None;
-        inner.off = false;
-        inner.full = false;
-        Self { inner: Arc::new(Mutex::new(inner)) }
+        let mut state = self.lock().clone();
+        state.fault = None;
+        state.is_off = false;
+        state.is_full = false;
+        Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Lets an operation fail: the one with this number, counted by [`operation_count`](Self::operation_count) from 0.
+    /// Injects a fault into the operation with this number, counted from 0 by
+    /// [`operation_count`](Self::operation_count).
     pub fn fail_at(&self, operation: u64, fault: Fault) {
         self.lock().fault = Some((operation, fault));
     }
 
-    /// Makes the disk refuse what needs space, or ends that.
+    /// Makes the disk full, so that operations that need space fail, or ends that.
     pub fn set_full(&self, full: bool) {
-        self.lock().full = full;
+        self.lock().is_full = full;
     }
 
-    /// Limits the bytes of all files together.
+    /// Limits the length of all files together, in bytes.
     pub fn set_capacity(&self, bytes: u64) {
         self.lock().capacity = Some(bytes);
     }
 
-    /// Operations so far that change or sync something.
+    /// Number of operations so far that change or sync the disk.
     #[must_use]
     pub fn operation_count(&self) -> u64 {
-        self.lock().operations
+        self.lock().operation_count
     }
 
-    /// Syncs so far, of files and of the folder.
+    /// Number of syncs so far, of files and of the folder.
     #[must_use]
     pub fn sync_count(&self) -> u64 {
-        self.lock().syncs
+        self.lock().sync_count
     }
 
-    /// Operations that no sync covers.
+    /// Number of unsynced operations.
     #[must_use]
     pub fn unsynced_count(&self) -> usize {
-        self.lock().pending.len()
+        self.lock().unsynced.len()
     }
 
-    /// The length of the unsynced write with this place among the pending operations; none for other operations.
+    /// Length in bytes of the unsynced operation at `index` if it is a write; `None` for other operations.
     #[must_use]
-    pub fn unsynced_write_length(&self, place: usize) -> Option<usize> {
-        match self.lock().pending.get(place) {
-            Some(Pending::Write { bytes, .. }) => Some(bytes.len()),
+    pub fn unsynced_write_length(&self, index: usize) -> Option<usize> {
+        match self.lock().unsynced.get(index) {
+            Some(UnsyncedOperation::Write { bytes, .. }) => Some(bytes.len()),
             _ => None,
         }
     }
 
-    /// Power is lost and comes back: `fate` decides on each operation that no sync covered, in their order.
-    pub fn lose_power(&self, mut fate: impl FnMut(usize) -> CrashOutcome) {
-        let mut inner = self.lock();
-        let pending = std::mem::take(&mut inner.pending);
-        inner.names = inner.synced_names.clone();
-        for (place, operation) in pending.into_iter().enumerate() {
-            match fate(place) {
-                CrashOutcome::Kept => inner.settle(&operation, None),
-                CrashOutcome::Torn(bytes) => inner.settle(&operation, Some(bytes)),
+    /// Simulates a power loss and restart: `outcome` decides on each unsynced operation, by its index.
+    pub fn lose_power(&self, mut outcome: impl FnMut(usize) -> CrashOutcome) {
+        let mut state = self.lock();
+        let unsynced = std::mem::take(&mut state.unsynced);
+        state.names = state.synced_names.clone();
+        for (index, operation) in unsynced.into_iter().enumerate() {
+            match outcome(index) {
+                CrashOutcome::Kept => state.persist(&operation, None),
+                CrashOutcome::Torn(bytes) => state.persist(&operation, Some(bytes)),
                 CrashOutcome::Lost => {}
             }
         }
-        inner.synced_names = inner.names.clone();
-        for file in inner.files.values_mut() {
+        state.synced_names = state.names.clone();
+        for file in state.files.values_mut() {
             file.current = file.synced.clone();
         }
-        inner.off = false;
+        state.is_off = false;
     }
 
-    /// The contents of a file, as reads show them.
+    /// Contents of a file, as visible to reads.
     #[must_use]
     pub fn contents(&self, name: &str) -> Option<Vec<u8>> {
-        let inner = self.lock();
-        let number = inner.names.get(name)?;
-        inner.files.get(number).map(|file| file.current.clone())
+        let state = self.lock();
+        let number = state.names.get(name)?;
+        state.files.get(number).map(|file| file.current.clone())
     }
 
-    /// Replaces a file, synced and named for good.
+    /// Replaces a file durably.
     pub fn write_durably(&self, name: &str, bytes: &[u8]) {
-        let mut inner = self.lock();
-        let number = inner.next_file;
-        inner.next_file += 1;
-        inner.files.insert(number, SimulatedFile { synced: bytes.to_vec(), current: bytes.to_vec() });
-        inner.names.insert(name.to_owned(), number);
-        inner.synced_names.insert(name.to_owned(), number);
+        let mut state = self.lock();
+        let number = state.next_file;
+        state.next_file += 1;
+        state.files.insert(number, SimulatedFile { synced: bytes.to_vec(), current: bytes.to_vec() });
+        state.names.insert(name.to_owned(), number);
+        state.synced_names.insert(name.to_owned(), number);
     }
 
-    /// Removes a file for good.
+    /// Removes a file durably.
     pub fn remove_durably(&self, name: &str) {
-        let mut inner = self.lock();
-        inner.names.remove(name);
-        inner.synced_names.remove(name);
+        let mut state = self.lock();
+        state.names.remove(name);
+        state.synced_names.remove(name);
     }
 
-    /// Names of all files, sorted.
+    /// Sorted names of all files.
     #[must_use]
     pub fn names(&self) -> Vec<String> {
         self.lock().names.keys().cloned().collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, DiskState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Inner {
-    /// Counts an operation. Some if it is to fail before it is done.
-    fn begin(&mut self) -> io::Result<Option<Fault>> {
-        if self.off {
-            return Err(no_power());
+impl DiskState {
+    /// Counts an operation and returns its fault if it has to fail before it is done.
+    fn begin_operation(&mut self) -> io::Result<Option<Fault>> {
+        if self.is_off {
+            return Err(no_power_error());
         }
-        let number = self.operations;
-        self.operations += 1;
+        let number = self.operation_count;
+        self.operation_count += 1;
         let fault = self.fault.filter(|(at, _)| *at == number).map(|(_, fault)| fault);
         match fault {
-            Some(Fault::Full) => self.full = true,
-            Some(Fault::PowerLoss) => self.off = true,
-            Some(Fault::LateError) => self.late = true,
+            Some(Fault::Full) => self.is_full = true,
+            Some(Fault::PowerLoss) => self.is_off = true,
+            Some(Fault::LateError) => self.fails_late = true,
             _ => {}
         }
         Ok(fault.filter(|fault| matches!(fault, Fault::Error | Fault::PowerLoss)))
     }
 
-    /// Reports an operation that was done.
-    fn end(&mut self) -> io::Result<()> {
-        if std::mem::take(&mut self.late) { Err(injected()) } else { Ok(()) }
+    /// Result of an operation that was done.
+    fn end_operation(&mut self) -> io::Result<()> {
+        if std::mem::take(&mut self.fails_late) { Err(injected_error()) } else { Ok(()) }
     }
 
-    fn number(&self, name: &str) -> io::Result<u64> {
+    fn file_number(&self, name: &str) -> io::Result<u64> {
         self.names.get(name).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    fn current(&mut self, number: u64) -> &mut Vec<u8> {
+    fn current_contents(&mut self, number: u64) -> &mut Vec<u8> {
         &mut self.files.entry(number).or_default().current
     }
 
-    fn used(&self) -> u64 {
+    fn used_bytes(&self) -> u64 {
         let lengths = self.names.values().filter_map(|number| self.files.get(number));
         lengths.map(|file| file.current.len() as u64).sum()
     }
 
-    /// How many of the bytes at the offset fit.
-    fn fitting(&self, number: u64, offset: u64, bytes: usize) -> usize {
-        if self.full {
+    /// Number of bytes of a write at the offset that fit on the disk.
+    fn fitting_bytes(&self, number: u64, offset: u64, bytes: usize) -> usize {
+        if self.is_full {
             return 0;
         }
         let Some(capacity) = self.capacity else { return bytes };
         let length = self.files.get(&number).map_or(0, |file| file.current.len() as u64);
-        let room = capacity.saturating_sub(self.used()) + length.saturating_sub(offset);
-        bytes.min(usize::try_from(room).unwrap_or(usize::MAX))
+        let available = capacity.saturating_sub(self.used_bytes()) + length.saturating_sub(offset);
+        bytes.min(usize::try_from(available).unwrap_or(usize::MAX))
     }
 
     fn write(&mut self, number: u64, offset: u64, bytes: &[u8]) {
-        write_into(self.current(number), offset, bytes);
-        self.pending.push(Pending::Write { file: number, offset, bytes: bytes.to_vec() });
+        write_into(self.current_contents(number), offset, bytes);
+        self.unsynced.push(UnsyncedOperation::Write { file: number, offset, bytes: bytes.to_vec() });
     }
 
-    /// Applies an operation to what lasts.
-    fn settle(&mut self, operation: &Pending, torn: Option<usize>) {
+    /// Applies an operation to the durable state; of a torn write only the first `torn` bytes.
+    fn persist(&mut self, operation: &UnsyncedOperation, torn: Option<usize>) {
         match (operation, torn) {
-            (Pending::Write { file, offset, bytes }, _) => {
+            (UnsyncedOperation::Write { file, offset, bytes }, _) => {
                 let kept = torn.unwrap_or(bytes.len()).min(bytes.len());
                 write_into(&mut self.files.entry(*file).or_default().synced, *offset, &bytes[..kept]);
             }
             (_, Some(_)) => {}
-            (Pending::SetLen { file, length }, None) => {
+            (UnsyncedOperation::SetLen { file, length }, None) => {
                 self.files.entry(*file).or_default().synced.resize(*length as usize, 0);
             }
-            (Pending::Create { name, file }, None) => {
+            (UnsyncedOperation::Create { name, file }, None) => {
                 self.names.insert(name.clone(), *file);
             }
-            (Pending::Remove { name }, None) => {
+            (UnsyncedOperation::Remove { name }, None) => {
                 self.names.remove(name);
             }
         }
     }
 
-    fn take_pending(&mut self, of: Option<u64>) -> Vec<Pending> {
+    /// Removes and returns the unsynced operations on a file, or on the folder for `None`.
+    fn take_unsynced(&mut self, file: Option<u64>) -> Vec<UnsyncedOperation> {
         let (covered, rest) =
-            std::mem::take(&mut self.pending).into_iter().partition(|operation| operation.file() == of);
-        self.pending = rest;
+            std::mem::take(&mut self.unsynced).into_iter().partition(|operation| operation.file() == file);
+        self.unsynced = rest;
         covered
     }
 }
@@ -282,26 +292,26 @@
     contents[start..end].copy_from_slice(bytes);
 }
 
-fn no_power() -> io::Error {
+fn no_power_error() -> io::Error {
     io::Error::other("the simulated machine has no power")
 }
 
-fn injected() -> io::Error {
+fn injected_error() -> io::Error {
     io::Error::other("an injected fault of the simulated disk")
 }
 
-fn fail(fault: Fault) -> io::Error {
-    if fault == Fault::PowerLoss { no_power() } else { injected() }
+fn fault_error(fault: Fault) -> io::Error {
+    if fault == Fault::PowerLoss { no_power_error() } else { injected_error() }
 }
 
 impl Disk for SimulatedDisk {
     fn list(&mut self) -> io::Result<Vec<FileEntry>> {
-        let inner = self.lock();
-        if inner.off {
-            return Err(no_power());
+        let state = self.lock();
+        if state.is_off {
+            return Err(no_power_error());
         }
-        let length = |number: &u64| inner.files.get(number).map_or(0, |file| file.current.len() as u64);
-        Ok(inner
+        let length = |number: &u64| state.files.get(number).map_or(0, |file| file.current.len() as u64);
+        Ok(state
             .names
             .iter()
             .map(|(name, number)| FileEntry { name: name.clone(), length: length(number) })
@@ -309,110 +319,110 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let mut inner = self.lock();
-        if let Some(fault) = inner.begin()? {
-            return Err(fail(fault));
+        let mut state = self.lock();
+        if let Some(fault) = state.begin_operation()? {
+            return Err(fault_error(fault));
         }
-        if inner.names.contains_key(name) {
+        if state.names.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        if inner.full {
+        if state.is_full {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let number = inner.next_file;
-        inner.next_file += 1;
-        inner.files.insert(number, SimulatedFile::default());
-        inner.names.insert(name.to_owned(), number);
-        inner.pending.push(Pending::Create { name: name.to_owned(), file: number });
-        inner.end()
+        let number = state.next_file;
+        state.next_file += 1;
+        state.files.insert(number, SimulatedFile::default());
+        state.names.insert(name.to_owned(), number);
+        state.unsynced.push(UnsyncedOperation::Create { name: name.to_owned(), file: number });
+        state.end_operation()
     }
 
     fn read(&mut self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
-        let mut inner = self.lock();
-        if inner.off {
-            return Err(no_power());
+        let mut state = self.lock();
+        if state.is_off {
+            return Err(no_power_error());
         }
-        let number = inner.number(name)?;
-        let contents = inner.current(number);
+        let number = state.file_number(name)?;
+        let contents = state.current_contents(number);
         let start = (offset as usize).min(contents.len());
         let end = start.saturating_add(length).min(contents.len());
         Ok(contents[start..end].to_vec())
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        let mut inner = self.lock();
-        let fault = inner.begin()?;
-        let number = inner.number(name)?;
+        let mut state = self.lock();
+        let fault = state.begin_operation()?;
+        let number = state.file_number(name)?;
         match fault {
             Some(Fault::Error) => {
-                inner.write(number, offset, &bytes[..bytes.len() / 2]);
-                return Err(injected());
+                state.write(number, offset, &bytes[..bytes.len() / 2]);
+                return Err(injected_error());
             }
             Some(fault) => {
-                inner.write(number, offset, bytes);
-                return Err(fail(fault));
+                state.write(number, offset, bytes);
+                return Err(fault_error(fault));
             }
             None => {}
         }
-        let fitting = inner.fitting(number, offset, bytes.len());
-        inner.write(number, offset, &bytes[..fitting]);
+        let fitting = state.fitting_bytes(number, offset, bytes.len());
+        state.write(number, offset, &bytes[..fitting]);
         if fitting < bytes.len() {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        inner.end()
+        state.end_operation()
     }
 
     fn set_len(&mut self, name: &str, length: u64) -> io::Result<()> {
-        let mut inner = self.lock();
-        if let Some(fault) = inner.begin()? {
-            return Err(fail(fault));
+        let mut state = self.lock();
+        if let Some(fault) = state.begin_operation()? {
+            return Err(fault_error(fault));
         }
-        let number = inner.number(name)?;
-        inner.current(number).resize(length as usize, 0);
-        inner.pending.push(Pending::SetLen { file: number, length });
-        inner.end()
+        let number = state.file_number(name)?;
+        state.current_contents(number).resize(length as usize, 0);
+        state.unsynced.push(UnsyncedOperation::SetLen { file: number, length });
+        state.end_operation()
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let mut inner = self.lock();
-        if let Some(fault) = inner.begin()? {
-            return Err(fail(fault));
+        let mut state = self.lock();
+        if let Some(fault) = state.begin_operation()? {
+            return Err(fault_error(fault));
         }
-        if inner.names.remove(name).is_none() {
+        if state.names.remove(name).is_none() {
             return Err(io::ErrorKind::NotFound.into());
         }
-        inner.pending.push(Pending::Remove { name: name.to_owned() });
-        inner.end()
+        state.unsynced.push(UnsyncedOperation::Remove { name: name.to_owned() });
+        state.end_operation()
     }
 
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
-        let mut inner = self.lock();
-        let fault = inner.begin()?;
-        let number = inner.number(name)?;
+        let mut state = self.lock();
+        let fault = state.begin_operation()?;
+        let number = state.file_number(name)?;
         match fault {
             Some(Fault::Error) => {
-                // The writes are shown by reads and are not on the disk; no later sync covers them.
-                inner.take_pending(Some(number));
-                return Err(injected());
+                // The writes stay visible to reads but are not on the disk; no later sync covers them.
+                state.take_unsynced(Some(number));
+                return Err(injected_error());
             }
-            Some(fault) => return Err(fail(fault)),
+            Some(fault) => return Err(fault_error(fault)),
             None => {}
         }
-        inner.syncs += 1;
-        for operation in inner.take_pending(Some(number)) {
-            inner.settle(&operation, None);
+        state.sync_count += 1;
+        for operation in state.take_unsynced(Some(number)) {
+            state.persist(&operation, None);
         }
-        inner.end()
+        state.end_operation()
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        let mut inner = self.lock();
-        if let Some(fault) = inner.begin()? {
-            return Err(fail(fault));
+        let mut state = self.lock();
+        if let Some(fault) = state.begin_operation()? {
+            return Err(fault_error(fault));
         }
-        inner.syncs += 1;
-        inner.take_pending(None);
-        inner.synced_names = inner.names.clone();
-        inner.end()
+        state.sync_count += 1;
+        state.take_unsynced(None);
+        state.synced_names = state.names.clone();
+        state.end_operation()
     }
 }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: batches in, all of each durable or none.
+//! The store: applies batches of operations atomically and durably.
 
 use crate::checkpoint::{Checkpoint, SnapshotReference};
 use crate::disk::Disk;
@@ -7,163 +7,165 @@
 use crate::names;
 use crate::operation::{Limits, Operation, RecoveredState};
 use crate::plan::{Plan, SnapshotWrite};
-use crate::record::{Previous, SegmentHeader};
+use crate::record::{PreviousSegment, SegmentHeader};
 use crate::recovery;
 
-/// A segment, as the next header will name it.
+/// A segment file, as the header of the next segment will refer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Segment {
-    /// The number in its name.
+    /// The file number.
     pub(crate) number: u64,
-    /// The bytes of it that count.
+    /// Valid length in bytes.
     pub(crate) length: u64,
-    /// The highest entry in it that was not truncated; 0 if there is none.
-    pub(crate) highest: u64,
+    /// Highest index of its entries that were not truncated; 0 if there are none.
+    pub(crate) highest_index: u64,
 }
 
-/// A file that is not needed.
+/// A file to be removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Garbage {
+pub(crate) struct ObsoleteFile {
     pub(crate) name: String,
     pub(crate) length: u64,
 }
 
-/// A log with snapshots on a disk. One store at a time may use a folder.
+/// A log with snapshots on a disk. Only one store at a time may use a folder.
 #[derive(Debug)]
 pub struct LogStore<D> {
     disk: D,
     limits: Limits,
     state: Checkpoint,
-    /// Oldest first; the last one is written to.
+    /// Segments, oldest first; frames are written to the last one.
     segments: Vec<Segment>,
-    /// The sequence of the next frame in the last segment.
+    /// Sequence number of the next frame in the last segment.
     next_sequence: u32,
-    /// The next free number for a file.
+    /// The next free file number.
     next_number: u64,
-    /// The last segment may hold what no sync covers: the next frame begins a new one.
+    /// Whether the last segment may have unsynced data: the next frame then begins a new segment.
     must_roll: bool,
-    /// Durable snapshots that only a failed frame names. It may be on the disk all the same, so they stay until a
-    /// later one is.
-    held: Vec<SnapshotReference>,
-    /// Files to be removed, now or when the disk allows it.
-    garbage: Vec<Garbage>,
+    /// Durable snapshot files that only a failed frame refers to. That frame may be on the disk nevertheless,
+    /// so the files are kept until a later frame is durable.
+    unreferenced: Vec<SnapshotReference>,
+    /// Files to be removed; failed removals are tried again.
+    obsolete: Vec<ObsoleteFile>,
 }
 
 impl<D: Disk> LogStore<D> {
-    /// Opens the folder and returns what it holds. Blocks for some syncs, and for the reading of all that is kept.
+    /// Opens the store and returns the recovered state. Blocks while all retained data is read, and for a few
+    /// syncs.
     ///
     /// # Errors
     ///
-    /// The disk failed (a full disk refuses this too: what is returned must have been made durable), or a file has
-    /// an unknown format version. Damage is no error; see [`RecoveredState::damaged`].
+    /// A disk operation failed (also on a full disk, as the recovered state must be made durable), or a file
+    /// has an unknown format version. Damage is not an error; see [`RecoveredState::damaged`].
     pub fn open(mut disk: D, limits: Limits) -> Result<(Self, RecoveredState), StorageError> {
-        let found = recovery::read(&mut disk)?;
+        let contents = recovery::read(&mut disk)?;
         let mut store = Self {
             disk,
             limits,
             state: Checkpoint::empty(0),
-            segments: found.replay.segments.clone(),
+            segments: contents.replay.segments.clone(),
             next_sequence: 0,
-            next_number: found.next_number,
+            next_number: contents.next_number,
             must_roll: true,
-            held: Vec::new(),
-            garbage: Vec::new(),
+            unreferenced: Vec::new(),
+            obsolete: Vec::new(),
         };
-        store.begin(found).map(|recovered| (store, recovered))
+        store.finish_open(contents).map(|recovered| (store, recovered))
     }
 
-    /// Makes a batch durable: all of it, in its order. Blocks for the disk. Batches without a snapshot take one
-    /// write and one sync, and two syncs when a segment ends.
+    /// Applies all operations of a batch in order and makes them durable. Blocks on the disk. A batch without
+    /// a snapshot costs one write and one sync, or two syncs if it begins a new segment.
     ///
     /// # Errors
     ///
-    /// The disk failed or is full, or an operation can't follow. The state is then as before the batch, and it may
-    /// be applied again; until some batch succeeds, a reopened store may hold this one all the same.
+    /// A disk operation failed, the disk is full, or an operation is invalid in the current state. The state
+    /// is unchanged, and the batch may be applied again; until a later batch succeeds, a reopened store may
+    /// nevertheless include this one.
     pub fn apply(&mut self, batch: &[Operation]) -> Result<(), StorageError> {
         if batch.is_empty() {
             return Ok(());
         }
-        self.remove_garbage();
+        self.remove_obsolete();
         let plan = Plan::new(self.state.clone(), self.segments.clone(), self.next_number);
-        let mut plan = plan.with_held(&self.held);
-        plan.batch(batch)?;
+        let mut plan = plan.with_unreferenced(&self.unreferenced);
+        plan.add_batch(batch)?;
         self.check_limit(&plan, self.limits.for_batch(batch))?;
         self.next_number = plan.next_number();
         for snapshot in &plan.snapshots {
             self.write_snapshot(snapshot)?;
         }
         let written: Vec<_> = plan.snapshots.iter().map(|snapshot| snapshot.reference).collect();
-        self.hold(&written);
+        self.mark_unreferenced(&written);
         self.write_plan(plan)
     }
 
-    /// Bytes of all files, those still to be removed included.
+    /// Length of all files in bytes, including files still to be removed.
     pub fn used_bytes(&self) -> u64 {
         let segments: u64 = self.segments.iter().map(|segment| segment.length).sum();
-        let garbage: u64 = self.garbage.iter().map(|file| file.length).sum();
-        let snapshots = self.held.iter().chain(&self.state.snapshot);
-        segments + garbage + snapshots.map(SnapshotReference::file_bytes).sum::<u64>()
+        let obsolete: u64 = self.obsolete.iter().map(|file| file.length).sum();
+        let snapshots = self.unreferenced.iter().chain(&self.state.snapshot);
+        segments + obsolete + snapshots.map(SnapshotReference::file_bytes).sum::<u64>()
     }
 
-    /// Forgets everything, in one step: after a loss of power either all or nothing is there.
+    /// Removes all data atomically: after a power loss either all or none of it is left.
     ///
     /// # Errors
     ///
-    /// The disk failed; the contents are as before, and it may be tried again.
+    /// A disk operation failed; the data is unchanged, and the wipe may be tried again.
     pub fn wipe(&mut self) -> Result<(), StorageError> {
-        let old = std::mem::take(&mut self.segments);
+        let old_segments = std::mem::take(&mut self.segments);
         let empty = Checkpoint::empty(self.next_number);
         if let Err(error) = self.roll(&empty, &[]) {
-            self.segments = old;
+            self.segments = old_segments;
             return Err(error);
         }
-        self.discard_segments(&old);
+        self.discard_segments(&old_segments);
         self.set_state(empty);
-        self.remove_garbage();
+        self.remove_obsolete();
         Ok(())
     }
 
-    /// The disk.
+    /// The disk that the store writes to.
     pub fn disk(&self) -> &D {
         &self.disk
     }
 
-    /// Writes what recovery found into a new segment, and removes what is left over.
-    fn begin(&mut self, found: recovery::Found) -> Result<RecoveredState, StorageError> {
-        for file in &found.needless {
-            // What fails here is tried again below.
+    /// Begins a new segment with the recovered state and last frame, and removes obsolete files.
+    fn finish_open(&mut self, contents: recovery::FolderContents) -> Result<RecoveredState, StorageError> {
+        for file in &contents.removable {
+            // Failed removals are tried again below.
             let _ = self.disk.remove(&file.name);
         }
-        let mut plan = Plan::new(found.header.clone(), self.segments.clone(), self.next_number);
+        let mut plan = Plan::new(contents.header.clone(), self.segments.clone(), self.next_number);
         let number = self.next_number;
-        plan.segments.push(Segment { number, length: 0, highest: 0 });
-        let carried_from = found.replay.carried_from;
-        for entry in found.recovered.entries.iter().filter(|entry| entry.index >= carried_from) {
+        plan.segments.push(Segment { number, length: 0, highest_index: 0 });
+        let rewritten_from = contents.replay.rewritten_from;
+        for entry in contents.recovered.entries.iter().filter(|entry| entry.index >= rewritten_from) {
             plan.append(entry.index, &entry.bytes)?;
         }
-        let dropped = plan.drop_segments();
-        self.roll(&found.header, &plan.payload)?;
+        let dropped = plan.remove_unneeded_segments();
+        self.roll(&contents.header, &plan.payload)?;
         self.commit(plan, &dropped);
-        self.garbage.extend(found.needless);
-        self.garbage.extend(found.superseded);
-        self.remove_garbage();
-        self.cut_tails(&found.tails);
-        Ok(found.recovered)
+        self.obsolete.extend(contents.removable);
+        self.obsolete.extend(contents.superseded);
+        self.remove_obsolete();
+        self.truncate_tails(&contents.segments_with_tail);
+        Ok(contents.recovered)
     }
 
-    /// Cuts what does not count off the older segments, to have the space.
-    fn cut_tails(&mut self, tails: &[u64]) {
+    /// Truncates segments to their valid length, to free space.
+    fn truncate_tails(&mut self, segments_with_tail: &[u64]) {
         for segment in &self.segments {
-            if tails.contains(&segment.number) {
-                // Only space is lost if this fails: the newest header says how much counts.
-                let _ = self.disk.set_len(&names::segment(segment.number), segment.length);
+            if segments_with_tail.contains(&segment.number) {
+                // A failure only wastes space: the newest header states the valid length.
+                let _ = self.disk.set_len(&names::segment_file(segment.number), segment.length);
             }
         }
     }
 
     fn check_limit(&self, plan: &Plan<'_>, limit: u64) -> Result<(), StorageError> {
         let metadata = self.state.metadata.as_ref().map_or(0, |bytes| bytes.len() as u64);
-        let needed = self.used_bytes() + plan.added_bytes() + metadata + OVERHEAD_BYTES;
+        let needed = self.used_bytes() + plan.added_bytes() + metadata + LIMIT_OVERHEAD_BYTES;
         if needed > limit {
             return Err(StorageError::OverLimit { needed, limit });
         }
@@ -171,23 +173,23 @@
     }
 
     fn write_snapshot(&mut self, snapshot: &SnapshotWrite<'_>) -> Result<(), StorageError> {
-        let name = names::snapshot(snapshot.reference.number);
-        // Garbage until a frame names it.
-        self.garbage.push(Garbage { name: name.clone(), length: snapshot.file_bytes() });
-        self.write_new(&name, &[&frame::prefix(), snapshot.bytes])
+        let name = names::snapshot_file(snapshot.reference.number);
+        // The file is obsolete until a frame refers to it.
+        self.obsolete.push(ObsoleteFile { name: name.clone(), length: snapshot.file_bytes() });
+        self.write_new_file(&name, &[&frame::prefix(), snapshot.bytes])
     }
 
-    /// The snapshots are durable, and the next thing written is a frame that names them.
-    fn hold(&mut self, written: &[SnapshotReference]) {
+    /// Keeps durable snapshot files that the next frame will refer to.
+    fn mark_unreferenced(&mut self, written: &[SnapshotReference]) {
         for reference in written {
-            let name = names::snapshot(reference.number);
-            self.garbage.retain(|file| file.name != name);
-            self.held.push(*reference);
+            let name = names::snapshot_file(reference.number);
+            self.obsolete.retain(|file| file.name != name);
+            self.unreferenced.push(*reference);
         }
     }
 
-    fn write_new(&mut self, name: &str, parts: &[&[u8]]) -> Result<(), StorageError> {
-        self.disk.create(name).map_err(StorageError::disk("making", name))?;
+    fn write_new_file(&mut self, name: &str, parts: &[&[u8]]) -> Result<(), StorageError> {
+        self.disk.create(name).map_err(StorageError::disk("creating", name))?;
         let mut offset = 0;
         for part in parts {
             self.disk.write(name, offset, part).map_err(StorageError::disk("writing", name))?;
@@ -199,29 +201,29 @@
 
     fn write_plan(&mut self, mut plan: Plan<'_>) -> Result<(), StorageError> {
         let frame_bytes = (FRAME_HEADER_BYTES + plan.payload.len()) as u64;
-        let rolls = self.must_roll || self.is_past_limit(frame_bytes);
-        if rolls {
+        let begins_segment = self.must_roll || self.exceeds_segment_limit(frame_bytes);
+        if begins_segment {
             move_to_new_segment(&mut plan, &self.segments, self.next_number);
         }
-        let dropped = plan.drop_segments();
-        if rolls {
+        let dropped = plan.remove_unneeded_segments();
+        if begins_segment {
             self.roll(&self.state.clone(), &plan.payload)?;
         } else {
             self.append_frame(&plan.payload)?;
         }
         self.commit(plan, &dropped);
-        self.remove_garbage();
+        self.remove_obsolete();
         Ok(())
     }
 
-    fn is_past_limit(&self, frame_bytes: u64) -> bool {
+    fn exceeds_segment_limit(&self, frame_bytes: u64) -> bool {
         let length = self.segments.last().map_or(0, |segment| segment.length);
         self.next_sequence == u32::MAX || length + frame_bytes > self.limits.segment_bytes
     }
 
     fn append_frame(&mut self, payload: &[u8]) -> Result<(), StorageError> {
         let Some(segment) = self.segments.last().copied() else { return Ok(()) };
-        let name = names::segment(segment.number);
+        let name = names::segment_file(segment.number);
         let mut bytes = Vec::new();
         frame::write_frame(&mut bytes, segment.number, self.next_sequence, payload)?;
         let written = self
@@ -231,7 +233,7 @@
             .and_then(|()| self.disk.sync_file(&name).map_err(StorageError::disk("syncing", &name)));
         if let Err(error) = written {
             self.must_roll = true;
-            // Gives the space back; what counts does not depend on it.
+            // Frees the space; a failure does no harm, as the next header states the valid length.
             let _ = self.disk.set_len(&name, segment.length);
             return Err(error);
         }
@@ -240,29 +242,30 @@
         Ok(())
     }
 
-    /// Begins a segment with a header and one frame.
+    /// Begins a new segment with a header and one frame.
     fn roll(&mut self, checkpoint: &Checkpoint, payload: &[u8]) -> Result<(), StorageError> {
         let number = self.next_number;
-        let previous = self.segments.last().map(|last| Previous { number: last.number, length: last.length });
+        let previous =
+            self.segments.last().map(|last| PreviousSegment { number: last.number, length: last.length });
         let header = SegmentHeader { previous, checkpoint: checkpoint.clone() };
         let mut header_bytes = Vec::new();
-        minicbor::encode(&header, &mut header_bytes).expect("a vector takes all bytes");
+        minicbor::encode(&header, &mut header_bytes).expect("writing to a vector does not fail");
         let mut bytes = frame::prefix().to_vec();
         frame::write_frame(&mut bytes, number, 0, &header_bytes)?;
         frame::write_frame(&mut bytes, number, 1, payload)?;
-        // The older segment must not be written to any more: recovery may prefer the new one from now on.
+        // The previous segment must not be written from now on: recovery may already prefer the new one.
         self.must_roll = true;
         self.next_number += 1;
-        let name = names::segment(number);
+        let name = names::segment_file(number);
         let length = bytes.len() as u64;
-        if let Err(error) = self.write_new(&name, &[&bytes]) {
-            self.garbage.push(Garbage { name, length });
-            self.remove_garbage();
+        if let Err(error) = self.write_new_file(&name, &[&bytes]) {
+            self.obsolete.push(ObsoleteFile { name, length });
+            self.remove_obsolete();
             return Err(error);
         }
         self.must_roll = false;
         self.next_sequence = 2;
-        self.segments.push(Segment { number, length, highest: 0 });
+        self.segments.push(Segment { number, length, highest_index: 0 });
         Ok(())
     }
 
@@ -272,7 +275,7 @@
         }
     }
 
-    /// Takes over the outcome of a batch that is durable.
+    /// Updates the state after a batch became durable.
     fn commit(&mut self, plan: Plan<'_>, dropped: &[Segment]) {
         let length = self.segments.last().map_or(0, |segment| segment.length);
         self.segments = plan.segments;
@@ -282,42 +285,45 @@
     }
 
     fn discard_segments(&mut self, segments: &[Segment]) {
-        let files = segments
-            .iter()
-            .map(|segment| Garbage { name: names::segment(segment.number), length: segment.length });
-        self.garbage.extend(files);
+        let files = segments.iter().map(|segment| ObsoleteFile {
+            name: names::segment_file(segment.number),
+            length: segment.length,
+        });
+        self.obsolete.extend(files);
     }
 
-    /// Takes over a state that is durable; all snapshots but the one that it names become garbage.
+    /// Sets a durable state; all snapshot files except the one that it refers to become obsolete.
     fn set_state(&mut self, state: Checkpoint) {
         let old = std::mem::replace(&mut self.state, state).snapshot;
-        let named = self.state.snapshot.map(|snapshot| snapshot.number);
-        let others = self.held.drain(..).chain(old).filter(|snapshot| Some(snapshot.number) != named);
-        self.garbage.extend(others.map(|snapshot| Garbage {
-            name: names::snapshot(snapshot.number),
+        let current = self.state.snapshot.map(|snapshot| snapshot.number);
+        let others =
+            self.unreferenced.drain(..).chain(old).filter(|snapshot| Some(snapshot.number) != current);
+        self.obsolete.extend(others.map(|snapshot| ObsoleteFile {
+            name: names::snapshot_file(snapshot.number),
             length: snapshot.file_bytes(),
         }));
     }
 
-    /// Removes what it can; a failure is tried again with the next batch. No sync follows: a removed file that
-    /// comes back is known to be needless.
-    fn remove_garbage(&mut self) {
+    /// Removes obsolete files; failed removals are tried again with the next batch. No sync follows, as a
+    /// removed file that reappears is recognized as unneeded.
+    fn remove_obsolete(&mut self) {
         let disk = &mut self.disk;
-        self.garbage.retain(|file| match disk.remove(&file.name) {
+        self.obsolete.retain(|file| match disk.remove(&file.name) {
             Ok(()) => false,
             Err(error) => error.kind() != std::io::ErrorKind::NotFound,
         });
     }
 }
 
-/// Room for headers of frames and files when the limit is checked, in bytes.
-const OVERHEAD_BYTES: u64 = 512;
+/// Allowance for headers of frames and files in the check of the disk limit, in bytes.
+const LIMIT_OVERHEAD_BYTES: u64 = 512;
 
-/// The plan's frame opens a new segment: what it appends counts there, not in the segment that is left.
+/// Changes the plan so that its frame begins a new segment: the appended entries belong to the new segment
+/// instead of the last one.
 fn move_to_new_segment(plan: &mut Plan<'_>, before: &[Segment], number: u64) {
-    let Some(left) = plan.segments.last_mut() else { return };
-    let highest = left.highest;
-    let old = before.last().map_or(0, |segment| segment.highest);
-    left.highest = old.min(plan.state.last);
-    plan.segments.push(Segment { number, length: 0, highest });
+    let Some(last) = plan.segments.last_mut() else { return };
+    let highest_index = last.highest_index;
+    let old_highest = before.last().map_or(0, |segment| segment.highest_index);
+    last.highest_index = old_highest.min(plan.state.last);
+    plan.segments.push(Segment { number, length: 0, highest_index });
 }
