--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Power is lost at every operation of the disk, with every subset of the unsynced operations kept, torn or lost.
+//! Power loss at every disk operation, with the unsynced operations kept, torn or lost in all combinations.
 
 mod model;
 #[path = "model/script.rs"]
@@ -9,12 +9,14 @@
 use model::Model;
 use script::script;
 
-/// Subsets are tried in full up to so many unsynced operations; of more, the last ones.
-const VARIED: usize = 4;
+/// All combinations are tried for this many of the last unsynced operations; earlier ones are all lost or all
+/// kept.
+const MAX_VARIED: usize = 4;
 const LIMITS: Limits = Limits { segment_bytes: 600, disk_bytes: 1 << 20 };
 
-/// Applies the script until something fails. Returns what was acknowledged, and what was under way.
-fn run(disk: &SimulatedDisk, script: &[Vec<Operation>]) -> (Model, Option<Model>) {
+/// Applies the script until a batch fails. Returns the model of the acknowledged batches, and the model with
+/// the failed batch.
+fn run_until_failure(disk: &SimulatedDisk, script: &[Vec<Operation>]) -> (Model, Option<Model>) {
     let mut model = Model::default();
     let Ok((mut store, _)) = LogStore::open(disk.clone(), LIMITS) else { return (model, None) };
     for batch in script {
@@ -27,102 +29,114 @@
     (model, None)
 }
 
-fn fates(place: usize, disk: &SimulatedDisk) -> Vec<CrashOutcome> {
-    let mut fates = vec![CrashOutcome::Lost, CrashOutcome::Kept];
-    if let Some(length) = disk.unsynced_write_length(place) {
-        fates.push(CrashOutcome::Torn(length / 2));
+/// Possible outcomes of one unsynced operation.
+fn outcomes(index: usize, disk: &SimulatedDisk) -> Vec<CrashOutcome> {
+    let mut outcomes = vec![CrashOutcome::Lost, CrashOutcome::Kept];
+    if let Some(length) = disk.unsynced_write_length(index) {
+        outcomes.push(CrashOutcome::Torn(length / 2));
     }
-    fates
+    outcomes
 }
 
-/// Calls `check` for each outcome of a loss of power.
+/// Calls `check` with a fork of the disk for each outcome of a power loss.
 fn each_outcome(disk: &SimulatedDisk, mut check: impl FnMut(&SimulatedDisk)) {
-    let pending = disk.unsynced_count();
-    let varied = pending.min(VARIED);
-    for fixed in
-        if pending > varied { vec![CrashOutcome::Lost, CrashOutcome::Kept] } else { vec![CrashOutcome::Kept] }
-    {
-        let mut outcomes = vec![Vec::new()];
-        for place in pending - varied..pending {
-            let choices = fates(place, disk);
-            outcomes = outcomes
+    let unsynced = disk.unsynced_count();
+    let varied = unsynced.min(MAX_VARIED);
+    for fixed in if unsynced > varied {
+        vec![CrashOutcome::Lost, CrashOutcome::Kept]
+    } else {
+        vec![CrashOutcome::Kept]
+    } {
+        let mut combinations = vec![Vec::new()];
+        for index in unsynced - varied..unsynced {
+            let choices = outcomes(index, disk);
+            combinations = combinations
                 .iter()
                 .flat_map(|before: &Vec<CrashOutcome>| {
-                    choices.iter().map(|fate| [before.as_slice(), &[*fate]].concat()).collect::<Vec<_>>()
+                    choices
+                        .iter()
+                        .map(|outcome| [before.as_slice(), &[*outcome]].concat())
+                        .collect::<Vec<_>>()
                 })
                 .collect();
         }
-        for outcome in outcomes {
+        for combination in combinations {
             let fork = disk.fork();
-            fork.lose_power(|place| {
-                if place < pending - varied { fixed } else { outcome[place - (pending - varied)] }
+            fork.lose_power(|index| {
+                if index < unsynced - varied { fixed } else { combination[index - (unsynced - varied)] }
             });
             check(&fork);
         }
     }
 }
 
-fn check(disk: &SimulatedDisk, acknowledged: &Model, under_way: Option<&Model>, at: u64) {
-    let (mut store, found) = LogStore::open(disk.clone(), LIMITS).unwrap();
-    assert!(!found.damaged, "operation {at}: {:?}", found.notes);
-    let model = [Some(acknowledged), under_way].into_iter().flatten().find(|model| model.is(&found));
-    let Some(model) = model else { panic!("operation {at}: {found:?}, acknowledged {acknowledged:?}") };
-    // It goes on from there, and what is added lasts.
+/// Checks that the store recovers the acknowledged model or the one with the failed batch, and that it
+/// accepts a durable batch.
+fn check(disk: &SimulatedDisk, acknowledged: &Model, with_failed: Option<&Model>, at: u64) {
+    let (mut store, recovered) = LogStore::open(disk.clone(), LIMITS).unwrap();
+    assert!(!recovered.damaged, "operation {at}: {:?}", recovered.notes);
+    let model =
+        [Some(acknowledged), with_failed].into_iter().flatten().find(|model| model.matches(&recovered));
+    let Some(model) = model else { panic!("operation {at}: {recovered:?}, acknowledged {acknowledged:?}") };
+    // The store continues from there, and the next batch is durable.
     let batch = vec![Operation::Metadata(b"after".to_vec()), model.next_append(b"after")];
     let next = model.after(&batch);
     store.apply(&batch).unwrap();
     drop(store);
     disk.lose_power(|_| CrashOutcome::Lost);
-    let (_, found) = LogStore::open(disk.clone(), LIMITS).unwrap();
-    assert!(next.is(&found) && !found.damaged, "operation {at}: {found:?}, acknowledged {next:?}");
+    let (_, recovered) = LogStore::open(disk.clone(), LIMITS).unwrap();
+    assert!(
+        next.matches(&recovered) && !recovered.damaged,
+        "operation {at}: {recovered:?}, acknowledged {next:?}"
+    );
 }
 
 #[test]
-fn power_loss_at_every_operation_keeps_what_was_acknowledged() {
+fn power_loss_keeps_acknowledged_batches() {
     let script = script();
-    let whole = SimulatedDisk::new();
-    run(&whole, &script);
-    for operation in 0..whole.operation_count() {
+    let faultless = SimulatedDisk::new();
+    run_until_failure(&faultless, &script);
+    for operation in 0..faultless.operation_count() {
         let disk = SimulatedDisk::new();
         disk.fail_at(operation, Fault::PowerLoss);
-        let (acknowledged, under_way) = run(&disk, &script);
-        each_outcome(&disk, |disk| check(disk, &acknowledged, under_way.as_ref(), operation));
+        let (acknowledged, with_failed) = run_until_failure(&disk, &script);
+        each_outcome(&disk, |disk| check(disk, &acknowledged, with_failed.as_ref(), operation));
     }
 }
 
 #[test]
-fn a_process_that_is_killed_finds_its_files_as_they_were() {
+fn process_kill_keeps_acknowledged_batches() {
     let script = script();
-    let whole = SimulatedDisk::new();
-    run(&whole, &script);
-    for operation in 0..whole.operation_count() {
+    let faultless = SimulatedDisk::new();
+    run_until_failure(&faultless, &script);
+    for operation in 0..faultless.operation_count() {
         let disk = SimulatedDisk::new();
         disk.fail_at(operation, Fault::PowerLoss);
-        let (acknowledged, under_way) = run(&disk, &script);
-        check(&disk.fork(), &acknowledged, under_way.as_ref(), operation);
+        let (acknowledged, with_failed) = run_until_failure(&disk, &script);
+        check(&disk.fork(), &acknowledged, with_failed.as_ref(), operation);
     }
 }
 
 #[test]
-fn a_kill_and_then_power_loss_during_the_next_opening() {
+fn power_loss_while_opening_after_a_kill() {
     let script = script();
-    let whole = SimulatedDisk::new();
-    run(&whole, &script);
-    for operation in (0..whole.operation_count()).step_by(3) {
+    let faultless = SimulatedDisk::new();
+    run_until_failure(&faultless, &script);
+    for operation in (0..faultless.operation_count()).step_by(3) {
         let disk = SimulatedDisk::new();
         disk.fail_at(operation, Fault::PowerLoss);
-        let (acknowledged, under_way) = run(&disk, &script);
+        let (acknowledged, with_failed) = run_until_failure(&disk, &script);
         let start = disk.operation_count();
         for later in 0.. {
             let fork = disk.fork();
             fork.fail_at(start + later, Fault::PowerLoss);
-            // What an opening returned is durable: only one of the two models may come back from then on.
-            let Ok((_, found)) = LogStore::open(fork.clone(), LIMITS) else {
-                each_outcome(&fork, |disk| check(disk, &acknowledged, under_way.as_ref(), operation));
+            // A returned state is durable: only that one of the two models may be recovered from then on.
+            let Ok((_, recovered)) = LogStore::open(fork.clone(), LIMITS) else {
+                each_outcome(&fork, |disk| check(disk, &acknowledged, with_failed.as_ref(), operation));
                 continue;
             };
-            let returned = [Some(&acknowledged), under_way.as_ref()].into_iter().flatten();
-            let returned = returned.into_iter().find(|model| model.is(&found)).unwrap().clone();
+            let returned = [Some(&acknowledged), with_failed.as_ref()].into_iter().flatten();
+            let returned = returned.into_iter().find(|model| model.matches(&recovered)).unwrap().clone();
             each_outcome(&fork, |disk| check(disk, &returned, None, operation));
             if fork.operation_count() <= start + later {
                 break;
@@ -132,12 +146,12 @@
 }
 
 #[test]
-fn an_error_at_every_operation_then_the_same_batch_again() {
+fn failed_batch_can_be_retried() {
     let script = script();
-    let whole = SimulatedDisk::new();
-    run(&whole, &script);
+    let faultless = SimulatedDisk::new();
+    run_until_failure(&faultless, &script);
     for fault in [Fault::Error, Fault::LateError, Fault::Full] {
-        for operation in 0..whole.operation_count() {
+        for operation in 0..faultless.operation_count() {
             let disk = SimulatedDisk::new();
             disk.fail_at(operation, fault);
             let model = run_with_retries(&disk, &script);
@@ -146,7 +160,7 @@
     }
 }
 
-/// Applies all of the script; a batch that failed is applied again when the disk has recovered.
+/// Applies all of the script; a failed batch is applied again once the disk has recovered.
 fn run_with_retries(disk: &SimulatedDisk, script: &[Vec<Operation>]) -> Model {
     let mut model = Model::default();
     let opened = LogStore::open(disk.clone(), LIMITS);
@@ -159,7 +173,7 @@
                 continue;
             }
             disk.set_full(false);
-            // A disk that stays full refuses it again; nothing of it may be left in the way.
+            // A disk that stays full rejects the batch again; no remains of it may prevent a later success.
             store.apply(batch).unwrap();
         }
         model = model.after(batch);
@@ -168,16 +182,16 @@
 }
 
 #[test]
-fn an_error_at_every_operation_then_power_loss_at_any_later_one() {
+fn power_loss_while_retrying_a_failed_batch() {
     let script = script();
-    let whole = SimulatedDisk::new();
-    run(&whole, &script);
+    let faultless = SimulatedDisk::new();
+    run_until_failure(&faultless, &script);
     for fault in [Fault::Error, Fault::LateError] {
-        for operation in 0..whole.operation_count() {
+        for operation in 0..faultless.operation_count() {
             for later in 0..40 {
                 let disk = SimulatedDisk::new();
                 disk.fail_at(operation, fault);
-                let Some(failed) = run_to_failure(&disk, &script) else { break };
+                let Some(failed) = run_to_failed_batch(&disk, &script) else { break };
                 let Failed { mut store, model, batch } = failed;
                 let next = model.after(&batch);
                 disk.fail_at(disk.operation_count() + later, Fault::PowerLoss);
@@ -191,14 +205,15 @@
     }
 }
 
+/// A failed batch, with its store and the model of the batches before it.
 struct Failed {
     store: LogStore<SimulatedDisk>,
     model: Model,
     batch: Vec<Operation>,
 }
 
-/// Applies the script until a batch fails; none if none does.
-fn run_to_failure(disk: &SimulatedDisk, script: &[Vec<Operation>]) -> Option<Failed> {
+/// Applies the script until a batch fails; `None` if none does.
+fn run_to_failed_batch(disk: &SimulatedDisk, script: &[Vec<Operation>]) -> Option<Failed> {
     let (mut store, _) = LogStore::open(disk.clone(), LIMITS).ok()?;
     let mut model = Model::default();
     for batch in script {
@@ -211,21 +226,21 @@
 }
 
 #[test]
-fn an_error_at_every_operation_then_a_kill_and_power_loss() {
+fn power_loss_after_an_error_and_a_kill() {
     let script = script();
-    let whole = SimulatedDisk::new();
-    run(&whole, &script);
+    let faultless = SimulatedDisk::new();
+    run_until_failure(&faultless, &script);
     for fault in [Fault::Error, Fault::LateError] {
-        for operation in 0..whole.operation_count() {
+        for operation in 0..faultless.operation_count() {
             let disk = SimulatedDisk::new();
             disk.fail_at(operation, fault);
-            let Some(failed) = run_to_failure(&disk, &script) else { continue };
+            let Some(failed) = run_to_failed_batch(&disk, &script) else { continue };
             let Failed { store, model, batch } = failed;
             drop(store);
             let next = model.after(&batch);
             each_outcome(&disk, |disk| check(disk, &model, Some(&next), operation));
-            let (_, found) = LogStore::open(disk.clone(), LIMITS).unwrap();
-            let returned = if model.is(&found) { model } else { next };
+            let (_, recovered) = LogStore::open(disk.clone(), LIMITS).unwrap();
+            let returned = if model.matches(&recovered) { model } else { next };
             each_outcome(&disk, |disk| check(disk, &returned, None, operation));
         }
     }
--- a/crates/storage/tests/folder.rs
+++ b/crates/storage/tests/folder.rs
@@ -1,11 +1,11 @@
-//! The store on real files.
+//! The store on files of the file system.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use dunelink_storage::{Disk, FolderDisk, Limits, LogStore, Operation, RecoveryNote};
 
-fn fresh(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     if path.exists() {
         fs::remove_dir_all(&path).unwrap();
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn segments_snapshots_and_reopenings() {
-    let path = fresh("storage-folder");
+fn data_survives_reopening() {
+    let path = empty_folder("storage-folder");
     let limits = Limits { segment_bytes: 500, disk_bytes: 1 << 20 };
     let mut last = 0;
     for round in 1..=4 {
-        let (mut store, found) = LogStore::open(FolderDisk::new(&path).unwrap(), limits).unwrap();
-        assert!(!found.damaged);
-        assert_eq!(found.entries.last().map_or(0, |entry| entry.index), last);
+        let (mut store, recovered) = LogStore::open(FolderDisk::new(&path).unwrap(), limits).unwrap();
+        assert!(!recovered.damaged);
+        assert_eq!(recovered.entries.last().map_or(0, |entry| entry.index), last);
         for index in last + 1..=last + 10 {
             store.apply(&[append(index), Operation::Metadata(vec![round; 9])]).unwrap();
         }
@@ -36,15 +36,15 @@
             fs::read_dir(&path).unwrap().map(|file| file.unwrap().metadata().unwrap().len()).sum();
         assert_eq!(store.used_bytes(), on_disk);
     }
-    let (_, found) = LogStore::open(FolderDisk::new(&path).unwrap(), limits).unwrap();
-    assert_eq!(found.metadata, Some(vec![4; 9]));
-    assert_eq!(found.snapshot.unwrap().bytes, vec![4; 600]);
-    assert_eq!(found.entries.iter().map(|entry| entry.index).collect::<Vec<_>>(), [39, 40]);
+    let (_, recovered) = LogStore::open(FolderDisk::new(&path).unwrap(), limits).unwrap();
+    assert_eq!(recovered.metadata, Some(vec![4; 9]));
+    assert_eq!(recovered.snapshot.unwrap().bytes, vec![4; 600]);
+    assert_eq!(recovered.entries.iter().map(|entry| entry.index).collect::<Vec<_>>(), [39, 40]);
 }
 
 #[test]
-fn a_torn_file_is_cut_and_other_files_are_left_alone() {
-    let path = fresh("storage-torn");
+fn torn_segment_is_truncated_and_foreign_files_are_kept() {
+    let path = empty_folder("storage-torn");
     let (mut store, _) = LogStore::open(FolderDisk::new(&path).unwrap(), Limits::default()).unwrap();
     store.apply(&[append(1)]).unwrap();
     store.apply(&[append(2)]).unwrap();
@@ -54,15 +54,15 @@
     let mut bytes = fs::read(&segment).unwrap();
     bytes.truncate(bytes.len() - 1);
     fs::write(&segment, bytes).unwrap();
-    let (_, found) = LogStore::open(FolderDisk::new(&path).unwrap(), Limits::default()).unwrap();
-    assert_eq!(found.entries.len(), 1);
-    assert!(matches!(found.notes[..], [RecoveryNote::TornTail { .. }]));
+    let (_, recovered) = LogStore::open(FolderDisk::new(&path).unwrap(), Limits::default()).unwrap();
+    assert_eq!(recovered.entries.len(), 1);
+    assert!(matches!(recovered.notes[..], [RecoveryNote::TornTail { .. }]));
     assert_eq!(fs::read(path.join("other.txt")).unwrap(), b"not of the store");
 }
 
 #[test]
-fn operations_of_the_folder() {
-    let mut disk = FolderDisk::new(fresh("storage-operations")).unwrap();
+fn disk_operations() {
+    let mut disk = FolderDisk::new(empty_folder("storage-operations")).unwrap();
     disk.create("a").unwrap();
     assert!(disk.create("a").is_err());
     disk.write("a", 0, b"abcdef").unwrap();
--- a/crates/storage/tests/inspection.rs
+++ b/crates/storage/tests/inspection.rs
@@ -1,4 +1,4 @@
-//! Looking at a folder finds what an opening finds, and changes nothing.
+//! Inspection finds the same state as opening, and changes nothing.
 
 use dunelink_storage::simulated::{CrashOutcome, SimulatedDisk};
 use dunelink_storage::{Disk, Limits, LogStore, Operation, ReadOnlyFolder, SnapshotUse, inspect};
@@ -9,7 +9,7 @@
     Operation::Append { index, bytes: vec![index as u8; 100] }
 }
 
-fn filled() -> SimulatedDisk {
+fn filled_disk() -> SimulatedDisk {
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), LIMITS).unwrap();
     store.apply(&[Operation::Metadata(b"term 1".to_vec())]).unwrap();
@@ -33,23 +33,23 @@
 }
 
 #[test]
-fn it_finds_what_an_opening_finds_and_changes_nothing() {
-    let mut disk = filled();
+fn inspection_matches_opening_and_changes_nothing() {
+    let mut disk = filled_disk();
     let before = contents(&mut disk);
     let inspection = inspect(&mut disk).unwrap();
     assert_eq!(contents(&mut disk), before);
     let opened = LogStore::open(disk, LIMITS).unwrap().1;
     assert_eq!(inspection.recovered, opened);
     assert_eq!(inspection.recovered.entries.last().map(|entry| entry.index), Some(21));
-    let in_use = |use_of: &Option<SnapshotUse>| *use_of == Some(SnapshotUse::InUse);
+    let in_use = |snapshot: &Option<SnapshotUse>| *snapshot == Some(SnapshotUse::InUse);
     assert_eq!(inspection.files.iter().filter(|file| in_use(&file.snapshot)).count(), 1);
     assert_eq!(inspection.files.len(), before.len());
     assert!(inspection.files.iter().all(|file| file.is_readable && file.valid_bytes == file.length));
 }
 
 #[test]
-fn a_changed_byte_shows_as_damage_with_its_file() {
-    let mut disk = filled();
+fn damaged_file_is_reported() {
+    let mut disk = filled_disk();
     let files = disk.list().unwrap();
     let oldest = files.iter().filter(|file| file.name.ends_with(".log")).min_by(|a, b| a.name.cmp(&b.name));
     let name = oldest.unwrap().name.clone();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_folder_opened_for_reading_refuses_every_change_and_is_not_made() {
+fn read_only_folder_refuses_changes() {
     let missing = std::env::temp_dir().join(format!("dunelink-no-folder-{}", std::process::id()));
     assert!(ReadOnlyFolder::new(&missing).is_err());
     assert!(!missing.exists());
--- a/crates/storage/tests/model/mod.rs
+++ b/crates/storage/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! What a store should hold, kept in memory.
+//! In-memory model of the expected contents of a store.
 
 use dunelink_storage::{Operation, RecoveredState, StoredEntry, StoredSnapshot};
 
@@ -41,9 +41,11 @@
         }
     }
 
-    /// True if that is what was recovered.
-    pub(crate) fn is(&self, found: &RecoveredState) -> bool {
-        self.metadata == found.metadata && self.snapshot == found.snapshot && self.entries == found.entries
+    /// Whether the recovered state equals the model.
+    pub(crate) fn matches(&self, recovered: &RecoveredState) -> bool {
+        self.metadata == recovered.metadata
+            && self.snapshot == recovered.snapshot
+            && self.entries == recovered.entries
     }
 
     #[allow(dead_code)]
--- a/crates/storage/tests/model/script.rs
+++ b/crates/storage/tests/model/script.rs
@@ -1,8 +1,8 @@
-//! A run for the tests that go through every operation of the disk.
+//! Batches for the tests that inject a fault at every disk operation.
 
 use dunelink_storage::Operation;
 
-/// A run with every kind of operation and several ends of segments.
+/// Batches with every kind of operation, over several segments.
 pub(crate) fn script() -> Vec<Vec<Operation>> {
     let append = |index: u64, size: usize| Operation::Append { index, bytes: vec![index as u8; size] };
     let metadata = |text: &str| Operation::Metadata(text.as_bytes().to_vec());
--- a/crates/storage/tests/refusals.rs
+++ b/crates/storage/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Operations that can't follow are refused before anything is written.
+//! Operations that are invalid in the current state are refused before anything is written.
 
 use dunelink_storage::simulated::SimulatedDisk;
 use dunelink_storage::{Limits, LogStore, Operation, StorageError};
@@ -11,7 +11,7 @@
     Operation::Snapshot { index, bytes: vec![0; 8] }
 }
 
-fn refuse(before: &[Operation], refused: &[Operation]) -> StorageError {
+fn refusal(before: &[Operation], refused: &[Operation]) -> StorageError {
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
     store.apply(before).unwrap();
@@ -24,30 +24,30 @@
 }
 
 #[test]
-fn an_entry_must_follow_the_last_one() {
-    let error = refuse(&[append(1)], &[append(3)]);
+fn non_contiguous_entry_is_refused() {
+    let error = refusal(&[append(1)], &[append(3)]);
     assert!(matches!(error, StorageError::NotContiguous { index: 3, expected: 2 }));
-    let error = refuse(&[append(1), append(2)], &[append(2)]);
+    let error = refusal(&[append(1), append(2)], &[append(2)]);
     assert!(matches!(error, StorageError::NotContiguous { index: 2, expected: 3 }));
-    let error = refuse(&[append(1), snapshot(9)], &[append(2)]);
+    let error = refusal(&[append(1), snapshot(9)], &[append(2)]);
     assert!(matches!(error, StorageError::NotContiguous { index: 2, expected: 10 }));
 }
 
 #[test]
-fn released_entries_can_not_be_truncated() {
+fn truncation_of_released_entries_is_refused() {
     let before = [append(1), append(2), append(3), snapshot(2), Operation::Release { through: 2 }];
-    let error = refuse(&before, &[Operation::Truncate { from: 2 }]);
+    let error = refusal(&before, &[Operation::Truncate { from: 2 }]);
     assert!(matches!(error, StorageError::TruncatesReleased { from: 2, first: 3 }));
 }
 
 #[test]
-fn entries_without_a_snapshot_can_not_be_released() {
-    let error = refuse(&[append(1), append(2), snapshot(1)], &[Operation::Release { through: 2 }]);
+fn release_beyond_the_snapshot_is_refused() {
+    let error = refusal(&[append(1), append(2), snapshot(1)], &[Operation::Release { through: 2 }]);
     assert!(matches!(error, StorageError::ReleasesUncovered { through: 2, covered: 1 }));
 }
 
 #[test]
-fn an_older_snapshot_is_refused() {
-    let error = refuse(&[append(1), append(2), snapshot(2)], &[snapshot(1)]);
+fn older_snapshot_is_refused() {
+    let error = refusal(&[append(1), append(2), snapshot(2)], &[snapshot(1)]);
     assert!(matches!(error, StorageError::OlderSnapshot { index: 1, newest: 2 }));
 }
--- a/crates/storage/tests/schedules.rs
+++ b/crates/storage/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Random runs of batches, faults, kills and losses of power, compared with a model.
+//! Random sequences of batches, faults, process kills and power losses, compared with a model.
 
 mod model;
 
@@ -10,10 +10,10 @@
 const STEPS: u64 = 60;
 const LIMITS: Limits = Limits { segment_bytes: 400, disk_bytes: 1 << 20 };
 
-/// A xorshift generator, so that a run is repeated by its seed.
-struct Chance(u64);
+/// A xorshift random number generator, so that a seed reproduces its run.
+struct Random(u64);
 
-impl Chance {
+impl Random {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -25,7 +25,7 @@
         [Fault::Error, Fault::LateError, Fault::Full, Fault::PowerLoss][self.below(4) as usize]
     }
 
-    fn fate(&mut self, all_lost: bool) -> CrashOutcome {
+    fn crash_outcome(&mut self, all_lost: bool) -> CrashOutcome {
         match self.below(3) {
             0 if !all_lost => CrashOutcome::Kept,
             1 if !all_lost => CrashOutcome::Torn(self.below(300) as usize),
@@ -65,10 +65,10 @@
     }
 }
 
-/// A store on its disk, and every state that it may be found in: the acknowledged one first, then those of batches
-/// that failed since.
+/// A store on its disk, and all states that may be recovered: first the acknowledged one, then those with one
+/// of the batches that failed since.
 struct Run {
-    chance: Chance,
+    random: Random,
     disk: SimulatedDisk,
     store: Option<LogStore<SimulatedDisk>>,
     states: Vec<Model>,
@@ -76,22 +76,22 @@
 
 impl Run {
     fn new(seed: u64) -> Self {
-        let chance = Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-        Self { chance, disk: SimulatedDisk::new(), store: None, states: vec![Model::default()] }
+        let random = Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+        Self { random, disk: SimulatedDisk::new(), store: None, states: vec![Model::default()] }
     }
 
-    fn step(&mut self, name: &str) {
-        if self.chance.below(4) == 0 {
-            let at = self.disk.operation_count() + self.chance.below(12);
-            let fault = self.chance.fault();
+    fn step(&mut self, label: &str) {
+        if self.random.below(4) == 0 {
+            let at = self.disk.operation_count() + self.random.below(12);
+            let fault = self.random.fault();
             self.disk.fail_at(at, fault);
         }
-        match (self.chance.below(14), self.store.is_some()) {
+        match (self.random.below(14), self.store.is_some()) {
             (0, _) => self.kill(),
             (1, _) => self.lose_power(),
             (2, _) => self.disk.set_full(false),
-            (_, false) => self.open(name),
-            (3, true) if self.chance.below(6) == 0 => self.wipe(),
+            (_, false) => self.open(label),
+            (3, true) if self.random.below(6) == 0 => self.wipe(),
             _ => self.apply(),
         }
     }
@@ -103,24 +103,24 @@
 
     fn lose_power(&mut self) {
         self.store = None;
-        let all_lost = self.chance.below(4) == 0;
-        let chance = &mut self.chance;
-        self.disk.lose_power(|_| chance.fate(all_lost));
+        let all_lost = self.random.below(4) == 0;
+        let random = &mut self.random;
+        self.disk.lose_power(|_| random.crash_outcome(all_lost));
         self.disk = self.disk.fork();
     }
 
-    fn open(&mut self, name: &str) {
-        let Ok((store, found)) = LogStore::open(self.disk.clone(), LIMITS) else { return };
-        assert!(!found.damaged, "{name}: {:?}", found.notes);
-        let state = self.states.iter().find(|state| state.is(&found));
-        let Some(state) = state else { panic!("{name}: {found:?} is none of {:?}", self.states) };
+    fn open(&mut self, label: &str) {
+        let Ok((store, recovered)) = LogStore::open(self.disk.clone(), LIMITS) else { return };
+        assert!(!recovered.damaged, "{label}: {:?}", recovered.notes);
+        let state = self.states.iter().find(|state| state.matches(&recovered));
+        let Some(state) = state else { panic!("{label}: {recovered:?} is none of {:?}", self.states) };
         self.states = vec![state.clone()];
         self.store = Some(store);
     }
 
     fn apply(&mut self) {
         let Some(store) = &mut self.store else { return };
-        let batch = self.chance.batch(&self.states[0]);
+        let batch = self.random.batch(&self.states[0]);
         let next = self.states[0].after(&batch);
         match store.apply(&batch) {
             Ok(()) => self.states = vec![next],
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn random_schedules_keep_what_was_acknowledged() {
+fn random_schedules_keep_acknowledged_batches() {
     for seed in 1..=RUNS {
         let mut run = Run::new(seed);
         for step in 0..STEPS {
--- a/crates/storage/tests/space.rs
+++ b/crates/storage/tests/space.rs
@@ -1,4 +1,5 @@
-//! Segments end and go; a full disk refuses, and the same batch is taken when there is space.
+//! Disk usage: old segments are removed, a full disk rejects batches, and a rejected batch succeeds once
+//! there is space.
 
 use dunelink_storage::simulated::{Fault, SimulatedDisk};
 use dunelink_storage::{Limits, LogStore, Operation, StorageError};
@@ -10,7 +11,7 @@
 }
 
 #[test]
-fn entries_and_snapshots_of_4_megabytes_stay_below_the_disk_of_a_core_machine() {
+fn usage_with_large_entries_stays_below_the_core_machine_disk() {
     let disk = SimulatedDisk::new();
     disk.set_capacity(128 << 20);
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
@@ -23,14 +24,14 @@
         assert!(store.used_bytes() < 70 << 20, "{index}: {}", store.used_bytes());
     }
     drop(store);
-    let (store, found) = LogStore::open(disk, Limits::default()).unwrap();
-    assert_eq!(found.entries.iter().map(|entry| entry.index).collect::<Vec<_>>(), [59, 60]);
-    assert_eq!(found.snapshot.unwrap().index, 60);
+    let (store, recovered) = LogStore::open(disk, Limits::default()).unwrap();
+    assert_eq!(recovered.entries.iter().map(|entry| entry.index).collect::<Vec<_>>(), [59, 60]);
+    assert_eq!(recovered.snapshot.unwrap().index, 60);
     assert!(store.used_bytes() < 20 << 20);
 }
 
 #[test]
-fn many_reopenings_do_not_use_the_disk_up() {
+fn reopening_does_not_accumulate_files() {
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
     store.apply(&[append(1, 1000)]).unwrap();
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn used_bytes_are_the_bytes_on_the_disk() {
+fn used_bytes_equal_the_file_lengths() {
     let disk = SimulatedDisk::new();
     let limits = Limits { segment_bytes: 500, disk_bytes: 1 << 20 };
     let (mut store, _) = LogStore::open(disk.clone(), limits).unwrap();
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn entries_leave_room_for_the_snapshot_that_ends_the_shortage() {
+fn entries_leave_a_reserve_for_a_snapshot() {
     let limits = Limits { segment_bytes: 4096, disk_bytes: 64 << 10 };
     let (mut store, _) = LogStore::open(SimulatedDisk::new(), limits).unwrap();
     let mut index = 1;
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_the_same_batch_is_taken_later() {
+fn batch_rejected_by_a_full_disk_succeeds_later() {
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
     store.apply(&[append(1, 10)]).unwrap();
@@ -94,12 +95,12 @@
     disk.set_full(false);
     store.apply(&[append(2, 10)]).unwrap();
     assert!(store.used_bytes() < used + 400, "{}", store.used_bytes());
-    let (_, found) = LogStore::open(disk, Limits::default()).unwrap();
-    assert_eq!(found.entries.len(), 2);
+    let (_, recovered) = LogStore::open(disk, Limits::default()).unwrap();
+    assert_eq!(recovered.entries.len(), 2);
 }
 
 #[test]
-fn a_disk_without_room_for_part_of_a_batch_keeps_nothing_of_it() {
+fn partly_written_batch_leaves_nothing() {
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
     store.apply(&[append(1, 10)]).unwrap();
@@ -108,12 +109,12 @@
         assert!(store.apply(&[append(2, 5000)]).unwrap_err().is_full());
     }
     store.apply(&[append(2, 50)]).unwrap();
-    let (_, found) = LogStore::open(disk, Limits::default()).unwrap();
-    assert_eq!(found.entries[1].bytes.len(), 50);
+    let (_, recovered) = LogStore::open(disk, Limits::default()).unwrap();
+    assert_eq!(recovered.entries[1].bytes.len(), 50);
 }
 
 #[test]
-fn opening_on_a_full_disk_fails_and_loses_nothing() {
+fn opening_on_a_full_disk_fails_without_loss() {
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
     store.apply(&[append(1, 10)]).unwrap();
@@ -123,13 +124,14 @@
         assert!(LogStore::open(disk.clone(), Limits::default()).unwrap_err().is_full());
     }
     disk.set_full(false);
-    let (_, found) = LogStore::open(disk, Limits::default()).unwrap();
-    assert_eq!(found.entries.len(), 1);
+    let (_, recovered) = LogStore::open(disk, Limits::default()).unwrap();
+    assert_eq!(recovered.entries.len(), 1);
 }
 
-/// What a failed sync should have covered may never reach the disk, even if a later sync of the file succeeds.
+/// Data that a failed sync should have covered may never reach the disk, even if a later sync of the file
+/// succeeds.
 #[test]
-fn nothing_is_written_to_a_segment_after_a_failed_sync() {
+fn segment_is_not_written_after_a_failed_sync() {
     let disk = SimulatedDisk::new();
     let (mut store, _) = LogStore::open(disk.clone(), Limits::default()).unwrap();
     store.apply(&[append(1, 10)]).unwrap();
