--- a/crates/feed/src/freshness.rs
+++ b/crates/feed/src/freshness.rs
@@ -10,7 +10,9 @@
 /// Last times at which the data was known to be current, derived from the ages in received heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Freshness {
+    /// Time of the last confirmation in microseconds, negative before the clock's origin; `None` if never.
     confirmed_at: Option<i64>,
+    /// Time of the last read of the server list, as `confirmed_at`.
     list_read_at: Option<i64>,
     known_version: u64,
 }
@@ -32,8 +34,7 @@
         self.confirmed_at = None;
     }
 
-    /// Time since the data was last confirmed as current, in milliseconds; [`NEVER_CONFIRMED_MS`] if it never
-    /// was.
+    /// Time since the data was last confirmed as current, in milliseconds; [`NEVER_CONFIRMED_MS`] if never.
     pub fn confirmed_age_ms(&self, now: u64) -> u64 {
         age_ms(self.confirmed_at, now)
     }
--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -15,16 +15,21 @@
 /// newest data and no outdated messages.
 #[derive(Debug)]
 pub struct FeedSource {
-    configuration_version: u64,
+    /// Version of the last configuration sent, in part or in full.
+    sent_configuration_version: u64,
     sending: Option<ConfigurationTransfer>,
-    roster: Option<RosterOffset>,
-    grants: u64,
-    suspicions: u64,
-    loads: u64,
-    heartbeat: Option<SentHeartbeat>,
+    /// Position of the last roster sent; `None` if the reader has no roster.
+    sent_roster: Option<RosterOffset>,
+    /// [`Versioned::version`](crate::Versioned::version) of the last grants sent.
+    sent_grants_version: u64,
+    /// As `sent_grants_version`, for the suspected servers.
+    sent_suspicions_version: u64,
+    /// As `sent_grants_version`, for the loads.
+    sent_loads_version: u64,
+    last_heartbeat: Option<SentHeartbeat>,
 }
 
-/// A configuration that is being sent, and the offset of its next chunk. It shares the bytes until the last
+/// A configuration that is being sent, and the offset of its next chunk. Its bytes are kept until the last
 /// chunk.
 #[derive(Debug)]
 struct ConfigurationTransfer {
@@ -32,7 +37,7 @@
     offset: u64,
 }
 
-/// Time and contents of the last heartbeat sent.
+/// Time in microseconds and contents of the last heartbeat sent.
 #[derive(Debug)]
 struct SentHeartbeat {
     at: u64,
@@ -45,13 +50,13 @@
     pub fn new(position: &FeedPosition) -> Self {
         let roster = Some(position.roster).filter(|offset| *offset != RosterOffset::default());
         Self {
-            configuration_version: position.configuration_version,
+            sent_configuration_version: position.configuration_version,
             sending: None,
-            roster,
-            grants: 0,
-            suspicions: 0,
-            loads: 0,
-            heartbeat: None,
+            sent_roster: roster,
+            sent_grants_version: 0,
+            sent_suspicions_version: 0,
+            sent_loads_version: 0,
+            last_heartbeat: None,
         }
     }
 
@@ -78,9 +83,9 @@
 
     fn next_configuration(&mut self, state: &FeedState) -> Option<FeedMessage> {
         let newest =
-            state.configuration.as_ref().filter(|newest| newest.version > self.configuration_version);
+            state.configuration.as_ref().filter(|newest| newest.version > self.sent_configuration_version);
         if let Some(newest) = newest {
-            self.configuration_version = newest.version;
+            self.sent_configuration_version = newest.version;
             self.sending = Some(ConfigurationTransfer { configuration: newest.clone(), offset: 0 });
         }
         let sending = self.sending.as_mut()?;
@@ -94,45 +99,45 @@
 
     fn next_roster(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
         let newest = state.roster.offset()?;
-        if self.roster.is_some_and(|sent| sent >= newest) {
+        if self.sent_roster.is_some_and(|sent| sent >= newest) {
             return None;
         }
-        let changes = self.roster.and_then(|base| state.roster.changes_since(base, now));
+        let changes = self.sent_roster.and_then(|base| state.roster.changes_since(base, now));
         let update = changes.or_else(|| state.roster.full_update(now))?;
-        self.roster = Some(newest);
+        self.sent_roster = Some(newest);
         Some(FeedMessage::Roster(update))
     }
 
     fn next_grants(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
-        if self.grants == state.grants.version() {
+        if self.sent_grants_version == state.grants.version() {
             return None;
         }
-        self.grants = state.grants.version();
+        self.sent_grants_version = state.grants.version();
         let (grants, received_at) = state.grants.get()?;
         unexpired(grants, received_at, now).map(FeedMessage::Grants)
     }
 
     fn next_suspicions(&mut self, state: &FeedState) -> Option<FeedMessage> {
-        if self.suspicions == state.suspicions.version() {
+        if self.sent_suspicions_version == state.suspicions.version() {
             return None;
         }
-        self.suspicions = state.suspicions.version();
+        self.sent_suspicions_version = state.suspicions.version();
         let (suspicions, _) = state.suspicions.get()?;
         Some(FeedMessage::Suspicions(suspicions.clone()))
     }
 
     fn next_loads(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
-        if self.loads == state.loads.version() {
+        if self.sent_loads_version == state.loads.version() {
             return None;
         }
-        self.loads = state.loads.version();
+        self.sent_loads_version = state.loads.version();
         let (loads, received_at) = state.loads.get()?;
         (now < received_at + MAX_LOADS_AGE_US).then(|| FeedMessage::Loads(loads.clone()))
     }
 
     fn next_heartbeat(&mut self, state: &FeedState, period: u64, now: u64) -> Option<FeedMessage> {
         let heartbeat = state.heartbeat(now);
-        let is_up_to_date = self.heartbeat.as_ref().is_some_and(|sent| {
+        let is_up_to_date = self.last_heartbeat.as_ref().is_some_and(|sent| {
             sent.configuration_version == heartbeat.configuration_version
                 && sent.roster == heartbeat.roster
                 && now < sent.at.saturating_add(period)
@@ -141,7 +146,7 @@
             return None;
         }
         let (configuration_version, roster) = (heartbeat.configuration_version, heartbeat.roster);
-        self.heartbeat = Some(SentHeartbeat { at: now, configuration_version, roster });
+        self.last_heartbeat = Some(SentHeartbeat { at: now, configuration_version, roster });
         Some(FeedMessage::Heartbeat(heartbeat))
     }
 }
--- a/crates/feed/src/state.rs
+++ b/crates/feed/src/state.rs
@@ -25,11 +25,11 @@
     pub members: Vec<ControlMember>,
 }
 
-/// A value with a version that counts its replacements, by which a sender knows whether it has sent the
-/// value.
+/// A value with a version that counts its replacements, so that a sender knows whether it has sent it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<T> {
     version: u64,
+    /// Time of receipt in microseconds.
     received_at: u64,
     value: Option<T>,
 }
--- a/crates/feed/tests/rosters.rs
+++ b/crates/feed/tests/rosters.rs
@@ -84,10 +84,10 @@
         let update = change(at(2, sequence - 1), at(2, sequence), &[changed], &[removed]);
         assert_eq!(roster.apply(update, NOW), Ok(UpdateOutcome::Applied));
     }
-    let since = roster.changes_since(at(2, 5), NOW).expect("recent updates");
-    assert_eq!((since.base, since.offset), (Some(at(2, 5)), at(2, 8)));
-    assert_eq!(since.changed, [server("d", 0)]);
-    assert_eq!(since.removed, ["a", "c", "x"]);
+    let changes = roster.changes_since(at(2, 5), NOW).expect("recent updates");
+    assert_eq!((changes.base, changes.offset), (Some(at(2, 5)), at(2, 8)));
+    assert_eq!(changes.changed, [server("d", 0)]);
+    assert_eq!(changes.removed, ["a", "c", "x"]);
     assert_eq!(roster.changes_since(at(2, 4), NOW), None);
     assert_eq!(roster.changes_since(at(2, 8), NOW), None, "no later updates");
     assert_eq!(
@@ -147,7 +147,7 @@
     if reader.offset() == source.offset() {
         return;
     }
-    let since = reader.offset().and_then(|base| source.changes_since(base, NOW));
-    let update = since.or_else(|| source.full_update(NOW)).expect("a full roster exists");
+    let changes = reader.offset().and_then(|base| source.changes_since(base, NOW));
+    let update = changes.or_else(|| source.full_update(NOW)).expect("a full roster exists");
     assert_eq!(reader.apply(update, NOW), Ok(UpdateOutcome::Applied));
 }
--- a/crates/peers/src/sampler.rs
+++ b/crates/peers/src/sampler.rs
@@ -60,8 +60,8 @@
         self.view.remove(address);
     }
 
-    /// Begins a round and returns the messages to send. A peer that did not reply in the previous round was
-    /// already removed from the view.
+    /// Begins a round and returns the messages to send. A peer that did not reply in the previous round
+    /// stays removed from the view.
     pub fn begin_round(&mut self) -> Vec<OutgoingMessage> {
         self.pending = None;
         self.joins_left = MAX_JOINS_PER_ROUND;
--- a/crates/shards/src/assignment.rs
+++ b/crates/shards/src/assignment.rs
@@ -16,8 +16,7 @@
     pub zone: String,
 }
 
-/// The replicas and the preferred owner of each shard. It does not depend on the order of the members passed
-/// in.
+/// The replicas and the preferred owner of each shard. The order of the members passed in does not matter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     /// Placement by shard number.
@@ -80,7 +79,7 @@
         self.placement(shard).map_or(&[], |placement| &placement.replicas)
     }
 
-    /// The preferred owner of the shard while that is healthy; `None` without members or for an unknown
+    /// The replica that should own the shard while it is healthy; `None` without members or for an unknown
     /// shard.
     #[must_use]
     pub fn owner(&self, shard: ShardId) -> Option<MemberId> {
--- a/crates/shards/src/owners.rs
+++ b/crates/shards/src/owners.rs
@@ -99,21 +99,21 @@
         by_load.into_iter().any(|member| self.move_shard_to(member))
     }
 
-    /// Gives `light` one more shard, along the shortest path from a member whose load is higher by at least
-    /// two.
-    fn move_shard_to(&mut self, light: usize) -> bool {
+    /// Gives `target` one more shard, along the shortest path from a member whose load is at least two
+    /// higher.
+    fn move_shard_to(&mut self, target: usize) -> bool {
         // For each member reached: the shard that it would give up, and the member that would get it.
         let mut reached: Vec<Option<(usize, usize)>> = vec![None; self.loads.len()];
-        let mut queue = VecDeque::from([light]);
+        let mut queue = VecDeque::from([target]);
         while let Some(to) = queue.pop_front() {
             for shard in 0..self.replicas.len() {
                 let Some(from) = self.owners[shard] else { continue };
-                if from == light || reached[from].is_some() || !self.replicas[shard].contains(&to) {
+                if from == target || reached[from].is_some() || !self.replicas[shard].contains(&to) {
                     continue;
                 }
                 reached[from] = Some((shard, to));
-                if self.loads[from] >= self.loads[light] + 2 {
-                    self.move_along_path(from, light, &reached);
+                if self.loads[from] >= self.loads[target] + 2 {
+                    self.move_along_path(from, target, &reached);
                     return true;
                 }
                 queue.push_back(from);
@@ -122,9 +122,9 @@
         false
     }
 
-    fn move_along_path(&mut self, heavy: usize, light: usize, reached: &[Option<(usize, usize)>]) {
-        let mut from = heavy;
-        while from != light {
+    fn move_along_path(&mut self, source: usize, target: usize, reached: &[Option<(usize, usize)>]) {
+        let mut from = source;
+        while from != target {
             let Some((shard, to)) = reached[from] else { return };
             self.release(shard);
             self.assign(shard, to);
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -5,7 +5,7 @@
 /// Prefix and suffix of the name of a snapshot file.
 const SNAPSHOT_AFFIXES: (&str, &str) = ("snapshot-", ".bin");
 
-/// Kind and number of a file, according to its name.
+/// Kind and file number of a file, according to its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Segment(u64),
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -30,14 +30,19 @@
 /// A record of any later frame: the stored form of an [`Operation`](crate::Operation).
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Record<'a> {
+    /// The new metadata.
     #[n(0)]
     Metadata(#[b(0)] &'a ByteSlice),
+    /// Index and contents of the entry.
     #[n(1)]
     Append(#[n(0)] u64, #[b(1)] &'a ByteSlice),
+    /// First index to truncate.
     #[n(2)]
     Truncate(#[n(0)] u64),
+    /// The new snapshot.
     #[n(3)]
     Snapshot(#[n(0)] SnapshotReference),
+    /// Last index to release.
     #[n(4)]
     Release(#[n(0)] u64),
     /// Number of the oldest segment that is still needed; older ones may be removed.
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -189,7 +189,7 @@
     }
 
     fn write_new_file(&mut self, name: &str, parts: &[&[u8]]) -> Result<(), StorageError> {
-        self.disk.create(name).map_err(StorageError::disk("creating", name))?;
+        self.disk.create(name).map_err(StorageError::disk("making", name))?;
         let mut offset = 0;
         for part in parts {
             self.disk.write(name, offset, part).map_err(StorageError::disk("writing", name))?;
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -192,7 +192,7 @@
                 let disk = SimulatedDisk::new();
                 disk.fail_at(operation, fault);
                 let Some(failed) = run_to_failed_batch(&disk, &script) else { break };
-                let Failed { mut store, model, batch } = failed;
+                let FailedBatch { mut store, model, batch } = failed;
                 let next = model.after(&batch);
                 disk.fail_at(disk.operation_count() + later, Fault::PowerLoss);
                 if store.apply(&batch).is_ok() {
@@ -206,19 +206,19 @@
 }
 
 /// A failed batch, with its store and the model of the batches before it.
-struct Failed {
+struct FailedBatch {
     store: LogStore<SimulatedDisk>,
     model: Model,
     batch: Vec<Operation>,
 }
 
 /// Applies the script until a batch fails; `None` if none does.
-fn run_to_failed_batch(disk: &SimulatedDisk, script: &[Vec<Operation>]) -> Option<Failed> {
+fn run_to_failed_batch(disk: &SimulatedDisk, script: &[Vec<Operation>]) -> Option<FailedBatch> {
     let (mut store, _) = LogStore::open(disk.clone(), LIMITS).ok()?;
     let mut model = Model::default();
     for batch in script {
         if store.apply(batch).is_err() {
-            return Some(Failed { store, model, batch: batch.clone() });
+            return Some(FailedBatch { store, model, batch: batch.clone() });
         }
         model = model.after(batch);
     }
@@ -235,7 +235,7 @@
             let disk = SimulatedDisk::new();
             disk.fail_at(operation, fault);
             let Some(failed) = run_to_failed_batch(&disk, &script) else { continue };
-            let Failed { store, model, batch } = failed;
+            let FailedBatch { store, model, batch } = failed;
             drop(store);
             let next = model.after(&batch);
             each_outcome(&disk, |disk| check(disk, &model, Some(&next), operation));
--- a/crates/storage/tests/schedules.rs
+++ b/crates/storage/tests/schedules.rs
@@ -49,17 +49,18 @@
     }
 
     fn operation(&mut self, model: &Model) -> Operation {
-        let covered = model.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let snapshot_index = model.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let first = model.entries.first().map_or(model.last + 1, |entry| entry.index);
         match self.below(12) {
             0 | 1 => Operation::Metadata(self.bytes()),
-            2 => Operation::Truncate { from: (first + self.below(4)).max(covered + 1) },
+            2 => Operation::Truncate { from: (first + self.below(4)).max(snapshot_index + 1) },
             3 => {
-                let index =
-                    (covered + self.below(6)).min(model.last + self.below(2) * self.below(9)).max(covered);
+                let index = (snapshot_index + self.below(6))
+                    .min(model.last + self.below(2) * self.below(9))
+                    .max(snapshot_index);
                 Operation::Snapshot { index, bytes: self.bytes() }
             }
-            4 => Operation::Release { through: covered - self.below(3).min(covered) },
+            4 => Operation::Release { through: snapshot_index - self.below(3).min(snapshot_index) },
             _ => model.next_append(&self.bytes()),
         }
     }
--- a/crates/storage/tests/space.rs
+++ b/crates/storage/tests/space.rs
@@ -70,10 +70,10 @@
         }
     };
     assert!(matches!(error, StorageError::OverLimit { .. }) && error.is_full(), "{error}");
-    let covered = index - 1;
+    let last_index = index - 1;
     store.apply(&[Operation::Metadata(b"term 7".to_vec())]).unwrap();
-    store.apply(&[Operation::Snapshot { index: covered, bytes: vec![0; 4000] }]).unwrap();
-    store.apply(&[Operation::Release { through: covered }]).unwrap();
+    store.apply(&[Operation::Snapshot { index: last_index, bytes: vec![0; 4000] }]).unwrap();
+    store.apply(&[Operation::Release { through: last_index }]).unwrap();
     store.apply(&[append(index, 1000)]).unwrap();
     assert!(store.used_bytes() < 16 << 10);
 }
@@ -128,7 +128,7 @@
     assert_eq!(recovered.entries.len(), 1);
 }
 
-/// Data that a failed sync should have covered may never reach the disk, even if a later sync of the file
+/// Data that a failed sync should have last_index may never reach the disk, even if a later sync of the file
 /// succeeds.
 #[test]
 fn segment_is_not_written_after_a_failed_sync() {
