--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -147,7 +147,12 @@
     keep(identity.is_some() || nothing);
     let hard_state = identity.map(|identity| identity.hard_state);
     let notes = stored.notes.iter().map(|note| format!("{note:?}")).collect();
-    OpenedStore { metadata: identity, recovered: RecoveredState { hard_state, snapshot, entries }, damaged, notes }
+    OpenedStore {
+        metadata: identity,
+        recovered: RecoveredState { hard_state, snapshot, entries },
+        damaged,
+        notes,
+    }
 }
 
 /// Turns the replica's records into operations of the store.
