--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -5,31 +5,31 @@
 use std::sync::Arc;
 
 use dunelink_runtime::Clock;
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use slog::Logger;
 use tokio::sync::Notify;
 
-use crate::directory::Directory;
-use crate::shared::{Identity, Shared};
-use crate::sources::Sources;
+use crate::directory::AddressDirectory;
+use crate::shared::{AgentState, Identity};
+use crate::sources::SourceSelector;
 use crate::{downstream, seeds, upstream};
 
 /// An agent, ready to run.
 #[derive(Debug)]
 pub struct Agent {
-    shared: Arc<Shared>,
+    shared: Arc<AgentState>,
     feed_address: SocketAddr,
     settings: PathBuf,
 }
 
 impl Agent {
     /// An agent with the settings `boot`, which were read from the file `settings`.
-    pub fn new(boot: &Boot, settings: PathBuf, log: Logger) -> Self {
-        let mut directory = Directory::default();
+    pub fn new(boot: &BootSettings, settings: PathBuf, log: Logger) -> Self {
+        let mut directory = AddressDirectory::default();
         directory.set_seeds(seed_addresses(boot));
-        let sources = Sources::new(directory, fastrand::Rng::new());
+        let sources = SourceSelector::new(directory, fastrand::Rng::new());
         let identity = Identity { node: boot.node_name.clone(), ip: boot.ip, zone: boot.zone.clone() };
-        let shared = Arc::new(Shared::new(identity, Clock::start(), log, sources));
+        let shared = Arc::new(AgentState::new(identity, Clock::start(), log, sources));
         let feed_address = SocketAddr::new(boot.ip, boot.agent_feed_port());
         Self { shared, feed_address, settings }
     }
@@ -44,13 +44,13 @@
         };
         tokio::join!(
             upstream::supervise(Arc::clone(&shared)),
-            seeds::follow(Arc::clone(&shared), self.settings, reload),
+            seeds::watch(Arc::clone(&shared), self.settings, reload),
             serve_proxy,
         );
     }
 }
 
 /// Where the seeds take connections of agents: at their internal port, which is the same on all machines.
-pub fn seed_addresses(boot: &Boot) -> Vec<SocketAddr> {
+pub fn seed_addresses(boot: &BootSettings) -> Vec<SocketAddr> {
     boot.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), boot.internal_port())).collect()
 }
--- a/crates/agent/src/arguments.rs
+++ b/crates/agent/src/arguments.rs
@@ -33,7 +33,7 @@
     /// What is asked for.
     pub command: Command,
     /// How events are written.
-    pub log: Format,
+    pub log_format: Format,
 }
 
 /// A command line that can't be used.
@@ -41,10 +41,10 @@
 pub enum ArgumentError {
     /// An option's value is missing or wrong.
     #[error("{0}; see --help")]
-    Option(#[from] pico_args::Error),
+    InvalidOption(#[from] pico_args::Error),
     /// Something that is no option.
     #[error("argument `{0}` is unknown; see --help")]
-    Unknown(String),
+    UnknownArgument(String),
 }
 
 impl Arguments {
@@ -56,15 +56,15 @@
     pub fn parse(mut line: pico_args::Arguments) -> Result<Self, ArgumentError> {
         let help = line.contains(["-h", "--help"]);
         let check = line.contains("--check");
-        let log = line.opt_value_from_str("--log")?.unwrap_or(Format::Text);
+        let log_format = line.opt_value_from_str("--log")?.unwrap_or(Format::Text);
         if let Some(rest) = line.finish().into_iter().next() {
-            return Err(ArgumentError::Unknown(rest.to_string_lossy().into_owned()));
+            return Err(ArgumentError::UnknownArgument(rest.to_string_lossy().into_owned()));
         }
         let command = match (help, check) {
             (true, _) => Command::Help,
             (false, true) => Command::Check,
             (false, false) => Command::Serve,
         };
-        Ok(Self { command, log })
+        Ok(Self { command, log_format })
     }
 }
--- a/crates/agent/src/directory.rs
+++ b/crates/agent/src/directory.rs
@@ -12,7 +12,7 @@
 
 /// The addresses known, and how connecting to each went.
 #[derive(Debug, Default)]
-pub struct Directory {
+pub struct AddressDirectory {
     seeds: Vec<SocketAddr>,
     members: Vec<SocketAddr>,
     attempts: BTreeMap<SocketAddr, Attempts>,
@@ -24,7 +24,7 @@
     failures: u64,
 }
 
-impl Directory {
+impl AddressDirectory {
     /// Replaces the seeds. Learned members stay.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
@@ -33,7 +33,7 @@
 
     /// Takes the members as a source tells them. Those told before are dropped only if the source is current: a
     /// source that is cut off may tell an old list.
-    pub fn learn(&mut self, members: Vec<SocketAddr>, source_is_current: bool) {
+    pub fn update_members(&mut self, members: Vec<SocketAddr>, source_is_current: bool) {
         let before = std::mem::replace(&mut self.members, members);
         if !source_is_current || self.members.is_empty() {
             self.members.extend(before);
@@ -70,12 +70,12 @@
     }
 
     /// Notes that an address was of use.
-    pub fn succeeded(&mut self, address: SocketAddr) {
+    pub fn record_success(&mut self, address: SocketAddr) {
         self.attempts.entry(address).or_default().failures = 0;
     }
 
     /// Notes that an address was of no use.
-    pub fn failed(&mut self, address: SocketAddr) {
+    pub fn record_failure(&mut self, address: SocketAddr) {
         self.attempts.entry(address).or_default().failures += 1;
     }
 
--- a/crates/agent/src/downstream.rs
+++ b/crates/agent/src/downstream.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use crate::shared::Shared;
+use crate::shared::AgentState;
 
 /// How long a connection may take to say what it is.
 const HELLO_PATIENCE: Duration = Duration::from_secs(1);
@@ -50,12 +50,12 @@
 }
 
 /// Binds the port, again and again until it succeeds.
-pub async fn bind(shared: &Shared, address: SocketAddr) -> TcpListener {
+pub async fn bind(shared: &AgentState, address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
             Err(error) => {
-                shared.refuse_proxy(
+                shared.log_refused_proxy(
                     address,
                     &format_args!("the port can't be bound: {error}; it is tried again"),
                 );
@@ -66,7 +66,7 @@
 }
 
 /// Serves the proxy for ever. The newest connection of a proxy replaces the one before it.
-pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
+pub async fn serve(shared: Arc<AgentState>, listener: TcpListener) {
     let newest = Arc::new(watch::Sender::new(0));
     let strangers = Arc::new(Semaphore::new(STRANGERS));
     let mut connections = JoinSet::new();
@@ -74,18 +74,18 @@
         let (socket, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                shared.refuse_proxy(SocketAddr::new(shared.identity.ip, 0), &error);
+                shared.log_refused_proxy(SocketAddr::new(shared.identity.ip, 0), &error);
                 sleep(PAUSE).await;
                 continue;
             }
         };
         // Where the machine's address is a loopback one, the system connects from 127.0.0.1, which is always local.
         if peer.ip() != shared.identity.ip && peer.ip() != Ipv4Addr::LOCALHOST {
-            shared.refuse_proxy(peer, &DownstreamError::Stranger);
+            shared.log_refused_proxy(peer, &DownstreamError::Stranger);
             continue;
         }
         let Ok(place) = Arc::clone(&strangers).try_acquire_owned() else {
-            shared.refuse_proxy(peer, &"too many connections have not said what they are");
+            shared.log_refused_proxy(peer, &"too many connections have not said what they are");
             continue;
         };
         let (shared, newest) = (Arc::clone(&shared), Arc::clone(&newest));
@@ -98,14 +98,14 @@
                 Err(error) => Err(error),
             };
             let Err(reason) = ended;
-            shared.refuse_proxy(peer, &reason);
+            shared.log_refused_proxy(peer, &reason);
         });
     }
 }
 
 async fn greet(socket: TcpStream) -> Result<(LinkReader, LinkWriter), DownstreamError> {
     let (mut reader, writer) = accept(socket, SILENCE)?;
-    let hello: Hello = reader.read_within(HELLO_PATIENCE).await?;
+    let hello: Hello = reader.read_with_timeout(HELLO_PATIENCE).await?;
     if hello.protocol_version != PROTOCOL_VERSION {
         return Err(DownstreamError::Protocol(hello.protocol_version));
     }
@@ -116,7 +116,7 @@
 }
 
 async fn feed(
-    shared: &Shared,
+    shared: &AgentState,
     newest: &watch::Sender<u64>,
     reader: LinkReader,
     writer: LinkWriter,
@@ -131,14 +131,14 @@
     }
 }
 
-async fn read(shared: &Shared, mut reader: LinkReader) -> Result<Infallible, DownstreamError> {
+async fn read(shared: &AgentState, mut reader: LinkReader) -> Result<Infallible, DownstreamError> {
     loop {
         let ProxyMessage::Report(report) = reader.read().await?;
-        shared.report(report);
+        shared.add_report(report);
     }
 }
 
-async fn write(shared: &Shared, mut writer: LinkWriter) -> Result<Infallible, DownstreamError> {
+async fn write(shared: &AgentState, mut writer: LinkWriter) -> Result<Infallible, DownstreamError> {
     let mut source = FeedSource::for_empty_reader();
     loop {
         while let Some(message) = next_message(shared, &mut source) {
@@ -152,7 +152,7 @@
     }
 }
 
-fn next_message(shared: &Shared, source: &mut FeedSource) -> Option<FeedMessage> {
+fn next_message(shared: &AgentState, source: &mut FeedSource) -> Option<FeedMessage> {
     let now = shared.clock.now();
     source.next_message(&shared.lock().feed, TICK_MIN, now)
 }
--- a/crates/agent/src/link_feed.rs
+++ b/crates/agent/src/link_feed.rs
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// The message breaks the rules of the feed: the connection is to be closed.
-    pub fn take(
+    pub fn receive(
         &mut self,
         state: &mut FeedState,
         message: FeedMessage,
--- a/crates/agent/src/limit.rs
+++ b/crates/agent/src/log_rate_limit.rs
@@ -5,14 +5,14 @@
 
 /// Lets one line a second pass and counts the others.
 #[derive(Debug, Default)]
-pub struct LineLimit {
+pub struct LogRateLimit {
     next_at: u64,
     left_out: u64,
 }
 
-impl LineLimit {
+impl LogRateLimit {
     /// Whether a line may be written at `now`; if so, how many were left out before it.
-    pub fn pass(&mut self, now: u64) -> Option<u64> {
+    pub fn admit(&mut self, now: u64) -> Option<u64> {
         if now < self.next_at {
             self.left_out += 1;
             return None;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use dunelink_agent::{Agent, Arguments, Command, HELP};
 use dunelink_runtime::log::logger;
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use slog::{Level, Logger, info};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::Notify;
@@ -26,18 +26,18 @@
 }
 
 /// Reads command line and settings; nothing if that was all that was asked for.
-fn prepare() -> anyhow::Result<Option<(Boot, Logger)>> {
+fn prepare() -> anyhow::Result<Option<(BootSettings, Logger)>> {
     let arguments = Arguments::parse(pico_args::Arguments::from_env())?;
     if arguments.command == Command::Help {
         print!("{HELP}");
         return Ok(None);
     }
-    let boot = Boot::load()?;
+    let boot = BootSettings::load()?;
     if arguments.command == Command::Check {
         println!("settings can be used");
         return Ok(None);
     }
-    let log = logger(arguments.log, Level::Info, &boot.node_name);
+    let log = logger(arguments.log_format, Level::Info, &boot.node_name);
     Ok(Some((boot, log)))
 }
 
@@ -51,19 +51,19 @@
     }
 }
 
-fn serve(boot: Boot, log: Logger) -> anyhow::Result<()> {
+fn serve(boot: BootSettings, log: Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.context("the event loop can't be set up: check the limit of open files")?;
     runtime.block_on(serve_until_stopped(boot, log))
 }
 
-async fn serve_until_stopped(boot: Boot, log: Logger) -> anyhow::Result<()> {
+async fn serve_until_stopped(boot: BootSettings, log: Logger) -> anyhow::Result<()> {
     let refused = "signal handlers can't be installed";
     let mut terminate = signal(SignalKind::terminate()).context(refused)?;
     let mut interrupt = signal(SignalKind::interrupt()).context(refused)?;
     let reload = Arc::new(Notify::new());
     tokio::spawn(pass_on(signal(SignalKind::hangup()).context(refused)?, Arc::clone(&reload)));
-    let agent = Agent::new(&boot, Boot::path(), log.clone());
+    let agent = Agent::new(&boot, BootSettings::path(), log.clone());
     tokio::select! {
         () = agent.run(reload) => {}
         _ = terminate.recv() => {}
--- a/crates/agent/src/reports.rs
+++ b/crates/agent/src/reports.rs
@@ -34,7 +34,7 @@
     }
 
     /// True if something waits.
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_report(&self) -> bool {
         self.report.is_some()
     }
 }
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -12,10 +12,10 @@
 use slog::{Logger, info, warn};
 use tokio::sync::Notify;
 
-use crate::limit::LineLimit;
 use crate::link_feed::LinkFeed;
+use crate::log_rate_limit::LogRateLimit;
 use crate::reports::PendingReport;
-use crate::sources::{LinkId, Sources};
+use crate::sources::{LinkId, SourceSelector};
 
 /// Who this agent is.
 #[derive(Debug, Clone)]
@@ -43,7 +43,7 @@
 
 /// What the tasks share.
 #[derive(Debug)]
-pub struct Shared {
+pub struct AgentState {
     /// Who this agent is.
     pub identity: Identity,
     /// The steady clock.
@@ -54,61 +54,61 @@
     pub feed_changed: Notify,
     /// Rings when the choice of sources is to be looked at.
     pub sources_changed: Notify,
-    inner: Mutex<Inner>,
+    inner: Mutex<LockedState>,
 }
 
 /// What changes.
 #[derive(Debug)]
-pub struct Inner {
+pub struct LockedState {
     /// The newest of everything that was fed.
     pub feed: FeedState,
     /// The connections to control machines.
-    pub sources: Sources,
+    pub sources: SourceSelector,
     /// What the proxy reported and no source has taken yet.
     pub report: PendingReport,
-    outboxes: BTreeMap<LinkId, Arc<Outbox>>,
-    lost_links: LineLimit,
-    bad_proxies: LineLimit,
+    outboxes: BTreeMap<LinkId, Arc<WriterSignal>>,
+    lost_links: LogRateLimit,
+    bad_proxies: LogRateLimit,
 }
 
 /// Tells the writing end of a connection what to send.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct WriterSignal {
     /// Rings when there may be something to send.
     pub changed: Notify,
     subscribe: AtomicBool,
 }
 
-impl Outbox {
+impl WriterSignal {
     /// Asks for a new subscription.
-    fn ask_subscription(&self) {
+    fn request_resubscribe(&self) {
         self.subscribe.store(true, Ordering::Relaxed);
         self.changed.notify_one();
     }
 
     /// True once if a new subscription is to be sent.
-    pub fn take_subscription(&self) -> bool {
+    pub fn take_resubscribe_request(&self) -> bool {
         self.subscribe.swap(false, Ordering::Relaxed)
     }
 }
 
-impl Shared {
+impl AgentState {
     /// The state of an agent that has nothing yet.
-    pub fn new(identity: Identity, clock: Clock, log: Logger, sources: Sources) -> Self {
-        let inner = Inner {
+    pub fn new(identity: Identity, clock: Clock, log: Logger, sources: SourceSelector) -> Self {
+        let inner = LockedState {
             feed: FeedState::default(),
             sources,
             report: PendingReport::default(),
             outboxes: BTreeMap::new(),
-            lost_links: LineLimit::default(),
-            bad_proxies: LineLimit::default(),
+            lost_links: LogRateLimit::default(),
+            bad_proxies: LogRateLimit::default(),
         };
         let (feed_changed, sources_changed) = (Notify::new(), Notify::new());
         Self { identity, clock, log, feed_changed, sources_changed, inner: Mutex::new(inner) }
     }
 
     /// What changes, for as long as the guard lives.
-    pub fn lock(&self) -> MutexGuard<'_, Inner> {
+    pub fn lock(&self) -> MutexGuard<'_, LockedState> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -119,11 +119,11 @@
     }
 
     /// Notes that a connection is open and gives what tells it what to send.
-    pub fn link_opened(&self, link: LinkId) -> Arc<Outbox> {
+    pub fn link_opened(&self, link: LinkId) -> Arc<WriterSignal> {
         let now = self.clock.now();
-        let outbox = Arc::new(Outbox::default());
+        let outbox = Arc::new(WriterSignal::default());
         let mut inner = self.lock();
-        inner.sources.opened(link, now);
+        inner.sources.record_opened(link, now);
         inner.outboxes.insert(link, Arc::clone(&outbox));
         drop(inner);
         self.sources_changed.notify_one();
@@ -131,12 +131,12 @@
     }
 
     /// Notes that a connection ended by itself or could not be opened.
-    pub fn link_lost(&self, link: LinkId, address: SocketAddr, reason: &dyn std::fmt::Display) {
+    pub fn link_failed(&self, link: LinkId, address: SocketAddr, reason: &dyn std::fmt::Display) {
         let now = self.clock.now();
         let mut inner = self.lock();
         inner.outboxes.remove(&link);
-        inner.sources.closed(link, now);
-        if let Some(left_out) = inner.lost_links.pass(now) {
+        inner.sources.record_closed(link, now);
+        if let Some(left_out) = inner.lost_links.admit(now) {
             info!(self.log, "no link to a control machine"; "address" => %address, "reason" => %reason,
                 "left_out" => left_out);
         }
@@ -145,7 +145,7 @@
     }
 
     /// Notes that a connection was closed on purpose.
-    pub fn link_dropped(&self, link: LinkId) {
+    pub fn link_closed(&self, link: LinkId) {
         self.lock().outboxes.remove(&link);
     }
 
@@ -154,47 +154,47 @@
     /// # Errors
     ///
     /// The message breaks the rules of the feed: the connection is to be closed.
-    pub fn take(&self, link: LinkId, feed: &mut LinkFeed, message: FeedMessage) -> Result<(), FeedError> {
+    pub fn receive(&self, link: LinkId, feed: &mut LinkFeed, message: FeedMessage) -> Result<(), FeedError> {
         let now = self.clock.now();
         let mut inner = self.lock();
         if !inner.accepts(link, &message) {
             return Ok(());
         }
-        let (change, subscribe) = feed.take(&mut inner.feed, message, now)?;
+        let (change, subscribe) = feed.receive(&mut inner.feed, message, now)?;
         if subscribe && let Some(outbox) = inner.outboxes.get(&link) {
-            outbox.ask_subscription();
+            outbox.request_resubscribe();
         }
         self.follow(&mut inner, link, change, now);
         Ok(())
     }
 
     /// Takes a report of the proxy.
-    pub fn report(&self, report: ProxyReport) {
+    pub fn add_report(&self, report: ProxyReport) {
         let mut inner = self.lock();
         inner.report.add(report);
         inner.wake_active();
     }
 
     /// Writes that a connection to the proxy's port was closed.
-    pub fn refuse_proxy(&self, peer: SocketAddr, reason: &dyn std::fmt::Display) {
+    pub fn log_refused_proxy(&self, peer: SocketAddr, reason: &dyn std::fmt::Display) {
         let now = self.clock.now();
-        if let Some(left_out) = self.lock().bad_proxies.pass(now) {
+        if let Some(left_out) = self.lock().bad_proxies.admit(now) {
             warn!(self.log, "connection to the feed's port closed"; "peer" => %peer, "reason" => %reason,
                 "left_out" => left_out);
         }
     }
 
-    fn follow(&self, inner: &mut Inner, link: LinkId, change: Change, now: u64) {
+    fn follow(&self, inner: &mut LockedState, link: LinkId, change: Change, now: u64) {
         match change {
             Change::Nothing | Change::Resubscribe => return,
             Change::Members => {
                 let is_current = inner.sources.is_current(link, now);
                 let members = addresses(&inner.feed.members);
-                inner.sources.directory.learn(members, is_current);
+                inner.sources.directory.update_members(members, is_current);
                 return;
             }
             Change::Heartbeat(tick) => {
-                if inner.sources.ticked(link, &tick, now) {
+                if inner.sources.record_heartbeat(link, &tick, now) {
                     self.sources_changed.notify_one();
                 }
             }
@@ -207,11 +207,11 @@
     }
 }
 
-impl Inner {
+impl LockedState {
     /// Wakes the connection that takes reports, if something waits for it.
     pub fn wake_active(&self) {
         let active = self.sources.active().and_then(|active| self.outboxes.get(&active));
-        if let Some(outbox) = active.filter(|_| self.report.is_waiting()) {
+        if let Some(outbox) = active.filter(|_| self.report.has_report()) {
             outbox.changed.notify_one();
         }
     }
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -8,14 +8,14 @@
 
 use dunelink_protocol::Heartbeat;
 
-use crate::directory::Directory;
+use crate::directory::AddressDirectory;
 
 /// A source without a sign of life for this long is not current.
-pub const SILENCE: u64 = 800_000;
+pub const HEARTBEAT_TIMEOUT_US: u64 = 800_000;
 /// A source whose last proof is older than this is not current.
-pub const CONFIRMED: u64 = 1_000_000;
+pub const MAX_CONFIRMATION_AGE_US: u64 = 1_000_000;
 /// A source that is not current for this long is given up.
-pub const DOUBT: u64 = 700_000;
+pub const STALE_TIMEOUT_US: u64 = 700_000;
 /// A connection that takes longer than this is tried in parallel with another one.
 const SLOW_DIAL: u64 = 250_000;
 /// Shortest pause between attempts.
@@ -46,9 +46,9 @@
 
 /// The connections, and when to try another.
 #[derive(Debug)]
-pub struct Sources {
+pub struct SourceSelector {
     /// The addresses known.
-    pub directory: Directory,
+    pub directory: AddressDirectory,
     links: Vec<Link>,
     active: Option<LinkId>,
     last_link: LinkId,
@@ -81,7 +81,7 @@
     fn doubted_since(&self, now: u64) -> Option<u64> {
         let since = match self.stage {
             Stage::Dialing | Stage::Open => self.begun_at,
-            Stage::Alive { at, expires_at } => expires_at.min(at + SILENCE).max(self.begun_at),
+            Stage::Alive { at, expires_at } => expires_at.min(at + HEARTBEAT_TIMEOUT_US).max(self.begun_at),
         };
         (since <= now).then_some(since)
     }
@@ -94,8 +94,10 @@
     fn doubtful_at(&self) -> u64 {
         match self.stage {
             Stage::Dialing => self.begun_at + SLOW_DIAL,
-            Stage::Open => self.begun_at + DOUBT,
-            Stage::Alive { at, expires_at } => expires_at.min(at + SILENCE).max(self.begun_at) + DOUBT,
+            Stage::Open => self.begun_at + STALE_TIMEOUT_US,
+            Stage::Alive { at, expires_at } => {
+                expires_at.min(at + HEARTBEAT_TIMEOUT_US).max(self.begun_at) + STALE_TIMEOUT_US
+            }
         }
     }
 
@@ -118,9 +120,9 @@
     }
 }
 
-impl Sources {
+impl SourceSelector {
     /// No connections yet; the first attempt is due at once.
-    pub fn new(directory: Directory, random: fastrand::Rng) -> Self {
+    pub fn new(directory: AddressDirectory, random: fastrand::Rng) -> Self {
         let links = Vec::with_capacity(LINKS);
         Self { directory, links, active: None, last_link: 0, failures: 0, next_dial_at: 0, random }
     }
@@ -136,7 +138,7 @@
     }
 
     /// Notes that a connection is open since `now`.
-    pub fn opened(&mut self, id: LinkId, now: u64) {
+    pub fn record_opened(&mut self, id: LinkId, now: u64) {
         let Some(link) = self.links.iter_mut().find(|link| link.id == id) else { return };
         link.begun_at = now;
         link.stage = Stage::Open;
@@ -146,26 +148,27 @@
     }
 
     /// Notes a sign of life received at `now`. True if [`Self::poll`] is to be called because of it.
-    pub fn ticked(&mut self, id: LinkId, tick: &Heartbeat, now: u64) -> bool {
+    pub fn record_heartbeat(&mut self, id: LinkId, tick: &Heartbeat, now: u64) -> bool {
         let lonely = self.links.len() == 1;
         let Some(link) = self.links.iter_mut().find(|link| link.id == id) else { return false };
         let was_current = link.is_current(now);
         let age = tick.confirmed_age_ms.saturating_mul(MICROS);
-        link.stage = Stage::Alive { at: now, expires_at: (now + CONFIRMED).saturating_sub(age) };
+        link.stage =
+            Stage::Alive { at: now, expires_at: (now + MAX_CONFIRMATION_AGE_US).saturating_sub(age) };
         if !link.is_current(now) {
             // One that led and was cut off tells at once that it proves nothing: its time is not waited for.
             return was_current;
         }
         self.failures = 0;
-        self.directory.succeeded(link.address);
+        self.directory.record_success(link.address);
         !(lonely && was_current)
     }
 
     /// Notes that a connection ended or could not be opened, at `now`.
-    pub fn closed(&mut self, id: LinkId, now: u64) {
+    pub fn record_closed(&mut self, id: LinkId, now: u64) {
         let Some(index) = self.links.iter().position(|link| link.id == id) else { return };
         let link = self.links.remove(index);
-        self.directory.failed(link.address);
+        self.directory.record_failure(link.address);
         self.back_off(now);
         self.choose_active(now);
     }
@@ -246,7 +249,7 @@
             return;
         };
         actions.push(Action::Close(worst));
-        self.closed(worst, now);
+        self.record_closed(worst, now);
     }
 
     fn dial(&mut self, now: u64, actions: &mut Vec<Action>) {
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 use crate::link_feed::LinkFeed;
-use crate::shared::{Outbox, Shared};
+use crate::shared::{AgentState, WriterSignal};
 use crate::sources::{Action, LinkId};
 
 /// How long a connection may take to open.
@@ -34,7 +34,7 @@
 }
 
 /// Opens and closes connections as the choice of sources tells, for ever.
-pub async fn supervise(shared: Arc<Shared>) {
+pub async fn supervise(shared: Arc<AgentState>) {
     let mut links = Links::default();
     loop {
         let now = shared.clock.now();
@@ -52,7 +52,7 @@
     }
 }
 
-async fn wait(shared: &Shared, pause: Option<Duration>) {
+async fn wait(shared: &AgentState, pause: Option<Duration>) {
     let changed = shared.sources_changed.notified();
     match pause {
         Some(pause) => {
@@ -67,7 +67,7 @@
 struct Links(BTreeMap<LinkId, AbortHandle>);
 
 impl Links {
-    fn follow(&mut self, shared: &Arc<Shared>, action: Action) {
+    fn follow(&mut self, shared: &Arc<AgentState>, action: Action) {
         match action {
             Action::Dial { link, address } => {
                 let task = tokio::spawn(run_link(Arc::clone(shared), link, address));
@@ -78,7 +78,7 @@
                 if let Some(task) = self.0.remove(&link) {
                     task.abort();
                 }
-                shared.link_dropped(link);
+                shared.link_closed(link);
             }
         }
     }
@@ -90,13 +90,13 @@
     }
 }
 
-async fn run_link(shared: Arc<Shared>, link: LinkId, address: SocketAddr) {
+async fn run_link(shared: Arc<AgentState>, link: LinkId, address: SocketAddr) {
     let Err(reason) = follow_link(&shared, link, address).await;
-    shared.link_lost(link, address, &reason);
+    shared.link_failed(link, address, &reason);
 }
 
 async fn follow_link(
-    shared: &Shared,
+    shared: &AgentState,
     link: LinkId,
     address: SocketAddr,
 ) -> Result<std::convert::Infallible, UpstreamError> {
@@ -114,21 +114,21 @@
 }
 
 async fn read(
-    shared: &Shared,
+    shared: &AgentState,
     link: LinkId,
     mut feed: LinkFeed,
     mut reader: LinkReader,
 ) -> Result<std::convert::Infallible, UpstreamError> {
     loop {
         let message = reader.read().await?;
-        shared.take(link, &mut feed, message)?;
+        shared.receive(link, &mut feed, message)?;
     }
 }
 
 async fn write(
-    shared: &Shared,
+    shared: &AgentState,
     link: LinkId,
-    outbox: &Outbox,
+    outbox: &WriterSignal,
     mut writer: LinkWriter,
 ) -> Result<std::convert::Infallible, UpstreamError> {
     loop {
@@ -143,8 +143,8 @@
     }
 }
 
-fn next_message(shared: &Shared, link: LinkId, outbox: &Outbox) -> Option<AgentMessage> {
-    if outbox.take_subscription() {
+fn next_message(shared: &AgentState, link: LinkId, outbox: &WriterSignal) -> Option<AgentMessage> {
+    if outbox.take_resubscribe_request() {
         return Some(subscription(shared));
     }
     let mut inner = shared.lock();
@@ -154,6 +154,6 @@
     inner.report.take().map(AgentMessage::Report)
 }
 
-fn subscription(shared: &Shared) -> AgentMessage {
+fn subscription(shared: &AgentState) -> AgentMessage {
     AgentMessage::Subscribe(shared.lock().feed.position())
 }
--- a/crates/agent/tests/arguments_and_reports.rs
+++ b/crates/agent/tests/arguments_and_reports.rs
@@ -2,8 +2,8 @@
 
 use std::ffi::OsString;
 
-use dunelink_agent::limit::LineLimit;
 use dunelink_agent::link_feed::LinkFeed;
+use dunelink_agent::log_rate_limit::LogRateLimit;
 use dunelink_agent::reports::PendingReport;
 use dunelink_agent::{Arguments, Command};
 use dunelink_feed::{Change, FeedState};
@@ -22,9 +22,12 @@
 
 #[test]
 fn options_are_read_and_others_are_named() {
-    assert_eq!(parse(&[]), Ok(Arguments { command: Command::Serve, log: Format::Text }));
-    assert_eq!(parse(&["--check"]), Ok(Arguments { command: Command::Check, log: Format::Text }));
-    assert_eq!(parse(&["--log", "json"]), Ok(Arguments { command: Command::Serve, log: Format::Json }));
+    assert_eq!(parse(&[]), Ok(Arguments { command: Command::Serve, log_format: Format::Text }));
+    assert_eq!(parse(&["--check"]), Ok(Arguments { command: Command::Check, log_format: Format::Text }));
+    assert_eq!(
+        parse(&["--log", "json"]),
+        Ok(Arguments { command: Command::Serve, log_format: Format::Json })
+    );
     assert_eq!(parse(&["--check", "--help"]).map(|read| read.command), Ok(Command::Help));
     assert!(parse(&["--log", "xml"]).unwrap_err().contains("xml"));
     assert!(parse(&["--fast"]).unwrap_err().contains("--fast"));
@@ -57,18 +60,18 @@
     let mut pending = PendingReport::default();
     pending.add(report(&[("a", 1.0)], &[("x", 1, 0), ("y", 2, 2)]));
     pending.add(report(&[("b", 3.0)], &[("x", 4, 1)]));
-    assert!(pending.is_waiting());
+    assert!(pending.has_report());
     assert_eq!(pending.take(), Some(report(&[("b", 3.0)], &[("x", 5, 1), ("y", 2, 2)])));
     assert_eq!(pending.take(), None);
 }
 
 #[test]
 fn one_line_a_second() {
-    let mut limit = LineLimit::default();
-    assert_eq!(limit.pass(SECOND), Some(0));
-    assert_eq!(limit.pass(SECOND + 1), None);
-    assert_eq!(limit.pass(SECOND + 2), None);
-    assert_eq!(limit.pass(2 * SECOND), Some(2));
+    let mut log_rate_limit = LogRateLimit::default();
+    assert_eq!(log_rate_limit.admit(SECOND), Some(0));
+    assert_eq!(log_rate_limit.admit(SECOND + 1), None);
+    assert_eq!(log_rate_limit.admit(SECOND + 2), None);
+    assert_eq!(log_rate_limit.admit(2 * SECOND), Some(2));
 }
 
 fn tick(version: u64, sequence: u64) -> FeedMessage {
@@ -89,7 +92,7 @@
     let offset = RosterOffset { epoch: 1, sequence: 5 };
     let change =
         || FeedMessage::Roster(RosterUpdate { base, offset, changed: Vec::new(), removed: Vec::new() });
-    let mut at = |now| feed.take(&mut state, change(), now).expect("well-formed");
+    let mut at = |now| feed.receive(&mut state, change(), now).expect("well-formed");
     assert_eq!(at(SECOND + 1), (Change::Resubscribe, false), "it has just subscribed");
     assert_eq!(at(2 * SECOND), (Change::Resubscribe, true));
     assert_eq!(at(2 * SECOND + 1), (Change::Resubscribe, false));
@@ -100,7 +103,7 @@
 fn a_source_that_tells_of_something_newer_and_does_not_send_it_is_asked_again() {
     let mut state = FeedState::default();
     let mut feed = LinkFeed::new(SECOND);
-    let mut asked = |message, now| feed.take(&mut state, message, now).expect("well-formed").1;
+    let mut asked = |message, now| feed.receive(&mut state, message, now).expect("well-formed").1;
     assert!(!asked(tick(3, 0), SECOND));
     assert!(!asked(tick(3, 0), 2 * SECOND - 1));
     assert!(asked(tick(3, 0), 2 * SECOND));
@@ -114,7 +117,7 @@
     let mut state = FeedState::default();
     let mut feed = LinkFeed::new(SECOND);
     let mut age = |now: u64| {
-        let taken = feed.take(&mut state, tick(0, 0), now).expect("well-formed");
+        let taken = feed.receive(&mut state, tick(0, 0), now).expect("well-formed");
         let (Change::Heartbeat(taken), _) = taken else { panic!("a sign of life") };
         taken.confirmed_age_ms
     };
--- a/crates/agent/tests/choice_of_sources.rs
+++ b/crates/agent/tests/choice_of_sources.rs
@@ -2,8 +2,10 @@
 
 use std::net::SocketAddr;
 
-use dunelink_agent::directory::Directory;
-use dunelink_agent::sources::{Action, CONFIRMED, DOUBT, LinkId, SILENCE, Sources};
+use dunelink_agent::directory::AddressDirectory;
+use dunelink_agent::sources::{
+    Action, HEARTBEAT_TIMEOUT_US, LinkId, MAX_CONFIRMATION_AGE_US, STALE_TIMEOUT_US, SourceSelector,
+};
 use dunelink_protocol::{Heartbeat, RosterOffset};
 
 const START: u64 = 1_000_000;
@@ -12,10 +14,10 @@
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
-fn sources(seeds: u8) -> Sources {
-    let mut directory = Directory::default();
+fn sources(seeds: u8) -> SourceSelector {
+    let mut directory = AddressDirectory::default();
     directory.set_seeds((1..=seeds).map(address).collect());
-    Sources::new(directory, fastrand::Rng::with_seed(7))
+    SourceSelector::new(directory, fastrand::Rng::with_seed(7))
 }
 
 fn tick(confirmed_age_ms: u64) -> Heartbeat {
@@ -39,16 +41,16 @@
 }
 
 /// Opens the first connection and makes it current at `START`.
-fn connected(sources: &mut Sources) -> (LinkId, SocketAddr) {
+fn connected(sources: &mut SourceSelector) -> (LinkId, SocketAddr) {
     let (link, address) = dialed(&sources.poll(START)).expect("the first attempt is due at once");
-    sources.opened(link, START);
-    sources.ticked(link, &tick(0), START);
+    sources.record_opened(link, START);
+    sources.record_heartbeat(link, &tick(0), START);
     assert_eq!(sources.poll(START), []);
     (link, address)
 }
 
 /// The next dial at or after `from`, with its time.
-fn next_dial(sources: &mut Sources, from: u64) -> (u64, LinkId, SocketAddr) {
+fn next_dial(sources: &mut SourceSelector, from: u64) -> (u64, LinkId, SocketAddr) {
     let mut now = from;
     for _ in 0..100 {
         let actions = sources.poll(now);
@@ -67,7 +69,7 @@
     let mut now = START;
     for _ in 0..100 {
         now += 250_000;
-        assert!(!sources.ticked(link, &tick(20), now), "an ordinary sign of life changes nothing");
+        assert!(!sources.record_heartbeat(link, &tick(20), now), "an ordinary sign of life changes nothing");
         assert_eq!(sources.poll(now), []);
     }
     assert_eq!(sources.active(), Some(link));
@@ -78,11 +80,11 @@
     let mut sources = sources(3);
     let (link, first) = connected(&mut sources);
     let (at, other, address) = next_dial(&mut sources, START);
-    assert_eq!(at, START + SILENCE + DOUBT);
+    assert_eq!(at, START + HEARTBEAT_TIMEOUT_US + STALE_TIMEOUT_US);
     assert_ne!(address, first);
-    sources.opened(other, at);
+    sources.record_opened(other, at);
     assert_eq!(sources.active(), Some(link), "the old one stays until a better one is found");
-    assert!(sources.ticked(other, &tick(0), at));
+    assert!(sources.record_heartbeat(other, &tick(0), at));
     assert_eq!(closed(&sources.poll(at)), [link]);
     assert_eq!(sources.active(), Some(other));
 }
@@ -93,14 +95,14 @@
     let (link, _) = connected(&mut sources);
     let mut age_ms = 0;
     let mut now = START;
-    while now < START + CONFIRMED + DOUBT - 100_000 {
+    while now < START + MAX_CONFIRMATION_AGE_US + STALE_TIMEOUT_US - 100_000 {
         now += 100_000;
         age_ms += 100;
-        sources.ticked(link, &tick(age_ms), now);
+        sources.record_heartbeat(link, &tick(age_ms), now);
         assert_eq!(sources.poll(now), []);
     }
     let (at, _, _) = next_dial(&mut sources, now);
-    assert!(at <= START + CONFIRMED + DOUBT);
+    assert!(at <= START + MAX_CONFIRMATION_AGE_US + STALE_TIMEOUT_US);
 }
 
 /// A leader that loses its lease has had no proof from another one for long.
@@ -109,17 +111,17 @@
     let mut sources = sources(3);
     let (link, _) = connected(&mut sources);
     let mut now = START;
-    while now < START + 10 * CONFIRMED {
+    while now < START + 10 * MAX_CONFIRMATION_AGE_US {
         now += 250_000;
-        assert!(!sources.ticked(link, &tick(0), now));
+        assert!(!sources.record_heartbeat(link, &tick(0), now));
     }
     now += 250_000;
-    assert!(sources.ticked(link, &tick(u64::MAX), now), "its time is not waited for");
+    assert!(sources.record_heartbeat(link, &tick(u64::MAX), now), "its time is not waited for");
     let (at, other, _) = next_dial(&mut sources, now);
     assert_eq!(at, now);
     assert_eq!(sources.active(), Some(link), "until a better one is found");
-    sources.opened(other, at);
-    assert!(sources.ticked(other, &tick(20), at));
+    sources.record_opened(other, at);
+    assert!(sources.record_heartbeat(other, &tick(20), at));
     assert_eq!(closed(&sources.poll(at)), [link]);
 }
 
@@ -128,7 +130,7 @@
     let mut sources = sources(3);
     let (link, _) = connected(&mut sources);
     let (at, other, _) = next_dial(&mut sources, START);
-    assert!(sources.ticked(link, &tick(0), at));
+    assert!(sources.record_heartbeat(link, &tick(0), at));
     assert_eq!(closed(&sources.poll(at)), [other]);
     assert_eq!(sources.active(), Some(link));
 }
@@ -138,12 +140,12 @@
     let mut sources = sources(5);
     let (first, _) = connected(&mut sources);
     let (at, second, _) = next_dial(&mut sources, START);
-    sources.opened(second, at);
-    let actions = sources.poll(at + DOUBT);
+    sources.record_opened(second, at);
+    let actions = sources.poll(at + STALE_TIMEOUT_US);
     assert_eq!(closed(&actions), [second], "it never gave a sign of life");
-    let (later, third, _) = next_dial(&mut sources, at + DOUBT);
-    sources.opened(third, later);
-    sources.ticked(third, &tick(900), later);
+    let (later, third, _) = next_dial(&mut sources, at + STALE_TIMEOUT_US);
+    sources.record_opened(third, later);
+    sources.record_heartbeat(third, &tick(900), later);
     assert_eq!(closed(&sources.poll(later)), [first]);
     assert_eq!(sources.active(), Some(third));
 }
@@ -166,7 +168,7 @@
     let mut pauses = Vec::new();
     for _ in 0..40 {
         tried.insert(address);
-        sources.closed(link, at);
+        sources.record_closed(link, at);
         let before = at;
         (at, link, address) = next_dial(&mut sources, before);
         pauses.push(at - before);
@@ -196,10 +198,10 @@
             now += u64::from(*pause) * 50;
             let link = open.get(usize::from(*which) % open.len().max(1)).copied().unwrap_or(99);
             match kind % 4 {
-                0 => sources.opened(link, now),
-                1 => drop(sources.ticked(link, &tick(u64::from(*which) * 10), now)),
+                0 => sources.record_opened(link, now),
+                1 => drop(sources.record_heartbeat(link, &tick(u64::from(*which) * 10), now)),
                 2 => {
-                    sources.closed(link, now);
+                    sources.record_closed(link, now);
                     open.retain(|known| *known != link);
                 }
                 _ => {}
@@ -221,13 +223,13 @@
 
 #[test]
 fn members_replace_older_ones_only_from_a_current_source() {
-    let mut directory = Directory::default();
-    directory.learn(vec![address(1), address(2)], true);
-    directory.learn(vec![address(3)], false);
+    let mut directory = AddressDirectory::default();
+    directory.update_members(vec![address(1), address(2)], true);
+    directory.update_members(vec![address(3)], false);
     assert_eq!(directory.len(), 3, "a source that is cut off may tell an old list");
-    directory.learn(vec![address(3)], true);
+    directory.update_members(vec![address(3)], true);
     assert_eq!(directory.len(), 1);
-    directory.learn(Vec::new(), true);
+    directory.update_members(Vec::new(), true);
     assert_eq!(directory.len(), 1, "an empty list is no list");
     directory.set_seeds(vec![address(4)]);
     directory.set_seeds(vec![address(5)]);
--- a/crates/agent/tests/site/mod.rs
+++ b/crates/agent/tests/site/mod.rs
@@ -15,7 +15,7 @@
     RosterUpdate, ServerEntry,
 };
 use dunelink_runtime::{LinkReader, LinkWriter, accept};
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use slog::{Discard, Logger, o};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::Notify;
@@ -139,7 +139,7 @@
     /// Starts an agent with a settings file that is there already.
     pub(crate) fn restart(ip: IpAddr, port: u16, settings: PathBuf) -> Self {
         let text = std::fs::read_to_string(&settings).expect("settings are there");
-        let boot = Boot::parse(&text, &settings).expect("settings can be used");
+        let boot = BootSettings::parse(&text, &settings).expect("settings can be used");
         let agent = Agent::new(&boot, settings.clone(), Logger::root(Discard, o!()));
         let reload = Arc::new(Notify::new());
         let task = tokio::spawn(agent.run(Arc::clone(&reload)));
--- a/crates/control/src/configuration_check.rs
+++ b/crates/control/src/configuration_check.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use dunelink_grants::TenantQuota;
-use dunelink_runtime::aside;
+use dunelink_runtime::offload_if_large;
 use dunelink_settings::FleetConfig;
 
 /// A configuration as the operator sent it, and what a check of it has shown.
@@ -29,7 +29,7 @@
     /// Checks a configuration, a large one on a thread of its own.
     pub async fn check_off_thread(body: Bytes) -> Self {
         let unchecked = Self::unchecked(body.clone());
-        aside(body, Self::check).await.unwrap_or(unchecked)
+        offload_if_large(body, Self::check).await.unwrap_or(unchecked)
     }
 }
 
@@ -46,5 +46,5 @@
 
 /// The same, read on a thread of its own if it is large.
 pub async fn parse_quotas_off_thread(body: Bytes) -> Vec<TenantQuota> {
-    aside(body, |body| parse_quotas(&body)).await.unwrap_or_default()
+    offload_if_large(body, |body| parse_quotas(&body)).await.unwrap_or_default()
 }
--- a/crates/control/src/feed_server.rs
+++ b/crates/control/src/feed_server.rs
@@ -67,7 +67,7 @@
 async fn connection(socket: TcpStream, engine: Engine) -> Result<(), LinkError> {
     let peer = socket.peer_addr()?.ip();
     let (mut reader, writer) = accept(socket, SILENCE)?;
-    let hello: Hello = reader.read_within(HELLO_PATIENCE).await?;
+    let hello: Hello = reader.read_with_timeout(HELLO_PATIENCE).await?;
     if hello.protocol_version != PROTOCOL_VERSION {
         return Ok(());
     }
@@ -85,7 +85,7 @@
 /// Takes in what another control machine sends.
 async fn replica(mut reader: LinkReader, engine: Engine) -> Result<(), LinkError> {
     loop {
-        let envelope: Envelope = reader.read_within(PEER_IDLE).await?;
+        let envelope: Envelope = reader.read_with_timeout(PEER_IDLE).await?;
         engine.update(|node, now, effects| node.handle_message(now, envelope, effects));
     }
 }
@@ -120,7 +120,7 @@
     /// Waits for the agent to say where it stands.
     async fn subscribed(&mut self) -> Result<FeedSession, LinkError> {
         loop {
-            match self.reader.read_within(HELLO_PATIENCE).await? {
+            match self.reader.read_with_timeout(HELLO_PATIENCE).await? {
                 AgentMessage::Subscribe(subscribe) => return Ok(FeedSession::new(&subscribe)),
                 AgentMessage::Report(report) => {
                     self.engine.update(|node, now, effects| {
@@ -162,7 +162,7 @@
     async fn flush(&mut self) -> Result<(), LinkError> {
         match timeout(WRITE_PATIENCE, self.writer.flush()).await {
             Ok(flushed) => flushed,
-            Err(_) => Err(LinkError::Silent(WRITE_PATIENCE)),
+            Err(_) => Err(LinkError::Timeout(WRITE_PATIENCE)),
         }
     }
 }
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -13,7 +13,7 @@
 use dunelink_replication::Member;
 use dunelink_runtime::Clock;
 use dunelink_runtime::log::logger;
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use dunelink_storage::Limits;
 use slog::{Level, Logger, error, info, warn};
 use tokio::net::TcpListener;
@@ -82,7 +82,7 @@
 fn check() -> ExitCode {
     match settings() {
         Ok(boot) => {
-            println!("{}: {} can run with it", Boot::path().display(), boot.node_name);
+            println!("{}: {} can run with it", BootSettings::path().display(), boot.node_name);
             ExitCode::SUCCESS
         }
         Err(error) => wrong(&format!("{error:#}")),
@@ -90,9 +90,9 @@
 }
 
 /// The settings, with what this program needs beyond the others.
-fn settings() -> anyhow::Result<Boot> {
-    let boot = Boot::load()?;
-    let path = Boot::path();
+fn settings() -> anyhow::Result<BootSettings> {
+    let boot = BootSettings::load()?;
+    let path = BootSettings::path();
     if boot.data_dir.is_none() {
         bail!("{}: key `dataDir` is missing; this program needs a folder on a disk", path.display());
     }
@@ -102,7 +102,7 @@
     Ok(boot)
 }
 
-fn start(boot: Boot, log: &Logger) -> anyhow::Result<()> {
+fn start(boot: BootSettings, log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let outcome = LocalSet::new().block_on(&runtime, serve(boot, log.clone()));
     // The disk thread may hang in a call: the process does not wait for it.
@@ -110,7 +110,7 @@
     outcome
 }
 
-async fn serve(boot: Boot, log: Logger) -> anyhow::Result<()> {
+async fn serve(boot: BootSettings, log: Logger) -> anyhow::Result<()> {
     // Both before the store is opened, which may take long: a signal that nobody listens for ends the program.
     let mut ending = signal(SignalKind::terminate()).context("SIGTERM can't be listened for")?;
     let hangup = signal(SignalKind::hangup()).context("SIGHUP can't be listened for")?;
@@ -128,7 +128,7 @@
 }
 
 /// Opens the store and starts all tasks.
-async fn begin(boot: &Boot, log: &Logger) -> anyhow::Result<Engine> {
+async fn begin(boot: &BootSettings, log: &Logger) -> anyhow::Result<Engine> {
     let folder = boot.data_dir.clone().ok_or_else(|| anyhow!("`dataDir` is missing"))?;
     let control = boot.listen.control.ok_or_else(|| anyhow!("`listen.control` is missing"))?;
     let internal = internal_address(boot.ip, boot.internal_port());
@@ -182,7 +182,7 @@
 
 /// Decides who this replica is, and tells the disk thread whose the store is.
 fn identify(
-    boot: &Boot,
+    boot: &BootSettings,
     me: Member,
     opened: OpenedStore,
     orders: &Sender<DiskCommand>,
@@ -208,7 +208,7 @@
     let _ = orders.send(order);
 }
 
-fn node_settings(boot: &Boot) -> NodeSettings {
+fn node_settings(boot: &BootSettings) -> NodeSettings {
     let tolerated = usize::try_from(boot.fault_tolerance.machines.max(1)).unwrap_or(1);
     let bounds = &boot.bounds;
     NodeSettings {
@@ -222,7 +222,7 @@
     }
 }
 
-fn disk_limits(boot: &Boot) -> Limits {
+fn disk_limits(boot: &BootSettings) -> Limits {
     let disk_bytes = match boot.limits.disk_mb {
         0 => Limits::default().disk_bytes,
         megabytes => megabytes * MEGABYTE / DISK_PART.1 * DISK_PART.0,
@@ -230,7 +230,7 @@
     Limits { disk_bytes, ..Limits::default() }
 }
 
-fn hello(boot: &Boot) -> Hello {
+fn hello(boot: &BootSettings) -> Hello {
     Hello {
         protocol_version: PROTOCOL_VERSION,
         link: LinkKind::Replica,
@@ -257,7 +257,7 @@
 }
 
 /// Takes in changes of the settings file, with a signal or without.
-async fn watch_settings(boot: Boot, engine: Engine, mut hangup: Signal) {
+async fn watch_settings(boot: BootSettings, engine: Engine, mut hangup: Signal) {
     let mut seen = modified();
     let mut seeds = boot.seeds;
     loop {
@@ -267,7 +267,7 @@
             continue;
         }
         seen = found;
-        match Boot::load() {
+        match BootSettings::load() {
             Ok(boot) if boot.seeds != seeds => {
                 info!(engine.log(), "other seeds"; "seeds" => format!("{:?}", boot.seeds));
                 engine.update(|node, _, _| node.set_seeds(&boot.seeds));
@@ -280,7 +280,7 @@
 }
 
 fn modified() -> Option<(SystemTime, u64)> {
-    let about = std::fs::metadata(Boot::path()).ok()?;
+    let about = std::fs::metadata(BootSettings::path()).ok()?;
     Some((about.modified().ok()?, about.len()))
 }
 
--- a/crates/operator/src/check.rs
+++ b/crates/operator/src/check.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use dunelink_settings::{Boot, FleetConfig};
+use dunelink_settings::{BootSettings, FleetConfig};
 
 use crate::error::OperatorError;
 
@@ -29,9 +29,12 @@
     }
     let text = String::from_utf8(bytes).map_err(|_| {
         let reason = "a byte that is not UTF-8".to_owned();
-        OperatorError::Settings(dunelink_settings::BootError::Syntax { path: path.to_owned(), reason })
+        OperatorError::Settings(dunelink_settings::BootSettingsError::Syntax {
+            path: path.to_owned(),
+            reason,
+        })
     })?;
-    let boot = Boot::parse(&text, path)?;
+    let boot = BootSettings::parse(&text, path)?;
     Ok(Checked { summary: summary_of_settings(&boot), faults: faults_of_settings(&boot) })
 }
 
@@ -49,14 +52,14 @@
     Ok(Checked { summary, faults: faults_of_configuration(&configuration) })
 }
 
-fn summary_of_settings(boot: &Boot) -> String {
+fn summary_of_settings(boot: &BootSettings) -> String {
     let serves = if boot.serves.is_empty() { "nothing".to_owned() } else { boot.serves.join(" and ") };
     let (first, last) = boot.internal_ports;
     let name = &boot.node_name;
     format!("settings of {name} at {}: serves {serves}, internal ports {first} to {last}", boot.ip)
 }
 
-fn faults_of_settings(boot: &Boot) -> Vec<String> {
+fn faults_of_settings(boot: &BootSettings) -> Vec<String> {
     let mut faults = Vec::new();
     let mut needs = |key: &str, missing: bool, why: &str, remedy: &str| {
         if missing {
@@ -84,7 +87,7 @@
 }
 
 /// Addresses to listen at that belong to another machine.
-fn foreign_addresses(boot: &Boot) -> Vec<String> {
+fn foreign_addresses(boot: &BootSettings) -> Vec<String> {
     let listen = &boot.listen;
     let all = [("front", listen.front), ("readiness", listen.readiness), ("control", listen.control)];
     let is_foreign = |at: &SocketAddr| !at.ip().is_unspecified() && at.ip() != boot.ip;
--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -11,7 +11,7 @@
 use dunelink_operator::disk::{self, DataFolder, SnapshotLine};
 use dunelink_operator::status::{self, FleetStatus, findings};
 use dunelink_operator::{OperatorError, check};
-use dunelink_settings::{Boot, FleetConfig};
+use dunelink_settings::{BootSettings, FleetConfig};
 use dunelink_storage::SnapshotUse;
 use serde::Serialize;
 use tokio::signal::unix::{SignalKind, signal};
@@ -72,7 +72,7 @@
     if !controls.is_empty() {
         return Ok(controls);
     }
-    let boot = Boot::load().context("no --control is given")?;
+    let boot = BootSettings::load().context("no --control is given")?;
     let mut known: Vec<SocketAddr> = boot.listen.control.into_iter().chain(boot.seeds).collect();
     known.dedup();
     if known.is_empty() {
--- a/crates/operator/src/difference.rs
+++ b/crates/operator/src/difference.rs
@@ -105,7 +105,7 @@
         RouteKind::Unsafe => "unsafe",
         RouteKind::Streaming => "streaming",
     };
-    let gap = route.gap_aim_ms.map_or_else(|| "none".to_owned(), |gap| gap.to_string());
+    let gap = route.target_event_gap_ms.map_or_else(|| "none".to_owned(), |gap| gap.to_string());
     Values::from([
         ("name", route.name.clone()),
         ("kind", kind.to_owned()),
@@ -136,7 +136,7 @@
 }
 
 fn engine_text(engine: &Engine) -> String {
-    let Engine { slots, kv_tokens, kv_token_bytes, stride, link_mbps, models } = engine;
+    let Engine { slots, kv_tokens, kv_token_bytes, max_tokens_per_event: stride, link_mbps, models } = engine;
     let models = models.join(" ");
     format!(
         "(slots {slots}, kvTokens {kv_tokens}, kvTokenBytes {kv_token_bytes}, stride {stride}, \
@@ -159,7 +159,7 @@
         ("keys", tenant.api_keys.len().to_string()),
         ("priority", priority),
         ("unit", unit.to_owned()),
-        ("plainTokens", tenant.plain_tokens.to_string()),
+        ("plainTokens", tenant.default_request_tokens.to_string()),
         ("ratePerS", tenant.rate_per_s.to_string()),
         ("burst", tenant.burst.to_string()),
     ])
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use dunelink_settings::{BootError, ConfigError};
+use dunelink_settings::{BootSettingsError, ConfigError};
 use dunelink_storage::StorageError;
 use thiserror::Error;
 
@@ -20,7 +20,7 @@
     },
     /// A settings file can't be used.
     #[error(transparent)]
-    Settings(#[from] BootError),
+    Settings(#[from] BootSettingsError),
     /// A configuration can't be used.
     #[error("{place}: {reason}")]
     Configuration {
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -34,8 +34,8 @@
     let fleet = &configuration.fleet;
     let host = request.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let route = fleet.route(host, request.target.path()).ok_or(Reply::new(StatusCode::NOT_FOUND))?;
-    let tenant = request.key.as_deref().and_then(|key| fleet.tenant_of_key(key));
-    if tenant.is_none() && !route.public && fleet.asks_for_keys() {
+    let tenant = request.key.as_deref().and_then(|key| fleet.tenant_by_key(key));
+    if tenant.is_none() && !route.public && fleet.requires_api_keys() {
         return Err(Reply::new(StatusCode::UNAUTHORIZED));
     }
     let service = route.choose_target(fastrand::f64());
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -42,12 +42,12 @@
 impl From<&Route> for RoutePolicy {
     fn from(route: &Route) -> Self {
         Self {
-            idempotent: route.idempotent(),
+            idempotent: route.is_idempotent(),
             streaming: route.kind == RouteKind::Streaming,
             resumable: route.kind == RouteKind::Streaming && route.resumable,
             timeout_ms: route.timeout_ms,
             target_latency_ms: route.target_latency_ms,
-            gap_aim_ms: route.gap_aim_ms.unwrap_or(0),
+            gap_aim_ms: route.target_event_gap_ms.unwrap_or(0),
             priority: route.priority,
             max_attempts: route.max_attempts,
         }
@@ -80,7 +80,7 @@
         let tenant = &self.fleet.tenants[tenant];
         match tenant.unit {
             QuotaUnit::Requests => 1.0,
-            QuotaUnit::Tokens => tokens.unwrap_or(tenant.plain_tokens) as f64,
+            QuotaUnit::Tokens => tokens.unwrap_or(tenant.default_request_tokens) as f64,
         }
     }
 
@@ -89,7 +89,7 @@
         let engine = |engine: &dunelink_settings::Engine| EngineSpec {
             slots: engine.slots,
             kv_tokens: engine.kv_tokens,
-            max_tokens_per_event: engine.stride,
+            max_tokens_per_event: engine.max_tokens_per_event,
         };
         let services = self.fleet.services.iter();
         services
@@ -103,7 +103,7 @@
 
     /// Names of the services that requests without a tenant go to.
     pub fn tenantless_services(&self) -> Vec<&str> {
-        let keys = self.fleet.asks_for_keys();
+        let keys = self.fleet.requires_api_keys();
         let routes = self.fleet.routes.iter().filter(|route| route.public || !keys);
         let targets = routes.flat_map(|route| &route.targets).filter(|target| target.weight > 0);
         let mut services: Vec<usize> = targets.map(|target| target.service).collect();
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -168,7 +168,7 @@
     let Some(configuration) = node.configuration() else {
         let left =
             request.deadline.map_or(Duration::MAX, |deadline| deadline.saturating_sub(began.elapsed()));
-        let how = Unanswered::unconfigured(node.clock.age()).spread().within(left);
+        let how = Unanswered::unconfigured(node.clock.uptime()).spread().within(left);
         return how.reply().response(Some(&request.id));
     };
     let admitted = match admit(node, &configuration, &request) {
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -10,7 +10,7 @@
 use dunelink_protocol::hello::PROTOCOL_VERSION;
 use dunelink_protocol::{FeedMessage, Hello, LinkKind, PROMPT_UNIT_TOKENS, ProxyMessage};
 use dunelink_routing::ServerInfo;
-use dunelink_runtime::aside::{aside, is_long};
+use dunelink_runtime::offload::{is_large_document, offload_if_large};
 use dunelink_runtime::{LinkError, LinkWriter, dial};
 use dunelink_settings::{ConfigError, FleetConfig};
 use slog::{info, warn};
@@ -82,7 +82,7 @@
             }
             _ = reports.tick() => {
                 if heard.elapsed() > SILENCE {
-                    return Err(LinkError::Silent(SILENCE).into());
+                    return Err(LinkError::Timeout(SILENCE).into());
                 }
                 reported = Instant::now();
                 report(node, &mut writer).await?;
@@ -170,13 +170,13 @@
     fn take_configuration(&mut self) {
         let Some(whole) = &mut self.state.configuration else { return };
         let (version, bytes) = (whole.version, std::mem::take(&mut whole.bytes));
-        if !is_long(bytes.len()) {
+        if !is_large_document(bytes.len()) {
             return put_in_force(&self.node, version, read(bytes));
         }
         // Clients are served while it is read. Should a newer one come meanwhile, that one stays in force.
         let node = self.node.clone();
         spawn_local(async move {
-            let Some(read) = aside(bytes, read).await else { return };
+            let Some(read) = offload_if_large(bytes, read).await else { return };
             put_in_force(&node, version, read);
         });
     }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -12,7 +12,7 @@
 };
 use dunelink_routing::{Router, RouterSettings, ServerInfo};
 use dunelink_runtime::Clock;
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use slog::Logger;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -36,7 +36,7 @@
 /// State of the process.
 pub struct Node {
     /// Settings at the start.
-    pub boot: Boot,
+    pub boot: BootSettings,
     /// Where events go.
     pub log: Logger,
     /// The steady clock.
@@ -65,7 +65,7 @@
 
 impl Node {
     /// A node that holds nothing yet.
-    pub fn new(boot: Boot, log: Logger) -> Rc<Self> {
+    pub fn new(boot: BootSettings, log: Logger) -> Rc<Self> {
         let bounds = &boot.bounds;
         let quota = QuotaBounds {
             window_s: bounds.quota_window_s,
@@ -102,13 +102,13 @@
         })
     }
 
-    fn descriptors(boot: &Boot) -> usize {
+    fn descriptors(boot: &BootSettings) -> usize {
         let all = if boot.limits.max_fds > 0 { boot.limits.max_fds } else { DEFAULT_FDS };
         all.saturating_sub(RESERVED_FDS).max(64) as usize
     }
 
     /// Most connections of clients.
-    pub fn client_descriptors(boot: &Boot) -> usize {
+    pub fn client_descriptors(boot: &BootSettings) -> usize {
         (Self::descriptors(boot) as f64 * CLIENT_PART) as usize
     }
 
@@ -176,7 +176,7 @@
     /// was committed since.
     pub fn tick(&self, tick: &Heartbeat) {
         let version = self.version();
-        let own = self.clock.age().as_millis() as u64;
+        let own = self.clock.uptime().as_millis() as u64;
         let proven = tick.confirmed_age_ms < CONFIRMED_WITHIN_MS.min(own.saturating_add(1));
         if proven && tick.configuration_version <= version && version > 0 {
             self.confirmed.set(true);
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Context;
 use dunelink_runtime::log::logger;
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use slog::{Level, Logger, error, info};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
@@ -30,7 +30,7 @@
         print!("{HELP}");
         return ExitCode::SUCCESS;
     }
-    let boot = match Boot::load() {
+    let boot = match BootSettings::load() {
         Ok(boot) => boot,
         Err(wrong) => return refuse(&wrong),
     };
@@ -52,7 +52,7 @@
     ExitCode::from(BAD_SETTINGS)
 }
 
-fn run(boot: Boot, log: &Logger) -> anyhow::Result<()> {
+fn run(boot: BootSettings, log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let mut signals = Signals::take().context("signals can't be taken over")?;
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use dunelink_proxy::listen::Clients;
 use dunelink_proxy::node::Node;
 use dunelink_proxy::{Proxy, shutdown};
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use tokio::task::{LocalSet, yield_now};
 
 use agent::Agent;
@@ -112,7 +112,7 @@
             agent.port - 2,
             agent.port + 3
         );
-        let boot = Boot::parse(&settings, Path::new("settings")).unwrap();
+        let boot = BootSettings::parse(&settings, Path::new("settings")).unwrap();
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let proxy = Proxy::bind(Node::new(boot, log)).unwrap();
         let (node, front, readiness) = (proxy.node(), proxy.front().unwrap(), proxy.readiness().unwrap());
--- a/crates/proxy/tests/feeding.rs
+++ b/crates/proxy/tests/feeding.rs
@@ -28,7 +28,7 @@
         until(|| node.version() == 1).await;
         assert_eq!(system.client().await.call("/safe/x", "a1").await.status, 200);
         assert_eq!(system.check().await, 503);
-        until(|| node.clock.age() > Duration::from_millis(10)).await;
+        until(|| node.clock.uptime() > Duration::from_millis(10)).await;
         system.agent.tick(10, 1);
         until(|| node.is_ready()).await;
         assert_eq!(system.check().await, 200);
@@ -139,7 +139,7 @@
         until(|| node.version() == 1).await;
         assert_eq!(system.client().await.call("/safe/x", "a1").await.status, 200);
         let (configuration_version, roster) = (1, RosterOffset::default());
-        let before = node.clock.age().as_millis() as u64 + 100;
+        let before = node.clock.uptime().as_millis() as u64 + 100;
         node.tick(&Heartbeat { confirmed_age_ms: before, configuration_version, roster, roster_age_ms: 0 });
         assert!(!node.is_ready());
         node.tick(&Heartbeat { confirmed_age_ms: 0, configuration_version, roster, roster_age_ms: 0 });
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -24,7 +24,7 @@
     }
 
     /// How long ago the program started.
-    pub fn age(&self) -> Duration {
+    pub fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -3,11 +3,11 @@
 
 #![forbid(unsafe_code)]
 
-pub mod aside;
 pub mod clock;
 pub mod link;
 pub mod log;
+pub mod offload;
 
-pub use aside::aside;
 pub use clock::Clock;
 pub use link::{LinkError, LinkReader, LinkWriter, accept, dial};
+pub use offload::offload_if_large;
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -31,7 +31,7 @@
     Closed,
     /// Nothing was heard for too long.
     #[error("nothing heard for {0:?}: the peer or the path to it is down; another one is tried")]
-    Silent(Duration),
+    Timeout(Duration),
 }
 
 /// The receiving half of a connection.
@@ -65,13 +65,13 @@
     /// # Errors
     ///
     /// As [`Self::read`], or nothing came in time.
-    pub async fn read_within<M: for<'b> Decode<'b, ()>>(
+    pub async fn read_with_timeout<M: for<'b> Decode<'b, ()>>(
         &mut self,
         patience: Duration,
     ) -> Result<M, LinkError> {
         match tokio::time::timeout(patience, self.read()).await {
             Ok(read) => read,
-            Err(_) => Err(LinkError::Silent(patience)),
+            Err(_) => Err(LinkError::Timeout(patience)),
         }
     }
 
@@ -132,7 +132,7 @@
 ) -> Result<(LinkReader, LinkWriter), LinkError> {
     match tokio::time::timeout(patience, TcpStream::connect(address)).await {
         Ok(connected) => accept(connected?, silence),
-        Err(_) => Err(LinkError::Silent(patience)),
+        Err(_) => Err(LinkError::Timeout(patience)),
     }
 }
 
--- a/crates/runtime/tests/links.rs
+++ b/crates/runtime/tests/links.rs
@@ -22,7 +22,7 @@
     writer.write(&second).await.expect("written");
     drop(writer);
     assert_eq!(reader.read::<AgentMessage>().await.expect("first"), first);
-    assert_eq!(reader.read_within::<AgentMessage>(PATIENCE).await.expect("second"), second);
+    assert_eq!(reader.read_with_timeout::<AgentMessage>(PATIENCE).await.expect("second"), second);
     assert!(matches!(reader.read::<AgentMessage>().await, Err(LinkError::Closed)));
 }
 
@@ -31,6 +31,6 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
     let address = listener.local_addr().expect("bound");
     let (mut reader, _writer) = dial(address, PATIENCE, PATIENCE).await.expect("connects");
-    let silent = reader.read_within::<AgentMessage>(PATIENCE).await;
-    assert!(matches!(silent, Err(LinkError::Silent(_))));
+    let silent = reader.read_with_timeout::<AgentMessage>(PATIENCE).await;
+    assert!(matches!(silent, Err(LinkError::Timeout(_))));
 }
--- a/crates/settings/src/boot/bounds.rs
+++ b/crates/settings/src/boot/bounds.rs
@@ -1,15 +1,15 @@
 //! The figures of the contracts, from the table `bounds` of the settings file.
 
-use super::error::BootError;
+use super::error::BootSettingsError;
 use super::section::Section;
 
 /// The figures of the contracts in force. Fields that end in `_ms` are milliseconds, those that end in `_s`
 /// seconds; all are finite and at least 0.
 ///
-/// [`Bounds::default`] holds for keys that the file leaves out. Allowances that permit something extra (slack,
+/// [`ContractBounds::default`] holds for keys that the file leaves out. Allowances that permit something extra (slack,
 /// overshoot) are 0 there, so that a missing key never permits more.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Bounds {
+pub struct ContractBounds {
     /// `seedLagS`: how far behind the operator's list of control addresses may be (3).
     pub seed_lag_s: f64,
     /// `reuseAfterS`: how soon an address of a server that ended may serve another service (2).
@@ -50,13 +50,13 @@
     pub quota_slack: f64,
     /// `recoveryS`: how soon service has to be back after the machines are (12).
     pub recovery_s: f64,
-    /// `pass_ms`: how soon each event of a stream has to reach the client (120).
-    pub pass_ms: f64,
-    /// `again_s`: how soon after its last use a part of a prompt that is read again is priced (8).
-    pub again_s: f64,
+    /// `event_delivery_ms`: how soon each event of a stream has to reach the client (120).
+    pub event_delivery_ms: f64,
+    /// `prefix_reuse_s`: how soon after its last use a part of a prompt that is read again is priced (8).
+    pub prefix_reuse_s: f64,
 }
 
-impl Default for Bounds {
+impl Default for ContractBounds {
     fn default() -> Self {
         Self {
             seed_lag_s: 3.0,
@@ -79,15 +79,15 @@
             quota_overshoot: 0.0,
             quota_slack: 0.0,
             recovery_s: 12.0,
-            pass_ms: 120.0,
-            again_s: 8.0,
+            event_delivery_ms: 120.0,
+            prefix_reuse_s: 8.0,
         }
     }
 }
 
-impl Bounds {
+impl ContractBounds {
     /// Reads the table; a key that is left out keeps its default.
-    pub(super) fn read(section: &Section<'_>) -> Result<Self, BootError> {
+    pub(super) fn read(section: &Section<'_>) -> Result<Self, BootSettingsError> {
         let mut bounds = Self::default();
         bounds.revocation = section.flag("revocation")?.unwrap_or(bounds.revocation);
         for (key, field) in bounds.numbers() {
@@ -119,8 +119,8 @@
             ("quotaOvershoot", &mut self.quota_overshoot),
             ("quotaSlack", &mut self.quota_slack),
             ("recoveryS", &mut self.recovery_s),
-            ("pass_ms", &mut self.pass_ms),
-            ("again_s", &mut self.again_s),
+            ("pass_ms", &mut self.event_delivery_ms),
+            ("again_s", &mut self.prefix_reuse_s),
         ]
     }
 }
--- a/crates/settings/src/boot/error.rs
+++ b/crates/settings/src/boot/error.rs
@@ -5,7 +5,7 @@
 
 /// A settings file that can't be used. Each message names the file, the key, what was expected and the remedy.
 #[derive(Debug, thiserror::Error)]
-pub enum BootError {
+pub enum BootSettingsError {
     /// The file could not be opened or read.
     #[error(
         "{}: the settings file can't be read ({source}); put it there or set {variable} to its path",
@@ -29,7 +29,7 @@
     },
     /// A key that has no default is absent.
     #[error("{}: key `{key}` is missing; add it as {expected}", path.display())]
-    Missing {
+    MissingKey {
         /// The settings file.
         path: PathBuf,
         /// The key with its table, such as `listen.front`.
@@ -39,7 +39,7 @@
     },
     /// A key holds a value of another type or outside its range.
     #[error("{}: key `{key}` holds {found}; change it to {expected}", path.display())]
-    Wrong {
+    InvalidValue {
         /// The settings file.
         path: PathBuf,
         /// The key with its table, such as `bounds.contactMs`.
@@ -51,11 +51,11 @@
     },
 }
 
-impl BootError {
+impl BootSettingsError {
     /// The key that is wrong or missing, with its table; nothing when the file as a whole can't be read.
     pub fn key(&self) -> Option<&str> {
         match self {
-            Self::Missing { key, .. } | Self::Wrong { key, .. } => Some(key),
+            Self::MissingKey { key, .. } | Self::InvalidValue { key, .. } => Some(key),
             Self::Unreadable { .. } | Self::Syntax { .. } => None,
         }
     }
--- a/crates/settings/src/boot/mod.rs
+++ b/crates/settings/src/boot/mod.rs
@@ -15,8 +15,8 @@
 
 use toml::{Table, Value};
 
-pub use bounds::Bounds;
-pub use error::BootError;
+pub use bounds::ContractBounds;
+pub use error::BootSettingsError;
 use section::Section;
 
 /// Environment variable that holds the path of the settings file.
@@ -33,7 +33,7 @@
 
 /// What a process is told at its start.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Boot {
+pub struct BootSettings {
     /// `nodeName`: name of the machine, required and not empty.
     pub node_name: String,
     /// `role`: name of the role in the deploy file (empty).
@@ -65,20 +65,20 @@
     /// `zones`: region of each zone (none).
     pub zones: BTreeMap<String, String>,
     /// `listen`: addresses to listen at.
-    pub listen: Listen,
+    pub listen: ListenAddresses,
     /// `limits`: what the machine has.
     pub limits: MachineLimits,
     /// `faultTolerance`: what may be lost at once.
     pub fault_tolerance: FaultTolerance,
     /// `bounds`: figures of the contracts.
-    pub bounds: Bounds,
+    pub bounds: ContractBounds,
     /// `cloudApi`: the platform's list of servers (none; also where it names no address).
     pub cloud_api: Option<CloudApi>,
 }
 
 /// Addresses that the role listens at; a role that does not serve one has none.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// `front`: for clients.
     pub front: Option<SocketAddr>,
     /// `readiness`: for the platform's check.
@@ -126,7 +126,7 @@
     pub lag_ms: u64,
 }
 
-impl Boot {
+impl BootSettings {
     /// The path from [`PATH_VARIABLE`], or [`DEFAULT_PATH`] when that is not set or empty.
     pub fn path() -> PathBuf {
         match env::var_os(PATH_VARIABLE) {
@@ -135,23 +135,23 @@
         }
     }
 
-    /// Reads the file at [`Boot::path`].
+    /// Reads the file at [`BootSettings::path`].
     ///
     /// # Errors
-    /// [`BootError`] when the file can't be read or [`Boot::parse`] refuses it.
-    pub fn load() -> Result<Self, BootError> {
+    /// [`BootSettingsError`] when the file can't be read or [`BootSettings::parse`] refuses it.
+    pub fn load() -> Result<Self, BootSettingsError> {
         let path = Self::path();
         match fs::read_to_string(&path) {
             Ok(text) => Self::parse(&text, &path),
-            Err(source) => Err(BootError::Unreadable { path, variable: PATH_VARIABLE, source }),
+            Err(source) => Err(BootSettingsError::Unreadable { path, variable: PATH_VARIABLE, source }),
         }
     }
 
     /// Reads the text of a settings file; `path` only stands in errors.
     ///
     /// # Errors
-    /// [`BootError`] when the text is not TOML, a required key is missing or a key holds a wrong value.
-    pub fn parse(text: &str, path: &Path) -> Result<Self, BootError> {
+    /// [`BootSettingsError`] when the text is not TOML, a required key is missing or a key holds a wrong value.
+    pub fn parse(text: &str, path: &Path) -> Result<Self, BootSettingsError> {
         let table: Table = text.parse().map_err(|error: toml::de::Error| syntax_error(path, &error))?;
         Self::read(&Section::top(path, &table))
     }
@@ -182,7 +182,7 @@
         self.contracts.iter().any(|contract| contract == name)
     }
 
-    fn read(top: &Section<'_>) -> Result<Self, BootError> {
+    fn read(top: &Section<'_>) -> Result<Self, BootSettingsError> {
         let zone = top.text("zone")?.unwrap_or_default().to_owned();
         let zones: BTreeMap<String, String> = top.section("zones")?.text_pairs()?.into_iter().collect();
         let region = match top.text("region")? {
@@ -205,17 +205,17 @@
             heartbeat_ms: top.whole("heartbeatMs")?.unwrap_or(DEFAULT_HEARTBEAT_MS),
             contracts: top.texts("contracts")?,
             zones,
-            listen: Listen::read(&top.section("listen")?)?,
+            listen: ListenAddresses::read(&top.section("listen")?)?,
             limits: MachineLimits::read(&top.section("limits")?)?,
             fault_tolerance: FaultTolerance::read(&top.section("faultTolerance")?)?,
-            bounds: Bounds::read(&top.section("bounds")?)?,
+            bounds: ContractBounds::read(&top.section("bounds")?)?,
             cloud_api: CloudApi::read(&top.section("cloudApi")?)?,
         })
     }
 }
 
-impl Listen {
-    fn read(section: &Section<'_>) -> Result<Self, BootError> {
+impl ListenAddresses {
+    fn read(section: &Section<'_>) -> Result<Self, BootSettingsError> {
         Ok(Self {
             front: section.address("front")?,
             readiness: section.address("readiness")?,
@@ -231,7 +231,7 @@
 }
 
 impl MachineLimits {
-    fn read(section: &Section<'_>) -> Result<Self, BootError> {
+    fn read(section: &Section<'_>) -> Result<Self, BootSettingsError> {
         let default = Self::default();
         Ok(Self {
             cpu_share: section.number("cpuShare")?.unwrap_or(default.cpu_share),
@@ -245,7 +245,7 @@
 }
 
 impl FaultTolerance {
-    fn read(section: &Section<'_>) -> Result<Self, BootError> {
+    fn read(section: &Section<'_>) -> Result<Self, BootSettingsError> {
         Ok(Self {
             machines: section.whole("machines")?.unwrap_or(0),
             zones: section.whole("zones")?.unwrap_or(0),
@@ -258,7 +258,7 @@
     /// Calls per second when the file names no rate.
     const DEFAULT_RATE_PER_S: f64 = 1.0;
 
-    fn read(section: &Section<'_>) -> Result<Option<Self>, BootError> {
+    fn read(section: &Section<'_>) -> Result<Option<Self>, BootSettingsError> {
         let address = section.address("address")?;
         let rate_per_s = section.number("ratePerS")?.unwrap_or(Self::DEFAULT_RATE_PER_S);
         let lag_ms = section.whole("lagMs")?.unwrap_or(0);
@@ -266,13 +266,13 @@
     }
 }
 
-fn read_node_name(top: &Section<'_>) -> Result<String, BootError> {
+fn read_node_name(top: &Section<'_>) -> Result<String, BootSettingsError> {
     let expected = "a text that is not empty";
     let name = top.optional("nodeName", expected, |value| value.as_str().filter(|name| !name.is_empty()))?;
     name.map(str::to_owned).ok_or_else(|| top.missing("nodeName", expected))
 }
 
-fn read_internal_ports(top: &Section<'_>) -> Result<(u16, u16), BootError> {
+fn read_internal_ports(top: &Section<'_>) -> Result<(u16, u16), BootSettingsError> {
     let expected = "two ports, the first and the last of a range of at least three, such as [7000, 7015]";
     let ports = top.optional("internalPorts", expected, port_range)?;
     ports.ok_or_else(|| top.missing("internalPorts", expected))
@@ -286,7 +286,7 @@
     (first > 0 && last >= needed).then_some((first, last))
 }
 
-fn syntax_error(path: &Path, error: &toml::de::Error) -> BootError {
+fn syntax_error(path: &Path, error: &toml::de::Error) -> BootSettingsError {
     let reason = error.to_string();
-    BootError::Syntax { path: path.to_owned(), reason: reason.trim().replace('\n', " ") }
+    BootSettingsError::Syntax { path: path.to_owned(), reason: reason.trim().replace('\n', " ") }
 }
--- a/crates/settings/src/boot/section.rs
+++ b/crates/settings/src/boot/section.rs
@@ -5,7 +5,7 @@
 
 use toml::{Table, Value};
 
-use super::error::BootError;
+use super::error::BootSettingsError;
 
 /// Longest value that an error message repeats, in characters.
 const SHOWN_CHARACTERS: usize = 60;
@@ -25,7 +25,7 @@
     }
 
     /// The table `name` below this one; an absent table reads as an empty one.
-    pub(super) fn section(&self, name: &'static str) -> Result<Section<'a>, BootError> {
+    pub(super) fn section(&self, name: &'static str) -> Result<Section<'a>, BootSettingsError> {
         let table = match self.value(name) {
             None => None,
             Some(Value::Table(table)) => Some(table),
@@ -35,7 +35,7 @@
     }
 
     /// All pairs of the table whose values are texts.
-    pub(super) fn text_pairs(&self) -> Result<Vec<(String, String)>, BootError> {
+    pub(super) fn text_pairs(&self) -> Result<Vec<(String, String)>, BootSettingsError> {
         let pairs = self.table.into_iter().flatten();
         pairs
             .map(|(key, value)| match value {
@@ -45,30 +45,30 @@
             .collect()
     }
 
-    pub(super) fn text(&self, key: &str) -> Result<Option<&'a str>, BootError> {
+    pub(super) fn text(&self, key: &str) -> Result<Option<&'a str>, BootSettingsError> {
         self.optional(key, "a text", Value::as_str)
     }
 
-    pub(super) fn flag(&self, key: &str) -> Result<Option<bool>, BootError> {
+    pub(super) fn flag(&self, key: &str) -> Result<Option<bool>, BootSettingsError> {
         self.optional(key, "true or false", Value::as_bool)
     }
 
     /// A finite number of at least 0, whole or with a fraction.
-    pub(super) fn number(&self, key: &str) -> Result<Option<f64>, BootError> {
+    pub(super) fn number(&self, key: &str) -> Result<Option<f64>, BootSettingsError> {
         self.optional(key, "a number of at least 0", number)
     }
 
     /// A whole number of at least 0; `16.0` is one as well.
-    pub(super) fn whole(&self, key: &str) -> Result<Option<u64>, BootError> {
+    pub(super) fn whole(&self, key: &str) -> Result<Option<u64>, BootSettingsError> {
         self.optional(key, "a whole number of at least 0", whole)
     }
 
-    pub(super) fn ip(&self, key: &str) -> Result<Option<IpAddr>, BootError> {
+    pub(super) fn ip(&self, key: &str) -> Result<Option<IpAddr>, BootSettingsError> {
         self.optional(key, "an IP address such as \"192.0.2.1\"", |value| value.as_str()?.parse().ok())
     }
 
     /// An address; an empty text reads as none.
-    pub(super) fn address(&self, key: &str) -> Result<Option<SocketAddr>, BootError> {
+    pub(super) fn address(&self, key: &str) -> Result<Option<SocketAddr>, BootSettingsError> {
         let read = |value: &Value| match value.as_str() {
             Some("") => Some(None),
             _ => address(value).map(Some),
@@ -76,14 +76,14 @@
         Ok(self.optional(key, "an address such as \"192.0.2.1:8080\"", read)?.flatten())
     }
 
-    pub(super) fn texts(&self, key: &str) -> Result<Vec<String>, BootError> {
+    pub(super) fn texts(&self, key: &str) -> Result<Vec<String>, BootSettingsError> {
         let read = |value: &Value| -> Option<Vec<String>> {
             value.as_array()?.iter().map(|entry| entry.as_str().map(str::to_owned)).collect()
         };
         Ok(self.optional(key, "a list of texts", read)?.unwrap_or_default())
     }
 
-    pub(super) fn addresses(&self, key: &str) -> Result<Vec<SocketAddr>, BootError> {
+    pub(super) fn addresses(&self, key: &str) -> Result<Vec<SocketAddr>, BootSettingsError> {
         let expected = "a list of addresses such as [\"192.0.2.1:8080\"]";
         let read =
             |value: &Value| -> Option<Vec<SocketAddr>> { value.as_array()?.iter().map(address).collect() };
@@ -96,7 +96,7 @@
         key: &str,
         expected: &'static str,
         read: impl FnOnce(&'a Value) -> Option<T>,
-    ) -> Result<Option<T>, BootError> {
+    ) -> Result<Option<T>, BootSettingsError> {
         let Some(value) = self.value(key) else { return Ok(None) };
         match read(value) {
             Some(result) => Ok(Some(result)),
@@ -105,17 +105,22 @@
     }
 
     /// The error of a key that has no default and is absent.
-    pub(super) fn missing(&self, key: &str, expected: &'static str) -> BootError {
-        BootError::Missing { path: self.path.to_owned(), key: self.full_key(key), expected }
+    pub(super) fn missing(&self, key: &str, expected: &'static str) -> BootSettingsError {
+        BootSettingsError::MissingKey { path: self.path.to_owned(), key: self.full_key(key), expected }
     }
 
     fn value(&self, key: &str) -> Option<&'a Value> {
         self.table?.get(key)
     }
 
-    fn wrong(&self, key: &str, expected: &'static str, found: &Value) -> BootError {
+    fn wrong(&self, key: &str, expected: &'static str, found: &Value) -> BootSettingsError {
         let found: String = found.to_string().chars().take(SHOWN_CHARACTERS).collect();
-        BootError::Wrong { path: self.path.to_owned(), key: self.full_key(key), expected, found }
+        BootSettingsError::InvalidValue {
+            path: self.path.to_owned(),
+            key: self.full_key(key),
+            expected,
+            found,
+        }
     }
 
     fn full_key(&self, key: &str) -> String {
--- a/crates/settings/src/fleet_config/error.rs
+++ b/crates/settings/src/fleet_config/error.rs
@@ -8,7 +8,7 @@
     #[error(
         "the configuration is not one whole JSON document ({reason}); send it complete and nothing after it"
     )]
-    Unreadable {
+    InvalidJson {
         /// What the JSON reader found, and where.
         reason: String,
     },
@@ -20,7 +20,7 @@
     },
     /// A field that has no default is absent or null.
     #[error("{pointer}: missing; add {expected}")]
-    Missing {
+    MissingField {
         /// Place of the field.
         pointer: String,
         /// What the value has to be.
@@ -28,7 +28,7 @@
     },
     /// A value is of another type or outside its range.
     #[error("{pointer}: of the wrong type or out of range; change it to {expected}")]
-    Wrong {
+    InvalidValue {
         /// Place of the value.
         pointer: String,
         /// What the value has to be.
@@ -60,13 +60,13 @@
     },
     /// The weights of a split sum to 0.
     #[error("{pointer}: the weights sum to 0; give at least one target a weight above 0")]
-    NoWeight {
+    ZeroWeights {
         /// Place of the split.
         pointer: String,
     },
     /// An API key stands more than once.
     #[error("{pointer}: the same key as {first}; remove it from one of the two places")]
-    DuplicateKey {
+    DuplicateApiKey {
         /// Place of the later key.
         pointer: String,
         /// Place of the earlier key.
@@ -78,14 +78,14 @@
     /// JSON pointer of the offending place; empty for the document as a whole.
     pub fn pointer(&self) -> &str {
         match self {
-            Self::Unreadable { .. } | Self::TooDeep { .. } => "",
-            Self::Missing { pointer, .. }
-            | Self::Wrong { pointer, .. }
+            Self::InvalidJson { .. } | Self::TooDeep { .. } => "",
+            Self::MissingField { pointer, .. }
+            | Self::InvalidValue { pointer, .. }
             | Self::UnknownService { pointer, .. }
             | Self::DuplicateRoute { pointer, .. }
             | Self::DuplicateService { pointer, .. }
-            | Self::NoWeight { pointer }
-            | Self::DuplicateKey { pointer, .. } => pointer,
+            | Self::ZeroWeights { pointer }
+            | Self::DuplicateApiKey { pointer, .. } => pointer,
         }
     }
 }
--- a/crates/settings/src/fleet_config/field.rs
+++ b/crates/settings/src/fleet_config/field.rs
@@ -55,11 +55,11 @@
     }
 
     pub(super) fn missing(&self, expected: &'static str) -> ConfigError {
-        ConfigError::Missing { pointer: self.pointer(), expected }
+        ConfigError::MissingField { pointer: self.pointer(), expected }
     }
 
     pub(super) fn wrong(&self, expected: &'static str) -> ConfigError {
-        ConfigError::Wrong { pointer: self.pointer(), expected }
+        ConfigError::InvalidValue { pointer: self.pointer(), expected }
     }
 }
 
@@ -160,11 +160,11 @@
 
 fn unreadable(error: &sonic_rs::Error) -> ConfigError {
     let reason = error.to_string();
-    ConfigError::Unreadable { reason: reason.lines().next().unwrap_or_default().to_owned() }
+    ConfigError::InvalidJson { reason: reason.lines().next().unwrap_or_default().to_owned() }
 }
 
 fn not_utf8(error: &Utf8Error) -> ConfigError {
-    ConfigError::Unreadable { reason: format!("not UTF-8 after byte {}", error.valid_up_to()) }
+    ConfigError::InvalidJson { reason: format!("not UTF-8 after byte {}", error.valid_up_to()) }
 }
 
 /// True when brackets outside texts stand more than `limit` levels inside one another.
--- a/crates/settings/src/fleet_config/mod.rs
+++ b/crates/settings/src/fleet_config/mod.rs
@@ -62,8 +62,8 @@
     pub sticky: bool,
     /// `resumable`: a stream may go on at another server (false).
     pub resumable: bool,
-    /// `gap_aim_ms`: longest pause between events of a stream in milliseconds (none).
-    pub gap_aim_ms: Option<u64>,
+    /// `target_event_gap_ms`: longest pause between events of a stream in milliseconds (none).
+    pub target_event_gap_ms: Option<u64>,
 }
 
 /// What may be repeated.
@@ -108,8 +108,8 @@
     pub kv_tokens: u64,
     /// `kvTokenBytes`: bytes of a kept token (0, unknown).
     pub kv_token_bytes: u64,
-    /// `stride`: most tokens in one event of a stream, at least 1 (1).
-    pub stride: u32,
+    /// `max_tokens_per_event`: most tokens in one event of a stream, at least 1 (1).
+    pub max_tokens_per_event: u32,
     /// `linkMbps`: speed of the link between servers in megabits per second (0, unknown).
     pub link_mbps: f64,
     /// `models`: names of the models that it serves (none).
@@ -141,7 +141,7 @@
     /// `unit`: what the quota counts (requests).
     pub unit: QuotaUnit,
     /// `plainTokens`: tokens charged for a request that states none (1).
-    pub plain_tokens: u64,
+    pub default_request_tokens: u64,
     /// `ratePerS`: units per second over all nodes; 0 is no limit (0).
     pub rate_per_s: f64,
     /// `burst`: units on top of the rate (0).
@@ -185,7 +185,7 @@
     }
 
     /// Position in [`FleetConfig::tenants`] of the tenant with this key; an empty key is nobody's.
-    pub fn tenant_of_key(&self, key: &str) -> Option<usize> {
+    pub fn tenant_by_key(&self, key: &str) -> Option<usize> {
         if key.is_empty() {
             return None;
         }
@@ -194,14 +194,14 @@
     }
 
     /// True when requests need a key, unless their route is public.
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_api_keys(&self) -> bool {
         !self.tenants.is_empty()
     }
 }
 
 impl Route {
     /// True when a request may run more than once: safe, or a stream that may be resumed.
-    pub fn idempotent(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
             RouteKind::Unsafe => false,
@@ -237,7 +237,7 @@
             .field("api_keys", &self.api_keys.len())
             .field("priority", &self.priority)
             .field("unit", &self.unit)
-            .field("plain_tokens", &self.plain_tokens)
+            .field("plain_tokens", &self.default_request_tokens)
             .field("rate_per_s", &self.rate_per_s)
             .field("burst", &self.burst)
             .finish()
--- a/crates/settings/src/fleet_config/parse.rs
+++ b/crates/settings/src/fleet_config/parse.rs
@@ -83,7 +83,7 @@
             "public" => route.public = field.flag()?,
             "sticky" => route.sticky = field.flag()?,
             "resumable" => route.resumable = field.flag()?,
-            "gap_aim_ms" => route.gap_aim_ms = Some(field.milliseconds()?),
+            "gap_aim_ms" => route.target_event_gap_ms = Some(field.milliseconds()?),
             _ => {}
         }
         Ok(())
@@ -114,7 +114,7 @@
         public: false,
         sticky: false,
         resumable: false,
-        gap_aim_ms: None,
+        target_event_gap_ms: None,
     }
 }
 
@@ -133,7 +133,7 @@
     };
     let (names, weights): (Vec<String>, Vec<f64>) = split.into_iter().unzip();
     if !weights.iter().any(|weight| *weight > 0.0) {
-        return Err(ConfigError::NoWeight { pointer: place.key("trafficSplit").pointer() });
+        return Err(ConfigError::ZeroWeights { pointer: place.key("trafficSplit").pointer() });
     }
     let weights = whole_weights(&weights);
     route.targets = weights.into_iter().map(|weight| SplitTarget { service: 0, weight }).collect();
@@ -209,14 +209,20 @@
 }
 
 fn read_engine(field: Field<'_, '_>) -> Result<Engine, ConfigError> {
-    let mut engine =
-        Engine { slots: 1, kv_tokens: 0, kv_token_bytes: 0, stride: 1, link_mbps: 0.0, models: Vec::new() };
+    let mut engine = Engine {
+        slots: 1,
+        kv_tokens: 0,
+        kv_token_bytes: 0,
+        max_tokens_per_event: 1,
+        link_mbps: 0.0,
+        models: Vec::new(),
+    };
     field.each_pair(|key, field| {
         match key {
             "slots" => engine.slots = field.whole_u32()?.max(1),
             "kvTokens" => engine.kv_tokens = field.whole()?,
             "kvTokenBytes" => engine.kv_token_bytes = field.whole()?,
-            "stride" => engine.stride = field.whole_u32()?.max(1),
+            "stride" => engine.max_tokens_per_event = field.whole_u32()?.max(1),
             "linkMbps" => engine.link_mbps = field.number()?,
             "models" => engine.models = field.list(|entry, _| read_model(entry))?,
             _ => {}
@@ -265,7 +271,7 @@
         api_keys: Vec::new(),
         priority: None,
         unit: QuotaUnit::Requests,
-        plain_tokens: 1,
+        default_request_tokens: 1,
         rate_per_s: 0.0,
         burst: 0.0,
     };
@@ -275,7 +281,7 @@
             "apiKeys" => tenant.api_keys = field.list(|entry, _| entry.text())?,
             "priority" => tenant.priority = Some(field.whole_u32()?),
             "unit" => tenant.unit = read_unit(&field)?,
-            "plainTokens" => tenant.plain_tokens = field.whole()?,
+            "plainTokens" => tenant.default_request_tokens = field.whole()?,
             "ratePerS" => tenant.rate_per_s = field.number()?,
             "burst" => tenant.burst = field.number()?,
             _ => {}
@@ -375,5 +381,5 @@
 
 fn duplicate_key(later: (usize, usize), first: (usize, usize)) -> ConfigError {
     let pointer = |(tenant, key): (usize, usize)| format!("/tenants/{tenant}/apiKeys/{key}");
-    ConfigError::DuplicateKey { pointer: pointer(later), first: pointer(first) }
+    ConfigError::DuplicateApiKey { pointer: pointer(later), first: pointer(first) }
 }
--- a/crates/settings/tests/boot.rs
+++ b/crates/settings/tests/boot.rs
@@ -4,14 +4,14 @@
 use std::path::{Path, PathBuf};
 
 use dunelink_settings::boot::DEFAULT_PATH;
-use dunelink_settings::{Boot, BootError, Bounds, FaultTolerance};
+use dunelink_settings::{BootSettings, BootSettingsError, ContractBounds, FaultTolerance};
 
 const FRONT: &str = include_str!("fixtures/front.toml");
 const CORE: &str = include_str!("fixtures/core.toml");
 const LEAST: &str = "nodeName = \"a\"\nip = \"192.0.2.1\"\ninternalPorts = [6100, 6102]\n";
 
-fn parse(text: &str) -> Result<Boot, BootError> {
-    Boot::parse(text, Path::new("settings.toml"))
+fn parse(text: &str) -> Result<BootSettings, BootSettingsError> {
+    BootSettings::parse(text, Path::new("settings.toml"))
 }
 
 fn address(text: &str) -> SocketAddr {
@@ -54,7 +54,7 @@
 
 #[test]
 fn reads_every_bound() {
-    let expected = Bounds {
+    let expected = ContractBounds {
         seed_lag_s: 1.0,
         reuse_after_s: 4.0,
         contact_ms: 2100.0,
@@ -75,8 +75,8 @@
         quota_overshoot: 0.05,
         quota_slack: 900.0,
         recovery_s: 11.0,
-        pass_ms: 90.0,
-        again_s: 6.5,
+        event_delivery_ms: 90.0,
+        prefix_reuse_s: 6.5,
     };
     assert_eq!(parse(FRONT).expect("valid").bounds, expected);
 }
@@ -102,7 +102,7 @@
 #[test]
 fn fills_in_defaults() {
     let boot = parse(LEAST).expect("three keys are enough");
-    assert_eq!(boot.bounds, Bounds::default());
+    assert_eq!(boot.bounds, ContractBounds::default());
     assert_eq!(boot.bounds.retry_slack, 0.0, "an absent key permits nothing extra");
     assert_eq!(boot.heartbeat_ms, 1_000);
     assert_eq!((boot.limits.cpu_share, boot.limits.cores), (1.0, 1.0));
@@ -124,7 +124,7 @@
         let text: String =
             LEAST.lines().filter(|line| !line.starts_with(key)).map(|line| format!("{line}\n")).collect();
         let error = parse(&text).expect_err(key);
-        assert!(matches!(error, BootError::Missing { .. }), "{error}");
+        assert!(matches!(error, BootSettingsError::MissingKey { .. }), "{error}");
         assert_eq!(error.key(), Some(key));
         assert!(error.to_string().starts_with("settings.toml: key `"), "{error}");
     }
@@ -192,7 +192,7 @@
             .map(|line| format!("{line}\n"))
             .collect();
         let error = parse(&format!("{kept}{key} = {value}\n")).expect_err(key);
-        assert!(matches!(error, BootError::Wrong { .. }), "{key} = {value}: {error}");
+        assert!(matches!(error, BootSettingsError::InvalidValue { .. }), "{key} = {value}: {error}");
         assert_eq!(error.key(), Some(*key), "{key} = {value}");
         let message = error.to_string();
         assert!(message.contains("settings.toml") && message.contains("change it to"), "{message}");
@@ -208,13 +208,13 @@
 #[test]
 fn names_the_line_of_a_syntax_error() {
     let error = parse("nodeName = \"a\"\nip = \n").expect_err("cut short");
-    assert!(matches!(error, BootError::Syntax { .. }));
+    assert!(matches!(error, BootSettingsError::Syntax { .. }));
     assert!(error.to_string().contains("line 2"), "{error}");
 }
 
 #[test]
 fn names_the_variable_when_the_file_is_absent() {
-    let error = BootError::Unreadable {
+    let error = BootSettingsError::Unreadable {
         path: PathBuf::from(DEFAULT_PATH),
         variable: dunelink_settings::boot::PATH_VARIABLE,
         source: std::io::ErrorKind::NotFound.into(),
--- a/crates/settings/tests/config.rs
+++ b/crates/settings/tests/config.rs
@@ -38,11 +38,11 @@
         public: false,
         sticky: true,
         resumable: true,
-        gap_aim_ms: Some(550),
+        target_event_gap_ms: Some(550),
     };
     assert_eq!(config.routes[0], expected);
     assert_eq!(targets(&config.routes[1]), [(0, 70), (1, 30)]);
-    assert_eq!((config.routes[1].gap_aim_ms, config.routes[1].public), (None, true));
+    assert_eq!((config.routes[1].target_event_gap_ms, config.routes[1].public), (None, true));
 }
 
 #[test]
@@ -61,7 +61,7 @@
     assert_eq!((large.name.as_str(), large.health_path.as_str(), large.max_conns), ("large", "/up", 210));
     let engine = large.engine.as_ref().expect("stands there");
     assert_eq!(
-        (engine.slots, engine.kv_tokens, engine.kv_token_bytes, engine.stride),
+        (engine.slots, engine.kv_tokens, engine.kv_token_bytes, engine.max_tokens_per_event),
         (32, 250_000, 4096, 5)
     );
     assert_eq!(engine.link_mbps, 40_000.5);
@@ -83,25 +83,25 @@
 fn reads_tenants_and_finds_them_by_key() {
     let config = parse(FULL);
     let gold = &config.tenants[0];
-    assert_eq!((gold.priority, gold.unit, gold.plain_tokens), (Some(2), QuotaUnit::Tokens, 150));
+    assert_eq!((gold.priority, gold.unit, gold.default_request_tokens), (Some(2), QuotaUnit::Tokens, 150));
     assert_eq!((gold.rate_per_s, gold.burst), (1200.5, 4000.0));
     let open = &config.tenants[1];
     assert_eq!((open.priority, open.unit, open.rate_per_s), (None, QuotaUnit::Requests, 0.0));
-    assert_eq!(config.tenant_of_key("key-two"), Some(0));
-    assert_eq!(config.tenant_of_key("key-three"), Some(1));
-    assert_eq!(config.tenant_of_key("key-four"), None);
-    assert_eq!(config.tenant_of_key("KEY-TWO"), None);
-    assert_eq!(config.tenant_of_key(""), None);
-    assert!(config.asks_for_keys() && !parse(LEAST).asks_for_keys());
+    assert_eq!(config.tenant_by_key("key-two"), Some(0));
+    assert_eq!(config.tenant_by_key("key-three"), Some(1));
+    assert_eq!(config.tenant_by_key("key-four"), None);
+    assert_eq!(config.tenant_by_key("KEY-TWO"), None);
+    assert_eq!(config.tenant_by_key(""), None);
+    assert!(config.requires_api_keys() && !parse(LEAST).requires_api_keys());
 }
 
 #[test]
 fn says_which_requests_may_run_twice() {
     let config = parse(FULL);
-    let idempotent: Vec<bool> = config.routes.iter().map(Route::idempotent).collect();
+    let idempotent: Vec<bool> = config.routes.iter().map(Route::is_idempotent).collect();
     assert_eq!(idempotent, [true, false, false, true]);
     let resumable_but_unsafe = with_route(r#""service":"a","kind":"unsafe","resumable":true"#);
-    assert!(!resumable_but_unsafe.routes[0].idempotent());
+    assert!(!resumable_but_unsafe.routes[0].is_idempotent());
 }
 
 #[test]
--- a/crates/settings/tests/config_errors.rs
+++ b/crates/settings/tests/config_errors.rs
@@ -26,7 +26,7 @@
     let whole = FULL.trim_end();
     for length in 0..whole.len() {
         let error = refuse(&whole.as_bytes()[..length]);
-        assert!(matches!(error, ConfigError::Unreadable { .. }), "{length}: {error}");
+        assert!(matches!(error, ConfigError::InvalidJson { .. }), "{length}: {error}");
         assert_eq!(error.pointer(), "");
     }
 }
@@ -35,7 +35,7 @@
 fn refuses_bytes_after_the_document() {
     for rest in ["}", "x", "{}", ",", "\0", "\u{feff}"] {
         let error = refuse(format!("{FULL}{rest}").as_bytes());
-        assert!(matches!(error, ConfigError::Unreadable { .. }), "{rest:?}: {error}");
+        assert!(matches!(error, ConfigError::InvalidJson { .. }), "{rest:?}: {error}");
     }
 }
 
@@ -45,13 +45,13 @@
     let mut bytes = broken.into_bytes();
     let at = bytes.iter().position(|byte| *byte == b'X').expect("put there");
     bytes[at] = 0xff;
-    assert!(matches!(refuse(&bytes), ConfigError::Unreadable { .. }));
+    assert!(matches!(refuse(&bytes), ConfigError::InvalidJson { .. }));
 }
 
 #[test]
 fn refuses_documents_that_are_no_objects() {
     for text in ["[]", "7", "\"text\"", "true"] {
-        assert!(matches!(refuse(text.as_bytes()), ConfigError::Wrong { .. }), "{text}");
+        assert!(matches!(refuse(text.as_bytes()), ConfigError::InvalidValue { .. }), "{text}");
     }
 }
 
@@ -103,13 +103,16 @@
 #[test]
 fn refuses_weights_that_sum_to_zero() {
     let text = changed("\"weight\": 70", "\"weight\": 0").replace("\"weight\": 30", "\"weight\": 0.0");
-    assert_eq!(refuse(text.as_bytes()), ConfigError::NoWeight { pointer: "/routes/1/trafficSplit".into() });
+    assert_eq!(
+        refuse(text.as_bytes()),
+        ConfigError::ZeroWeights { pointer: "/routes/1/trafficSplit".into() }
+    );
 }
 
 #[test]
 fn refuses_an_empty_split_without_a_service() {
     let from = "[{\"service\": \"large\", \"weight\": 70}, {\"service\": \"plain\", \"weight\": 30}]";
-    assert!(matches!(refuse_changed(from, "[]"), ConfigError::NoWeight { .. }));
+    assert!(matches!(refuse_changed(from, "[]"), ConfigError::ZeroWeights { .. }));
 }
 
 #[test]
@@ -124,18 +127,18 @@
 fn refuses_a_version_that_is_no_whole_number_above_zero() {
     for version in ["0", "-3", "1.5", "\"12\"", "true", "[]", "18446744073709551616", "1e400"] {
         let error = refuse_changed("\"version\": 12", &format!("\"version\": {version}"));
-        assert!(error.pointer() == "/version" || matches!(error, ConfigError::Unreadable { .. }), "{error}");
+        assert!(error.pointer() == "/version" || matches!(error, ConfigError::InvalidJson { .. }), "{error}");
     }
     for absent in ["\"version\": null", "\"versions\": 12"] {
         let error = refuse_changed("\"version\": 12", absent);
-        assert!(matches!(error, ConfigError::Missing { .. }), "{error}");
+        assert!(matches!(error, ConfigError::MissingField { .. }), "{error}");
     }
 }
 
 #[test]
 fn refuses_two_tenants_with_one_key() {
     let error = refuse_changed("\"key-three\"", "\"key-two\"");
-    let expected = ConfigError::DuplicateKey {
+    let expected = ConfigError::DuplicateApiKey {
         pointer: "/tenants/1/apiKeys/0".into(),
         first: "/tenants/0/apiKeys/1".into(),
     };
--- a/crates/settings/tests/hostile.rs
+++ b/crates/settings/tests/hostile.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use bolero::check;
-use dunelink_settings::{Boot, FleetConfig};
+use dunelink_settings::{BootSettings, FleetConfig};
 
 const CONFIG: &[u8] = include_bytes!("fixtures/full.json");
 const BOOT: &[u8] = include_bytes!("fixtures/front.toml");
@@ -19,14 +19,14 @@
     }
     for (position, tenant) in config.tenants.iter().enumerate() {
         for key in tenant.api_keys.iter().filter(|key| !key.is_empty()) {
-            assert_eq!(config.tenant_of_key(key), Some(position));
+            assert_eq!(config.tenant_by_key(key), Some(position));
         }
     }
 }
 
 fn use_boot(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else { return };
-    let Ok(boot) = Boot::parse(text, Path::new("settings.toml")) else { return };
+    let Ok(boot) = BootSettings::parse(text, Path::new("settings.toml")) else { return };
     assert!(boot.agent_feed_port() <= boot.internal_ports.1);
 }
 
