--- a/crates/agent/src/arguments.rs
+++ b/crates/agent/src/arguments.rs
@@ -1,64 +1,64 @@
-//! The command line.
+//! Command-line arguments.
 
 use dunelink_runtime::log::Format;
 use thiserror::Error;
 
-/// What `--help` prints.
+/// Text printed by `--help`.
 pub const HELP: &str = "\
-dunelink-agent: keeps the proxy on this machine up to date from the control plane
+dunelink-agent: feeds the proxy on this machine with the state of the control plane
 
 Usage: dunelink-agent [--check] [--log text|json] [--help]
 
-  --check          read the settings file, say whether it can be used, and end
-  --log text|json  how events are written to standard error (text)
-  --help           print this
+  --check          validate the settings file and exit
+  --log text|json  format of the log on standard error (default: text)
+  --help           print this help
 
-The settings file is named by the variable DUNELINK_BOOT.
+The environment variable DUNELINK_BOOT holds the path of the settings file.
 ";
 
-/// What is asked for.
+/// Mode in which the program runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Serve until SIGTERM.
     Serve,
-    /// Check the settings only.
+    /// Validate the settings file and exit.
     Check,
     /// Print [`HELP`].
     Help,
 }
 
-/// The command line, read.
+/// The parsed command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arguments {
-    /// What is asked for.
+    /// The selected mode.
     pub command: Command,
-    /// How events are written.
+    /// Format of the log.
     pub log_format: Format,
 }
 
-/// A command line that can't be used.
+/// An invalid command line.
 #[derive(Debug, Error)]
 pub enum ArgumentError {
-    /// An option's value is missing or wrong.
+    /// The value of an option is missing or invalid.
     #[error("{0}; see --help")]
     InvalidOption(#[from] pico_args::Error),
-    /// Something that is no option.
-    #[error("argument `{0}` is unknown; see --help")]
+    /// An argument that is not a known option.
+    #[error("unknown argument `{0}`; see --help")]
     UnknownArgument(String),
 }
 
 impl Arguments {
-    /// Reads the command line without the program's name.
+    /// Parses the command line without the program's name.
     ///
     /// # Errors
     ///
-    /// An argument is unknown, or the log format is.
+    /// An argument or the log format is unknown.
     pub fn parse(mut line: pico_args::Arguments) -> Result<Self, ArgumentError> {
         let help = line.contains(["-h", "--help"]);
         let check = line.contains("--check");
         let log_format = line.opt_value_from_str("--log")?.unwrap_or(Format::Text);
-        if let Some(rest) = line.finish().into_iter().next() {
-            return Err(ArgumentError::UnknownArgument(rest.to_string_lossy().into_owned()));
+        if let Some(unknown) = line.finish().into_iter().next() {
+            return Err(ArgumentError::UnknownArgument(unknown.to_string_lossy().into_owned()));
         }
         let command = match (help, check) {
             (true, _) => Command::Help,
--- a/crates/agent/src/downstream.rs
+++ b/crates/agent/src/downstream.rs
@@ -1,4 +1,4 @@
-//! The port at which the proxy on this machine reads its feed.
+//! The port at which the proxy on this machine reads its feed and sends its reports.
 
 use std::convert::Infallible;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,148 +16,149 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use crate::shared::AgentState;
+use crate::state::AgentState;
 
-/// How long a connection may take to say what it is.
-const HELLO_PATIENCE: Duration = Duration::from_secs(1);
-/// The kernel gives a connection up when data stays unacknowledged for this long.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Connections that have not yet said what they are.
-const STRANGERS: usize = 4;
-/// Signs of life are at least this far apart unless something changed, in microseconds: less than the period of
-/// control machines, so that each of theirs is passed on also when it comes a little early.
-const TICK_MIN: u64 = 150_000;
-/// Signs of life are at most this far apart.
-const TICK_MAX: Duration = Duration::from_millis(500);
-/// Pause after the port could not be bound or a connection not be accepted.
-const PAUSE: Duration = Duration::from_millis(200);
+/// How long a new connection may take to send its hello.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+/// The kernel closes a connection whose sent data stays unacknowledged for this long.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Most connections at once that have not yet sent their hello.
+const MAX_UNIDENTIFIED_CONNECTIONS: usize = 4;
+/// Shortest time in microseconds between two heartbeats unless something changed. It is less than the
+/// heartbeat interval of control machines, so that each of their heartbeats is forwarded even if it arrives a
+/// little early.
+const MIN_HEARTBEAT_INTERVAL_US: u64 = 150_000;
+/// Longest time between two heartbeats.
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a failure to bind the port or to accept a connection.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Why a connection was closed.
 #[derive(Debug, Error)]
 enum DownstreamError {
     #[error(transparent)]
     Link(#[from] LinkError),
-    #[error("only a proxy on this machine may read here: check the port that the peer was given")]
-    Stranger,
     #[error(
-        "the peer speaks protocol {0} instead of {PROTOCOL_VERSION}: run the same release of both programs"
+        "only the proxy on this machine may connect here: check the port that the peer is configured with"
     )]
-    Protocol(u32),
-    #[error("the peer opened a link of kind {0:?}: connect it to a control machine instead")]
-    Kind(LinkKind),
-    #[error("a newer connection of the proxy took its place")]
+    NotLocal,
+    #[error(
+        "the peer uses protocol version {0}, not {PROTOCOL_VERSION}: run the same release of both programs"
+    )]
+    ProtocolVersion(u32),
+    #[error("the peer opened a connection of kind {0:?}: connect it to a control machine instead")]
+    UnexpectedKind(LinkKind),
+    #[error("replaced by a newer connection of the proxy")]
     Replaced,
 }
 
-/// Binds the port, again and again until it succeeds.
-pub async fn bind(shared: &AgentState, address: SocketAddr) -> TcpListener {
+/// Binds the port, and retries until it succeeds.
+pub async fn bind(state: &AgentState, address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
             Err(error) => {
-                shared.log_refused_proxy(
-                    address,
-                    &format_args!("the port can't be bound: {error}; it is tried again"),
-                );
-                sleep(PAUSE).await;
+                state.log_refused_proxy(address, &format_args!("the port can't be bound: {error}; retrying"));
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Serves the proxy for ever. The newest connection of a proxy replaces the one before it.
-pub async fn serve(shared: Arc<AgentState>, listener: TcpListener) {
-    let newest = Arc::new(watch::Sender::new(0));
-    let strangers = Arc::new(Semaphore::new(STRANGERS));
+/// Accepts connections of the proxy and serves them for ever. A new connection replaces the previous one.
+pub async fn serve(state: Arc<AgentState>, listener: TcpListener) {
+    let connection_count = Arc::new(watch::Sender::new(0));
+    let unidentified = Arc::new(Semaphore::new(MAX_UNIDENTIFIED_CONNECTIONS));
     let mut connections = JoinSet::new();
     loop {
         let (socket, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                shared.log_refused_proxy(SocketAddr::new(shared.identity.ip, 0), &error);
-                sleep(PAUSE).await;
+                state.log_refused_proxy(SocketAddr::new(state.identity.ip, 0), &error);
+                sleep(RETRY_PAUSE).await;
                 continue;
             }
         };
-        // Where the machine's address is a loopback one, the system connects from 127.0.0.1, which is always local.
-        if peer.ip() != shared.identity.ip && peer.ip() != Ipv4Addr::LOCALHOST {
-            shared.log_refused_proxy(peer, &DownstreamError::Stranger);
+        // If the machine's address is a loopback address, the system connects from 127.0.0.1, which is always
+        // local.
+        if peer.ip() != state.identity.ip && peer.ip() != Ipv4Addr::LOCALHOST {
+            state.log_refused_proxy(peer, &DownstreamError::NotLocal);
             continue;
         }
-        let Ok(place) = Arc::clone(&strangers).try_acquire_owned() else {
-            shared.log_refused_proxy(peer, &"too many connections have not said what they are");
+        let Ok(permit) = Arc::clone(&unidentified).try_acquire_owned() else {
+            state.log_refused_proxy(peer, &"too many connections are waiting for their hello");
             continue;
         };
-        let (shared, newest) = (Arc::clone(&shared), Arc::clone(&newest));
+        let (state, connection_count) = (Arc::clone(&state), Arc::clone(&connection_count));
         while connections.try_join_next().is_some() {}
         connections.spawn(async move {
-            let greeted = greet(socket).await;
-            drop(place);
-            let ended = match greeted {
-                Ok((reader, writer)) => feed(&shared, &newest, reader, writer).await,
+            let received = receive_hello(socket).await;
+            drop(permit);
+            let result = match received {
+                Ok((reader, writer)) => serve_feed(&state, &connection_count, reader, writer).await,
                 Err(error) => Err(error),
             };
-            let Err(reason) = ended;
-            shared.log_refused_proxy(peer, &reason);
+            let Err(reason) = result;
+            state.log_refused_proxy(peer, &reason);
         });
     }
 }
 
-async fn greet(socket: TcpStream) -> Result<(LinkReader, LinkWriter), DownstreamError> {
-    let (mut reader, writer) = accept(socket, SILENCE)?;
-    let hello: Hello = reader.read_with_timeout(HELLO_PATIENCE).await?;
+async fn receive_hello(socket: TcpStream) -> Result<(LinkReader, LinkWriter), DownstreamError> {
+    let (mut reader, writer) = accept(socket, TCP_USER_TIMEOUT)?;
+    let hello: Hello = reader.read_with_timeout(HELLO_TIMEOUT).await?;
     if hello.protocol_version != PROTOCOL_VERSION {
-        return Err(DownstreamError::Protocol(hello.protocol_version));
+        return Err(DownstreamError::ProtocolVersion(hello.protocol_version));
     }
     if hello.link != LinkKind::Proxy {
-        return Err(DownstreamError::Kind(hello.link));
+        return Err(DownstreamError::UnexpectedKind(hello.link));
     }
     Ok((reader, writer))
 }
 
-async fn feed(
-    shared: &AgentState,
-    newest: &watch::Sender<u64>,
+async fn serve_feed(
+    state: &AgentState,
+    connection_count: &watch::Sender<u64>,
     reader: LinkReader,
     writer: LinkWriter,
 ) -> Result<Infallible, DownstreamError> {
-    newest.send_modify(|connections| *connections += 1);
-    let mut replaced = newest.subscribe();
-    info!(shared.log, "proxy connected");
+    connection_count.send_modify(|connections| *connections += 1);
+    let mut replaced = connection_count.subscribe();
+    info!(state.log, "proxy connected");
     tokio::select! {
         _ = replaced.changed() => Err(DownstreamError::Replaced),
-        ended = read(shared, reader) => ended,
-        ended = write(shared, writer) => ended,
+        result = read_reports(state, reader) => result,
+        result = write_feed(state, writer) => result,
     }
 }
 
-async fn read(shared: &AgentState, mut reader: LinkReader) -> Result<Infallible, DownstreamError> {
+async fn read_reports(state: &AgentState, mut reader: LinkReader) -> Result<Infallible, DownstreamError> {
     loop {
         let ProxyMessage::Report(report) = reader.read().await?;
-        shared.add_report(report);
+        state.add_report(report);
     }
 }
 
-async fn write(shared: &AgentState, mut writer: LinkWriter) -> Result<Infallible, DownstreamError> {
+async fn write_feed(state: &AgentState, mut writer: LinkWriter) -> Result<Infallible, DownstreamError> {
     let mut source = FeedSource::for_empty_reader();
     loop {
-        while let Some(message) = next_message(shared, &mut source) {
+        while let Some(message) = next_message(state, &mut source) {
             writer.queue(&message);
             if is_large(&message) {
                 writer.flush().await?;
             }
         }
         writer.flush().await?;
-        let _ = timeout(TICK_MAX, shared.feed_changed.notified()).await;
+        let _ = timeout(MAX_HEARTBEAT_INTERVAL, state.feed_changed.notified()).await;
     }
 }
 
-fn next_message(shared: &AgentState, source: &mut FeedSource) -> Option<FeedMessage> {
-    let now = shared.clock.now();
-    source.next_message(&shared.lock().feed, TICK_MIN, now)
+fn next_message(state: &AgentState, source: &mut FeedSource) -> Option<FeedMessage> {
+    let now = state.clock.now();
+    source.next_message(&state.lock().feed, MIN_HEARTBEAT_INTERVAL_US, now)
 }
 
-/// Large messages are sent one by one, so that only one waits in memory.
+/// True for messages that are flushed one by one, so that at most one large message is buffered.
 fn is_large(message: &FeedMessage) -> bool {
     matches!(message, FeedMessage::Configuration(_) | FeedMessage::Roster(_))
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,11 @@
-//! The agent beside each proxy: link to the control plane, feed of the proxy.
+//! The agent, which runs on the machine of each proxy: it receives the feed of the control plane, forwards it
+//! to the proxy and sends the proxy's reports to the control plane.
 //!
-//! - [`sources`] decides which control machines to connect to; [`directory`] knows their addresses.
-//! - [`upstream`] runs the connections to them; what they feed is kept in [`shared`].
-//! - [`downstream`] feeds the proxy on the same machine and takes its reports.
-//! - [`seeds`] follows the settings file.
+//! - [`sources`] decides which control machines to connect to; [`directory`] holds their addresses.
+//! - [`upstream`] runs the connections to control machines; [`link_feed`] checks the feed of one connection.
+//! - [`state`] holds the received data and the pending report, shared by all tasks.
+//! - [`downstream`] feeds the proxy on the same machine and receives its reports.
+//! - [`seeds`] watches the settings file for new seeds.
 
 #![forbid(unsafe_code)]
 
@@ -15,8 +17,8 @@
 pub mod log_rate_limit;
 pub mod reports;
 pub mod seeds;
-pub mod shared;
 pub mod sources;
+pub mod state;
 pub mod upstream;
 
 pub use agent::Agent;
--- a/crates/agent/src/log_rate_limit.rs
+++ b/crates/agent/src/log_rate_limit.rs
@@ -1,23 +1,24 @@
-//! A limit on log lines of one kind.
+//! A rate limit for log lines of one kind.
 
-/// Shortest time between two lines, in microseconds.
-const PERIOD: u64 = 1_000_000;
+/// Shortest time between two lines in microseconds.
+const MIN_INTERVAL_US: u64 = 1_000_000;
 
-/// Lets one line a second pass and counts the others.
+/// Admits one line per second and counts the suppressed ones.
 #[derive(Debug, Default)]
 pub struct LogRateLimit {
     next_at: u64,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl LogRateLimit {
-    /// Whether a line may be written at `now`; if so, how many were left out before it.
+    /// Decides whether a line may be written at `now` (microseconds). Returns the number of lines suppressed
+    /// since the last admitted one, or `None` if this line has to be suppressed too.
     pub fn admit(&mut self, now: u64) -> Option<u64> {
         if now < self.next_at {
-            self.left_out += 1;
+            self.suppressed += 1;
             return None;
         }
-        self.next_at = now + PERIOD;
-        Some(std::mem::take(&mut self.left_out))
+        self.next_at = now + MIN_INTERVAL_US;
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `dunelink-agent`: command line, settings, signals.
+//! The program `dunelink-agent`: command line, settings file and signals.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -11,21 +11,21 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::Notify;
 
-/// Exit code for a command line or settings that can't be used.
-const MISUSE: u8 = 2;
+/// Exit code for an invalid command line or settings file.
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     match prepare() {
-        Ok(Some((boot, log))) => finish(serve(boot, log)),
+        Ok(Some((boot, log))) => exit_code(serve(boot, log)),
         Ok(None) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("dunelink-agent: {error}");
-            ExitCode::from(MISUSE)
+            ExitCode::from(USAGE_EXIT_CODE)
         }
     }
 }
 
-/// Reads command line and settings; nothing if that was all that was asked for.
+/// Parses the command line and reads the settings file. `None` if the command needs nothing more.
 fn prepare() -> anyhow::Result<Option<(BootSettings, Logger)>> {
     let arguments = Arguments::parse(pico_args::Arguments::from_env())?;
     if arguments.command == Command::Help {
@@ -41,8 +41,8 @@
     Ok(Some((boot, log)))
 }
 
-fn finish(served: anyhow::Result<()>) -> ExitCode {
-    match served {
+fn exit_code(result: anyhow::Result<()>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("dunelink-agent: {error:#}");
@@ -53,16 +53,16 @@
 
 fn serve(boot: BootSettings, log: Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.context("the event loop can't be set up: check the limit of open files")?;
+    let runtime = runtime.context("the async runtime can't be started: check the limit of open files")?;
     runtime.block_on(serve_until_stopped(boot, log))
 }
 
 async fn serve_until_stopped(boot: BootSettings, log: Logger) -> anyhow::Result<()> {
-    let refused = "signal handlers can't be installed";
-    let mut terminate = signal(SignalKind::terminate()).context(refused)?;
-    let mut interrupt = signal(SignalKind::interrupt()).context(refused)?;
+    let failure = "signal handlers can't be installed";
+    let mut terminate = signal(SignalKind::terminate()).context(failure)?;
+    let mut interrupt = signal(SignalKind::interrupt()).context(failure)?;
     let reload = Arc::new(Notify::new());
-    tokio::spawn(pass_on(signal(SignalKind::hangup()).context(refused)?, Arc::clone(&reload)));
+    tokio::spawn(forward_hangups(signal(SignalKind::hangup()).context(failure)?, Arc::clone(&reload)));
     let agent = Agent::new(&boot, BootSettings::path(), log.clone());
     tokio::select! {
         () = agent.run(reload) => {}
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-async fn pass_on(mut hangup: Signal, reload: Arc<Notify>) {
+async fn forward_hangups(mut hangup: Signal, reload: Arc<Notify>) {
     while hangup.recv().await.is_some() {
         reload.notify_one();
     }
--- a/crates/agent/src/reports.rs
+++ b/crates/agent/src/reports.rs
@@ -1,53 +1,57 @@
-//! Reports of the proxy that wait to be passed on.
+//! Reports of the proxy that have not yet been sent to a control machine.
 
 use std::collections::BTreeMap;
 
 use dunelink_protocol::{ProxyReport, ServerObservation};
 
-/// Most servers and tenants kept in a report; what is beyond is dropped.
-const ENTRIES: usize = 8_192;
+/// Most entries in each list of a report; entries beyond that are dropped.
+const MAX_ENTRIES: usize = 8_192;
 
-/// Joins reports until they can be sent. Demand replaces the demand before it; outcomes are added up.
+/// Merges reports until they can be sent. A newer demand replaces an older one, outcomes of requests are
+/// summed, and loads are merged by server.
 #[derive(Debug, Default)]
 pub struct PendingReport {
     report: Option<ProxyReport>,
 }
 
 impl PendingReport {
-    /// Adds a report.
+    /// Merges a newer report into the pending one.
     pub fn add(&mut self, mut report: ProxyReport) {
         if let Some(before) = self.report.take() {
-            report.observations = join(before.observations, report.observations);
+            report.observations = merge_observations(before.observations, report.observations);
             let later = std::mem::replace(&mut report.loads, before.loads);
             report.loads.merge(later);
         }
-        report.loads.servers.truncate(ENTRIES);
-        report.demand.has_history &= report.demand.tenants.len() <= ENTRIES;
-        report.demand.tenants.truncate(ENTRIES);
-        report.observations.truncate(ENTRIES);
+        report.loads.servers.truncate(MAX_ENTRIES);
+        report.demand.has_history &= report.demand.tenants.len() <= MAX_ENTRIES;
+        report.demand.tenants.truncate(MAX_ENTRIES);
+        report.observations.truncate(MAX_ENTRIES);
         self.report = Some(report);
     }
 
-    /// Takes what waits, if anything does.
+    /// Removes and returns the pending report.
     pub fn take(&mut self) -> Option<ProxyReport> {
         self.report.take()
     }
 
-    /// True if something waits.
+    /// True if a report is pending.
     pub fn has_report(&self) -> bool {
         self.report.is_some()
     }
 }
 
-fn join(before: Vec<ServerObservation>, after: Vec<ServerObservation>) -> Vec<ServerObservation> {
-    let mut joined: BTreeMap<String, ServerObservation> = BTreeMap::new();
+fn merge_observations(
+    before: Vec<ServerObservation>,
+    after: Vec<ServerObservation>,
+) -> Vec<ServerObservation> {
+    let mut merged: BTreeMap<String, ServerObservation> = BTreeMap::new();
     for observation in before.into_iter().chain(after) {
-        match joined.get_mut(&observation.server) {
+        match merged.get_mut(&observation.server) {
             Some(sum) => sum.add(&observation),
             None => {
-                joined.insert(observation.server.clone(), observation);
+                merged.insert(observation.server.clone(), observation);
             }
         }
     }
-    joined.into_values().collect()
+    merged.into_values().collect()
 }
--- a/crates/agent/src/seeds.rs
+++ b/crates/agent/src/seeds.rs
@@ -1,4 +1,4 @@
-//! Follows the settings file: seeds may change with a signal or without.
+//! Watches the settings file and applies changed seeds, on a reload signal or when the file changes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,41 +11,46 @@
 use tokio::time::timeout;
 
 use crate::agent::seed_addresses;
-use crate::shared::AgentState;
+use crate::state::AgentState;
 
-/// How often the file is looked at without a signal.
-const LOOK_PERIOD: Duration = Duration::from_secs(1);
+/// Time between two checks of the file without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads the seeds anew whenever the file changes or `reload` rings, for ever. A file that can't be used leaves the
-/// seeds as they are.
-pub async fn watch(shared: Arc<AgentState>, path: PathBuf, reload: Arc<Notify>) {
-    let mut seen = stamp(&path);
+/// Reads the seeds again whenever the file changes or `reload` is notified, for ever. An invalid file leaves
+/// the seeds unchanged.
+pub async fn watch(state: Arc<AgentState>, path: PathBuf, reload: Arc<Notify>) {
+    let mut last = file_stamp(&path);
     loop {
-        let rung = timeout(LOOK_PERIOD, reload.notified()).await.is_ok();
-        let found = stamp(&path);
-        if rung || found != seen {
-            seen = found;
-            read(&shared, &path);
+        let reload_requested = timeout(CHECK_INTERVAL, reload.notified()).await.is_ok();
+        let current = file_stamp(&path);
+        if reload_requested || current != last {
+            last = current;
+            reload_seeds(&state, &path);
         }
     }
 }
 
-/// What tells that a file was written.
-fn stamp(path: &Path) -> Option<(SystemTime, u64)> {
+/// Modification time and length of the file, which change when it is written. `None` if the file can't be
+/// examined.
+fn file_stamp(path: &Path) -> Option<(SystemTime, u64)> {
     let metadata = fs::metadata(path).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
 }
 
-fn read(shared: &AgentState, path: &Path) {
+fn reload_seeds(state: &AgentState, path: &Path) {
     let text = match fs::read_to_string(path) {
         Ok(text) => text,
-        Err(error) => return warn!(shared.log, "settings can't be read, the seeds stay"; "reason" => %error),
+        Err(error) => {
+            return warn!(state.log, "settings file unreadable, seeds unchanged"; "reason" => %error);
+        }
     };
     match BootSettings::parse(&text, path) {
         Ok(boot) => {
-            info!(shared.log, "seeds read"; "seeds" => boot.seeds.len());
-            shared.set_seeds(seed_addresses(&boot));
+            info!(state.log, "seeds loaded"; "seeds" => boot.seeds.len());
+            state.set_seeds(seed_addresses(&boot));
+        }
+        Err(error) => {
+            warn!(state.log, "settings file invalid, seeds unchanged"; "reason" => %error)
         }
-        Err(error) => warn!(shared.log, "settings can't be used, the seeds stay"; "reason" => %error),
     }
 }
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -1,8 +1,9 @@
-//! Which control machines to be connected to: a state machine without I/O.
+//! Selection of the control machines to connect to: a state machine without I/O.
 //!
-//! A source is *current* while signs of life arrive and the proof they carry is young. One current source is
-//! enough. While there is none, up to two connections are kept: the better one so far, and one that tries another
-//! machine. Times are microseconds on a steady clock.
+//! A source is a control machine at the other end of a connection. It is *current* while its heartbeats
+//! arrive and report that its state was confirmed recently. One current source is enough. While there is
+//! none, up to two connections are kept: the better one so far, and one that tries another machine. Times are
+//! microseconds on a monotonic clock.
 
 use std::net::SocketAddr;
 
@@ -10,49 +11,51 @@
 
 use crate::directory::AddressDirectory;
 
-/// A source without a sign of life for this long is not current.
+/// A source without a heartbeat for this long is no longer current.
 pub const HEARTBEAT_TIMEOUT_US: u64 = 800_000;
-/// A source whose last proof is older than this is not current.
+/// A source whose state was last confirmed longer ago than this is not current.
 pub const MAX_CONFIRMATION_AGE_US: u64 = 1_000_000;
-/// A source that is not current for this long is given up.
+/// After a source has not been current for this long, another one is tried, and the connection may be closed.
 pub const STALE_TIMEOUT_US: u64 = 700_000;
-/// A connection that takes longer than this is tried in parallel with another one.
-const SLOW_DIAL: u64 = 250_000;
-/// Shortest pause between attempts.
-const BACKOFF_MIN: u64 = 100_000;
-/// Longest pause between attempts.
-const BACKOFF_MAX: u64 = 1_000_000;
-/// Connections at once.
-const LINKS: usize = 2;
+/// While a connection takes longer than this to open, another one is tried in parallel.
+const SLOW_DIAL_US: u64 = 250_000;
+/// Shortest pause between connection attempts, before jitter.
+const MIN_BACKOFF_US: u64 = 100_000;
+/// Longest pause between connection attempts.
+const MAX_BACKOFF_US: u64 = 1_000_000;
+/// Most connections at once, including those being opened.
+const MAX_LINKS: usize = 2;
 /// Microseconds in a millisecond.
-const MICROS: u64 = 1_000;
+const MICROS_PER_MS: u64 = 1_000;
 
-/// Names a connection.
+/// Identifies a connection within this process; never reused.
 pub type LinkId = u64;
 
-/// What is to be done.
+/// An action that the caller of [`SourceSelector::poll`] has to carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Open a connection.
     Dial {
-        /// Its name from now on.
+        /// Identifier of the new connection.
         link: LinkId,
-        /// Where to.
+        /// Address of the control machine.
         address: SocketAddr,
     },
     /// Close a connection.
     Close(LinkId),
 }
 
-/// The connections, and when to try another.
+/// Tracks the connections and decides when to open and close them.
 #[derive(Debug)]
 pub struct SourceSelector {
-    /// The addresses known.
+    /// The known addresses of control machines.
     pub directory: AddressDirectory,
     links: Vec<Link>,
     active: Option<LinkId>,
     last_link: LinkId,
+    /// Failed attempts since a source was last found current.
     failures: u32,
+    /// Earliest time of the next connection attempt.
     next_dial_at: u64,
     random: fastrand::Rng,
 }
@@ -61,7 +64,8 @@
 struct Link {
     id: LinkId,
     address: SocketAddr,
-    begun_at: u64,
+    /// Time at which the attempt began or, once the connection is open, at which it was opened.
+    started_at: u64,
     stage: Stage,
 }
 
@@ -69,7 +73,7 @@
 enum Stage {
     Dialing,
     Open,
-    /// A sign of life came at `at`; after `expires_at` it no longer proves anything.
+    /// The last heartbeat was received at `at`; after `expires_at` its confirmation is too old.
     Alive {
         at: u64,
         expires_at: u64,
@@ -77,57 +81,58 @@
 }
 
 impl Link {
-    /// Since when the source has not been current; nothing if it is.
-    fn doubted_since(&self, now: u64) -> Option<u64> {
+    /// Time since which the source has not been current; `None` if it is current.
+    fn stale_since(&self, now: u64) -> Option<u64> {
         let since = match self.stage {
-            Stage::Dialing | Stage::Open => self.begun_at,
-            Stage::Alive { at, expires_at } => expires_at.min(at + HEARTBEAT_TIMEOUT_US).max(self.begun_at),
+            Stage::Dialing | Stage::Open => self.started_at,
+            Stage::Alive { at, expires_at } => expires_at.min(at + HEARTBEAT_TIMEOUT_US).max(self.started_at),
         };
         (since <= now).then_some(since)
     }
 
     fn is_current(&self, now: u64) -> bool {
-        self.doubted_since(now).is_none()
+        self.stale_since(now).is_none()
     }
 
-    /// When another connection is to be tried beside this one, unless signs of life come before.
-    fn doubtful_at(&self) -> u64 {
+    /// Time at which another connection is tried in parallel with this one, unless a heartbeat is received
+    /// before.
+    fn fallback_at(&self) -> u64 {
         match self.stage {
-            Stage::Dialing => self.begun_at + SLOW_DIAL,
-            Stage::Open => self.begun_at + STALE_TIMEOUT_US,
+            Stage::Dialing => self.started_at + SLOW_DIAL_US,
+            Stage::Open => self.started_at + STALE_TIMEOUT_US,
             Stage::Alive { at, expires_at } => {
-                expires_at.min(at + HEARTBEAT_TIMEOUT_US).max(self.begun_at) + STALE_TIMEOUT_US
+                expires_at.min(at + HEARTBEAT_TIMEOUT_US).max(self.started_at) + STALE_TIMEOUT_US
             }
         }
     }
 
-    /// When this connection may be given up for a third one. A connection being opened is given up by its own
-    /// patience.
-    fn given_up_at(&self) -> Option<u64> {
+    /// Time from which this connection may be closed in favor of a third one. `None` for a connection being
+    /// opened, which ends by its own timeout.
+    fn give_up_at(&self) -> Option<u64> {
         match self.stage {
             Stage::Dialing => None,
-            Stage::Open | Stage::Alive { .. } => Some(self.doubtful_at()),
+            Stage::Open | Stage::Alive { .. } => Some(self.fallback_at()),
         }
     }
 
-    /// Larger for the better connection.
-    fn worth(&self) -> (u64, u64) {
+    /// Sort key of connections: the better connection has the larger one.
+    fn quality(&self) -> (u64, u64) {
         match self.stage {
-            Stage::Dialing => (0, self.begun_at),
-            Stage::Open => (1, self.begun_at),
-            Stage::Alive { expires_at, .. } => (expires_at.max(2), self.begun_at),
+            Stage::Dialing => (0, self.started_at),
+            Stage::Open => (1, self.started_at),
+            Stage::Alive { expires_at, .. } => (expires_at.max(2), self.started_at),
         }
     }
 }
 
 impl SourceSelector {
-    /// No connections yet; the first attempt is due at once.
+    /// Creates a selector without connections; the first attempt is due immediately.
     pub fn new(directory: AddressDirectory, random: fastrand::Rng) -> Self {
-        let links = Vec::with_capacity(LINKS);
+        let links = Vec::with_capacity(MAX_LINKS);
         Self { directory, links, active: None, last_link: 0, failures: 0, next_dial_at: 0, random }
     }
 
-    /// The connection that takes reports and gives grants.
+    /// The connection that reports are sent to and grants are accepted from.
     pub fn active(&self) -> Option<LinkId> {
         self.active
     }
@@ -137,34 +142,35 @@
         self.link(link).is_some_and(|link| link.is_current(now))
     }
 
-    /// Notes that a connection is open since `now`.
+    /// Records that a connection was opened at `now`.
     pub fn record_opened(&mut self, id: LinkId, now: u64) {
         let Some(link) = self.links.iter_mut().find(|link| link.id == id) else { return };
-        link.begun_at = now;
+        link.started_at = now;
         link.stage = Stage::Open;
         if self.active.is_none() {
             self.active = Some(id);
         }
     }
 
-    /// Notes a sign of life received at `now`. True if [`Self::poll`] is to be called because of it.
-    pub fn record_heartbeat(&mut self, id: LinkId, tick: &Heartbeat, now: u64) -> bool {
-        let lonely = self.links.len() == 1;
+    /// Records a heartbeat received at `now`. Returns whether [`Self::poll`] has to be called because of it.
+    pub fn record_heartbeat(&mut self, id: LinkId, heartbeat: &Heartbeat, now: u64) -> bool {
+        let is_only_link = self.links.len() == 1;
         let Some(link) = self.links.iter_mut().find(|link| link.id == id) else { return false };
         let was_current = link.is_current(now);
-        let age = tick.confirmed_age_ms.saturating_mul(MICROS);
+        let age = heartbeat.confirmed_age_ms.saturating_mul(MICROS_PER_MS);
         link.stage =
             Stage::Alive { at: now, expires_at: (now + MAX_CONFIRMATION_AGE_US).saturating_sub(age) };
         if !link.is_current(now) {
-            // One that led and was cut off tells at once that it proves nothing: its time is not waited for.
+            // A former leader that lost its lease reports at once that its state is not confirmed, so the
+            // selection is reconsidered without waiting for a timeout.
             return was_current;
         }
         self.failures = 0;
         self.directory.record_success(link.address);
-        !(lonely && was_current)
+        !(is_only_link && was_current)
     }
 
-    /// Notes that a connection ended or could not be opened, at `now`.
+    /// Records that a connection ended or failed to open at `now`.
     pub fn record_closed(&mut self, id: LinkId, now: u64) {
         let Some(index) = self.links.iter().position(|link| link.id == id) else { return };
         let link = self.links.remove(index);
@@ -173,7 +179,7 @@
         self.choose_active(now);
     }
 
-    /// What is to be done at `now`.
+    /// Returns the actions that are due at `now`.
     pub fn poll(&mut self, now: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         self.choose_active(now);
@@ -181,27 +187,27 @@
             self.close_all_but_active(&mut actions);
             return actions;
         }
-        if self.links.len() == LINKS && self.all_given_up(now) {
+        if self.links.len() == MAX_LINKS && self.all_given_up(now) {
             self.close_worst(now, &mut actions);
         }
-        if self.wants_another(now) && now >= self.next_dial_at {
-            self.dial(now, &mut actions);
+        if self.needs_another_link(now) && now >= self.next_dial_at {
+            self.dial_next(now, &mut actions);
         }
         actions
     }
 
-    /// When [`Self::poll`] has to be called next, if nothing else happens; nothing if only an event can change
-    /// anything.
+    /// Time at which [`Self::poll`] has to be called next if no event occurs before. `None` if only an event
+    /// can make an action due.
     pub fn next_poll(&self, now: u64) -> Option<u64> {
-        if self.links.len() == LINKS {
-            let given_up = self.links.iter().map(Link::given_up_at);
-            return given_up.collect::<Option<Vec<u64>>>()?.into_iter().max();
+        if self.links.len() == MAX_LINKS {
+            let give_up_times = self.links.iter().map(Link::give_up_at);
+            return give_up_times.collect::<Option<Vec<u64>>>()?.into_iter().max();
         }
         if self.directory.is_empty() {
             return None;
         }
-        let wanted_at = self.links.first().map_or(now, Link::doubtful_at);
-        Some(wanted_at.max(self.next_dial_at))
+        let needed_at = self.links.first().map_or(now, Link::fallback_at);
+        Some(needed_at.max(self.next_dial_at))
     }
 
     fn link(&self, id: LinkId) -> Option<&Link> {
@@ -213,15 +219,15 @@
     }
 
     fn all_given_up(&self, now: u64) -> bool {
-        self.links.iter().all(|link| link.given_up_at().is_some_and(|at| at <= now))
+        self.links.iter().all(|link| link.give_up_at().is_some_and(|at| at <= now))
     }
 
-    fn wants_another(&self, now: u64) -> bool {
-        self.links.len() < LINKS && self.links.iter().all(|link| link.doubtful_at() <= now)
+    fn needs_another_link(&self, now: u64) -> bool {
+        self.links.len() < MAX_LINKS && self.links.iter().all(|link| link.fallback_at() <= now)
     }
 
-    /// A current source stays active; otherwise one that is current takes over, and failing that, the best open
-    /// one if there was none.
+    /// A current source stays active. Otherwise another current source becomes active. If no source is
+    /// current, the active one is kept, or the best open one becomes active if there was none.
     fn choose_active(&mut self, now: u64) {
         let active = self.active.and_then(|id| self.link(id));
         if active.is_some_and(|link| link.is_current(now)) {
@@ -229,7 +235,7 @@
         }
         let current = self.links.iter().find(|link| link.is_current(now));
         let open = self.links.iter().filter(|link| !matches!(link.stage, Stage::Dialing));
-        let best = open.max_by_key(|link| link.worth());
+        let best = open.max_by_key(|link| link.quality());
         self.active = current.or(active).or(best).map(|link| link.id);
     }
 
@@ -245,14 +251,14 @@
     }
 
     fn close_worst(&mut self, now: u64, actions: &mut Vec<Action>) {
-        let Some(worst) = self.links.iter().min_by_key(|link| link.worth()).map(|link| link.id) else {
+        let Some(worst) = self.links.iter().min_by_key(|link| link.quality()).map(|link| link.id) else {
             return;
         };
         actions.push(Action::Close(worst));
         self.record_closed(worst, now);
     }
 
-    fn dial(&mut self, now: u64, actions: &mut Vec<Action>) {
+    fn dial_next(&mut self, now: u64, actions: &mut Vec<Action>) {
         let connected: Vec<SocketAddr> = self.links.iter().map(|link| link.address).collect();
         let Some(address) = self.directory.pick(&connected, &mut self.random, now) else {
             self.back_off(now);
@@ -260,16 +266,16 @@
         };
         self.last_link += 1;
         let link = self.last_link;
-        self.links.push(Link { id: link, address, begun_at: now, stage: Stage::Dialing });
+        self.links.push(Link { id: link, address, started_at: now, stage: Stage::Dialing });
         actions.push(Action::Dial { link, address });
     }
 
-    /// Puts the next attempt off. The pause doubles with each round of all addresses, and chance spreads it.
+    /// Delays the next attempt. The pause doubles after each round through all addresses, and is jittered.
     fn back_off(&mut self, now: u64) {
         let rounds = self.failures / (self.directory.len().max(1) as u32);
-        let pause = BACKOFF_MIN.saturating_mul(1 << rounds.min(8)).min(BACKOFF_MAX);
-        let spread = self.random.u64(pause / 2..=pause);
+        let pause = MIN_BACKOFF_US.saturating_mul(1 << rounds.min(8)).min(MAX_BACKOFF_US);
+        let jittered = self.random.u64(pause / 2..=pause);
         self.failures = self.failures.saturating_add(1);
-        self.next_dial_at = now + spread;
+        self.next_dial_at = now + jittered;
     }
 }
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the agent share. Nothing is held across a wait.
+//! The state that the agent's tasks share. The lock is never held across an `await`.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -17,19 +17,19 @@
 use crate::reports::PendingReport;
 use crate::sources::{LinkId, SourceSelector};
 
-/// Who this agent is.
+/// Identity of the machine that this agent runs on.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Name of the machine.
+    /// Node name of the machine.
     pub node: String,
-    /// Address of the machine.
+    /// IP address of the machine.
     pub ip: IpAddr,
-    /// Zone of the machine.
+    /// Zone of the machine; may be empty.
     pub zone: String,
 }
 
 impl Identity {
-    /// The message that opens a connection to a control machine.
+    /// The first message on a connection to a control machine.
     pub fn hello(&self) -> Hello {
         Hello {
             protocol_version: PROTOCOL_VERSION,
@@ -41,119 +41,119 @@
     }
 }
 
-/// What the tasks share.
+/// The state shared by all tasks of the agent.
 #[derive(Debug)]
 pub struct AgentState {
-    /// Who this agent is.
+    /// Identity of the machine.
     pub identity: Identity,
-    /// The steady clock.
+    /// The monotonic clock of the agent.
     pub clock: Clock,
-    /// Where events are written.
+    /// The log of the agent.
     pub log: Logger,
-    /// Rings when the proxy may lack something.
+    /// Notified when there may be something new to send to the proxy.
     pub feed_changed: Notify,
-    /// Rings when the choice of sources is to be looked at.
+    /// Notified when [`SourceSelector::poll`] has to be called.
     pub sources_changed: Notify,
     inner: Mutex<LockedState>,
 }
 
-/// What changes.
+/// The mutable part of the state.
 #[derive(Debug)]
 pub struct LockedState {
-    /// The newest of everything that was fed.
+    /// The newest data received from control machines.
     pub feed: FeedState,
     /// The connections to control machines.
     pub sources: SourceSelector,
-    /// What the proxy reported and no source has taken yet.
+    /// Data reported by the proxy that has not yet been sent to a control machine.
     pub report: PendingReport,
-    outboxes: BTreeMap<LinkId, Arc<WriterSignal>>,
-    lost_links: LogRateLimit,
-    bad_proxies: LogRateLimit,
+    writer_signals: BTreeMap<LinkId, Arc<WriterSignal>>,
+    link_failure_log: LogRateLimit,
+    refused_proxy_log: LogRateLimit,
 }
 
-/// Tells the writing end of a connection what to send.
+/// Tells the writing task of a connection that it has something to send.
 #[derive(Debug, Default)]
 pub struct WriterSignal {
-    /// Rings when there may be something to send.
-    pub changed: Notify,
+    /// Notified when there may be something to send.
+    pub notify: Notify,
     subscribe: AtomicBool,
 }
 
 impl WriterSignal {
-    /// Asks for a new subscription.
+    /// Requests that a new subscription be sent.
     fn request_resubscribe(&self) {
         self.subscribe.store(true, Ordering::Relaxed);
-        self.changed.notify_one();
+        self.notify.notify_one();
     }
 
-    /// True once if a new subscription is to be sent.
+    /// Returns whether a new subscription was requested, and clears the request.
     pub fn take_resubscribe_request(&self) -> bool {
         self.subscribe.swap(false, Ordering::Relaxed)
     }
 }
 
 impl AgentState {
-    /// The state of an agent that has nothing yet.
+    /// Creates the state of an agent that has not received any data.
     pub fn new(identity: Identity, clock: Clock, log: Logger, sources: SourceSelector) -> Self {
         let inner = LockedState {
             feed: FeedState::default(),
             sources,
             report: PendingReport::default(),
-            outboxes: BTreeMap::new(),
-            lost_links: LogRateLimit::default(),
-            bad_proxies: LogRateLimit::default(),
+            writer_signals: BTreeMap::new(),
+            link_failure_log: LogRateLimit::default(),
+            refused_proxy_log: LogRateLimit::default(),
         };
         let (feed_changed, sources_changed) = (Notify::new(), Notify::new());
         Self { identity, clock, log, feed_changed, sources_changed, inner: Mutex::new(inner) }
     }
 
-    /// What changes, for as long as the guard lives.
+    /// Locks the mutable part of the state.
     pub fn lock(&self) -> MutexGuard<'_, LockedState> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.lock().sources.directory.set_seeds(seeds);
         self.sources_changed.notify_one();
     }
 
-    /// Notes that a connection is open and gives what tells it what to send.
+    /// Registers an open connection and returns the signal for its writing task.
     pub fn link_opened(&self, link: LinkId) -> Arc<WriterSignal> {
         let now = self.clock.now();
-        let outbox = Arc::new(WriterSignal::default());
+        let signal = Arc::new(WriterSignal::default());
         let mut inner = self.lock();
         inner.sources.record_opened(link, now);
-        inner.outboxes.insert(link, Arc::clone(&outbox));
+        inner.writer_signals.insert(link, Arc::clone(&signal));
         drop(inner);
         self.sources_changed.notify_one();
-        outbox
+        signal
     }
 
-    /// Notes that a connection ended by itself or could not be opened.
+    /// Handles a connection that failed to open or ended without a request of this agent.
     pub fn link_failed(&self, link: LinkId, address: SocketAddr, reason: &dyn std::fmt::Display) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.outboxes.remove(&link);
+        inner.writer_signals.remove(&link);
         inner.sources.record_closed(link, now);
-        if let Some(left_out) = inner.lost_links.admit(now) {
-            info!(self.log, "no link to a control machine"; "address" => %address, "reason" => %reason,
-                "left_out" => left_out);
+        if let Some(suppressed) = inner.link_failure_log.admit(now) {
+            info!(self.log, "connection to a control machine failed"; "address" => %address, "reason" => %reason,
+                "left_out" => suppressed);
         }
         drop(inner);
         self.sources_changed.notify_one();
     }
 
-    /// Notes that a connection was closed on purpose.
+    /// Handles a connection that this agent closed.
     pub fn link_closed(&self, link: LinkId) {
-        self.lock().outboxes.remove(&link);
+        self.lock().writer_signals.remove(&link);
     }
 
-    /// Takes a message of a connection.
+    /// Handles a message received on a connection.
     ///
     /// # Errors
     ///
-    /// The message breaks the rules of the feed: the connection is to be closed.
+    /// The message violates the feed protocol; the connection has to be closed.
     pub fn receive(&self, link: LinkId, feed: &mut LinkFeed, message: FeedMessage) -> Result<(), FeedError> {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -161,30 +161,30 @@
             return Ok(());
         }
         let (change, subscribe) = feed.receive(&mut inner.feed, message, now)?;
-        if subscribe && let Some(outbox) = inner.outboxes.get(&link) {
-            outbox.request_resubscribe();
+        if subscribe && let Some(signal) = inner.writer_signals.get(&link) {
+            signal.request_resubscribe();
         }
-        self.follow(&mut inner, link, change, now);
+        self.apply_change(&mut inner, link, change, now);
         Ok(())
     }
 
-    /// Takes a report of the proxy.
+    /// Adds a report of the proxy to the pending report.
     pub fn add_report(&self, report: ProxyReport) {
         let mut inner = self.lock();
         inner.report.add(report);
         inner.wake_active();
     }
 
-    /// Writes that a connection to the proxy's port was closed.
+    /// Logs that a connection to the proxy's port was closed or refused; at most one line per second.
     pub fn log_refused_proxy(&self, peer: SocketAddr, reason: &dyn std::fmt::Display) {
         let now = self.clock.now();
-        if let Some(left_out) = self.lock().bad_proxies.admit(now) {
-            warn!(self.log, "connection to the feed's port closed"; "peer" => %peer, "reason" => %reason,
-                "left_out" => left_out);
+        if let Some(suppressed) = self.lock().refused_proxy_log.admit(now) {
+            warn!(self.log, "connection to the feed port closed"; "peer" => %peer, "reason" => %reason,
+                "left_out" => suppressed);
         }
     }
 
-    fn follow(&self, inner: &mut LockedState, link: LinkId, change: Change, now: u64) {
+    fn apply_change(&self, inner: &mut LockedState, link: LinkId, change: Change, now: u64) {
         match change {
             Change::Nothing | Change::Resubscribe => return,
             Change::Members => {
@@ -193,13 +193,13 @@
                 inner.sources.directory.update_members(members, is_current);
                 return;
             }
-            Change::Heartbeat(tick) => {
-                if inner.sources.record_heartbeat(link, &tick, now) {
+            Change::Heartbeat(heartbeat) => {
+                if inner.sources.record_heartbeat(link, &heartbeat, now) {
                     self.sources_changed.notify_one();
                 }
             }
             Change::Configuration => {
-                info!(self.log, "configuration"; "version" => inner.feed.configuration_version())
+                info!(self.log, "configuration received"; "version" => inner.feed.configuration_version())
             }
             Change::Roster | Change::Grants | Change::Suspicions | Change::Loads => {}
         }
@@ -208,19 +208,20 @@
 }
 
 impl LockedState {
-    /// Wakes the connection that takes reports, if something waits for it.
+    /// Wakes the writing task of the active connection if a report is pending.
     pub fn wake_active(&self) {
-        let active = self.sources.active().and_then(|active| self.outboxes.get(&active));
-        if let Some(outbox) = active.filter(|_| self.report.has_report()) {
-            outbox.changed.notify_one();
+        let active = self.sources.active().and_then(|active| self.writer_signals.get(&active));
+        if let Some(signal) = active.filter(|_| self.report.has_report()) {
+            signal.notify.notify_one();
         }
     }
 
-    /// What follows from reports comes only from the connection that takes them.
+    /// Whether a message is accepted from a connection. Grants, suspicions and loads are computed from this
+    /// agent's reports, so they are accepted only from the active connection, to which the reports are sent.
     fn accepts(&self, link: LinkId, message: &FeedMessage) -> bool {
-        let bound =
+        let answers_report =
             matches!(message, FeedMessage::Grants(_) | FeedMessage::Suspicions(_) | FeedMessage::Loads(_));
-        !bound || self.sources.active() == Some(link)
+        !answers_report || self.sources.active() == Some(link)
     }
 }
 
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to control machines.
+//! Connections to control machines: they receive the feed and send the reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 use tokio::time::timeout;
 
 use crate::link_feed::LinkFeed;
-use crate::shared::{AgentState, WriterSignal};
 use crate::sources::{Action, LinkId};
+use crate::state::{AgentState, WriterSignal};
 
 /// How long a connection may take to open.
-const DIAL_PATIENCE: Duration = Duration::from_millis(500);
-/// The kernel gives a connection up when data stays unacknowledged for this long.
-const SILENCE: Duration = Duration::from_secs(3);
-/// An empty report is sent after this long without another one.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(500);
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// The kernel closes a connection whose sent data stays unacknowledged for this long.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest time between two reports on the active connection; without data, an empty report is sent.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a connection ended.
 #[derive(Debug, Error)]
@@ -33,27 +33,27 @@
     Feed(#[from] FeedError),
 }
 
-/// Opens and closes connections as the choice of sources tells, for ever.
-pub async fn supervise(shared: Arc<AgentState>) {
+/// Opens and closes connections as decided by [`SourceSelector`](crate::sources::SourceSelector), for ever.
+pub async fn supervise(state: Arc<AgentState>) {
     let mut links = Links::default();
     loop {
-        let now = shared.clock.now();
+        let now = state.clock.now();
         let (actions, next) = {
-            let mut inner = shared.lock();
+            let mut inner = state.lock();
             let actions = inner.sources.poll(now);
             inner.wake_active();
             (actions, inner.sources.next_poll(now))
         };
         for action in actions {
-            links.follow(&shared, action);
+            links.perform(&state, action);
         }
         let pause = next.map(|at| Duration::from_micros(at.saturating_sub(now).max(1_000)));
-        wait(&shared, pause).await;
+        wait(&state, pause).await;
     }
 }
 
-async fn wait(shared: &AgentState, pause: Option<Duration>) {
-    let changed = shared.sources_changed.notified();
+async fn wait(state: &AgentState, pause: Option<Duration>) {
+    let changed = state.sources_changed.notified();
     match pause {
         Some(pause) => {
             let _ = timeout(pause, changed).await;
@@ -62,15 +62,15 @@
     }
 }
 
-/// The tasks of the connections. Dropping them closes the connections.
+/// The tasks of the connections. Dropping this value closes all connections.
 #[derive(Default)]
 struct Links(BTreeMap<LinkId, AbortHandle>);
 
 impl Links {
-    fn follow(&mut self, shared: &Arc<AgentState>, action: Action) {
+    fn perform(&mut self, state: &Arc<AgentState>, action: Action) {
         match action {
             Action::Dial { link, address } => {
-                let task = tokio::spawn(run_link(Arc::clone(shared), link, address));
+                let task = tokio::spawn(run_link(Arc::clone(state), link, address));
                 self.0.retain(|_, task| !task.is_finished());
                 self.0.insert(link, task.abort_handle());
             }
@@ -78,7 +78,7 @@
                 if let Some(task) = self.0.remove(&link) {
                     task.abort();
                 }
-                shared.link_closed(link);
+                state.link_closed(link);
             }
         }
     }
@@ -90,70 +90,70 @@
     }
 }
 
-async fn run_link(shared: Arc<AgentState>, link: LinkId, address: SocketAddr) {
-    let Err(reason) = follow_link(&shared, link, address).await;
-    shared.link_failed(link, address, &reason);
+async fn run_link(state: Arc<AgentState>, link: LinkId, address: SocketAddr) {
+    let Err(reason) = run_link_to_end(&state, link, address).await;
+    state.link_failed(link, address, &reason);
 }
 
-async fn follow_link(
-    shared: &AgentState,
+async fn run_link_to_end(
+    state: &AgentState,
     link: LinkId,
     address: SocketAddr,
 ) -> Result<std::convert::Infallible, UpstreamError> {
-    let (reader, mut writer) = dial(address, DIAL_PATIENCE, SILENCE).await?;
-    let feed = LinkFeed::new(shared.clock.now());
-    writer.queue(&shared.identity.hello());
-    writer.queue(&subscription(shared));
+    let (reader, mut writer) = dial(address, DIAL_TIMEOUT, TCP_USER_TIMEOUT).await?;
+    let feed = LinkFeed::new(state.clock.now());
+    writer.queue(&state.identity.hello());
+    writer.queue(&subscription(state));
     writer.flush().await?;
-    let outbox = shared.link_opened(link);
-    info!(shared.log, "link to a control machine"; "address" => %address);
+    let signal = state.link_opened(link);
+    info!(state.log, "connected to a control machine"; "address" => %address);
     tokio::select! {
-        ended = read(shared, link, feed, reader) => ended,
-        ended = write(shared, link, &outbox, writer) => ended,
+        result = read_feed(state, link, feed, reader) => result,
+        result = write_messages(state, link, &signal, writer) => result,
     }
 }
 
-async fn read(
-    shared: &AgentState,
+async fn read_feed(
+    state: &AgentState,
     link: LinkId,
     mut feed: LinkFeed,
     mut reader: LinkReader,
 ) -> Result<std::convert::Infallible, UpstreamError> {
     loop {
         let message = reader.read().await?;
-        shared.receive(link, &mut feed, message)?;
+        state.receive(link, &mut feed, message)?;
     }
 }
 
-async fn write(
-    shared: &AgentState,
+async fn write_messages(
+    state: &AgentState,
     link: LinkId,
-    outbox: &WriterSignal,
+    signal: &WriterSignal,
     mut writer: LinkWriter,
 ) -> Result<std::convert::Infallible, UpstreamError> {
     loop {
-        while let Some(message) = next_message(shared, link, outbox) {
+        while let Some(message) = next_message(state, link, signal) {
             writer.write(&message).await?;
         }
-        let silent = timeout(SIGN_OF_LIFE, outbox.changed.notified()).await.is_err();
-        // An empty report means no demand: only the connection that takes reports may tell so.
-        if silent && shared.lock().sources.active() == Some(link) {
+        let idle = timeout(MAX_REPORT_INTERVAL, signal.notify.notified()).await.is_err();
+        // An empty report states that there is no demand, so it is sent only on the active connection.
+        if idle && state.lock().sources.active() == Some(link) {
             writer.write(&AgentMessage::Report(ProxyReport::default())).await?;
         }
     }
 }
 
-fn next_message(shared: &AgentState, link: LinkId, outbox: &WriterSignal) -> Option<AgentMessage> {
-    if outbox.take_resubscribe_request() {
-        return Some(subscription(shared));
+fn next_message(state: &AgentState, link: LinkId, signal: &WriterSignal) -> Option<AgentMessage> {
+    if signal.take_resubscribe_request() {
+        return Some(subscription(state));
     }
-    let mut inner = shared.lock();
+    let mut inner = state.lock();
     if inner.sources.active() != Some(link) {
         return None;
     }
     inner.report.take().map(AgentMessage::Report)
 }
 
-fn subscription(shared: &AgentState) -> AgentMessage {
-    AgentMessage::Subscribe(shared.lock().feed.position())
+fn subscription(state: &AgentState) -> AgentMessage {
+    AgentMessage::Subscribe(state.lock().feed.position())
 }
