--- a/crates/agent/src/directory.rs
+++ b/crates/agent/src/directory.rs
@@ -5,7 +5,7 @@
 
 /// Most learned members that are kept.
 const MAX_MEMBERS: usize = 64;
-/// Time in microseconds by which each consecutive failure lowers the rank of an address.
+/// Time in microseconds by which each consecutive failure postpones an address relative to the others.
 const FAILURE_PENALTY_US: u64 = 2_000_000;
 /// Consecutive failures beyond which the penalty no longer grows.
 const MAX_COUNTED_FAILURES: u64 = 5;
--- a/crates/agent/src/seeds.rs
+++ b/crates/agent/src/seeds.rs
@@ -40,17 +40,13 @@
 fn reload_seeds(state: &AgentState, path: &Path) {
     let text = match fs::read_to_string(path) {
         Ok(text) => text,
-        Err(error) => {
-            return warn!(state.log, "settings file unreadable, seeds unchanged"; "reason" => %error);
-        }
+        Err(error) => return warn!(state.log, "settings unreadable, seeds unchanged"; "reason" => %error),
     };
     match BootSettings::parse(&text, path) {
         Ok(boot) => {
             info!(state.log, "seeds loaded"; "seeds" => boot.seeds.len());
             state.set_seeds(seed_addresses(&boot));
         }
-        Err(error) => {
-            warn!(state.log, "settings file invalid, seeds unchanged"; "reason" => %error)
-        }
+        Err(error) => warn!(state.log, "settings invalid, seeds unchanged"; "reason" => %error),
     }
 }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -137,8 +137,8 @@
         inner.writer_signals.remove(&link);
         inner.sources.record_closed(link, now);
         if let Some(suppressed) = inner.link_failure_log.admit(now) {
-            info!(self.log, "connection to a control machine failed"; "address" => %address, "reason" => %reason,
-                "left_out" => suppressed);
+            info!(self.log, "connection to a control machine failed"; "address" => %address,
+                "reason" => %reason, "left_out" => suppressed);
         }
         drop(inner);
         self.sources_changed.notify_one();
--- a/crates/agent/tests/arguments_and_reports.rs
+++ b/crates/agent/tests/arguments_and_reports.rs
@@ -1,4 +1,4 @@
-//! The command line, reports that wait, and what a connection asks for.
+//! Command-line arguments, merging of pending reports, and resubscription on one connection.
 
 use std::ffi::OsString;
 
@@ -13,7 +13,7 @@
 };
 use dunelink_runtime::log::Format;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 fn parse(line: &[&str]) -> Result<Arguments, String> {
     let line = line.iter().map(OsString::from).collect();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn options_are_read_and_others_are_named() {
+fn parses_options_and_names_unknown_ones() {
     assert_eq!(parse(&[]), Ok(Arguments { command: Command::Serve, log_format: Format::Text }));
     assert_eq!(parse(&["--check"]), Ok(Arguments { command: Command::Check, log_format: Format::Text }));
     assert_eq!(
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn waiting_reports_are_joined() {
+fn pending_reports_are_merged() {
     let mut pending = PendingReport::default();
     pending.add(report(&[("a", 1.0)], &[("x", 1, 0), ("y", 2, 2)]));
     pending.add(report(&[("b", 3.0)], &[("x", 4, 1)]));
@@ -66,15 +66,15 @@
 }
 
 #[test]
-fn one_line_a_second() {
+fn log_is_limited_to_one_line_per_second() {
     let mut log_rate_limit = LogRateLimit::default();
-    assert_eq!(log_rate_limit.admit(SECOND), Some(0));
-    assert_eq!(log_rate_limit.admit(SECOND + 1), None);
-    assert_eq!(log_rate_limit.admit(SECOND + 2), None);
-    assert_eq!(log_rate_limit.admit(2 * SECOND), Some(2));
+    assert_eq!(log_rate_limit.admit(SECOND_US), Some(0));
+    assert_eq!(log_rate_limit.admit(SECOND_US + 1), None);
+    assert_eq!(log_rate_limit.admit(SECOND_US + 2), None);
+    assert_eq!(log_rate_limit.admit(2 * SECOND_US), Some(2));
 }
 
-fn tick(version: u64, sequence: u64) -> FeedMessage {
+fn heartbeat(version: u64, sequence: u64) -> FeedMessage {
     let roster = RosterOffset { epoch: 0, sequence };
     FeedMessage::Heartbeat(Heartbeat {
         confirmed_age_ms: 0,
@@ -85,57 +85,57 @@
 }
 
 #[test]
-fn a_change_on_another_base_asks_for_the_whole_once_a_second() {
+fn mismatched_roster_base_resubscribes_once_per_second() {
     let mut state = FeedState::default();
-    let mut feed = LinkFeed::new(SECOND);
+    let mut feed = LinkFeed::new(SECOND_US);
     let base = Some(RosterOffset { epoch: 1, sequence: 4 });
     let offset = RosterOffset { epoch: 1, sequence: 5 };
     let change =
         || FeedMessage::Roster(RosterUpdate { base, offset, changed: Vec::new(), removed: Vec::new() });
     let mut at = |now| feed.receive(&mut state, change(), now).expect("well-formed");
-    assert_eq!(at(SECOND + 1), (Change::Resubscribe, false), "it has just subscribed");
-    assert_eq!(at(2 * SECOND), (Change::Resubscribe, true));
-    assert_eq!(at(2 * SECOND + 1), (Change::Resubscribe, false));
-    assert_eq!(at(3 * SECOND), (Change::Resubscribe, true));
+    assert_eq!(at(SECOND_US + 1), (Change::Resubscribe, false), "the last subscription was just sent");
+    assert_eq!(at(2 * SECOND_US), (Change::Resubscribe, true));
+    assert_eq!(at(2 * SECOND_US + 1), (Change::Resubscribe, false));
+    assert_eq!(at(3 * SECOND_US), (Change::Resubscribe, true));
 }
 
 #[test]
-fn a_source_that_tells_of_something_newer_and_does_not_send_it_is_asked_again() {
+fn withheld_update_triggers_resubscription() {
     let mut state = FeedState::default();
-    let mut feed = LinkFeed::new(SECOND);
-    let mut asked = |message, now| feed.receive(&mut state, message, now).expect("well-formed").1;
-    assert!(!asked(tick(3, 0), SECOND));
-    assert!(!asked(tick(3, 0), 2 * SECOND - 1));
-    assert!(asked(tick(3, 0), 2 * SECOND));
-    assert!(!asked(tick(3, 0), 2 * SECOND + 1));
-    assert!(!asked(tick(0, 0), 3 * SECOND));
-    assert!(!asked(tick(0, 0), 5 * SECOND), "nothing newer any more");
+    let mut feed = LinkFeed::new(SECOND_US);
+    let mut resubscribes = |message, now| feed.receive(&mut state, message, now).expect("well-formed").1;
+    assert!(!resubscribes(heartbeat(3, 0), SECOND_US));
+    assert!(!resubscribes(heartbeat(3, 0), 2 * SECOND_US - 1));
+    assert!(resubscribes(heartbeat(3, 0), 2 * SECOND_US));
+    assert!(!resubscribes(heartbeat(3, 0), 2 * SECOND_US + 1));
+    assert!(!resubscribes(heartbeat(0, 0), 3 * SECOND_US));
+    assert!(!resubscribes(heartbeat(0, 0), 5 * SECOND_US), "the source no longer announces newer data");
 }
 
 #[test]
-fn a_proof_that_may_have_been_held_up_counts_as_that_old() {
+fn possible_delivery_delay_is_added_to_confirmed_age() {
     let mut state = FeedState::default();
-    let mut feed = LinkFeed::new(SECOND);
-    let mut age = |now: u64| {
-        let taken = feed.receive(&mut state, tick(0, 0), now).expect("well-formed");
-        let (Change::Heartbeat(taken), _) = taken else { panic!("a sign of life") };
-        taken.confirmed_age_ms
+    let mut feed = LinkFeed::new(SECOND_US);
+    let mut confirmed_age_ms = |now: u64| {
+        let heartbeat = feed.receive(&mut state, heartbeat(0, 0), now).expect("well-formed");
+        let (Change::Heartbeat(heartbeat), _) = heartbeat else { panic!("expected a heartbeat") };
+        heartbeat.confirmed_age_ms
     };
-    assert_eq!(age(SECOND + 250_000), 0);
-    assert_eq!(age(4 * SECOND), 2_750, "nothing came for so long");
-    assert_eq!(age(4 * SECOND + 1), 2_750, "it waited too");
-    assert_eq!(age(4 * SECOND + 250_000), 0, "it came in time");
+    assert_eq!(confirmed_age_ms(SECOND_US + 250_000), 0);
+    assert_eq!(confirmed_age_ms(4 * SECOND_US), 2_750, "the length of the pause is added");
+    assert_eq!(confirmed_age_ms(4 * SECOND_US + 1), 2_750, "it may have been delayed with the previous one");
+    assert_eq!(confirmed_age_ms(4 * SECOND_US + 250_000), 0, "it arrived on time");
 }
 
 #[test]
-fn loads_of_waiting_reports_are_joined() {
-    let loads = |is_whole, requests: &[(u32, u32)]| {
+fn loads_of_pending_reports_are_merged() {
+    let loads = |is_full, requests: &[(u32, u32)]| {
         let load = |(server, requests): &(u32, u32)| ServerLoad {
             server_key: *server,
             in_flight: *requests,
             pending_prompt_units: 0,
         };
-        NodeLoads { is_full: is_whole, servers: requests.iter().map(load).collect() }
+        NodeLoads { is_full, servers: requests.iter().map(load).collect() }
     };
     let mut pending = PendingReport::default();
     pending.add(ProxyReport { loads: loads(true, &[(1, 2), (2, 2)]), ..ProxyReport::default() });
--- a/crates/agent/tests/feed_to_proxy.rs
+++ b/crates/agent/tests/feed_to_proxy.rs
@@ -1,12 +1,12 @@
-//! What a control machine feeds reaches the proxy; what the proxy reports reaches the control machine.
+//! The feed of a control machine reaches the proxy, and the proxy's reports reach the control machine.
 
-mod site;
+mod harness;
 
 use dunelink_protocol::{
     AgentMessage, FeedMessage, GrantUpdate, NodeDemand, ProxyMessage, ProxyReport, RosterOffset,
     RosterUpdate, TenantDemand, TenantGrant,
 };
-use site::{Control, Running, chunk, server, soon, tick, whole_roster};
+use harness::{ControlStub, RunningAgent, chunk, full_roster, heartbeat, server, within_deadline};
 
 fn report(rate_per_s: f64) -> ProxyReport {
     let demand = vec![TenantDemand {
@@ -23,92 +23,92 @@
 
 #[tokio::test]
 async fn configuration_and_roster_reach_the_proxy() {
-    let control = Control::first().await;
-    let agent = Running::start(&[&control]);
+    let control = ControlStub::at_free_port().await;
+    let agent = RunningAgent::start(&[&control]);
     let mut proxy = agent.proxy().await;
-    let mut served = control.accept().await;
-    assert_eq!(served.hello.node, "front");
-    assert_eq!(served.subscribe.configuration_version, 0);
-    served.send(chunk(3, "three")).await;
+    let mut connection = control.accept().await;
+    assert_eq!(connection.hello.node, "front");
+    assert_eq!(connection.subscribe.configuration_version, 0);
+    connection.send(chunk(3, "three")).await;
     assert_eq!(proxy.configuration().await.bytes, b"three");
-    served.send(whole_roster(1, 0, &["a"])).await;
+    connection.send(full_roster(1, 0, &["a"])).await;
     assert_eq!(proxy.roster().await.changed, [server("a")]);
     let base = RosterOffset { epoch: 1, sequence: 0 };
     let offset = RosterOffset { epoch: 1, sequence: 1 };
     let change =
         RosterUpdate { base: Some(base), offset, changed: vec![server("b")], removed: vec!["a".into()] };
-    served.send(FeedMessage::Roster(change.clone())).await;
+    connection.send(FeedMessage::Roster(change.clone())).await;
     assert_eq!(proxy.roster().await, change);
-    served.send(FeedMessage::Heartbeat(tick(3, 10))).await;
-    let told = proxy.tick(|told| told.confirmed_age_ms < 1_000).await;
-    assert_eq!((told.configuration_version, told.roster), (3, offset));
+    connection.send(FeedMessage::Heartbeat(heartbeat(3, 10))).await;
+    let received = proxy.next_heartbeat(|received| received.confirmed_age_ms < 1_000).await;
+    assert_eq!((received.configuration_version, received.roster), (3, offset));
 }
 
 #[tokio::test]
-async fn without_a_configuration_the_proxy_gets_signs_of_life_only() {
-    let control = Control::first().await;
-    let agent = Running::start(&[&control]);
+async fn proxy_receives_heartbeats_without_a_configuration() {
+    let control = ControlStub::at_free_port().await;
+    let agent = RunningAgent::start(&[&control]);
     let mut proxy = agent.proxy().await;
-    let FeedMessage::Heartbeat(told) = proxy.next().await else { panic!("a sign of life comes first") };
-    assert_eq!(told.configuration_version, 0);
-    assert_eq!(told.confirmed_age_ms, u64::MAX / 2);
+    let FeedMessage::Heartbeat(received) = proxy.next().await else { panic!("expected a heartbeat first") };
+    assert_eq!(received.configuration_version, 0);
+    assert_eq!(received.confirmed_age_ms, u64::MAX / 2);
 }
 
 #[tokio::test]
-async fn a_proxy_that_reconnects_gets_the_newest() {
-    let control = Control::first().await;
-    let agent = Running::start(&[&control]);
-    let mut served = control.accept().await;
+async fn reconnecting_proxy_receives_the_newest_data() {
+    let control = ControlStub::at_free_port().await;
+    let agent = RunningAgent::start(&[&control]);
+    let mut connection = control.accept().await;
     let mut first = agent.proxy().await;
-    served.send(chunk(3, "three")).await;
-    served.send(whole_roster(1, 0, &["a"])).await;
+    connection.send(chunk(3, "three")).await;
+    connection.send(full_roster(1, 0, &["a"])).await;
     assert_eq!(first.configuration().await.version, 3);
     first.roster().await;
     drop(first);
     let mut second = agent.proxy().await;
     assert_eq!(second.configuration().await.bytes, b"three");
     assert_eq!(second.roster().await.changed, [server("a")]);
-    served.send(chunk(5, "five")).await;
+    connection.send(chunk(5, "five")).await;
     assert_eq!(second.configuration().await.version, 5);
 }
 
 #[tokio::test]
-async fn the_newest_connection_of_the_proxy_replaces_the_one_before() {
-    let control = Control::first().await;
-    let agent = Running::start(&[&control]);
+async fn new_proxy_connection_replaces_the_previous_one() {
+    let control = ControlStub::at_free_port().await;
+    let agent = RunningAgent::start(&[&control]);
     let mut first = agent.proxy().await;
     first.next().await;
     let mut second = agent.proxy().await;
     second.next().await;
     let closed = async { while first.reader.read::<FeedMessage>().await.is_ok() {} };
-    soon(closed).await;
+    within_deadline(closed).await;
     second.next().await;
 }
 
 #[tokio::test]
-async fn reports_are_passed_up() {
-    let control = Control::first().await;
-    let agent = Running::start(&[&control]);
-    let mut served = control.accept().await;
+async fn reports_are_forwarded_to_the_control_machine() {
+    let control = ControlStub::at_free_port().await;
+    let agent = RunningAgent::start(&[&control]);
+    let mut connection = control.accept().await;
     let mut proxy = agent.proxy().await;
-    assert_eq!(served.next().await, AgentMessage::Report(ProxyReport::default()), "a sign of life");
-    soon(proxy.writer.write(&ProxyMessage::Report(report(7.0)))).await.expect("written");
-    let passed = async {
+    assert_eq!(connection.next().await, AgentMessage::Report(ProxyReport::default()), "an empty report");
+    within_deadline(proxy.writer.write(&ProxyMessage::Report(report(7.0)))).await.expect("written");
+    let received = async {
         loop {
-            match served.next().await {
-                AgentMessage::Report(passed) if passed == report(7.0) => return,
+            match connection.next().await {
+                AgentMessage::Report(received) if received == report(7.0) => return,
                 _ => {}
             }
         }
     };
-    soon(passed).await;
+    within_deadline(received).await;
 }
 
 #[tokio::test]
-async fn grants_are_passed_down_with_what_is_left_of_them() {
-    let control = Control::first().await;
-    let agent = Running::start(&[&control]);
-    let mut served = control.accept().await;
+async fn grants_are_forwarded_with_remaining_validity() {
+    let control = ControlStub::at_free_port().await;
+    let agent = RunningAgent::start(&[&control]);
+    let mut connection = control.accept().await;
     let tenants = vec![TenantGrant {
         tenant: "t".into(),
         rate_per_s: 5.0,
@@ -127,15 +127,15 @@
         throttled: Vec::new(),
         ..GrantUpdate::default()
     };
-    served.send(FeedMessage::Grants(grants.clone())).await;
-    served.send(chunk(1, "one")).await;
+    connection.send(FeedMessage::Grants(grants.clone())).await;
+    connection.send(chunk(1, "one")).await;
     let mut proxy = agent.proxy().await;
-    let passed = proxy
-        .until(|message| match message {
-            FeedMessage::Grants(passed) => Some(passed),
+    let received = proxy
+        .next_matching(|message| match message {
+            FeedMessage::Grants(received) => Some(received),
             _ => None,
         })
         .await;
-    assert_eq!(passed.tenants, grants.tenants);
-    assert!(passed.valid_ms <= grants.valid_ms);
+    assert_eq!(received.tenants, grants.tenants);
+    assert!(received.valid_ms <= grants.valid_ms);
 }
--- a/crates/agent/tests/site/mod.rs
+++ b/crates/agent/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! An agent on loopback with stand-ins for control machines and for the proxy.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! An agent on loopback with stubs for control machines and for the proxy.
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::future::Future;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -21,39 +21,39 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// No wait in these tests lasts longer.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait in these tests.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-static NEXT_ADDRESS: AtomicU32 = AtomicU32::new(1);
+static NEXT_IP_NUMBER: AtomicU32 = AtomicU32::new(1);
 
-/// A loopback address that no other test uses.
-pub(crate) fn fresh_ip() -> IpAddr {
+/// A loopback IP address that no other test uses.
+pub(crate) fn unique_ip() -> IpAddr {
     let process = std::process::id();
-    let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_IP_NUMBER.fetch_add(1, Ordering::Relaxed);
     let octets = [127, 1 + (process >> 8) as u8 % 250, process as u8, number as u8];
     IpAddr::V4(Ipv4Addr::from(octets))
 }
 
-/// Waits for `what`, but not for ever.
-pub(crate) async fn soon<F: Future>(what: F) -> F::Output {
-    tokio::time::timeout(PATIENCE, what).await.expect("in time")
+/// Waits for `future`; panics after [`TEST_TIMEOUT`].
+pub(crate) async fn within_deadline<F: Future>(future: F) -> F::Output {
+    tokio::time::timeout(TEST_TIMEOUT, future).await.expect("completes within the timeout")
 }
 
-/// A control machine that does as the test says.
-pub(crate) struct Control {
+/// A control machine that the test controls.
+pub(crate) struct ControlStub {
     pub(crate) listener: TcpListener,
     pub(crate) address: SocketAddr,
 }
 
-impl Control {
-    /// A control machine at a port that is free.
-    pub(crate) async fn first() -> Self {
-        Self::bind(SocketAddr::new(fresh_ip(), 0)).await
+impl ControlStub {
+    /// A control machine at any free port.
+    pub(crate) async fn at_free_port() -> Self {
+        Self::bind(SocketAddr::new(unique_ip(), 0)).await
     }
 
-    /// Another control machine, at the port that all machines share.
-    pub(crate) async fn beside(other: &Control) -> Self {
-        Self::bind(SocketAddr::new(fresh_ip(), other.address.port())).await
+    /// Another control machine at the port of `other`, since all machines use the same internal port.
+    pub(crate) async fn at_port_of(other: &ControlStub) -> Self {
+        Self::bind(SocketAddr::new(unique_ip(), other.address.port())).await
     }
 
     pub(crate) async fn bind(address: SocketAddr) -> Self {
@@ -62,44 +62,45 @@
         Self { listener, address }
     }
 
-    /// The next connection of an agent, with its subscription.
-    pub(crate) async fn accept(&self) -> Served {
-        let (socket, _) = soon(self.listener.accept()).await.expect("accepted");
-        let (mut reader, writer) = accept(socket, PATIENCE).expect("options are set");
-        let hello: Hello = soon(reader.read()).await.expect("hello");
+    /// Accepts the next connection of an agent and reads its subscription.
+    pub(crate) async fn accept(&self) -> AgentConnection {
+        let (socket, _) = within_deadline(self.listener.accept()).await.expect("accepted");
+        let (mut reader, writer) = accept(socket, TEST_TIMEOUT).expect("options are set");
+        let hello: Hello = within_deadline(reader.read()).await.expect("hello");
         assert_eq!(hello.link, LinkKind::Agent);
-        let AgentMessage::Subscribe(subscribe) = soon(reader.read()).await.expect("subscription") else {
-            panic!("a subscription comes first");
+        let AgentMessage::Subscribe(subscribe) = within_deadline(reader.read()).await.expect("subscription")
+        else {
+            panic!("expected a subscription first");
         };
-        Served { hello, subscribe, reader, writer }
+        AgentConnection { hello, subscribe, reader, writer }
     }
 }
 
-/// A connection of the agent to a control machine.
-pub(crate) struct Served {
+/// The control machine's side of a connection of the agent.
+pub(crate) struct AgentConnection {
     pub(crate) hello: Hello,
     pub(crate) subscribe: FeedPosition,
     pub(crate) reader: LinkReader,
     pub(crate) writer: LinkWriter,
 }
 
-impl Served {
+impl AgentConnection {
     pub(crate) async fn send(&mut self, message: FeedMessage) {
-        soon(self.writer.write(&message)).await.expect("written");
+        within_deadline(self.writer.write(&message)).await.expect("written");
     }
 
     pub(crate) async fn next(&mut self) -> AgentMessage {
-        soon(self.reader.read()).await.expect("a message")
+        within_deadline(self.reader.read()).await.expect("a message")
     }
 
     /// Reads until the agent closes the connection.
     pub(crate) async fn until_closed(mut self) {
         let drain = async { while self.reader.read::<AgentMessage>().await.is_ok() {} };
-        soon(drain).await;
+        within_deadline(drain).await;
     }
 
-    /// Sends signs of life for ever; gives the number sent when the agent closes the connection.
-    pub(crate) fn keep_ticking(mut self, tick: Heartbeat) -> JoinHandle<u64> {
+    /// Sends heartbeats until the agent closes the connection. The task returns the number sent.
+    pub(crate) fn send_heartbeats(mut self, heartbeat: Heartbeat) -> JoinHandle<u64> {
         tokio::spawn(async move {
             let mut sent = 0;
             let mut period = tokio::time::interval(Duration::from_millis(100));
@@ -107,7 +108,9 @@
                 tokio::select! {
                     read = self.reader.read::<AgentMessage>() => if read.is_err() { return sent },
                     _ = period.tick() => {
-                        if self.writer.write(&FeedMessage::Heartbeat(tick)).await.is_err() { return sent }
+                        if self.writer.write(&FeedMessage::Heartbeat(heartbeat)).await.is_err() {
+                            return sent
+                        }
                         sent += 1;
                     }
                 }
@@ -117,7 +120,7 @@
 }
 
 /// A running agent.
-pub(crate) struct Running {
+pub(crate) struct RunningAgent {
     pub(crate) ip: IpAddr,
     pub(crate) port: u16,
     pub(crate) settings: PathBuf,
@@ -125,10 +128,10 @@
     task: JoinHandle<()>,
 }
 
-impl Running {
-    /// Starts an agent that knows `seeds`.
-    pub(crate) fn start(seeds: &[&Control]) -> Self {
-        let ip = fresh_ip();
+impl RunningAgent {
+    /// Starts an agent with the given seeds.
+    pub(crate) fn start(seeds: &[&ControlStub]) -> Self {
+        let ip = unique_ip();
         let port = seeds[0].address.port();
         let addresses: Vec<SocketAddr> = seeds.iter().map(|control| control.address).collect();
         let settings = std::env::temp_dir().join(format!("agent-{}-{ip}.toml", std::process::id()));
@@ -136,28 +139,28 @@
         Self::restart(ip, port, settings)
     }
 
-    /// Starts an agent with a settings file that is there already.
+    /// Starts an agent with an existing settings file.
     pub(crate) fn restart(ip: IpAddr, port: u16, settings: PathBuf) -> Self {
-        let text = std::fs::read_to_string(&settings).expect("settings are there");
-        let boot = BootSettings::parse(&text, &settings).expect("settings can be used");
+        let text = std::fs::read_to_string(&settings).expect("settings file exists");
+        let boot = BootSettings::parse(&text, &settings).expect("settings are valid");
         let agent = Agent::new(&boot, settings.clone(), Logger::root(Discard, o!()));
         let reload = Arc::new(Notify::new());
         let task = tokio::spawn(agent.run(Arc::clone(&reload)));
         Self { ip, port, settings, reload, task }
     }
 
-    /// Ends the agent as a kill does.
+    /// Ends the agent abruptly, as SIGKILL does.
     pub(crate) async fn kill(mut self) {
         self.task.abort();
         let _ = (&mut self.task).await;
     }
 
     /// Connects as the proxy on the agent's machine.
-    pub(crate) async fn proxy(&self) -> Proxy {
+    pub(crate) async fn proxy(&self) -> ProxyStub {
         let (reader, mut writer) = self.connect(self.ip).await;
         let hello = self.hello(LinkKind::Proxy);
-        soon(writer.write(&hello)).await.expect("written");
-        Proxy { reader, writer }
+        within_deadline(writer.write(&hello)).await.expect("written");
+        ProxyStub { reader, writer }
     }
 
     pub(crate) fn hello(&self, link: LinkKind) -> Hello {
@@ -165,7 +168,7 @@
         Hello { protocol_version: PROTOCOL_VERSION, link, node: "front".into(), ip, zone: "z".into() }
     }
 
-    /// Connects from `source`, again and again until the agent listens.
+    /// Connects from the address `source`, with retries until the agent listens.
     pub(crate) async fn connect(&self, source: IpAddr) -> (LinkReader, LinkWriter) {
         let address = SocketAddr::new(self.ip, self.port + 2);
         let dial = async {
@@ -173,35 +176,35 @@
                 let socket = TcpSocket::new_v4().expect("socket");
                 socket.bind(SocketAddr::new(source, 0)).expect("own address");
                 match socket.connect(address).await {
-                    Ok(socket) => return accept(socket, PATIENCE).expect("options are set"),
+                    Ok(socket) => return accept(socket, TEST_TIMEOUT).expect("options are set"),
                     Err(_) => tokio::task::yield_now().await,
                 }
             }
         };
-        soon(dial).await
+        within_deadline(dial).await
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningAgent {
     fn drop(&mut self) {
         self.task.abort();
         let _ = std::fs::remove_file(&self.settings);
     }
 }
 
-/// The proxy's end of the feed.
-pub(crate) struct Proxy {
+/// The proxy's side of its connection to the agent.
+pub(crate) struct ProxyStub {
     pub(crate) reader: LinkReader,
     pub(crate) writer: LinkWriter,
 }
 
-impl Proxy {
+impl ProxyStub {
     pub(crate) async fn next(&mut self) -> FeedMessage {
-        soon(self.reader.read()).await.expect("a message")
+        within_deadline(self.reader.read()).await.expect("a message")
     }
 
-    /// The next message that `pick` takes; others are left out.
-    pub(crate) async fn until<T>(&mut self, pick: impl Fn(FeedMessage) -> Option<T>) -> T {
+    /// Reads messages until `pick` returns a value; the others are discarded.
+    pub(crate) async fn next_matching<T>(&mut self, pick: impl Fn(FeedMessage) -> Option<T>) -> T {
         loop {
             if let Some(picked) = pick(self.next().await) {
                 return picked;
@@ -210,7 +213,7 @@
     }
 
     pub(crate) async fn configuration(&mut self) -> ConfigurationChunk {
-        self.until(|message| match message {
+        self.next_matching(|message| match message {
             FeedMessage::Configuration(chunk) => Some(chunk),
             _ => None,
         })
@@ -218,17 +221,20 @@
     }
 
     pub(crate) async fn roster(&mut self) -> RosterUpdate {
-        self.until(|message| match message {
+        self.next_matching(|message| match message {
             FeedMessage::Roster(update) => Some(update),
             _ => None,
         })
         .await
     }
 
-    /// The next sign of life that `wanted` accepts.
-    pub(crate) async fn tick(&mut self, wanted: impl Fn(&Heartbeat) -> bool) -> Heartbeat {
-        self.until(|message| match message {
-            FeedMessage::Heartbeat(tick) if wanted(&tick) => Some(tick),
+    /// Reads messages until a heartbeat satisfies `accept_heartbeat`.
+    pub(crate) async fn next_heartbeat(
+        &mut self,
+        accept_heartbeat: impl Fn(&Heartbeat) -> bool,
+    ) -> Heartbeat {
+        self.next_matching(|message| match message {
+            FeedMessage::Heartbeat(heartbeat) if accept_heartbeat(&heartbeat) => Some(heartbeat),
             _ => None,
         })
         .await
@@ -255,7 +261,7 @@
     })
 }
 
-pub(crate) fn tick(version: u64, confirmed_age_ms: u64) -> Heartbeat {
+pub(crate) fn heartbeat(version: u64, confirmed_age_ms: u64) -> Heartbeat {
     let roster = RosterOffset::default();
     Heartbeat { confirmed_age_ms, configuration_version: version, roster, roster_age_ms: 0 }
 }
@@ -274,7 +280,7 @@
     }
 }
 
-pub(crate) fn whole_roster(epoch: u64, sequence: u64, ids: &[&str]) -> FeedMessage {
+pub(crate) fn full_roster(epoch: u64, sequence: u64, ids: &[&str]) -> FeedMessage {
     let changed = ids.iter().map(|id| server(id)).collect();
     let offset = RosterOffset { epoch, sequence };
     FeedMessage::Roster(RosterUpdate { base: None, offset, changed, removed: Vec::new() })
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,16 +1,16 @@
-//! The steady clock as the state machines count it.
+//! The monotonic clock whose times the state machines use.
 
 use std::time::{Duration, Instant};
 
-/// Microseconds on the steady clock since the program started, counted from one second so that spans before the
-/// start can be written.
+/// Monotonic clock in microseconds. It starts at one second, so that times shortly before the start of the
+/// program can be represented.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
 }
 
-/// What the clock shows when the program starts, in microseconds.
-const AT_START: u64 = 1_000_000;
+/// Time of the clock at the start of the program, in microseconds.
+const START_US: u64 = 1_000_000;
 
 impl Clock {
     /// Starts the clock.
@@ -18,18 +18,18 @@
         Self { started: Instant::now() }
     }
 
-    /// The time now, in microseconds.
+    /// The current time in microseconds.
     pub fn now(&self) -> u64 {
-        AT_START + self.started.elapsed().as_micros() as u64
+        START_US + self.started.elapsed().as_micros() as u64
     }
 
-    /// How long ago the program started.
+    /// Time since the clock was started.
     pub fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The instant at which the clock shows `micros`.
-    pub fn instant(&self, micros: u64) -> Instant {
-        self.started + Duration::from_micros(micros.saturating_sub(AT_START))
+    /// The instant at which the clock reaches `at_us`; a time before the start gives the start.
+    pub fn instant(&self, at_us: u64) -> Instant {
+        self.started + Duration::from_micros(at_us.saturating_sub(START_US))
     }
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the fleet's programs share around their state machines: logs, clock, framed connections, long
-//! computations.
+//! Runtime services shared by the fleet's programs: logging, the monotonic clock, framed connections, and
+//! offloading of long computations.
 
 #![forbid(unsafe_code)]
 
--- a/crates/runtime/src/link.rs
+++ b/crates/runtime/src/link.rs
@@ -12,25 +12,25 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// Bytes asked of the kernel at once.
-const READ_BYTES: usize = 16 * 1024;
-/// A read buffer that grew beyond this is given back once it is empty.
-const KEPT_BYTES: usize = 64 * 1024;
+/// Buffer space reserved for each read from the socket.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// An empty buffer with a larger capacity than this is freed.
+const MAX_IDLE_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Why a connection ended.
+/// Reason why a connection ended.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The system refused the call or the peer went away.
-    #[error("connection lost: {0}; it is opened anew")]
+    /// A system call failed, or the connection was reset.
+    #[error("connection lost: {0}; it will be reopened")]
     Io(#[from] io::Error),
-    /// The peer sent what is no message.
+    /// The peer sent an invalid frame or message.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The peer closed the connection.
-    #[error("the peer closed the connection; it is opened anew")]
+    #[error("the peer closed the connection; it will be reopened")]
     Closed,
-    /// Nothing was heard for too long.
-    #[error("nothing heard for {0:?}: the peer or the path to it is down; another one is tried")]
+    /// The peer did not respond within this time.
+    #[error("no response within {0:?}: the peer or the network path to it is down; another attempt follows")]
     Timeout(Duration),
 }
 
@@ -42,41 +42,41 @@
 }
 
 impl LinkReader {
-    /// The next message. Cancelling the call loses nothing.
+    /// Reads the next message. The call is cancellation-safe: no data is lost.
     ///
     /// # Errors
     ///
-    /// The connection has ended or carried something else; it is of no use afterwards.
+    /// The connection ended or the data is invalid; the connection can't be used afterwards.
     pub async fn read<M: for<'b> Decode<'b, ()>>(&mut self) -> Result<M, LinkError> {
         loop {
             if let Some(message) = decode(&mut self.buffer)? {
-                self.shrink();
+                self.release_idle_buffer();
                 return Ok(message);
             }
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(READ_CHUNK_BYTES);
             if self.socket.read_buf(&mut self.buffer).await? == 0 {
                 return Err(LinkError::Closed);
             }
         }
     }
 
-    /// The next message within `patience`.
+    /// Reads the next message within `timeout`.
     ///
     /// # Errors
     ///
-    /// As [`Self::read`], or nothing came in time.
+    /// As [`Self::read`], or no message arrived in time.
     pub async fn read_with_timeout<M: for<'b> Decode<'b, ()>>(
         &mut self,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<M, LinkError> {
-        match tokio::time::timeout(patience, self.read()).await {
+        match tokio::time::timeout(timeout, self.read()).await {
             Ok(read) => read,
-            Err(_) => Err(LinkError::Timeout(patience)),
+            Err(_) => Err(LinkError::Timeout(timeout)),
         }
     }
 
-    fn shrink(&mut self) {
-        if self.buffer.is_empty() && self.buffer.capacity() > KEPT_BYTES {
+    fn release_idle_buffer(&mut self) {
+        if self.buffer.is_empty() && self.buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.buffer = BytesMut::new();
         }
     }
@@ -90,22 +90,22 @@
 }
 
 impl LinkWriter {
-    /// Sends a message and waits until the kernel has taken it.
+    /// Sends a message and waits until the kernel has accepted it.
     ///
     /// # Errors
     ///
-    /// The connection is broken. A cancelled call leaves it unusable.
+    /// The connection is broken. A cancelled call also leaves it unusable.
     pub async fn write<M: Encode<()>>(&mut self, message: &M) -> Result<(), LinkError> {
         self.queue(message);
         self.flush().await
     }
 
-    /// Adds a message to what the next [`Self::flush`] sends.
+    /// Buffers a message, which the next [`Self::flush`] sends.
     pub fn queue<M: Encode<()>>(&mut self, message: &M) {
         encode(message, &mut self.buffer);
     }
 
-    /// Sends what was queued.
+    /// Sends the buffered messages.
     ///
     /// # Errors
     ///
@@ -113,37 +113,39 @@
     pub async fn flush(&mut self) -> Result<(), LinkError> {
         self.socket.write_all(&self.buffer).await?;
         self.buffer.clear();
-        if self.buffer.capacity() > KEPT_BYTES {
+        if self.buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.buffer = BytesMut::new();
         }
         Ok(())
     }
 }
 
-/// Opens a connection within `patience`; the kernel gives it up when data stays unacknowledged for `silence`.
+/// Opens a connection within `timeout`. The kernel closes it when sent data stays unacknowledged for
+/// `user_timeout`.
 ///
 /// # Errors
 ///
-/// The peer refused, or could not be reached in time.
+/// The peer refused the connection, or could not be reached in time.
 pub async fn dial(
     address: SocketAddr,
-    patience: Duration,
-    silence: Duration,
+    timeout: Duration,
+    user_timeout: Duration,
 ) -> Result<(LinkReader, LinkWriter), LinkError> {
-    match tokio::time::timeout(patience, TcpStream::connect(address)).await {
-        Ok(connected) => accept(connected?, silence),
-        Err(_) => Err(LinkError::Timeout(patience)),
+    match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
+        Ok(connected) => accept(connected?, user_timeout),
+        Err(_) => Err(LinkError::Timeout(timeout)),
     }
 }
 
-/// Makes a link of an accepted connection; the kernel gives it up when data stays unacknowledged for `silence`.
+/// Sets up a connected socket for framed messages. The kernel closes the connection when sent data stays
+/// unacknowledged for `user_timeout`.
 ///
 /// # Errors
 ///
-/// The socket's options can't be set.
-pub fn accept(socket: TcpStream, silence: Duration) -> Result<(LinkReader, LinkWriter), LinkError> {
+/// The socket options can't be set.
+pub fn accept(socket: TcpStream, user_timeout: Duration) -> Result<(LinkReader, LinkWriter), LinkError> {
     socket.set_nodelay(true)?;
-    socket2::SockRef::from(&socket).set_tcp_user_timeout(Some(silence))?;
+    socket2::SockRef::from(&socket).set_tcp_user_timeout(Some(user_timeout))?;
     let (reader, writer) = socket.into_split();
     let reader = LinkReader { socket: reader, buffer: BytesMut::new() };
     let writer = LinkWriter { socket: writer, buffer: BytesMut::new() };
--- a/crates/runtime/src/log.rs
+++ b/crates/runtime/src/log.rs
@@ -1,16 +1,16 @@
-//! Logs of the programs: one line an event on standard error, as text or JSON.
+//! Logging of the programs: one line per event on standard error, as text or JSON.
 
 use std::fmt::{self, Write as _};
 use std::io::Write as _;
 
 use slog::{Drain, KV, Key, Level, Logger, OwnedKVList, Record, Serializer};
 
-/// How events are written.
+/// Format of the log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
     /// `LEVEL message key=value ...`
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -21,24 +21,24 @@
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            other => Err(format!("log format `{other}` is unknown: use `text` or `json`")),
+            other => Err(format!("unknown log format `{other}`: use `text` or `json`")),
         }
     }
 }
 
-/// A logger that writes events of `level` and above to standard error, with the node's name in each.
+/// Creates a logger that writes events of `level` and above to standard error, each with the node's name.
 pub fn logger(format: Format, level: Level, node: &str) -> Logger {
-    let drain = StandardError { format, level };
+    let drain = StderrDrain { format, level };
     Logger::root(drain.ignore_res(), slog::o!("node" => node.to_owned()))
 }
 
-/// Writes each event with a single call, on the calling thread: no thread and no queue of its own.
-struct StandardError {
+/// Writes each event synchronously on the calling thread, in a single system call.
+struct StderrDrain {
     format: Format,
     level: Level,
 }
 
-impl Drain for StandardError {
+impl Drain for StderrDrain {
     type Ok = ();
     type Err = slog::Never;
 
@@ -47,7 +47,8 @@
             return Ok(());
         }
         let mut line = Line::new(self.format, record);
-        // Values that cannot be written are left out: an event is never lost for one of its fields.
+        // Values that can't be formatted are omitted, so that an event is never lost because of one of its
+        // fields.
         let _ = record.kv().serialize(record, &mut line);
         let _ = values.serialize(record, &mut line);
         let _ = std::io::stderr().write_all(line.finish().as_bytes());
@@ -55,7 +56,7 @@
     }
 }
 
-/// An event being written.
+/// The line of an event while it is formatted.
 struct Line {
     format: Format,
     text: String,
@@ -67,7 +68,9 @@
         let message = record.msg();
         let text = match format {
             Format::Text => format!("{level} {message}"),
-            Format::Json => format!("{{\"level\":\"{level}\",\"message\":{}", quoted(&message.to_string())),
+            Format::Json => {
+                format!("{{\"level\":\"{level}\",\"message\":{}", json_string(&message.to_string()))
+            }
         };
         Self { format, text }
     }
@@ -85,14 +88,14 @@
     fn emit_arguments(&mut self, key: Key, value: &fmt::Arguments<'_>) -> slog::Result {
         match self.format {
             Format::Text => write!(self.text, " {key}={value}")?,
-            Format::Json => write!(self.text, ",{}:{}", quoted(key), quoted(&value.to_string()))?,
+            Format::Json => write!(self.text, ",{}:{}", json_string(key), json_string(&value.to_string()))?,
         }
         Ok(())
     }
 }
 
-/// A JSON string.
-fn quoted(text: &str) -> String {
+/// Formats `text` as a JSON string with its quotes.
+fn json_string(text: &str) -> String {
     let mut quoted = String::with_capacity(text.len() + 2);
     quoted.push('"');
     for c in text.chars() {
--- a/crates/runtime/src/offload.rs
+++ b/crates/runtime/src/offload.rs
@@ -1,19 +1,21 @@
-//! Long computations beside a program's one thread, which has heartbeats to send and bytes to pass on.
+//! Runs long computations outside a program's single async thread, which must not be blocked: it sends
+//! heartbeats and forwards requests.
 
 use bytes::Bytes;
 
-/// Documents of up to this many bytes are worked on at once: that takes less than handing them to another thread.
-const AT_ONCE_BYTES: usize = 64 * 1024;
+/// Documents of up to this many bytes are processed on the calling thread, which takes less time than handing
+/// them to another thread.
+const INLINE_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Whether work on a document of that many bytes is too long for the program's own thread.
+/// Whether processing a document of `bytes` bytes takes too long for the async thread.
 pub fn is_large_document(bytes: usize) -> bool {
-    bytes > AT_ONCE_BYTES
+    bytes > INLINE_LIMIT_BYTES
 }
 
-/// Works on a document, on a thread of its own if it is long; nothing if that thread has failed.
-pub async fn offload_if_large<R: Send + 'static>(document: Bytes, work: fn(Bytes) -> R) -> Option<R> {
+/// Processes a document, on a separate thread if it is large. `None` if `process` panicked on that thread.
+pub async fn offload_if_large<R: Send + 'static>(document: Bytes, process: fn(Bytes) -> R) -> Option<R> {
     if !is_large_document(document.len()) {
-        return Some(work(document));
+        return Some(process(document));
     }
-    tokio::task::spawn_blocking(move || work(document)).await.ok()
+    tokio::task::spawn_blocking(move || process(document)).await.ok()
 }
--- a/crates/runtime/tests/links.rs
+++ b/crates/runtime/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links over loopback: messages arrive in order; a closed peer and a silent one are told apart.
+//! Connections over loopback: messages arrive in order, and a closed peer differs from a silent one.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use dunelink_runtime::{LinkError, accept, dial};
 use tokio::net::TcpListener;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 #[tokio::test]
-async fn messages_cross_in_order_and_a_close_is_told() {
+async fn messages_arrive_in_order_before_the_close() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
     let address = listener.local_addr().expect("bound");
-    let (_, mut writer) = dial(address, PATIENCE, PATIENCE).await.expect("connects");
+    let (_, mut writer) = dial(address, TIMEOUT, TIMEOUT).await.expect("connects");
     let (socket, _) = listener.accept().await.expect("accepted");
-    let (mut reader, _) = accept(socket, PATIENCE).expect("options are set");
+    let (mut reader, _) = accept(socket, TIMEOUT).expect("options are set");
     let first =
         AgentMessage::Subscribe(FeedPosition { configuration_version: 1, roster: RosterOffset::default() });
     let second = AgentMessage::Report(ProxyReport::default());
@@ -22,15 +22,15 @@
     writer.write(&second).await.expect("written");
     drop(writer);
     assert_eq!(reader.read::<AgentMessage>().await.expect("first"), first);
-    assert_eq!(reader.read_with_timeout::<AgentMessage>(PATIENCE).await.expect("second"), second);
+    assert_eq!(reader.read_with_timeout::<AgentMessage>(TIMEOUT).await.expect("second"), second);
     assert!(matches!(reader.read::<AgentMessage>().await, Err(LinkError::Closed)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_peer_is_given_up() {
+async fn silent_peer_times_out() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
     let address = listener.local_addr().expect("bound");
-    let (mut reader, _writer) = dial(address, PATIENCE, PATIENCE).await.expect("connects");
-    let silent = reader.read_with_timeout::<AgentMessage>(PATIENCE).await;
-    assert!(matches!(silent, Err(LinkError::Timeout(_))));
+    let (mut reader, _writer) = dial(address, TIMEOUT, TIMEOUT).await.expect("connects");
+    let result = reader.read_with_timeout::<AgentMessage>(TIMEOUT).await;
+    assert!(matches!(result, Err(LinkError::Timeout(_))));
 }
