--- a/crates/settings/src/boot/bounds.rs
+++ b/crates/settings/src/boot/bounds.rs
@@ -1,58 +1,65 @@
-//! The figures of the contracts, from the table `bounds` of the settings file.
+//! The table `bounds` of the settings file: numeric limits of the contracts that the fleet has to meet.
 
 use super::error::BootSettingsError;
 use super::section::Section;
 
-/// The figures of the contracts in force. Fields that end in `_ms` are milliseconds, those that end in `_s`
-/// seconds; all are finite and at least 0.
+/// Numeric limits of the contracts in force. Fields that end in `_ms` are in milliseconds, fields that end in
+/// `_s` in seconds; all numbers are finite and at least 0. Each field names its key, with the default in
+/// parentheses.
 ///
-/// [`ContractBounds::default`] holds for keys that the file leaves out. Allowances that permit something extra (slack,
-/// overshoot) are 0 there, so that a missing key never permits more.
+/// Keys missing from the file have the values of [`ContractBounds::default`]. There, allowances (slack and
+/// overshoot) are 0, so that a missing key never permits more.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ContractBounds {
-    /// `seedLagS`: how far behind the operator's list of control addresses may be (3).
+    /// `seedLagS`: longest time for which the operator's list of control addresses may be outdated (3).
     pub seed_lag_s: f64,
-    /// `reuseAfterS`: how soon an address of a server that ended may serve another service (2).
+    /// `reuseAfterS`: shortest time after which the address of a terminated server may be reused by another
+    /// service (2).
     pub reuse_after_s: f64,
-    /// `contactMs`: how long a node has to have run and been connected to count as in touch (3,000).
+    /// `contactMs`: time for which a node has to be running and connected before it counts as in contact
+    /// (3,000).
     pub contact_ms: f64,
-    /// `ackMs`: how long an order of the operator may wait for its acknowledgement (4,000).
+    /// `ackMs`: longest time until a command of the operator is acknowledged (4,000).
     pub ack_ms: f64,
-    /// `catchUpS`: how long a returned or new machine still counts as lost (4).
+    /// `catchUpS`: time for which a restarted or new machine still counts as lost (4).
     pub catch_up_s: f64,
-    /// `drainMs`: how long a server serves on after it is first listed as draining (3,000).
+    /// `drainMs`: time for which a server continues to serve after it is first listed as draining (3,000).
     pub drain_ms: f64,
     /// `graceS`: time from SIGTERM to SIGKILL (8).
     pub grace_s: f64,
-    /// `lossSlackMs`: time after the start of planned work within which a lost request is excused (200).
+    /// `lossSlackMs`: time after the start of planned maintenance within which a lost request is tolerated
+    /// (200).
     pub loss_slack_ms: f64,
-    /// `configMs`: how soon an acknowledged configuration has to be in force on nodes in touch (2,000).
+    /// `configMs`: longest time until an acknowledged configuration is in force on all nodes in contact
+    /// (2,000).
     pub config_ms: f64,
-    /// `rollbackSlackMs`: how long an older configuration may still show after a newer one was seen (250).
+    /// `rollbackSlackMs`: time for which an older configuration may still take effect after a newer one did
+    /// (250).
     pub rollback_slack_ms: f64,
-    /// `maxSkewMs`: how far the configuration of a node out of touch may be behind (5,000).
+    /// `maxSkewMs`: longest time for which the configuration of a node without contact may be outdated
+    /// (5,000).
     pub max_skew_ms: f64,
-    /// `revocation`: whether keys that are taken away have a time limit of their own (false).
+    /// `revocation`: whether `revokeMs` applies to removed API keys (false).
     pub revocation: bool,
-    /// `revokeMs`: that time limit (5,000).
+    /// `revokeMs`: longest time for which a removed API key may still be accepted (5,000).
     pub revoke_ms: f64,
-    /// `retryRatio`: retries permitted per request, all nodes taken together (0.2).
+    /// `retryRatio`: retries permitted per request, summed over all nodes (0.2).
     pub retry_ratio: f64,
     /// `retryWindowS`: window over which retries are counted (10).
     pub retry_window_s: f64,
-    /// `retrySlack`: retries permitted on top in a window (0).
+    /// `retrySlack`: additional retries permitted per window (0).
     pub retry_slack: f64,
     /// `quotaWindowS`: window over which quotas are counted (8).
     pub quota_window_s: f64,
-    /// `quotaOvershoot`: share above a quota that is permitted (0).
+    /// `quotaOvershoot`: permitted overshoot as a fraction of the quota (0).
     pub quota_overshoot: f64,
-    /// `quotaSlack`: units above a quota that are permitted on top in a window (0).
+    /// `quotaSlack`: additional units above a quota permitted per window (0).
     pub quota_slack: f64,
-    /// `recoveryS`: how soon service has to be back after the machines are (12).
+    /// `recoveryS`: longest time until service is restored once the machines are back (12).
     pub recovery_s: f64,
-    /// `event_delivery_ms`: how soon each event of a stream has to reach the client (120).
+    /// `pass_ms`: longest time until each event of a stream reaches the client (120).
     pub event_delivery_ms: f64,
-    /// `prefix_reuse_s`: how soon after its last use a part of a prompt that is read again is priced (8).
+    /// `again_s`: time after the last use of a prompt part within which processing it again is charged (8).
     pub prefix_reuse_s: f64,
 }
 
@@ -86,10 +93,10 @@
 }
 
 impl ContractBounds {
-    /// Reads the table; a key that is left out keeps its default.
+    /// Reads the table; a missing key keeps its default.
     pub(super) fn read(section: &Section<'_>) -> Result<Self, BootSettingsError> {
         let mut bounds = Self::default();
-        bounds.revocation = section.flag("revocation")?.unwrap_or(bounds.revocation);
+        bounds.revocation = section.boolean("revocation")?.unwrap_or(bounds.revocation);
         for (key, field) in bounds.numbers() {
             if let Some(number) = section.number(key)? {
                 *field = number;
--- a/crates/settings/src/boot/error.rs
+++ b/crates/settings/src/boot/error.rs
@@ -1,9 +1,10 @@
-//! Why a settings file was not accepted.
+//! Errors of the settings file.
 
 use std::io;
 use std::path::PathBuf;
 
-/// A settings file that can't be used. Each message names the file, the key, what was expected and the remedy.
+/// An unreadable or invalid settings file. Each message names the file, the key, the expected value and the
+/// remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum BootSettingsError {
     /// The file could not be opened or read.
@@ -12,47 +13,47 @@
         path.display()
     )]
     Unreadable {
-        /// The path that was tried.
+        /// The path of the settings file.
         path: PathBuf,
         /// The environment variable that names the path.
         variable: &'static str,
-        /// What the system answered.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The text is not TOML.
-    #[error("{}: not valid TOML ({reason}); correct the line that is named", path.display())]
+    #[error("{}: not valid TOML ({reason}); correct the line given there", path.display())]
     Syntax {
         /// The settings file.
         path: PathBuf,
-        /// What the TOML reader found, and where.
+        /// Message of the TOML parser, with the line.
         reason: String,
     },
-    /// A key that has no default is absent.
+    /// A required key is missing.
     #[error("{}: key `{key}` is missing; add it as {expected}", path.display())]
     MissingKey {
         /// The settings file.
         path: PathBuf,
         /// The key with its table, such as `listen.front`.
         key: String,
-        /// What the value has to be.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// A key holds a value of another type or outside its range.
-    #[error("{}: key `{key}` holds {found}; change it to {expected}", path.display())]
+    /// The value of a key has the wrong type or is out of range.
+    #[error("{}: key `{key}` has the invalid value {found}; change it to {expected}", path.display())]
     InvalidValue {
         /// The settings file.
         path: PathBuf,
         /// The key with its table, such as `bounds.contactMs`.
         key: String,
-        /// What the value has to be.
+        /// Description of a valid value.
         expected: &'static str,
-        /// The value that stands there, shortened.
+        /// The invalid value, truncated.
         found: String,
     },
 }
 
 impl BootSettingsError {
-    /// The key that is wrong or missing, with its table; nothing when the file as a whole can't be read.
+    /// The invalid or missing key with its table; `None` if the file can't be read or is not valid TOML.
     pub fn key(&self) -> Option<&str> {
         match self {
             Self::MissingKey { key, .. } | Self::InvalidValue { key, .. } => Some(key),
--- a/crates/settings/src/boot/mod.rs
+++ b/crates/settings/src/boot/mod.rs
@@ -1,8 +1,8 @@
 //! The settings file of a process.
 //!
-//! The path stands in the environment variable [`PATH_VARIABLE`]. Keys that are not known are ignored; keys that
-//! are left out get the defaults that each field documents. Only `nodeName`, `ip` and `internalPorts` are
-//! required.
+//! The environment variable [`PATH_VARIABLE`] holds its path. Unknown keys are ignored. The documentation of
+//! each field names its key, with the default for a missing key in parentheses. Only `nodeName`, `ip` and
+//! `internalPorts` are required.
 
 mod bounds;
 mod error;
@@ -22,16 +22,16 @@
 /// Environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "DUNELINK_BOOT";
 
-/// Path that is read when [`PATH_VARIABLE`] is not set.
+/// Path of the settings file if [`PATH_VARIABLE`] is not set.
 pub const DEFAULT_PATH: &str = "/etc/dunelink/local.toml";
 
-/// Distance of the port for the agent's feed from the first internal port.
-const AGENT_FEED_OFFSET: u16 = 2;
+/// Offset of the agent's feed port from the first internal port.
+const AGENT_FEED_PORT_OFFSET: u16 = 2;
 
-/// Heartbeat period when the file names none, in milliseconds.
+/// Default heartbeat interval in milliseconds.
 const DEFAULT_HEARTBEAT_MS: u64 = 1_000;
 
-/// What a process is told at its start.
+/// The settings that a process reads at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BootSettings {
     /// `nodeName`: name of the machine, required and not empty.
@@ -40,94 +40,94 @@
     pub role: String,
     /// `machineClass`: `front` or `core` (empty).
     pub machine_class: String,
-    /// `serves`: what the role serves, of `front` and `control` (nothing).
+    /// `serves`: endpoints that the role serves, out of `front` and `control` (none).
     pub serves: Vec<String>,
     /// `ip`: address of the machine, required.
     pub ip: IpAddr,
     /// `zone`: zone of the machine (empty).
     pub zone: String,
-    /// `region`: region of the machine (that of its zone in `zones`, else empty).
+    /// `region`: region of the machine (the region of its zone in `zones`, else empty).
     pub region: String,
-    /// `internalPorts`: first and last port between nodes, required; at least three ports.
+    /// `internalPorts`: first and last port for connections between nodes, required; at least three ports.
     pub internal_ports: (u16, u16),
-    /// `seeds`: control addresses to begin with (none).
+    /// `seeds`: addresses of control machines that are known at the start (none).
     pub seeds: Vec<SocketAddr>,
-    /// `bootstrap`: true only at the first start of the whole system (false).
+    /// `bootstrap`: true only at the first start of the whole fleet (false).
     pub bootstrap: bool,
-    /// `countsForQuorum`: whether the loss of this machine counts (false).
+    /// `countsForQuorum`: whether the loss of this machine counts toward `faultTolerance` (false).
     pub counts_for_quorum: bool,
-    /// `dataDir`: folder on the disk (none; an empty text is none as well).
+    /// `dataDir`: folder for persistent data (`None`; also for an empty string).
     pub data_dir: Option<PathBuf>,
-    /// `heartbeatMs`: period of heartbeats in milliseconds (1,000).
+    /// `heartbeatMs`: interval between heartbeats in milliseconds (1,000).
     pub heartbeat_ms: u64,
-    /// `contracts`: parts of the rules in force (none).
+    /// `contracts`: names of the contracts in force (none).
     pub contracts: Vec<String>,
     /// `zones`: region of each zone (none).
     pub zones: BTreeMap<String, String>,
-    /// `listen`: addresses to listen at.
+    /// `listen`: addresses to listen on.
     pub listen: ListenAddresses,
-    /// `limits`: what the machine has.
+    /// `limits`: resources of the machine.
     pub limits: MachineLimits,
-    /// `faultTolerance`: what may be lost at once.
+    /// `faultTolerance`: failures that the fleet has to tolerate at the same time.
     pub fault_tolerance: FaultTolerance,
-    /// `bounds`: figures of the contracts.
+    /// `bounds`: numeric limits of the contracts.
     pub bounds: ContractBounds,
-    /// `cloudApi`: the platform's list of servers (none; also where it names no address).
+    /// `cloudApi`: access to the platform's server list (`None`; also without an address).
     pub cloud_api: Option<CloudApi>,
 }
 
-/// Addresses that the role listens at; a role that does not serve one has none.
+/// Addresses that the role listens on; `None` for endpoints that it does not serve.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// `front`: for clients.
+    /// `front`: for requests of clients.
     pub front: Option<SocketAddr>,
-    /// `readiness`: for the platform's check.
+    /// `readiness`: for the platform's readiness check.
     pub readiness: Option<SocketAddr>,
-    /// `control`: for the operator.
+    /// `control`: for the operator's API.
     pub control: Option<SocketAddr>,
 }
 
-/// What the machine has; a value of 0 means that the file states none.
+/// Resources of the machine. A value of 0 means that the file does not state it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineLimits {
-    /// `cpuShare`: share of one core, above 0 (1).
+    /// `cpuShare`: share of one core available to the machine, above 0 (1).
     pub cpu_share: f64,
-    /// `cores`: speed of that core relative to a normal one (1).
+    /// `cores`: speed of that core relative to a standard one (1).
     pub cores: f64,
-    /// `memoryMb`: memory of a process in megabytes, above which it is killed (0).
+    /// `memoryMb`: memory limit of a process in megabytes, above which it is killed (0).
     pub memory_mb: u64,
-    /// `maxFds`: descriptors of a process (0).
+    /// `maxFds`: most open file descriptors of a process (0).
     pub max_fds: u64,
-    /// `linkMbps`: speed of the machine's link in megabits per second (0).
+    /// `linkMbps`: bandwidth of the machine's network link in megabits per second (0).
     pub link_mbps: f64,
     /// `diskMb`: size of the disk in megabytes (0).
     pub disk_mb: u64,
 }
 
-/// What may be lost at once while all rules hold.
+/// Failures at the same time during which all contracts have to be met.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// `machines`: machines whose loss counts (0).
+    /// `machines`: number of lost machines, out of those with `countsForQuorum` (0).
     pub machines: u64,
-    /// `zones`: whole zones (0).
+    /// `zones`: number of lost zones (0).
     pub zones: u64,
-    /// `regions`: whole regions (0).
+    /// `regions`: number of lost regions (0).
     pub regions: u64,
 }
 
-/// Where the platform's list of servers is read.
+/// Access to the platform's server list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudApi {
-    /// `address`: where it is called.
+    /// `address`: address of the API.
     pub address: SocketAddr,
-    /// `ratePerS`: calls per second that it takes from all nodes together (1).
+    /// `ratePerS`: calls per second that it accepts from all nodes together (1).
     pub rate_per_s: f64,
-    /// `lagMs`: how far the list is behind, in milliseconds (0).
+    /// `lagMs`: age of the list's contents in milliseconds (0).
     pub lag_ms: u64,
 }
 
 impl BootSettings {
-    /// The path from [`PATH_VARIABLE`], or [`DEFAULT_PATH`] when that is not set or empty.
+    /// The path from [`PATH_VARIABLE`], or [`DEFAULT_PATH`] if the variable is not set or empty.
     pub fn path() -> PathBuf {
         match env::var_os(PATH_VARIABLE) {
             Some(path) if !path.is_empty() => PathBuf::from(path),
@@ -138,7 +138,7 @@
     /// Reads the file at [`BootSettings::path`].
     ///
     /// # Errors
-    /// [`BootSettingsError`] when the file can't be read or [`BootSettings::parse`] refuses it.
+    /// The file can't be read, or [`BootSettings::parse`] rejects it.
     pub fn load() -> Result<Self, BootSettingsError> {
         let path = Self::path();
         match fs::read_to_string(&path) {
@@ -147,69 +147,70 @@
         }
     }
 
-    /// Reads the text of a settings file; `path` only stands in errors.
+    /// Parses the text of a settings file; `path` is only used in errors.
     ///
     /// # Errors
-    /// [`BootSettingsError`] when the text is not TOML, a required key is missing or a key holds a wrong value.
+    /// The text is not valid TOML, a required key is missing, or the value of a key is invalid.
     pub fn parse(text: &str, path: &Path) -> Result<Self, BootSettingsError> {
         let table: Table = text.parse().map_err(|error: toml::de::Error| syntax_error(path, &error))?;
-        Self::read(&Section::top(path, &table))
+        Self::read(&Section::root(path, &table))
     }
 
-    /// Port at which control machines serve the operator: this machine's own, else that of the seeds.
+    /// Port of the operator's API on control machines: this machine's own, else the port of the first seed.
+    /// `None` if the settings name neither.
     pub fn control_port(&self) -> Option<u16> {
-        let own = self.listen.control.as_ref();
-        own.or(self.seeds.first()).map(SocketAddr::port)
+        let own_address = self.listen.control.as_ref();
+        own_address.or(self.seeds.first()).map(SocketAddr::port)
     }
 
-    /// Port at which control machines talk with one another and with agents.
+    /// Port on which control machines accept connections from one another and from agents.
     pub fn internal_port(&self) -> u16 {
         self.internal_ports.0
     }
 
-    /// Loopback port at which the agent of a front machine feeds the proxy beside it.
+    /// Port on which the agent of a front machine serves the feed to the proxy on the same machine.
     pub fn agent_feed_port(&self) -> u16 {
-        self.internal_ports.0 + AGENT_FEED_OFFSET
+        self.internal_ports.0 + AGENT_FEED_PORT_OFFSET
     }
 
-    /// True when the role serves `what` (`front` or `control`).
-    pub fn serves(&self, what: &str) -> bool {
-        self.serves.iter().any(|served| served == what)
+    /// True if the role serves `endpoint` (`front` or `control`).
+    pub fn serves(&self, endpoint: &str) -> bool {
+        self.serves.iter().any(|served| served == endpoint)
     }
 
-    /// True when the part of the rules called `name` is in force.
+    /// True if the contract `name` is in force.
     pub fn has_contract(&self, name: &str) -> bool {
         self.contracts.iter().any(|contract| contract == name)
     }
 
-    fn read(top: &Section<'_>) -> Result<Self, BootSettingsError> {
-        let zone = top.text("zone")?.unwrap_or_default().to_owned();
-        let zones: BTreeMap<String, String> = top.section("zones")?.text_pairs()?.into_iter().collect();
-        let region = match top.text("region")? {
+    fn read(root: &Section<'_>) -> Result<Self, BootSettingsError> {
+        let zone = root.string("zone")?.unwrap_or_default().to_owned();
+        let zones: BTreeMap<String, String> = root.section("zones")?.string_pairs()?.into_iter().collect();
+        let region = match root.string("region")? {
             Some(region) => region.to_owned(),
             None => zones.get(&zone).cloned().unwrap_or_default(),
         };
         Ok(Self {
-            node_name: read_node_name(top)?,
-            role: top.text("role")?.unwrap_or_default().to_owned(),
-            machine_class: top.text("machineClass")?.unwrap_or_default().to_owned(),
-            serves: top.texts("serves")?,
-            ip: top.ip("ip")?.ok_or_else(|| top.missing("ip", "the machine's IP address"))?,
+            node_name: read_node_name(root)?,
+            role: root.string("role")?.unwrap_or_default().to_owned(),
+            machine_class: root.string("machineClass")?.unwrap_or_default().to_owned(),
+            serves: root.strings("serves")?,
+            ip: root.ip("ip")?.ok_or_else(|| root.missing_key("ip", "the machine's IP address"))?,
             zone,
             region,
-            internal_ports: read_internal_ports(top)?,
-            seeds: top.addresses("seeds")?,
-            bootstrap: top.flag("bootstrap")?.unwrap_or(false),
-            counts_for_quorum: top.flag("countsForQuorum")?.unwrap_or(false),
-            data_dir: top.text("dataDir")?.filter(|folder| !folder.is_empty()).map(PathBuf::from),
-            heartbeat_ms: top.whole("heartbeatMs")?.unwrap_or(DEFAULT_HEARTBEAT_MS),
-            contracts: top.texts("contracts")?,
+            internal_ports: read_internal_ports(root)?,
+            seeds: root.addresses("seeds")?,
+            bootstrap: root.boolean("bootstrap")?.unwrap_or(false),
+            counts_for_quorum: root.boolean("countsForQuorum")?.unwrap_or(false),
+            data_dir: root.string("dataDir")?.filter(|folder| !folder.is_empty()).map(PathBuf::from),
+            heartbeat_ms: root.integer("heartbeatMs")?.unwrap_or(DEFAULT_HEARTBEAT_MS),
+            contracts: root.strings("contracts")?,
             zones,
-            listen: ListenAddresses::read(&top.section("listen")?)?,
-            limits: MachineLimits::read(&top.section("limits")?)?,
-            fault_tolerance: FaultTolerance::read(&top.section("faultTolerance")?)?,
-            bounds: ContractBounds::read(&top.section("bounds")?)?,
-            cloud_api: CloudApi::read(&top.section("cloudApi")?)?,
+            listen: ListenAddresses::read(&root.section("listen")?)?,
+            limits: MachineLimits::read(&root.section("limits")?)?,
+            fault_tolerance: FaultTolerance::read(&root.section("faultTolerance")?)?,
+            bounds: ContractBounds::read(&root.section("bounds")?)?,
+            cloud_api: CloudApi::read(&root.section("cloudApi")?)?,
         })
     }
 }
@@ -236,10 +237,10 @@
         Ok(Self {
             cpu_share: section.number("cpuShare")?.unwrap_or(default.cpu_share),
             cores: section.number("cores")?.unwrap_or(default.cores),
-            memory_mb: section.whole("memoryMb")?.unwrap_or(default.memory_mb),
-            max_fds: section.whole("maxFds")?.unwrap_or(default.max_fds),
+            memory_mb: section.integer("memoryMb")?.unwrap_or(default.memory_mb),
+            max_fds: section.integer("maxFds")?.unwrap_or(default.max_fds),
             link_mbps: section.number("linkMbps")?.unwrap_or(default.link_mbps),
-            disk_mb: section.whole("diskMb")?.unwrap_or(default.disk_mb),
+            disk_mb: section.integer("diskMb")?.unwrap_or(default.disk_mb),
         })
     }
 }
@@ -247,43 +248,43 @@
 impl FaultTolerance {
     fn read(section: &Section<'_>) -> Result<Self, BootSettingsError> {
         Ok(Self {
-            machines: section.whole("machines")?.unwrap_or(0),
-            zones: section.whole("zones")?.unwrap_or(0),
-            regions: section.whole("regions")?.unwrap_or(0),
+            machines: section.integer("machines")?.unwrap_or(0),
+            zones: section.integer("zones")?.unwrap_or(0),
+            regions: section.integer("regions")?.unwrap_or(0),
         })
     }
 }
 
 impl CloudApi {
-    /// Calls per second when the file names no rate.
+    /// Calls per second if the file does not state a rate.
     const DEFAULT_RATE_PER_S: f64 = 1.0;
 
     fn read(section: &Section<'_>) -> Result<Option<Self>, BootSettingsError> {
         let address = section.address("address")?;
         let rate_per_s = section.number("ratePerS")?.unwrap_or(Self::DEFAULT_RATE_PER_S);
-        let lag_ms = section.whole("lagMs")?.unwrap_or(0);
+        let lag_ms = section.integer("lagMs")?.unwrap_or(0);
         Ok(address.map(|address| Self { address, rate_per_s, lag_ms }))
     }
 }
 
-fn read_node_name(top: &Section<'_>) -> Result<String, BootSettingsError> {
-    let expected = "a text that is not empty";
-    let name = top.optional("nodeName", expected, |value| value.as_str().filter(|name| !name.is_empty()))?;
-    name.map(str::to_owned).ok_or_else(|| top.missing("nodeName", expected))
+fn read_node_name(root: &Section<'_>) -> Result<String, BootSettingsError> {
+    let expected = "a string that is not empty";
+    let name = root.optional("nodeName", expected, |value| value.as_str().filter(|name| !name.is_empty()))?;
+    name.map(str::to_owned).ok_or_else(|| root.missing_key("nodeName", expected))
 }
 
-fn read_internal_ports(top: &Section<'_>) -> Result<(u16, u16), BootSettingsError> {
+fn read_internal_ports(root: &Section<'_>) -> Result<(u16, u16), BootSettingsError> {
     let expected = "two ports, the first and the last of a range of at least three, such as [7000, 7015]";
-    let ports = top.optional("internalPorts", expected, port_range)?;
-    ports.ok_or_else(|| top.missing("internalPorts", expected))
+    let ports = root.optional("internalPorts", expected, port_range)?;
+    ports.ok_or_else(|| root.missing_key("internalPorts", expected))
 }
 
 fn port_range(value: &Value) -> Option<(u16, u16)> {
     let [first, last] = value.as_array()?.as_slice() else { return None };
     let first = u16::try_from(first.as_integer()?).ok()?;
     let last = u16::try_from(last.as_integer()?).ok()?;
-    let needed = first.checked_add(AGENT_FEED_OFFSET)?;
-    (first > 0 && last >= needed).then_some((first, last))
+    let min_last = first.checked_add(AGENT_FEED_PORT_OFFSET)?;
+    (first > 0 && last >= min_last).then_some((first, last))
 }
 
 fn syntax_error(path: &Path, error: &toml::de::Error) -> BootSettingsError {
--- a/crates/settings/src/fleet_config/error.rs
+++ b/crates/settings/src/fleet_config/error.rs
@@ -1,81 +1,81 @@
-//! Why a configuration was not accepted.
+//! Errors of the operator's configuration.
 
-/// An invalid configuration. Each message names the place as a JSON pointer, what was expected there and the
-/// remedy. No message repeats an API key.
+/// An invalid configuration. Each message names the location as a JSON pointer, the expected value and the
+/// remedy. No message contains an API key.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The body is not one whole JSON document.
+    /// The body is not exactly one complete JSON document.
     #[error(
-        "the configuration is not one whole JSON document ({reason}); send it complete and nothing after it"
+        "the configuration is not exactly one JSON document ({reason}); send it complete and nothing after it"
     )]
     InvalidJson {
-        /// What the JSON reader found, and where.
+        /// Message of the JSON parser, with the position.
         reason: String,
     },
-    /// Arrays and objects stand inside one another too deeply.
-    #[error("the configuration nests more than {limit} levels deep; send one with fewer levels")]
+    /// Arrays and objects are nested too deeply.
+    #[error("the configuration is nested more than {limit} levels deep; send one with fewer levels")]
     TooDeep {
-        /// Levels that are accepted.
+        /// Greatest nesting depth that is accepted.
         limit: usize,
     },
-    /// A field that has no default is absent or null.
+    /// A required field is missing or null.
     #[error("{pointer}: missing; add {expected}")]
     MissingField {
-        /// Place of the field.
+        /// JSON pointer to the field.
         pointer: String,
-        /// What the value has to be.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// A value is of another type or outside its range.
-    #[error("{pointer}: of the wrong type or out of range; change it to {expected}")]
+    /// A value has the wrong type or is out of range.
+    #[error("{pointer}: wrong type or out of range; change it to {expected}")]
     InvalidValue {
-        /// Place of the value.
+        /// JSON pointer to the value.
         pointer: String,
-        /// What the value has to be.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// A route names a service that the configuration doesn't list.
+    /// A route names a service that the configuration does not define.
     #[error("{pointer}: service `{service}` is not listed; add it under `services` or name one that is")]
     UnknownService {
-        /// Place of the name.
+        /// JSON pointer to the name.
         pointer: String,
-        /// The name.
+        /// The unknown name.
         service: String,
     },
     /// Two routes have the same host and prefix.
     #[error("{pointer}: the same host and prefix as {first}; remove one of the two or change its prefix")]
     DuplicateRoute {
-        /// Place of the later route.
+        /// JSON pointer to the later route.
         pointer: String,
-        /// Place of the earlier route.
+        /// JSON pointer to the earlier route.
         first: String,
     },
     /// Two services have the same name.
     #[error("{pointer}: the same name as {first}; rename or remove one of the two services")]
     DuplicateService {
-        /// Place of the later service.
+        /// JSON pointer to the later service.
         pointer: String,
-        /// Place of the earlier service.
+        /// JSON pointer to the earlier service.
         first: String,
     },
     /// The weights of a split sum to 0.
     #[error("{pointer}: the weights sum to 0; give at least one target a weight above 0")]
     ZeroWeights {
-        /// Place of the split.
+        /// JSON pointer to the split.
         pointer: String,
     },
-    /// An API key stands more than once.
+    /// An API key occurs more than once.
     #[error("{pointer}: the same key as {first}; remove it from one of the two places")]
     DuplicateApiKey {
-        /// Place of the later key.
+        /// JSON pointer to the later key.
         pointer: String,
-        /// Place of the earlier key.
+        /// JSON pointer to the earlier key.
         first: String,
     },
 }
 
 impl ConfigError {
-    /// JSON pointer of the offending place; empty for the document as a whole.
+    /// JSON pointer to the invalid value; empty for the document as a whole.
     pub fn pointer(&self) -> &str {
         match self {
             Self::InvalidJson { .. } | Self::TooDeep { .. } => "",
--- a/crates/settings/src/fleet_config/index.rs
+++ b/crates/settings/src/fleet_config/index.rs
@@ -1,11 +1,11 @@
-//! A table from the hash of a text to a position in a list.
+//! An index from the hash of a string to a position in a list.
 //!
-//! Sixteen bytes an entry, found by halving. The texts stay in the list that the positions point into; the
-//! caller compares them, since two texts may share a hash.
+//! Entries take 16 bytes and are found by binary search. The strings themselves stay in the list; the caller
+//! compares them, since different strings may have the same hash.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Hashes and positions, in order of the hash.
+/// Pairs of hash and position, sorted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct HashIndex {
     entries: Vec<(u64, u32)>,
@@ -18,36 +18,39 @@
         Self { entries }
     }
 
-    /// Positions whose text has this hash.
+    /// Positions of the strings with this hash, in ascending order.
     pub(super) fn positions(&self, hash: u64) -> impl Iterator<Item = usize> + '_ {
         let start = self.entries.partition_point(|entry| entry.0 < hash);
-        let same = self.entries[start..].iter().take_while(move |entry| entry.0 == hash);
-        same.map(|entry| entry.1 as usize)
+        let is_same = self.entries[start..].iter().take_while(move |entry| entry.0 == hash);
+        is_same.map(|entry| entry.1 as usize)
     }
 
-    /// The earliest position whose text stands before already, as `same` says, with the place of that one: the
-    /// earlier position first.
-    pub(super) fn first_repeat(&self, same: impl Fn(usize, usize) -> bool) -> Option<(usize, usize)> {
-        let runs = self.entries.chunk_by(|left, right| left.0 == right.0);
-        runs.filter_map(|run| first_repeat_in(run, &same)).min_by_key(|pair| pair.1)
+    /// The lowest position whose string equals that of an earlier position, as decided by `is_same`. Returns
+    /// the earlier position first, then the later one.
+    pub(super) fn first_duplicate(&self, is_same: impl Fn(usize, usize) -> bool) -> Option<(usize, usize)> {
+        let groups = self.entries.chunk_by(|left, right| left.0 == right.0);
+        groups.filter_map(|group| first_duplicate_in(group, &is_same)).min_by_key(|pair| pair.1)
     }
 }
 
-/// The same for entries that share a hash, which stand in order of their positions.
-fn first_repeat_in(run: &[(u64, u32)], same: &impl Fn(usize, usize) -> bool) -> Option<(usize, usize)> {
-    run.iter().enumerate().find_map(|(count, later)| {
+/// The same for entries with one hash, sorted by position.
+fn first_duplicate_in(
+    group: &[(u64, u32)],
+    is_same: &impl Fn(usize, usize) -> bool,
+) -> Option<(usize, usize)> {
+    group.iter().enumerate().find_map(|(count, later)| {
         let later = later.1 as usize;
-        let mut earlier = run[..count].iter().map(|entry| entry.1 as usize);
-        Some((earlier.find(|&earlier| same(earlier, later))?, later))
+        let mut earlier = group[..count].iter().map(|entry| entry.1 as usize);
+        Some((earlier.find(|&earlier| is_same(earlier, later))?, later))
     })
 }
 
-/// Hash of one text.
+/// Hash of a string.
 pub(super) fn hash_text(text: &str) -> u64 {
-    hash_below(0, text)
+    hash_with_seed(0, text)
 }
 
-/// Hash of a text together with what `seed` is the hash of.
-pub(super) fn hash_below(seed: u64, text: &str) -> u64 {
+/// Hash of a pair of strings: `seed` is the hash of the first, `text` is the second.
+pub(super) fn hash_with_seed(seed: u64, text: &str) -> u64 {
     xxh3_64_with_seed(text.as_bytes(), seed)
 }
--- a/crates/settings/src/fleet_config/mod.rs
+++ b/crates/settings/src/fleet_config/mod.rs
@@ -1,8 +1,8 @@
 //! The operator's configuration: routes, services, tenants and client limits.
 //!
-//! [`FleetConfig::parse`] takes the body as the operator sent it and makes every check but that of the version
-//! against the one in place. Fields that are not known are ignored, and null counts as absent; optional fields
-//! get the defaults that each field documents.
+//! [`FleetConfig::parse`] parses the body that the operator sent and makes all checks, except that it does
+//! not compare the version with the current one. Unknown fields are ignored, and null counts as missing. The
+//! documentation of each field names its key, with the default for a missing value in parentheses.
 
 mod error;
 mod field;
@@ -13,67 +13,68 @@
 use std::fmt;
 
 pub use error::ConfigError;
-use index::{HashIndex, hash_below, hash_text};
+use index::{HashIndex, hash_text, hash_with_seed};
 
 /// A valid configuration.
 ///
-/// Lookups go through indexes that [`FleetConfig::parse`] makes: treat the lists as read only.
+/// Lookups use indexes built by [`FleetConfig::parse`], so the lists must not be modified.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetConfig {
-    /// `version`: at least 1, rises with each change.
+    /// `version`: at least 1, increases with each change.
     pub version: u64,
     /// `routes`, in the operator's order.
     pub routes: Vec<Route>,
     /// `services`, in the operator's order.
     pub services: Vec<Service>,
-    /// `limits`: what a client may send.
+    /// `limits`: limits on clients.
     pub limits: ClientLimits,
-    /// `tenants`, in the operator's order; when there are none, no key is asked for.
+    /// `tenants`, in the operator's order; without tenants, no API key is required.
     pub tenants: Vec<Tenant>,
     by_host_and_prefix: HashIndex,
-    by_key: HashIndex,
-    longest_prefix: usize,
+    by_api_key: HashIndex,
+    longest_prefix_bytes: usize,
 }
 
-/// Where requests of a host and a path prefix go.
+/// Target services and policies of the requests with one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// `name` (host and prefix).
+    /// `name` (the host followed by the path prefix).
     pub name: String,
     /// `host`: lower case, without a port.
     pub host: String,
-    /// `pathPrefix`: begins and ends with a slash.
+    /// `pathPrefix`: starts and ends with a slash.
     pub path_prefix: String,
-    /// `kind` (unsafe).
+    /// `kind`: whether requests may be repeated (unsafe).
     pub kind: RouteKind,
-    /// `timeoutMs`: longest time to hold a request in milliseconds, at least 1.
+    /// `timeoutMs`: longest duration of a request in milliseconds, at least 1.
     pub timeout_ms: u64,
-    /// `targetLatencyMs`: time to the answer, or to the first event of a stream, in milliseconds (`timeoutMs`).
+    /// `targetLatencyMs`: target for the time to the response, or to the first event of a stream, in
+    /// milliseconds (`timeoutMs`).
     pub target_latency_ms: u64,
-    /// `priority`: rank, 0 is the highest (0).
+    /// `priority`: 0 is the highest (0).
     pub priority: u32,
-    /// `service`, as one target of weight 1, or `trafficSplit`; at least one target has a weight above 0.
+    /// `trafficSplit`, or `service` as a single target of weight 1; at least one target has a weight above 0.
     pub targets: Vec<SplitTarget>,
     /// `maxAttempts`: most servers that one request may be sent to, at least 1 (1).
     pub max_attempts: u32,
-    /// `public`: needs no key (false).
+    /// `public`: requests need no API key (false).
     pub public: bool,
-    /// `sticky`: its requests have parts of prompts in common (false).
+    /// `sticky`: requests share prompt prefixes, so that servers can reuse their prefix caches (false).
     pub sticky: bool,
-    /// `resumable`: a stream may go on at another server (false).
+    /// `resumable`: a stream may be continued on another server (false).
     pub resumable: bool,
-    /// `target_event_gap_ms`: longest pause between events of a stream in milliseconds (none).
+    /// `gap_aim_ms`: target for the longest pause between events of a stream in milliseconds (`None`).
     pub target_event_gap_ms: Option<u64>,
 }
 
-/// What may be repeated.
+/// Whether the requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Safe,
-    /// Runs at most once; also what an unknown word is read as.
+    /// Must be executed at most once; also for unknown values of `kind`.
     Unsafe,
-    /// A stream of events; may be repeated only where the route is resumable.
+    /// Answered by a stream of events; may be repeated only if the route is resumable.
     Streaming,
 }
 
@@ -82,125 +83,127 @@
 pub struct SplitTarget {
     /// Position in [`FleetConfig::services`].
     pub service: usize,
-    /// Weight relative to the other targets; 0 gets no requests.
+    /// Weight relative to the other targets; a target of weight 0 receives no requests.
     pub weight: u32,
 }
 
-/// A group of servers that answer alike.
+/// A group of interchangeable servers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// `name`: unique.
     pub name: String,
-    /// `healthPath` (`/health`).
+    /// `healthPath`: path of the health check (`/health`).
     pub health_path: String,
-    /// `maxConns`: connections that a server takes from all callers together, at least 1 (64).
+    /// `maxConns`: most connections that a server accepts from all clients together, at least 1 (64).
     pub max_conns: u32,
-    /// `engine`: the batch engine that its servers run (none).
+    /// `engine`: the batching inference engine of its servers (`None`).
     pub engine: Option<Engine>,
 }
 
-/// The batch engine of a service's servers.
+/// The batching inference engine that each server of a service runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// `slots`: requests in one batch, at least 1 (1).
+    /// `slots`: most requests in one batch, at least 1 (1).
     pub slots: u32,
-    /// `kvTokens`: tokens that the memory holds (0, unknown).
+    /// `kvTokens`: capacity of the KV cache in tokens (0, which means unknown).
     pub kv_tokens: u64,
-    /// `kvTokenBytes`: bytes of a kept token (0, unknown).
+    /// `kvTokenBytes`: bytes per token in the KV cache (0, which means unknown).
     pub kv_token_bytes: u64,
     /// `max_tokens_per_event`: most tokens in one event of a stream, at least 1 (1).
     pub max_tokens_per_event: u32,
-    /// `linkMbps`: speed of the link between servers in megabits per second (0, unknown).
+    /// `linkMbps`: bandwidth of the link between servers in megabits per second (0, which means unknown).
     pub link_mbps: f64,
-    /// `models`: names of the models that it serves (none).
+    /// `models`: names of the served models (none).
     pub models: Vec<String>,
 }
 
-/// What a client may send and how long it may take.
+/// Limits on the size and duration of what a client sends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// `maxHeaderBytes` (16,384).
+    /// `maxHeaderBytes`: largest request head in bytes (16,384).
     pub max_header_bytes: u64,
-    /// `maxBodyBytes` (4,194,304).
+    /// `maxBodyBytes`: largest request body in bytes (4,194,304).
     pub max_body_bytes: u64,
-    /// `headerTimeoutMs`: time for a whole head in milliseconds (3,000).
+    /// `headerTimeoutMs`: longest time to receive a complete request head in milliseconds (3,000).
     pub header_timeout_ms: u64,
-    /// `idleTimeoutMs`: time that a connection may rest in milliseconds (15,000).
+    /// `idleTimeoutMs`: longest time for which a connection may be idle in milliseconds (15,000).
     pub idle_timeout_ms: u64,
 }
 
-/// Someone with keys and a quota.
+/// A customer with API keys and a quota.
 #[derive(Clone, PartialEq)]
 pub struct Tenant {
-    /// `name`.
+    /// `name`: name of the tenant.
     pub name: String,
-    /// `apiKeys` (none); no key stands twice in a configuration.
+    /// `apiKeys` (none); each key is unique within a configuration.
     pub api_keys: Vec<String>,
-    /// `priority`: comes before that of the route (that of the route).
+    /// `priority`: overrides the priority of the route (`None`: the priority of the route applies).
     pub priority: Option<u32>,
-    /// `unit`: what the quota counts (requests).
+    /// `unit`: unit of the quota (requests).
     pub unit: QuotaUnit,
-    /// `plainTokens`: tokens charged for a request that states none (1).
+    /// `plainTokens`: tokens charged for a request that does not state its number (1).
     pub default_request_tokens: u64,
-    /// `ratePerS`: units per second over all nodes; 0 is no limit (0).
+    /// `ratePerS`: quota in units per second, summed over all nodes; 0 means no limit (0).
     pub rate_per_s: f64,
-    /// `burst`: units on top of the rate (0).
+    /// `burst`: units permitted in addition to the rate (0).
     pub burst: f64,
 }
 
-/// What a quota counts.
+/// The unit of a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaUnit {
-    /// Requests; also what an unknown word is read as.
+    /// Requests; also for unknown values of `unit`.
     Requests,
-    /// Tokens of prompt and answer (`token_stream`).
+    /// Tokens of the prompt and the response (`token_stream`).
     Tokens,
 }
 
 impl FleetConfig {
-    /// Reads and checks a configuration as the operator sent it, but for its version against the one in place.
+    /// Parses and checks a configuration as sent by the operator. Its version is not compared with the
+    /// current one.
     ///
     /// # Errors
-    /// [`ConfigError`], with the place and the remedy, for the first thing that is wrong.
+    /// The first error in the document, with its location and the remedy.
     pub fn parse(bytes: &[u8]) -> Result<Self, ConfigError> {
         parse::document(bytes)
     }
 
-    /// The route of a request: of those of its host, the one whose prefix begins the path and is longest.
+    /// The route of a request: among the routes of its host, the one with the longest prefix of the path.
     ///
-    /// `host` may carry a port and upper case, `path` a query; neither counts. Takes one lookup for each slash
-    /// of the path up to the longest prefix.
+    /// The port and the case of `host` and the query of `path` are ignored. Takes one lookup per slash of the
+    /// path, up to the length of the longest prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let host = without_port(host);
+        let host = strip_port(host);
         let host_hash = hash_host(host);
         let path = path.split(['?', '#']).next().unwrap_or_default();
-        let reach = path.len().min(self.longest_prefix);
-        let slashes = (0..reach).rev().filter(|&at| path.as_bytes()[at] == b'/');
+        let search_end = path.len().min(self.longest_prefix_bytes);
+        let slashes = (0..search_end).rev().filter(|&at| path.as_bytes()[at] == b'/');
         slashes.map(|at| &path[..=at]).find_map(|prefix| {
-            let positions = self.by_host_and_prefix.positions(hash_below(host_hash, prefix));
+            let positions = self.by_host_and_prefix.positions(hash_with_seed(host_hash, prefix));
             positions
                 .map(|position| &self.routes[position])
                 .find(|route| route.path_prefix == prefix && route.host.eq_ignore_ascii_case(host))
         })
     }
 
-    /// Position in [`FleetConfig::tenants`] of the tenant with this key; an empty key is nobody's.
+    /// Position in [`FleetConfig::tenants`] of the tenant with this API key; `None` for an unknown or empty
+    /// key.
     pub fn tenant_by_key(&self, key: &str) -> Option<usize> {
         if key.is_empty() {
             return None;
         }
-        let mut positions = self.by_key.positions(hash_text(key));
+        let mut positions = self.by_api_key.positions(hash_text(key));
         positions.find(|&position| self.tenants[position].api_keys.iter().any(|own| own == key))
     }
 
-    /// True when requests need a key, unless their route is public.
+    /// True if requests need an API key, except on public routes.
     pub fn requires_api_keys(&self) -> bool {
         !self.tenants.is_empty()
     }
 }
 
 impl Route {
-    /// True when a request may run more than once: safe, or a stream that may be resumed.
+    /// True if a request may be executed more than once: a safe request, or a resumable stream.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -209,9 +212,10 @@
         }
     }
 
-    /// Position of the service whose share of the weights holds `point`, which goes from 0 to below 1.
+    /// Position in [`FleetConfig::services`] of the target that a `point` in the range from 0 (inclusive) to
+    /// 1 (exclusive) selects. Each target covers a part of the range in proportion to its weight.
     ///
-    /// A point outside that range goes to the nearest target with a weight.
+    /// A point outside the range selects the first or last target with a weight above 0.
     pub fn choose_target(&self, point: f64) -> usize {
         split::choose(&self.targets, point)
     }
@@ -229,7 +233,7 @@
 }
 
 impl fmt::Debug for Tenant {
-    /// Shows how many keys there are, not the keys.
+    /// Shows the number of API keys instead of the keys.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("Tenant")
@@ -244,15 +248,15 @@
     }
 }
 
-/// The host without a port; the colons inside `[` and `]` belong to the address.
-fn without_port(host: &str) -> &str {
+/// The host without its port. Colons within `[` and `]` belong to an IPv6 address.
+fn strip_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) && !name.is_empty() => name,
         _ => host,
     }
 }
 
-/// Hash of a host, the same for upper and lower case.
+/// Case-insensitive hash of a host.
 fn hash_host(host: &str) -> u64 {
     if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
         hash_text(&host.to_ascii_lowercase())
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,13 @@
-//! The two documents that a process of the fleet reads: its own settings file and the operator's
+//! Parsers of the two documents that a process of the fleet reads: its settings file and the operator's
 //! configuration.
 //!
-//! [`BootSettings`] is the settings file (TOML): who the process is, where it listens, its limits and the bounds that
-//! hold. [`FleetConfig`] is the operator's configuration (JSON): routes, services, tenants and client limits,
-//! with indexes that find the route of a request and the tenant of a key. Both are checked as a whole; an error
-//! names the place, what was expected there and the remedy.
+//! [`BootSettings`] is the settings file (TOML): the identity of the machine, its listen addresses, its
+//! limits and the bounds of the contracts in force. [`FleetConfig`] is the operator's configuration (JSON):
+//! routes, services, tenants and client limits, with indexes that find the route of a request and the tenant
+//! of an API key. Both parsers accept only fully valid documents; an error names the location, the expected
+//! value and the remedy.
 //!
-//! The only input or output in this crate is [`BootSettings::load`], which reads one file.
+//! The only I/O in this crate is in [`BootSettings::load`], which reads one file.
 #![forbid(unsafe_code)]
 
 pub mod boot;
--- a/crates/settings/tests/boot.rs
+++ b/crates/settings/tests/boot.rs
@@ -1,4 +1,4 @@
-//! Settings files: each key, each default, each error.
+//! Settings files: every key, every default and every error.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 
 const FRONT: &str = include_str!("fixtures/front.toml");
 const CORE: &str = include_str!("fixtures/core.toml");
-const LEAST: &str = "nodeName = \"a\"\nip = \"192.0.2.1\"\ninternalPorts = [6100, 6102]\n";
+const MINIMAL: &str = "nodeName = \"a\"\nip = \"192.0.2.1\"\ninternalPorts = [6100, 6102]\n";
 
 fn parse(text: &str) -> Result<BootSettings, BootSettingsError> {
     BootSettings::parse(text, Path::new("settings.toml"))
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn reads_limits_and_the_list_of_servers() {
+fn reads_limits_and_cloud_api() {
     let boot = parse(FRONT).expect("valid");
     assert_eq!((boot.limits.cpu_share, boot.limits.cores), (0.4, 2.0));
     assert_eq!((boot.limits.memory_mb, boot.limits.max_fds, boot.limits.disk_mb), (300, 2000, 0));
     assert_eq!(boot.limits.link_mbps, 100.0);
-    let cloud = boot.cloud_api.expect("stands in the file");
+    let cloud = boot.cloud_api.expect("the file has the table");
     assert_eq!(cloud.address, address("192.0.2.200:6400"));
     assert_eq!((cloud.rate_per_s, cloud.lag_ms), (12.5, 700));
 }
@@ -82,17 +82,17 @@
 }
 
 #[test]
-fn names_the_ports() {
+fn derives_the_ports() {
     let front = parse(FRONT).expect("valid");
     assert_eq!(front.control_port(), Some(6200), "from the seeds");
     assert_eq!((front.internal_port(), front.agent_feed_port()), (6100, 6102));
     let core = parse(CORE).expect("valid");
     assert_eq!(core.control_port(), Some(6200), "its own");
-    assert_eq!(parse(LEAST).expect("valid").control_port(), None);
+    assert_eq!(parse(MINIMAL).expect("valid").control_port(), None);
 }
 
 #[test]
-fn takes_the_region_from_the_zone_when_it_is_left_out() {
+fn region_defaults_to_that_of_the_zone() {
     let core = parse(CORE).expect("valid");
     assert_eq!(core.region, "hill");
     assert_eq!(core.data_dir, Some(PathBuf::from("data/keeper")));
@@ -101,9 +101,9 @@
 
 #[test]
 fn fills_in_defaults() {
-    let boot = parse(LEAST).expect("three keys are enough");
+    let boot = parse(MINIMAL).expect("three keys are enough");
     assert_eq!(boot.bounds, ContractBounds::default());
-    assert_eq!(boot.bounds.retry_slack, 0.0, "an absent key permits nothing extra");
+    assert_eq!(boot.bounds.retry_slack, 0.0, "a missing key permits nothing extra");
     assert_eq!(boot.heartbeat_ms, 1_000);
     assert_eq!((boot.limits.cpu_share, boot.limits.cores), (1.0, 1.0));
     assert_eq!(boot.fault_tolerance, FaultTolerance::default());
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn takes_empty_values_as_absent() {
-    let text = format!("{LEAST}dataDir = \"\"\n[listen]\ncontrol = \"\"\n[cloudApi]\nduties = []\n");
+fn empty_values_count_as_missing() {
+    let text = format!("{MINIMAL}dataDir = \"\"\n[listen]\ncontrol = \"\"\n[cloudApi]\nduties = []\n");
     let boot = parse(&text).expect("valid");
     assert_eq!((boot.data_dir, boot.listen.control, boot.cloud_api), (None, None, None));
 }
@@ -122,7 +122,7 @@
 fn names_each_missing_key() {
     for key in ["nodeName", "ip", "internalPorts"] {
         let text: String =
-            LEAST.lines().filter(|line| !line.starts_with(key)).map(|line| format!("{line}\n")).collect();
+            MINIMAL.lines().filter(|line| !line.starts_with(key)).map(|line| format!("{line}\n")).collect();
         let error = parse(&text).expect_err(key);
         assert!(matches!(error, BootSettingsError::MissingKey { .. }), "{error}");
         assert_eq!(error.key(), Some(key));
@@ -130,8 +130,8 @@
     }
 }
 
-/// A key, a value that it can't have, and what the message has to name.
-const WRONG: &[(&str, &str)] = &[
+/// Keys with invalid values.
+const INVALID_VALUES: &[(&str, &str)] = &[
     ("nodeName", "\"\""),
     ("nodeName", "7"),
     ("role", "[]"),
@@ -184,14 +184,14 @@
 ];
 
 #[test]
-fn names_each_wrong_key_and_the_remedy() {
-    for (key, value) in WRONG {
-        let kept: String = LEAST
+fn names_each_invalid_key_and_the_remedy() {
+    for (key, value) in INVALID_VALUES {
+        let other_lines: String = MINIMAL
             .lines()
             .filter(|line| !line.starts_with(&format!("{key} ")))
             .map(|line| format!("{line}\n"))
             .collect();
-        let error = parse(&format!("{kept}{key} = {value}\n")).expect_err(key);
+        let error = parse(&format!("{other_lines}{key} = {value}\n")).expect_err(key);
         assert!(matches!(error, BootSettingsError::InvalidValue { .. }), "{key} = {value}: {error}");
         assert_eq!(error.key(), Some(*key), "{key} = {value}");
         let message = error.to_string();
@@ -200,20 +200,20 @@
 }
 
 #[test]
-fn shortens_the_value_in_a_message() {
-    let text = format!("{LEAST}bootstrap = \"{}\"\n", "x".repeat(10_000));
+fn truncates_the_value_in_a_message() {
+    let text = format!("{MINIMAL}bootstrap = \"{}\"\n", "x".repeat(10_000));
     assert!(parse(&text).expect_err("wrong type").to_string().len() < 200);
 }
 
 #[test]
 fn names_the_line_of_a_syntax_error() {
-    let error = parse("nodeName = \"a\"\nip = \n").expect_err("cut short");
+    let error = parse("nodeName = \"a\"\nip = \n").expect_err("value is missing");
     assert!(matches!(error, BootSettingsError::Syntax { .. }));
     assert!(error.to_string().contains("line 2"), "{error}");
 }
 
 #[test]
-fn names_the_variable_when_the_file_is_absent() {
+fn unreadable_file_names_the_variable() {
     let error = BootSettingsError::Unreadable {
         path: PathBuf::from(DEFAULT_PATH),
         variable: dunelink_settings::boot::PATH_VARIABLE,
--- a/crates/settings/tests/config.rs
+++ b/crates/settings/tests/config.rs
@@ -1,16 +1,16 @@
-//! Valid configurations: each field, each default, what is let through.
+//! Valid configurations: every field, every default, and unusual input that is accepted.
 
 use dunelink_settings::{ClientLimits, FleetConfig, QuotaUnit, Route, RouteKind, SplitTarget};
 
 const FULL: &str = include_str!("fixtures/full.json");
-const LEAST: &str = r#"{"version":1,"routes":[],"services":[]}"#;
+const MINIMAL: &str = r#"{"version":1,"routes":[],"services":[]}"#;
 
 fn parse(text: &str) -> FleetConfig {
     FleetConfig::parse(text.as_bytes()).unwrap_or_else(|error| panic!("{error}: {text}"))
 }
 
-/// A configuration whose one route has `fields` beside its host, prefix and time-out.
-fn with_route(fields: &str) -> FleetConfig {
+/// A configuration with one route that has `fields` in addition to its host, prefix and timeout.
+fn parse_with_route(fields: &str) -> FleetConfig {
     parse(&format!(
         r#"{{"version":1,"services":[{{"name":"a"}},{{"name":"b"}},{{"name":"c"}}],
             "routes":[{{"host":"h","pathPrefix":"/p/","timeoutMs":100,{fields}}}]}}"#
@@ -51,7 +51,7 @@
     assert_eq!(route.target_latency_ms, route.timeout_ms);
     assert_eq!((route.priority, route.max_attempts), (0, 1));
     assert!(!route.public && !route.sticky && !route.resumable);
-    assert_eq!(with_route(r#""service":"a""#).routes[0].name, "h/p/");
+    assert_eq!(parse_with_route(r#""service":"a""#).routes[0].name, "h/p/");
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let config = parse(FULL);
     let large = &config.services[0];
     assert_eq!((large.name.as_str(), large.health_path.as_str(), large.max_conns), ("large", "/up", 210));
-    let engine = large.engine.as_ref().expect("stands there");
+    let engine = large.engine.as_ref().expect("the service has an engine");
     assert_eq!(
         (engine.slots, engine.kv_tokens, engine.kv_token_bytes, engine.max_tokens_per_event),
         (32, 250_000, 4096, 5)
@@ -76,11 +76,11 @@
     let limits = parse(FULL).limits;
     assert_eq!((limits.max_header_bytes, limits.max_body_bytes), (8192, 100_000));
     assert_eq!((limits.header_timeout_ms, limits.idle_timeout_ms), (2500, 9000));
-    assert_eq!(parse(LEAST).limits, ClientLimits::default());
+    assert_eq!(parse(MINIMAL).limits, ClientLimits::default());
 }
 
 #[test]
-fn reads_tenants_and_finds_them_by_key() {
+fn reads_tenants_and_finds_them_by_api_key() {
     let config = parse(FULL);
     let gold = &config.tenants[0];
     assert_eq!((gold.priority, gold.unit, gold.default_request_tokens), (Some(2), QuotaUnit::Tokens, 150));
@@ -92,48 +92,48 @@
     assert_eq!(config.tenant_by_key("key-four"), None);
     assert_eq!(config.tenant_by_key("KEY-TWO"), None);
     assert_eq!(config.tenant_by_key(""), None);
-    assert!(config.requires_api_keys() && !parse(LEAST).requires_api_keys());
+    assert!(config.requires_api_keys() && !parse(MINIMAL).requires_api_keys());
 }
 
 #[test]
-fn says_which_requests_may_run_twice() {
+fn idempotency_follows_kind_and_resumable() {
     let config = parse(FULL);
     let idempotent: Vec<bool> = config.routes.iter().map(Route::is_idempotent).collect();
     assert_eq!(idempotent, [true, false, false, true]);
-    let resumable_but_unsafe = with_route(r#""service":"a","kind":"unsafe","resumable":true"#);
+    let resumable_but_unsafe = parse_with_route(r#""service":"a","kind":"unsafe","resumable":true"#);
     assert!(!resumable_but_unsafe.routes[0].is_idempotent());
 }
 
 #[test]
-fn reads_an_unknown_word_as_the_careful_choice() {
-    assert_eq!(with_route(r#""service":"a","kind":"other""#).routes[0].kind, RouteKind::Unsafe);
-    assert_eq!(with_route(r#""service":"a""#).routes[0].kind, RouteKind::Unsafe);
+fn unknown_or_missing_kind_is_unsafe() {
+    assert_eq!(parse_with_route(r#""service":"a","kind":"other""#).routes[0].kind, RouteKind::Unsafe);
+    assert_eq!(parse_with_route(r#""service":"a""#).routes[0].kind, RouteKind::Unsafe);
 }
 
 #[test]
-fn takes_null_as_absent() {
+fn null_counts_as_missing() {
     let fields = r#""service":"a","trafficSplit":null,"priority":null,"kind":null,"maxAttempts":null"#;
-    assert_eq!(targets(&with_route(fields).routes[0]), [(0, 1)]);
+    assert_eq!(targets(&parse_with_route(fields).routes[0]), [(0, 1)]);
     let config = parse(r#"{"version":1,"routes":[],"services":[],"tenants":null,"limits":null}"#);
     assert!(config.tenants.is_empty());
 }
 
 #[test]
-fn takes_a_split_before_a_service() {
-    let both = with_route(r#""service":"c","trafficSplit":[{"service":"b","weight":4}]"#);
+fn split_takes_precedence_over_service() {
+    let both = parse_with_route(r#""service":"c","trafficSplit":[{"service":"b","weight":4}]"#);
     assert_eq!(targets(&both.routes[0]), [(1, 4)]);
-    let empty = with_route(r#""service":"c","trafficSplit":[]"#);
+    let empty = parse_with_route(r#""service":"c","trafficSplit":[]"#);
     assert_eq!(targets(&empty.routes[0]), [(2, 1)]);
 }
 
 #[test]
-fn takes_whole_numbers_with_a_point() {
+fn accepts_integers_written_as_floats() {
     let config = parse(r#"{"version":7.0,"routes":[],"services":[{"name":"a","maxConns":1e2}]}"#);
     assert_eq!((config.version, config.services[0].max_conns), (7, 100));
 }
 
 #[test]
-fn takes_the_largest_version() {
+fn accepts_the_largest_version() {
     let config = parse(r#"{"version":18446744073709551615,"routes":[],"services":[]}"#);
     assert_eq!(config.version, u64::MAX);
 }
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn takes_fields_in_any_order_with_any_spaces_and_escapes() {
+fn accepts_any_field_order_whitespace_and_escapes() {
     let config = parse(
         " {\n\t\"services\" : [ { \"name\" : \"a\\u0062\\\"\" } ] , \"routes\" : [ { \"service\" : \"ab\\\"\" ,
           \"timeoutMs\" : 5 , \"pathPrefix\" : \"\\/x\\/\" , \"h\\u006fst\" : \"H\" } ] , \"version\" : 3 } \r\n",
@@ -158,13 +158,13 @@
 }
 
 #[test]
-fn keeps_texts_that_are_not_ascii() {
+fn keeps_non_ascii_strings() {
     let config = parse(r#"{"version":1,"routes":[],"services":[{"name":"größe 東\ud83d\ude00"}]}"#);
     assert_eq!(config.services[0].name, "größe 東😀");
 }
 
 #[test]
-fn lets_routes_share_a_host_a_prefix_or_a_name() {
+fn routes_may_share_a_host_a_prefix_or_a_name() {
     let config = parse(
         r#"{"version":1,"services":[{"name":"a"}],"routes":[
             {"name":"n","host":"h","pathPrefix":"/p/","timeoutMs":1,"service":"a"},
@@ -176,25 +176,25 @@
 }
 
 #[test]
-fn lets_a_weight_be_zero_or_a_fraction() {
+fn weight_may_be_zero_or_fractional() {
     let split = r#""trafficSplit":[{"service":"a","weight":0},{"service":"b","weight":2}]"#;
-    assert_eq!(targets(&with_route(split).routes[0]), [(0, 0), (1, 2)]);
+    assert_eq!(targets(&parse_with_route(split).routes[0]), [(0, 0), (1, 2)]);
     let split = r#""trafficSplit":[{"service":"a","weight":0.25},{"service":"b","weight":0.75}]"#;
-    assert_eq!(targets(&with_route(split).routes[0]), [(0, 250_000), (1, 750_000)]);
+    assert_eq!(targets(&parse_with_route(split).routes[0]), [(0, 250_000), (1, 750_000)]);
     let split = r#""trafficSplit":[{"service":"a","weight":1e300},{"service":"b","weight":1}]"#;
-    assert_eq!(targets(&with_route(split).routes[0]), [(0, 1_000_000), (1, 1)]);
+    assert_eq!(targets(&parse_with_route(split).routes[0]), [(0, 1_000_000), (1, 1)]);
 }
 
 #[test]
-fn does_not_show_keys_in_debug_output() {
+fn debug_output_hides_api_keys() {
     let shown = format!("{:?}", parse(FULL).tenants);
     assert!(!shown.contains("key-one") && shown.contains("gold"), "{shown}");
 }
 
 #[test]
-fn spreads_points_by_weight() {
+fn chooses_targets_by_weight() {
     let split = r#""trafficSplit":[{"service":"a","weight":1},{"service":"b","weight":0},{"service":"c","weight":3}]"#;
-    let config = with_route(split);
+    let config = parse_with_route(split);
     let route = &config.routes[0];
     assert_eq!(route.choose_target(0.0), 0);
     assert_eq!(route.choose_target(0.2499), 0);
@@ -205,9 +205,9 @@
 }
 
 #[test]
-fn sends_points_out_of_range_to_a_target_with_weight() {
+fn out_of_range_points_choose_a_target_with_weight() {
     let split = r#""trafficSplit":[{"service":"a","weight":0},{"service":"b","weight":1},{"service":"c","weight":0}]"#;
-    let config = with_route(split);
+    let config = parse_with_route(split);
     for point in [-1.0, 1.0, 7.5, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
         assert_eq!(config.routes[0].choose_target(point), 1, "{point}");
     }
--- a/crates/settings/tests/config_errors.rs
+++ b/crates/settings/tests/config_errors.rs
@@ -1,143 +1,145 @@
-//! Configurations that have to be refused, with the place that the error names.
+//! Invalid configurations, and the location that the error reports.
 
 use dunelink_settings::{ConfigError, FleetConfig};
 
 const FULL: &str = include_str!("fixtures/full.json");
 
-fn refuse(bytes: &[u8]) -> ConfigError {
+fn parse_error(bytes: &[u8]) -> ConfigError {
     match FleetConfig::parse(bytes) {
         Err(error) => error,
         Ok(_) => panic!("accepted: {}", String::from_utf8_lossy(bytes)),
     }
 }
 
-/// The full example with the one occurrence of `from` replaced.
-fn changed(from: &str, to: &str) -> String {
+/// The full example with the only occurrence of `from` replaced by `to`.
+fn replaced(from: &str, to: &str) -> String {
     assert_eq!(FULL.matches(from).count(), 1, "{from}");
     FULL.replace(from, to)
 }
 
-fn refuse_changed(from: &str, to: &str) -> ConfigError {
-    refuse(changed(from, to).as_bytes())
+fn parse_error_after(from: &str, to: &str) -> ConfigError {
+    parse_error(replaced(from, to).as_bytes())
 }
 
 #[test]
-fn refuses_a_document_cut_at_any_byte() {
-    let whole = FULL.trim_end();
-    for length in 0..whole.len() {
-        let error = refuse(&whole.as_bytes()[..length]);
+fn rejects_a_document_truncated_at_any_byte() {
+    let document = FULL.trim_end();
+    for length in 0..document.len() {
+        let error = parse_error(&document.as_bytes()[..length]);
         assert!(matches!(error, ConfigError::InvalidJson { .. }), "{length}: {error}");
         assert_eq!(error.pointer(), "");
     }
 }
 
 #[test]
-fn refuses_bytes_after_the_document() {
+fn rejects_bytes_after_the_document() {
     for rest in ["}", "x", "{}", ",", "\0", "\u{feff}"] {
-        let error = refuse(format!("{FULL}{rest}").as_bytes());
+        let error = parse_error(format!("{FULL}{rest}").as_bytes());
         assert!(matches!(error, ConfigError::InvalidJson { .. }), "{rest:?}: {error}");
     }
 }
 
 #[test]
-fn refuses_bytes_that_are_not_utf8() {
-    let broken = changed("\"gold\"", "\"go\u{1}ld\"").replace('\u{1}', "X");
+fn rejects_invalid_utf8() {
+    let broken = replaced("\"gold\"", "\"go\u{1}ld\"").replace('\u{1}', "X");
     let mut bytes = broken.into_bytes();
-    let at = bytes.iter().position(|byte| *byte == b'X').expect("put there");
+    let at = bytes.iter().position(|byte| *byte == b'X').expect("inserted above");
     bytes[at] = 0xff;
-    assert!(matches!(refuse(&bytes), ConfigError::InvalidJson { .. }));
+    assert!(matches!(parse_error(&bytes), ConfigError::InvalidJson { .. }));
 }
 
 #[test]
-fn refuses_documents_that_are_no_objects() {
+fn rejects_documents_that_are_not_objects() {
     for text in ["[]", "7", "\"text\"", "true"] {
-        assert!(matches!(refuse(text.as_bytes()), ConfigError::InvalidValue { .. }), "{text}");
+        assert!(matches!(parse_error(text.as_bytes()), ConfigError::InvalidValue { .. }), "{text}");
     }
 }
 
 #[test]
-fn refuses_deep_nesting() {
+fn rejects_deep_nesting() {
     for open in ["[", "{\"a\":"] {
-        let error = refuse(open.repeat(200_000).as_bytes());
+        let error = parse_error(open.repeat(200_000).as_bytes());
         assert!(matches!(error, ConfigError::TooDeep { .. }), "{error}");
     }
 }
 
 #[test]
-fn does_not_count_brackets_inside_texts_as_nesting() {
+fn ignores_brackets_inside_strings() {
     let name = format!("\\\"{}", "[{".repeat(100));
-    FleetConfig::parse(changed("\"gold\"", &format!("\"{name}\"")).as_bytes()).expect("valid");
+    FleetConfig::parse(replaced("\"gold\"", &format!("\"{name}\"")).as_bytes()).expect("valid");
 }
 
 #[test]
-fn refuses_an_unknown_service() {
-    let error =
-        refuse_changed("\"service\": \"large\", \"maxAttempts\"", "\"service\": \"none\", \"maxAttempts\"");
+fn rejects_an_unknown_service() {
+    let error = parse_error_after(
+        "\"service\": \"large\", \"maxAttempts\"",
+        "\"service\": \"none\", \"maxAttempts\"",
+    );
     let expected =
         ConfigError::UnknownService { pointer: "/routes/0/service".into(), service: "none".into() };
     assert_eq!(error, expected);
     let error =
-        refuse_changed("{\"service\": \"plain\", \"weight\": 30}", "{\"service\": \"no\", \"weight\": 0}");
+        parse_error_after("{\"service\": \"plain\", \"weight\": 30}", "{\"service\": \"no\", \"weight\": 0}");
     assert_eq!(error.pointer(), "/routes/1/trafficSplit/1/service");
 }
 
 #[test]
-fn refuses_an_unknown_service_beside_a_split() {
-    let error = refuse_changed("\"trafficSplit\"", "\"service\": \"none\", \"trafficSplit\"");
+fn rejects_an_unknown_service_next_to_a_split() {
+    let error = parse_error_after("\"trafficSplit\"", "\"service\": \"none\", \"trafficSplit\"");
     assert_eq!(error.pointer(), "/routes/1/service");
 }
 
 #[test]
-fn refuses_two_routes_at_the_same_place() {
-    let error = refuse_changed("\"/chat/draft/\"", "\"/chat/\"");
+fn rejects_duplicate_routes() {
+    let error = parse_error_after("\"/chat/draft/\"", "\"/chat/\"");
     let expected = ConfigError::DuplicateRoute { pointer: "/routes/1".into(), first: "/routes/0".into() };
-    assert_eq!(error, expected, "also where the hosts differ in case");
+    assert_eq!(error, expected, "the case of the hosts is ignored");
 }
 
 #[test]
-fn names_the_first_of_several_routes_at_the_same_place() {
-    let text = changed("\"/chat/draft/\"", "\"/chat/\"").replace("\"/pay/\"", "\"/chat/\"");
-    assert_eq!(refuse(text.as_bytes()).pointer(), "/routes/1");
+fn reports_the_first_duplicate_route() {
+    let text = replaced("\"/chat/draft/\"", "\"/chat/\"").replace("\"/pay/\"", "\"/chat/\"");
+    assert_eq!(parse_error(text.as_bytes()).pointer(), "/routes/1");
 }
 
 #[test]
-fn refuses_weights_that_sum_to_zero() {
-    let text = changed("\"weight\": 70", "\"weight\": 0").replace("\"weight\": 30", "\"weight\": 0.0");
+fn rejects_weights_that_sum_to_zero() {
+    let text = replaced("\"weight\": 70", "\"weight\": 0").replace("\"weight\": 30", "\"weight\": 0.0");
     assert_eq!(
-        refuse(text.as_bytes()),
+        parse_error(text.as_bytes()),
         ConfigError::ZeroWeights { pointer: "/routes/1/trafficSplit".into() }
     );
 }
 
 #[test]
-fn refuses_an_empty_split_without_a_service() {
+fn rejects_an_empty_split_without_a_service() {
     let from = "[{\"service\": \"large\", \"weight\": 70}, {\"service\": \"plain\", \"weight\": 30}]";
-    assert!(matches!(refuse_changed(from, "[]"), ConfigError::ZeroWeights { .. }));
+    assert!(matches!(parse_error_after(from, "[]"), ConfigError::ZeroWeights { .. }));
 }
 
 #[test]
-fn refuses_a_timeout_of_zero() {
+fn rejects_a_timeout_of_zero() {
     for zero in ["0", "0.0", "-0.0"] {
-        let error = refuse_changed("\"timeoutMs\": 800", &format!("\"timeoutMs\": {zero}"));
+        let error = parse_error_after("\"timeoutMs\": 800", &format!("\"timeoutMs\": {zero}"));
         assert_eq!(error.pointer(), "/routes/2/timeoutMs", "{zero}");
     }
 }
 
 #[test]
-fn refuses_a_version_that_is_no_whole_number_above_zero() {
+fn rejects_versions_other_than_positive_integers() {
     for version in ["0", "-3", "1.5", "\"12\"", "true", "[]", "18446744073709551616", "1e400"] {
-        let error = refuse_changed("\"version\": 12", &format!("\"version\": {version}"));
+        let error = parse_error_after("\"version\": 12", &format!("\"version\": {version}"));
         assert!(error.pointer() == "/version" || matches!(error, ConfigError::InvalidJson { .. }), "{error}");
     }
     for absent in ["\"version\": null", "\"versions\": 12"] {
-        let error = refuse_changed("\"version\": 12", absent);
+        let error = parse_error_after("\"version\": 12", absent);
         assert!(matches!(error, ConfigError::MissingField { .. }), "{error}");
     }
 }
 
 #[test]
-fn refuses_two_tenants_with_one_key() {
-    let error = refuse_changed("\"key-three\"", "\"key-two\"");
+fn rejects_one_key_of_two_tenants() {
+    let error = parse_error_after("\"key-three\"", "\"key-two\"");
     let expected = ConfigError::DuplicateApiKey {
         pointer: "/tenants/1/apiKeys/0".into(),
         first: "/tenants/0/apiKeys/1".into(),
@@ -147,20 +149,20 @@
 }
 
 #[test]
-fn refuses_a_key_that_one_tenant_has_twice() {
-    assert_eq!(refuse_changed("\"key-two\"", "\"key-one\"").pointer(), "/tenants/0/apiKeys/1");
+fn rejects_a_repeated_key_of_one_tenant() {
+    assert_eq!(parse_error_after("\"key-two\"", "\"key-one\"").pointer(), "/tenants/0/apiKeys/1");
 }
 
 #[test]
-fn refuses_two_services_with_one_name() {
-    let error = refuse_changed("{\"name\": \"plain\"}", "{\"name\": \"plain\"}, {\"name\": \"plain\"}");
+fn rejects_duplicate_service_names() {
+    let error = parse_error_after("{\"name\": \"plain\"}", "{\"name\": \"plain\"}, {\"name\": \"plain\"}");
     let expected =
         ConfigError::DuplicateService { pointer: "/services/2".into(), first: "/services/1".into() };
     assert_eq!(error, expected);
 }
 
-/// What is replaced, by what, and the place that the error names.
-const WRONG: &[(&str, &str, &str)] = &[
+/// Text to replace, its replacement, and the JSON pointer in the error.
+const INVALID_VALUES: &[(&str, &str, &str)] = &[
     ("\"pathPrefix\": \"/pay/\"", "\"pathPrefix\": \"/pay\"", "/routes/2/pathPrefix"),
     ("\"pathPrefix\": \"/pay/\"", "\"pathPrefix\": \"pay/\"", "/routes/2/pathPrefix"),
     ("\"pathPrefix\": \"/pay/\"", "\"pathPrefix\": \"\"", "/routes/2/pathPrefix"),
@@ -198,10 +200,10 @@
 ];
 
 #[test]
-fn names_the_place_of_each_wrong_value() {
-    for (from, to, place) in WRONG {
-        let error = refuse_changed(from, to);
-        assert_eq!(error.pointer(), *place, "{from} -> {to}");
-        assert!(error.to_string().starts_with(&format!("{place}: ")), "{error}");
+fn reports_the_location_of_each_invalid_value() {
+    for (from, to, pointer) in INVALID_VALUES {
+        let error = parse_error_after(from, to);
+        assert_eq!(error.pointer(), *pointer, "{from} -> {to}");
+        assert!(error.to_string().starts_with(&format!("{pointer}: ")), "{error}");
     }
 }
--- a/crates/settings/tests/hostile.rs
+++ b/crates/settings/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Any bytes at all: both parsers answer, and what they accept can be used.
+//! Arbitrary bytes: both parsers return, and what they accept is consistent.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 const CONFIG: &[u8] = include_bytes!("fixtures/full.json");
 const BOOT: &[u8] = include_bytes!("fixtures/front.toml");
 
-fn use_config(bytes: &[u8]) {
+fn check_config(bytes: &[u8]) {
     let Ok(config) = FleetConfig::parse(bytes) else { return };
     assert!(config.version > 0);
     for route in &config.routes {
@@ -24,38 +24,38 @@
     }
 }
 
-fn use_boot(bytes: &[u8]) {
+fn check_boot(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else { return };
     let Ok(boot) = BootSettings::parse(text, Path::new("settings.toml")) else { return };
     assert!(boot.agent_feed_port() <= boot.internal_ports.1);
 }
 
-/// The document with some of its bytes set, each at a place given as a share of the length.
-fn changed(document: &[u8], changes: &[(u16, u8)]) -> Vec<u8> {
+/// The document with up to eight bytes overwritten, each at a position given as a fraction of the length.
+fn overwritten(document: &[u8], changes: &[(u16, u8)]) -> Vec<u8> {
     let mut bytes = document.to_vec();
-    for (place, byte) in changes.iter().take(8) {
-        let at = usize::from(*place) * bytes.len() / (usize::from(u16::MAX) + 1);
+    for (position, byte) in changes.iter().take(8) {
+        let at = usize::from(*position) * bytes.len() / (usize::from(u16::MAX) + 1);
         bytes[at] = *byte;
     }
     bytes
 }
 
 #[test]
-fn reads_any_bytes_as_a_configuration() {
-    check!().for_each(use_config);
+fn any_bytes_as_a_configuration() {
+    check!().for_each(check_config);
 }
 
 #[test]
-fn reads_any_bytes_as_settings() {
-    check!().for_each(use_boot);
+fn any_bytes_as_settings() {
+    check!().for_each(check_boot);
 }
 
 #[test]
-fn reads_a_configuration_with_changed_bytes() {
-    check!().with_type::<Vec<(u16, u8)>>().for_each(|changes| use_config(&changed(CONFIG, changes)));
+fn configuration_with_overwritten_bytes() {
+    check!().with_type::<Vec<(u16, u8)>>().for_each(|changes| check_config(&overwritten(CONFIG, changes)));
 }
 
 #[test]
-fn reads_settings_with_changed_bytes() {
-    check!().with_type::<Vec<(u16, u8)>>().for_each(|changes| use_boot(&changed(BOOT, changes)));
+fn settings_with_overwritten_bytes() {
+    check!().with_type::<Vec<(u16, u8)>>().for_each(|changes| check_boot(&overwritten(BOOT, changes)));
 }
