--- a/crates/settings/src/boot/section.rs
+++ b/crates/settings/src/boot/section.rs
@@ -16,7 +16,6 @@
     /// Name of the table; empty for the root table.
     name: &'static str,
     /// The parsed table; `None` if it is missing from the file.
-    /// The parsed table; `None` if it is missing from the file.
     table: Option<&'a Table>,
 }
 
--- a/crates/settings/src/fleet_config/field.rs
+++ b/crates/settings/src/fleet_config/field.rs
@@ -134,8 +134,8 @@
 
     /// An integer of at least 0; a float such as `7.0` is accepted too.
     pub(super) fn integer(&self) -> Result<u64, ConfigError> {
-        let whole = self.value.as_u64().or_else(|| integer_from_float(self.value.as_f64()?));
-        whole.ok_or_else(|| self.location.invalid_value("an integer of at least 0"))
+        let integer = self.value.as_u64().or_else(|| integer_from_float(self.value.as_f64()?));
+        integer.ok_or_else(|| self.location.invalid_value("an integer of at least 0"))
     }
 
     /// An integer of at least 0; one above the range of `u32` saturates.
@@ -146,7 +146,7 @@
     /// A number of milliseconds; fractions are rounded up.
     pub(super) fn milliseconds(&self) -> Result<u64, ConfigError> {
         match self.value.as_u64() {
-            Some(whole) => Ok(whole),
+            Some(integer) => Ok(integer),
             None => Ok(self.number()?.ceil() as u64),
         }
     }
--- a/crates/settings/src/fleet_config/index.rs
+++ b/crates/settings/src/fleet_config/index.rs
@@ -21,8 +21,8 @@
     /// Positions of the strings with this hash, in ascending order.
     pub(super) fn positions(&self, hash: u64) -> impl Iterator<Item = usize> + '_ {
         let start = self.entries.partition_point(|entry| entry.0 < hash);
-        let is_same = self.entries[start..].iter().take_while(move |entry| entry.0 == hash);
-        is_same.map(|entry| entry.1 as usize)
+        let matches = self.entries[start..].iter().take_while(move |entry| entry.0 == hash);
+        matches.map(|entry| entry.1 as usize)
     }
 
     /// The lowest position whose string equals that of an earlier position, as decided by `is_same`. Returns
--- a/crates/settings/src/fleet_config/mod.rs
+++ b/crates/settings/src/fleet_config/mod.rs
@@ -109,7 +109,7 @@
     pub kv_tokens: u64,
     /// `kvTokenBytes`: bytes per token in the KV cache (0, which means unknown).
     pub kv_token_bytes: u64,
-    /// `max_tokens_per_event`: most tokens in one event of a stream, at least 1 (1).
+    /// `stride`: most tokens in one event of a stream, at least 1 (1).
     pub max_tokens_per_event: u32,
     /// `linkMbps`: bandwidth of the link between servers in megabits per second (0, which means unknown).
     pub link_mbps: f64,
