--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/client_socket.rs
@@ -15,7 +15,7 @@
 
 /// The heads of the requests on a connection as they stood on the wire.
 #[derive(Debug, Clone, Default)]
-pub struct Heads(Rc<RefCell<Followed>>);
+pub struct RequestHeads(Rc<RefCell<Followed>>);
 
 #[derive(Debug, Default)]
 struct Followed {
@@ -35,7 +35,7 @@
     }
 }
 
-impl Heads {
+impl RequestHeads {
     /// Since when a part of a request is there, if the rest is not. Bodies in chunks are not followed.
     pub fn partial_since(&self) -> Option<Instant> {
         self.0.borrow().partial_since
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// It states its end in two ways, or it comes in chunks and its head could not be followed.
-    pub fn check(&self, headers: &HeaderMap) -> Result<(), Fault> {
+    pub fn check_framing(&self, headers: &HeaderMap) -> Result<(), Fault> {
         match self.0.borrow_mut().scanner.next_head() {
             Some(head) => head.check(),
             None if headers.contains_key(header::TRANSFER_ENCODING) => Err(Fault::TwoFramings),
@@ -55,7 +55,7 @@
     }
 
     /// The body in chunks of the request at hand has come whole: what comes next is a head.
-    pub fn end_chunks(&self) {
+    pub fn end_chunked_body(&self) {
         *self.0.borrow_mut() = Followed::default();
     }
 }
@@ -63,12 +63,12 @@
 /// hyper's side of a client's connection.
 pub struct ClientSocket {
     stream: TcpStream,
-    heads: Heads,
+    heads: RequestHeads,
 }
 
 impl ClientSocket {
     /// Follows the heads that come, in `heads`.
-    pub fn new(stream: TcpStream, heads: Heads) -> Self {
+    pub fn new(stream: TcpStream, heads: RequestHeads) -> Self {
         Self { stream, heads }
     }
 }
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -32,7 +32,7 @@
     /// Time within which an answer earns its full worth, in milliseconds.
     pub target_latency_ms: u64,
     /// Longest pause between events of a stream that keeps it in time, in milliseconds; 0 where none is told.
-    pub gap_aim_ms: u64,
+    pub target_event_gap_ms: u64,
     /// Rank; 0 is the highest.
     pub priority: u32,
     /// Most servers that one request may run at.
@@ -47,7 +47,7 @@
             resumable: route.kind == RouteKind::Streaming && route.resumable,
             timeout_ms: route.timeout_ms,
             target_latency_ms: route.target_latency_ms,
-            gap_aim_ms: route.gap_aim_ms.unwrap_or(0),
+            target_event_gap_ms: route.gap_aim_ms.unwrap_or(0),
             priority: route.priority,
             max_attempts: route.max_attempts,
         }
@@ -64,19 +64,19 @@
     }
 
     /// The name of a tenant as a header value.
-    pub fn tenant_value(&self, tenant: usize) -> &HeaderValue {
+    pub fn tenant_header(&self, tenant: usize) -> &HeaderValue {
         &self.tenants[tenant]
     }
 
     /// What a server of this service is told of a request's urgency; nothing where all requests are alike, or where
     /// servers do not heed it.
-    pub fn priority_value(&self, service: usize, priority: u32) -> Option<HeaderValue> {
+    pub fn priority_header(&self, service: usize, priority: u32) -> Option<HeaderValue> {
         let heeds = self.ranked && self.fleet.services[service].engine.is_some();
         heeds.then(|| HeaderValue::from(priority.min(PRIORITY_LAST)))
     }
 
     /// What is charged for a request of a tenant: `tokens` if it states any and tokens are counted.
-    pub fn units(&self, tenant: usize, tokens: Option<u64>) -> f64 {
+    pub fn quota_units(&self, tenant: usize, tokens: Option<u64>) -> f64 {
         let tenant = &self.fleet.tenants[tenant];
         match tenant.unit {
             QuotaUnit::Requests => 1.0,
@@ -85,7 +85,7 @@
     }
 
     /// The services for the router.
-    pub fn services(&self) -> Vec<ServiceSpec> {
+    pub fn service_specs(&self) -> Vec<ServiceSpec> {
         let engine = |engine: &dunelink_settings::Engine| EngineSpec {
             slots: engine.slots,
             kv_tokens: engine.kv_tokens,
@@ -113,7 +113,7 @@
     }
 
     /// The tenants' quotas for the gate.
-    pub fn quotas(&self) -> Vec<TenantQuota> {
+    pub fn tenant_quotas(&self) -> Vec<TenantQuota> {
         let tenants = self.fleet.tenants.iter();
         tenants
             .map(|tenant| TenantQuota {
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -17,13 +17,13 @@
 use tokio::time::Instant;
 
 use crate::admission::admit;
-use crate::answer::{AnswerBody, Reply};
+use crate::client_socket::{ClientSocket, RequestHeads};
 use crate::exchange::Exchange;
 use crate::node::Node;
-use crate::open_requests::InHand;
+use crate::open_requests::OpenRequestGuard;
 use crate::request;
-use crate::socket::{ClientSocket, Heads};
-use crate::table::Unanswered;
+use crate::request_failure::RequestFailure;
+use crate::response::{LocalReply, ResponseBody};
 
 /// Limits of heads before there is a configuration, in bytes.
 const HEADER_BYTES: u64 = 16_384;
@@ -40,7 +40,7 @@
     /// Told when it is to end at once.
     cut: Notify,
     /// What was read of requests.
-    heads: Heads,
+    heads: RequestHeads,
 }
 
 impl ClientConnection {
@@ -50,7 +50,7 @@
             idle_since: Cell::new(Some(Instant::now())),
             close: Notify::new(),
             cut: Notify::new(),
-            heads: Heads::default(),
+            heads: RequestHeads::default(),
         })
     }
 
@@ -60,27 +60,27 @@
     }
 
     /// Ends it once no request is open on it.
-    pub fn close(&self) {
+    pub fn close_when_idle(&self) {
         self.close.notify_one();
     }
 
     /// Ends it if it rests for longer than `rest` and nothing has come of a next request.
-    pub fn end_resting(&self, now: Instant, rest: Duration) {
+    pub fn close_if_idle(&self, now: Instant, rest: Duration) {
         let rests = self.idle_since.get().is_some_and(|since| now.saturating_duration_since(since) >= rest);
         if rests && self.heads.partial_since().is_none() {
-            self.close();
+            self.close_when_idle();
         }
     }
 
     /// Ends it if it rests for longer than `rest`, or if a request that has begun lacks a part of its head for longer
     /// than `head`.
-    pub fn bound(&self, now: Instant, rest: Duration, head: Duration) {
+    pub fn enforce_timeouts(&self, now: Instant, rest: Duration, head: Duration) {
         let Some(idle_since) = self.idle_since.get() else { return };
         let is_over = |since: Instant, most: Duration| now.saturating_duration_since(since) > most;
         match self.heads.partial_since() {
             // What came while a request was open counts from the end of that one.
             Some(since) if is_over(since.max(idle_since), head) => self.cut.notify_one(),
-            None if is_over(idle_since, rest) => self.close(),
+            None if is_over(idle_since, rest) => self.close_when_idle(),
             _ => {}
         }
     }
@@ -136,25 +136,29 @@
     node: Rc<Node>,
     request: Request<Incoming>,
     open: Open,
-    heads: &Heads,
-) -> Response<AnswerBody> {
-    let in_hand = node.open_requests.open();
+    heads: &RequestHeads,
+) -> Response<ResponseBody> {
+    let in_hand = node.open_requests.track();
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let mut response = match heads.check(request.headers()) {
+    let mut response = match heads.check_framing(request.headers()) {
         Ok(()) => answer(&node, request, &in_hand).await,
-        Err(_) => Reply::new(StatusCode::BAD_REQUEST).closing().response(None),
+        Err(_) => LocalReply::new(StatusCode::BAD_REQUEST).closing_connection().into_response(None),
     };
     if chunked {
-        heads.end_chunks();
+        heads.end_chunked_body();
     }
-    if node.is_leaving() {
+    if node.is_shutting_down() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    in_hand.answering();
-    response.map(|body| body.holding(Box::new((in_hand, open))))
+    in_hand.set_answering();
+    response.map(|body| body.with_guard(Box::new((in_hand, open))))
 }
 
-async fn answer(node: &Rc<Node>, request: Request<Incoming>, in_hand: &InHand) -> Response<AnswerBody> {
+async fn answer(
+    node: &Rc<Node>,
+    request: Request<Incoming>,
+    in_hand: &OpenRequestGuard,
+) -> Response<ResponseBody> {
     let began = Instant::now();
     let configuration = node.configuration();
     let limits = configuration.as_ref().map(|configuration| &configuration.fleet.limits);
@@ -162,20 +166,21 @@
     let patience = Duration::from_millis(limits.header_timeout_ms);
     let request = match request::read(request, &limits, patience).await {
         Ok(request) => request,
-        Err((reply, id)) => return reply.response(id.as_ref()),
+        Err((reply, id)) => return reply.into_response(id.as_ref()),
     };
     // A newer one may have come with the body.
     let Some(configuration) = node.configuration() else {
-        let left =
-            request.deadline.map_or(Duration::MAX, |deadline| deadline.saturating_sub(began.elapsed()));
-        let how = Unanswered::unconfigured(node.clock.age()).spread().within(left);
-        return how.reply().response(Some(&request.id));
+        let left = request
+            .client_timeout
+            .map_or(Duration::MAX, |client_timeout| client_timeout.saturating_sub(began.elapsed()));
+        let how = RequestFailure::not_configured(node.clock.age()).with_jitter().capped_for(left);
+        return how.local_reply().into_response(Some(&request.id));
     };
-    let admitted = match admit(node, &configuration, &request) {
-        Ok(admitted) => admitted,
-        Err(reply) => return reply.response(Some(&request.id)),
+    let admission = match admit(node, &configuration, &request) {
+        Ok(admission) => admission,
+        Err(reply) => return reply.into_response(Some(&request.id)),
     };
-    let exchange = Exchange::new(node.clone(), configuration, request, admitted, began);
-    in_hand.admitted(&exchange.request.id, exchange.alarm.ends_at());
+    let exchange = Exchange::new(node.clone(), configuration, request, admission, began);
+    in_hand.set_admitted(&exchange.request.id, exchange.timer.deadline());
     exchange.run().await
 }
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -8,17 +8,17 @@
 use http::header::HeaderValue;
 use tokio::time::Instant;
 
-use crate::admission::Admitted;
-use crate::answer::{AnswerBody, LAST_EVENT_ID};
-use crate::attempt::{Attempted, passed_on};
+use crate::admission::Admission;
+use crate::attempt::{AttemptResult, passed_on};
+use crate::attempt_guard::AttemptGuard;
 use crate::configuration::Configuration;
-use crate::leaving::Leaving;
 use crate::node::Node;
+use crate::relay::RelayedBody;
 use crate::request::ClientRequest;
-use crate::stream::Passing;
-use crate::table::Unanswered;
-use crate::tracked::Tracked;
-use crate::upstream::{Alarm, Answered};
+use crate::request_failure::RequestFailure;
+use crate::response::{LAST_EVENT_ID, ResponseBody};
+use crate::shutdown_schedule::ShutdownSchedule;
+use crate::upstream::{RequestTimer, UpstreamResponse};
 
 /// Servers that could not be reached, at most, before a request is given up: nothing was sent to them.
 const UNREACHED_MOST: u32 = 3;
@@ -39,15 +39,15 @@
     pub(crate) node: Rc<Node>,
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) request: ClientRequest,
-    pub(crate) admitted: Admitted,
+    pub(crate) admission: Admission,
     /// Fires when the client or the operator wants it to end.
-    pub(crate) alarm: Alarm,
+    pub(crate) timer: RequestTimer,
     pub(crate) tried: Vec<ServerHandle>,
     /// Servers that may have run it.
-    pub(crate) ran: u32,
+    pub(crate) possible_executions: u32,
     /// Servers that the request was sent to.
-    pub(crate) sent: u32,
-    pub(crate) unreached: u32,
+    pub(crate) servers_sent_to: u32,
+    pub(crate) unsent_attempts: u32,
     waited: Duration,
 }
 
@@ -57,152 +57,156 @@
         node: Rc<Node>,
         configuration: Rc<Configuration>,
         request: ClientRequest,
-        admitted: Admitted,
+        admission: Admission,
         began: Instant,
     ) -> Self {
-        let timeout = Duration::from_millis(admitted.policy.timeout_ms);
-        let ends_at = began + request.deadline.map_or(timeout, |deadline| deadline.min(timeout));
+        let timeout = Duration::from_millis(admission.policy.timeout_ms);
+        let deadline =
+            began + request.client_timeout.map_or(timeout, |client_timeout| client_timeout.min(timeout));
         Self {
             node,
             configuration,
             request,
-            admitted,
-            alarm: Alarm::new(ends_at),
+            admission,
+            timer: RequestTimer::new(deadline),
             tried: Vec::new(),
-            ran: 0,
-            sent: 0,
-            unreached: 0,
+            possible_executions: 0,
+            servers_sent_to: 0,
+            unsent_attempts: 0,
             waited: Duration::ZERO,
         }
     }
 
     /// Sends the request until one answer stands.
-    pub async fn run(mut self) -> Response<AnswerBody> {
+    pub async fn run(mut self) -> Response<ResponseBody> {
         let mut failed = None;
         loop {
             match self.next().await {
-                Ok(Attempted::Answer(response)) => return *response,
-                Ok(Attempted::Stream(answered, tracked)) => return self.begin_stream(answered, tracked),
-                Ok(Attempted::Failed(response)) => {
+                Ok(AttemptResult::Response(response)) => return *response,
+                Ok(AttemptResult::Stream(answered, tracked)) => return self.begin_stream(answered, tracked),
+                Ok(AttemptResult::ServerError(response)) => {
                     failed = Some(response);
-                    if !self.may_repeat() {
+                    if !self.try_retry() {
                         break;
                     }
                 }
-                Ok(Attempted::Rejected) => {
-                    if !self.may_repeat() {
+                Ok(AttemptResult::Rejected) => {
+                    if !self.try_retry() {
                         break;
                     }
                 }
-                Ok(Attempted::Unreached) if self.unreached < UNREACHED_MOST => {}
-                Ok(Attempted::Unreached) => break,
-                Ok(Attempted::Lost(how)) => {
-                    if !self.may_repeat() {
-                        return self.settle(how);
+                Ok(AttemptResult::NotSent) if self.unsent_attempts < UNREACHED_MOST => {}
+                Ok(AttemptResult::NotSent) => break,
+                Ok(AttemptResult::MaybeExecuted(how)) => {
+                    if !self.try_retry() {
+                        return self.failure_response(how);
                     }
                 }
-                Err(how) => return failed.map_or_else(|| self.settle(how), |response| *response),
+                Err(how) => return failed.map_or_else(|| self.failure_response(how), |response| *response),
             }
         }
-        failed.map_or_else(|| self.settle(Unanswered::REJECTED), |response| *response)
+        failed.map_or_else(|| self.failure_response(RequestFailure::REJECTED), |response| *response)
     }
 
     /// Takes a broken stream up at another server; nothing if that can't be.
-    /// The first try was charged by [`Self::may_repeat`].
+    /// The first try was charged by [`Self::try_retry`].
     pub(crate) async fn resume(
         mut self,
         last_event_id: Option<HeaderValue>,
-    ) -> (Self, Option<(Box<Answered>, Tracked)>) {
+    ) -> (Self, Option<(Box<UpstreamResponse>, AttemptGuard)>) {
         if let Some(last) = last_event_id {
             self.request.headers.insert(LAST_EVENT_ID, last);
         }
         loop {
             match self.next().await {
-                Ok(Attempted::Stream(answered, tracked)) => return (self, Some((answered, tracked))),
-                Ok(Attempted::Unreached) if self.unreached < UNREACHED_MOST => {}
-                Ok(Attempted::Rejected | Attempted::Lost(_)) if self.may_repeat() => {}
+                Ok(AttemptResult::Stream(answered, tracked)) => return (self, Some((answered, tracked))),
+                Ok(AttemptResult::NotSent) if self.unsent_attempts < UNREACHED_MOST => {}
+                Ok(AttemptResult::Rejected | AttemptResult::MaybeExecuted(_)) if self.try_retry() => {}
                 Ok(_) | Err(_) => return (self, None),
             }
         }
     }
 
     /// The answer when no server's stands.
-    fn settle(&self, how: Unanswered) -> Response<AnswerBody> {
+    fn failure_response(&self, how: RequestFailure) -> Response<ResponseBody> {
         let how = match how {
-            Unanswered::NotRun { .. } if self.ran > 0 => Unanswered::Broken,
-            Unanswered::TimedOut if self.ran == 0 => Unanswered::REJECTED,
+            RequestFailure::NotExecuted { .. } if self.possible_executions > 0 => RequestFailure::Broken,
+            RequestFailure::TimedOut if self.possible_executions == 0 => RequestFailure::REJECTED,
             how => how,
         };
-        if self.ran == 0
-            && let Some(tenant) = self.admitted.tenant
+        if self.possible_executions == 0
+            && let Some(tenant) = self.admission.tenant
         {
             let name = &self.configuration.fleet.tenants[tenant].name;
-            self.node.quota.borrow_mut().refund(name, self.admitted.units);
+            self.node.quota_gate.borrow_mut().refund(name, self.admission.units);
         }
-        how.spread().within(self.left()).reply().response(Some(&self.request.id))
+        how.with_jitter().capped_for(self.remaining()).local_reply().into_response(Some(&self.request.id))
     }
 
     /// Whether the request may be sent once more; that is charged to the budget of repeats.
-    pub(crate) fn may_repeat(&self) -> bool {
-        if self.sent == 0 {
+    pub(crate) fn try_retry(&self) -> bool {
+        if self.servers_sent_to == 0 {
             return true;
         }
-        if !self.is_repeatable() || self.left() < TIME_LEAST {
+        if !self.is_retryable() || self.remaining() < TIME_LEAST {
             return false;
         }
-        let service = &self.configuration.fleet.services[self.admitted.service].name;
-        self.node.retries.borrow_mut().try_retry(self.node.clock.now(), service)
+        let service = &self.configuration.fleet.services[self.admission.service].name;
+        self.node.retry_budget.borrow_mut().try_retry(self.node.clock.now(), service)
     }
 
     /// Whether what is known of the request lets it go to one more server.
-    fn is_repeatable(&self) -> bool {
-        let policy = &self.admitted.policy;
-        let runs = self.ran == 0 || policy.idempotent && self.ran < policy.max_attempts;
-        runs && self.sent <= policy.max_attempts
+    fn is_retryable(&self) -> bool {
+        let policy = &self.admission.policy;
+        let runs = self.possible_executions == 0
+            || policy.idempotent && self.possible_executions < policy.max_attempts;
+        runs && self.servers_sent_to <= policy.max_attempts
     }
 
     /// How long a server may be silent before the request is sent to another one; nothing if it can't be.
-    pub(crate) fn silence(&self) -> Option<Duration> {
-        let policy = &self.admitted.policy;
+    pub(crate) fn silence_timeout(&self) -> Option<Duration> {
+        let policy = &self.admission.policy;
         let target = Duration::from_millis(policy.target_latency_ms);
         let silence = SILENCE_LEAST.max(target.mul_f64(SILENCE_TARGETS));
-        let repeatable = policy.idempotent && self.ran + 1 < policy.max_attempts;
-        (repeatable && self.left() > silence + target).then_some(silence)
+        let repeatable = policy.idempotent && self.possible_executions + 1 < policy.max_attempts;
+        (repeatable && self.remaining() > silence + target).then_some(silence)
     }
 
     /// How long a stream that may be taken up elsewhere may pause.
-    pub(crate) fn pause(&self) -> Duration {
-        let aim = Duration::from_millis(self.admitted.policy.gap_aim_ms);
+    pub(crate) fn event_gap_timeout(&self) -> Duration {
+        let aim = Duration::from_millis(self.admission.policy.target_event_gap_ms);
         PAUSE_LEAST.max(aim.mul_f64(PAUSE_AIMS))
     }
 
-    pub(crate) fn left(&self) -> Duration {
-        self.alarm.ends_at().saturating_duration_since(Instant::now())
+    pub(crate) fn remaining(&self) -> Duration {
+        self.timer.deadline().saturating_duration_since(Instant::now())
     }
 
     /// What the process's end is, if the request may last longer and no server may have run it yet.
-    pub(crate) fn outlasted(&self) -> Option<Leaving> {
-        let leaving = self.node.leaving().filter(|_| self.ran == 0)?;
-        leaving.is_outlasted_by(self.alarm.ends_at()).then_some(leaving)
+    pub(crate) fn shutdown_before_deadline(&self) -> Option<ShutdownSchedule> {
+        let leaving = self.node.shutdown_schedule().filter(|_| self.possible_executions == 0)?;
+        leaving.is_outlasted_by(self.timer.deadline()).then_some(leaving)
     }
 
     /// Makes the next attempt, after waiting for room if there is none.
-    async fn next(&mut self) -> Result<Attempted, Unanswered> {
+    async fn next(&mut self) -> Result<AttemptResult, RequestFailure> {
         loop {
-            if self.left() < TIME_LEAST {
-                return Err(Unanswered::TimedOut);
+            if self.remaining() < TIME_LEAST {
+                return Err(RequestFailure::TimedOut);
             }
-            if let Some(leaving) = self.outlasted() {
-                return Err(Unanswered::leaving(leaving.still_sent(Instant::now())));
+            if let Some(leaving) = self.shutdown_before_deadline() {
+                return Err(RequestFailure::shutting_down(leaving.remaining_accept_time(Instant::now())));
             }
             match self.choose() {
                 Decision::Send { server, attempt } => {
-                    let tracked = Tracked::new(self.node.clone(), attempt, server);
+                    let tracked = AttemptGuard::new(self.node.clone(), attempt, server);
                     return Ok(self.attempt(tracked).await);
                 }
                 Decision::Wait { retry_in } => self.wait(Duration::from_micros(retry_in)).await?,
                 Decision::Refuse { retry_after, .. } => {
-                    return Err(Unanswered::NotRun { retry_after: Duration::from_micros(retry_after) });
+                    return Err(RequestFailure::NotExecuted {
+                        retry_after: Duration::from_micros(retry_after),
+                    });
                 }
             }
         }
@@ -212,35 +216,39 @@
         let fleet = &self.configuration.fleet;
         let (tokens_in, tokens_out) = self.request.prompt.tokens.unwrap_or_default();
         let asked = RoutingRequest {
-            service: &fleet.services[self.admitted.service].name,
-            tenant: self.admitted.tenant.map(|tenant| fleet.tenants[tenant].name.as_str()),
+            service: &fleet.services[self.admission.service].name,
+            tenant: self.admission.tenant.map(|tenant| fleet.tenants[tenant].name.as_str()),
             parts: &self.request.prompt.parts,
             prompt_tokens: tokens_in,
             max_output_tokens: tokens_out,
-            priority: self.admitted.priority,
-            target_latency: self.admitted.policy.target_latency_ms * 1_000,
-            remaining: self.left().as_micros() as u64,
+            priority: self.admission.priority,
+            target_latency: self.admission.policy.target_latency_ms * 1_000,
+            remaining: self.remaining().as_micros() as u64,
             excluded: &self.tried,
-            is_first_attempt: self.sent == 0,
+            is_first_attempt: self.servers_sent_to == 0,
         };
         self.node.router.borrow_mut().choose(self.node.clock.now(), &asked)
     }
 
     /// Waits for room, within a part of the target latency in all.
-    async fn wait(&mut self, time: Duration) -> Result<(), Unanswered> {
-        let most = Duration::from_millis(self.admitted.policy.target_latency_ms).mul_f64(WAIT_PART);
+    async fn wait(&mut self, time: Duration) -> Result<(), RequestFailure> {
+        let most = Duration::from_millis(self.admission.policy.target_latency_ms).mul_f64(WAIT_PART);
         if self.waited + time > most {
-            return Err(Unanswered::REJECTED);
+            return Err(RequestFailure::REJECTED);
         }
         self.waited += time;
         tokio::time::sleep(time).await;
         Ok(())
     }
 
-    fn begin_stream(self, mut answered: Box<Answered>, tracked: Tracked) -> Response<AnswerBody> {
+    fn begin_stream(
+        self,
+        mut answered: Box<UpstreamResponse>,
+        tracked: AttemptGuard,
+    ) -> Response<ResponseBody> {
         let length = http_body::Body::size_hint(&answered.body).exact();
         let mut head = std::mem::replace(&mut answered.head, Response::new(()).into_parts().0);
-        passed_on(&mut head, AnswerBody::passing(Passing::new(self, answered, tracked, length)))
+        passed_on(&mut head, ResponseBody::relayed(RelayedBody::new(self, answered, tracked, length)))
     }
 
     /// What the client's own `Last-Event-Id` says.
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -87,7 +87,7 @@
                 reported = Instant::now();
                 report(node, &mut writer).await?;
             }
-            () = node.report_wanted.notified() => {
+            () = node.report_requested.notified() => {
                 let soonest = reported + REPORT_PAUSE;
                 reports.reset_after(soonest.saturating_duration_since(Instant::now()));
             }
@@ -124,7 +124,7 @@
     /// A new connection begins with a whole configuration and a whole roster; what is held already is left out.
     fn connected(&mut self) {
         self.reader = FeedReader::new();
-        self.node.repeat_loads();
+        self.node.request_full_loads();
     }
 
     fn take(&mut self, message: FeedMessage) -> Result<(), Ended> {
@@ -133,7 +133,7 @@
             Change::Nothing | Change::Members => {}
             Change::Configuration => self.take_configuration(),
             Change::Roster => self.node.set_servers(&self.servers(now)),
-            Change::Heartbeat(tick) => self.node.tick(&tick),
+            Change::Heartbeat(tick) => self.node.observe_heartbeat(&tick),
             Change::Grants => {
                 if let Some((update, _)) = self.state.grants.get() {
                     self.node.apply_grants(update);
@@ -141,7 +141,7 @@
             }
             Change::Suspicions => {
                 if let Some((suspicions, _)) = self.state.suspicions.get() {
-                    self.node.suspect(suspicions);
+                    self.node.apply_suspicions(suspicions);
                 }
             }
             Change::Loads => self.take_loads(now),
@@ -171,13 +171,13 @@
         let Some(whole) = &mut self.state.configuration else { return };
         let (version, bytes) = (whole.version, std::mem::take(&mut whole.bytes));
         if !is_long(bytes.len()) {
-            return put_in_force(&self.node, version, read(bytes));
+            return activate_configuration(&self.node, version, read(bytes));
         }
         // Clients are served while it is read. Should a newer one come meanwhile, that one stays in force.
         let node = self.node.clone();
         spawn_local(async move {
             let Some(read) = aside(bytes, read).await else { return };
-            put_in_force(&node, version, read);
+            activate_configuration(&node, version, read);
         });
     }
 
@@ -190,11 +190,11 @@
     FleetConfig::parse(&bytes).map(Configuration::new)
 }
 
-fn put_in_force(node: &Node, version: u64, read: Result<Configuration, ConfigError>) {
+fn activate_configuration(node: &Node, version: u64, read: Result<Configuration, ConfigError>) {
     match read {
         Ok(configuration) => {
             info!(node.log, "configuration in force"; "version" => version);
-            node.put_in_force(configuration);
+            node.activate_configuration(configuration);
         }
         Err(error) => warn!(node.log, "configuration left out"; "version" => version, "reason" => %error),
     }
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listener.rs
@@ -23,7 +23,7 @@
 /// Pause after the system refused a connection, for want of descriptors.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
 /// How often resting connections are looked through.
-pub const SWEEP: Duration = Duration::from_secs(1);
+pub const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Part of the time that clients may rest after which a connection is closed: clients keep below it.
 const IDLE_PART: f64 = 1.1;
 
@@ -52,7 +52,7 @@
 }
 
 /// The clients' connections.
-pub struct Clients {
+pub struct ClientConnections {
     node: Rc<Node>,
     most: usize,
     next: RefCell<u64>,
@@ -66,10 +66,10 @@
     refused: Notify,
 }
 
-impl Clients {
+impl ClientConnections {
     /// No connections yet.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
-        let most = Node::client_descriptors(&node.boot);
+        let most = Node::max_client_connections(&node.boot);
         Rc::new(Self {
             node,
             most,
@@ -87,7 +87,7 @@
         self.connections.borrow().len()
     }
 
-    /// Accepts connections until [`Self::refuse_more`] is called; then the listener is closed.
+    /// Accepts connections until [`Self::stop_accepting`] is called; then the listener is closed.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         tokio::select! {
             () = self.accept_all(&listener) => {}
@@ -102,7 +102,7 @@
     }
 
     /// Closes the listener, with all connections accepted that are there; gives how many there were.
-    pub async fn refuse_more(&self) -> usize {
+    pub async fn stop_accepting(&self) -> usize {
         self.refusing.notify_one();
         self.refused.notified().await;
         self.taken_last.get()
@@ -141,28 +141,28 @@
         let resting =
             connections.values().filter_map(|connection| Some((connection.idle_since()?, connection)));
         if let Some((_, connection)) = resting.min_by_key(|(since, _)| *since) {
-            connection.close();
+            connection.close_when_idle();
         }
     }
 
     /// Ends connections on which nothing has come of a request for `rest`.
-    pub fn end_resting(&self, rest: Duration) {
+    pub fn close_idle(&self, rest: Duration) {
         let now = Instant::now();
-        self.connections.borrow().values().for_each(|connection| connection.end_resting(now, rest));
+        self.connections.borrow().values().for_each(|connection| connection.close_if_idle(now, rest));
     }
 
     /// Ends connections that rest or take for too long, of clients and to servers, for as long as it is polled.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
-            self.node.pool.sweep();
+            tokio::time::sleep(SWEEP_INTERVAL).await;
+            self.node.pool.close_expired();
             let limits = self.node.configuration().map(|configuration| configuration.fleet.limits.clone());
             let limits = limits.unwrap_or_default();
             let rest = Duration::from_millis(limits.idle_timeout_ms).mul_f64(IDLE_PART);
             let head = Duration::from_millis(limits.header_timeout_ms);
             let now = Instant::now();
             for connection in self.connections.borrow().values() {
-                connection.bound(now, rest, head);
+                connection.enforce_timeouts(now, rest, head);
             }
         }
     }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -18,9 +18,9 @@
 use tokio::time::Instant;
 
 use crate::configuration::Configuration;
-use crate::leaving::Leaving;
 use crate::open_requests::OpenRequests;
-use crate::upstream::Pool;
+use crate::shutdown_schedule::ShutdownSchedule;
+use crate::upstream::ConnectionPool;
 
 /// A configuration is known to be current while the agent's proof of that is younger than this, in milliseconds.
 const CONFIRMED_WITHIN_MS: u64 = 1_000;
@@ -44,23 +44,23 @@
     /// Which server takes a request.
     pub router: RefCell<Router>,
     /// Quotas of tenants.
-    pub quota: RefCell<QuotaGate>,
+    pub quota_gate: RefCell<QuotaGate>,
     incarnation: u64,
     /// Bound on repeats.
-    pub retries: RefCell<RetryBudget>,
+    pub retry_budget: RefCell<RetryBudget>,
     /// Connections to servers.
-    pub pool: Rc<Pool>,
+    pub pool: Rc<ConnectionPool>,
     configuration: RefCell<Option<Rc<Configuration>>>,
     confirmed: Cell<bool>,
     ready_servers: Cell<usize>,
-    leaving: Cell<Option<Leaving>>,
+    shutdown_schedule: Cell<Option<ShutdownSchedule>>,
     /// Requests that were read and whose answer is not written yet.
     pub open_requests: Rc<OpenRequests>,
     observations: RefCell<HashMap<String, (u32, u32)>>,
     /// Told when a report had better not wait for its time.
-    pub report_wanted: Notify,
+    pub report_requested: Notify,
     /// Reports until the next one that tells the load of every server.
-    reports_to_whole_loads: Cell<u32>,
+    reports_until_full_loads: Cell<u32>,
 }
 
 impl Node {
@@ -81,23 +81,23 @@
         let incarnation = fastrand::u64(..);
         let clock = Clock::start();
         let gate = QuotaGate::new(quota, incarnation, clock.now());
-        let servers = Self::descriptors(&boot) - Self::client_descriptors(&boot);
+        let servers = Self::descriptors(&boot) - Self::max_client_connections(&boot);
         Rc::new(Self {
             log,
             clock,
             router: RefCell::new(router),
-            quota: RefCell::new(gate),
+            quota_gate: RefCell::new(gate),
             incarnation,
-            retries: RefCell::new(RetryBudget::new(retry)),
-            pool: Pool::new(servers),
+            retry_budget: RefCell::new(RetryBudget::new(retry)),
+            pool: ConnectionPool::new(servers),
             configuration: RefCell::default(),
             confirmed: Cell::new(false),
             ready_servers: Cell::new(0),
-            leaving: Cell::new(None),
+            shutdown_schedule: Cell::new(None),
             open_requests: OpenRequests::new(),
             observations: RefCell::default(),
-            report_wanted: Notify::new(),
-            reports_to_whole_loads: Cell::new(0),
+            report_requested: Notify::new(),
+            reports_until_full_loads: Cell::new(0),
             boot,
         })
     }
@@ -108,7 +108,7 @@
     }
 
     /// Most connections of clients.
-    pub fn client_descriptors(boot: &Boot) -> usize {
+    pub fn max_client_connections(boot: &Boot) -> usize {
         (Self::descriptors(boot) as f64 * CLIENT_PART) as usize
     }
 
@@ -123,22 +123,24 @@
     }
 
     /// Version of the configuration in force; 0 for none.
-    pub fn version(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         self.configuration.borrow().as_ref().map_or(0, |configuration| configuration.fleet.version)
     }
 
     /// Puts a configuration in force, unless it is not newer than the one that is.
-    pub fn put_in_force(&self, configuration: Configuration) {
-        if configuration.fleet.version <= self.version() {
+    pub fn activate_configuration(&self, configuration: Configuration) {
+        if configuration.fleet.version <= self.configuration_version() {
             return;
         }
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
-        router.set_services(now, &configuration.services());
+        router.set_services(now, &configuration.service_specs());
         router.set_tenantless_services(&configuration.tenantless_services());
-        self.quota.borrow_mut().set_tenants(now, &configuration.quotas());
+        self.quota_gate.borrow_mut().set_tenants(now, &configuration.tenant_quotas());
         let services = configuration.fleet.services.iter();
-        self.pool.set_bounds(services.map(|service| (service.name.clone(), service.max_conns)).collect());
+        self.pool.set_connection_limits(
+            services.map(|service| (service.name.clone(), service.max_conns)).collect(),
+        );
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
     }
 
@@ -148,23 +150,23 @@
         let mut router = self.router.borrow_mut();
         router.update_servers(now, servers);
         self.ready_servers.set(servers.iter().filter(|server| server.ready).count());
-        self.pool.keep_only(|server| router.is_usable(server));
+        self.pool.retain_usable(|server| router.is_usable(server));
     }
 
     /// Takes over grants.
     pub fn apply_grants(&self, update: &GrantUpdate) {
-        match self.quota.borrow_mut().apply(self.clock.now(), update) {
+        match self.quota_gate.borrow_mut().apply(self.clock.now(), update) {
             ApplyOutcome::Ignored => return,
-            ApplyOutcome::HistoryRequested => return self.report_wanted.notify_one(),
+            ApplyOutcome::HistoryRequested => return self.report_requested.notify_one(),
             ApplyOutcome::Applied => {}
         }
-        self.retries.borrow_mut().set_nodes(update.node_count);
+        self.retry_budget.borrow_mut().set_nodes(update.node_count);
         self.router.borrow_mut().set_fleet_size(update.node_count);
-        self.pool.set_nodes(update.node_count);
+        self.pool.set_node_count(update.node_count);
     }
 
     /// Takes over which servers other nodes find failing.
-    pub fn suspect(&self, suspicions: &[ServerSuspicion]) {
+    pub fn apply_suspicions(&self, suspicions: &[ServerSuspicion]) {
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
         for suspicion in suspicions {
@@ -174,8 +176,8 @@
 
     /// Takes in a sign of life of the agent. A proof from before the process started says nothing of a version that
     /// was committed since.
-    pub fn tick(&self, tick: &Heartbeat) {
-        let version = self.version();
+    pub fn observe_heartbeat(&self, tick: &Heartbeat) {
+        let version = self.configuration_version();
         let own = self.clock.age().as_millis() as u64;
         let proven = tick.confirmed_age_ms < CONFIRMED_WITHIN_MS.min(own.saturating_add(1));
         if proven && tick.configuration_version <= version && version > 0 {
@@ -186,35 +188,36 @@
     /// Whether the platform may send clients: the configuration was confirmed as current once, there is a server, and
     /// the process is not about to end.
     pub fn is_ready(&self) -> bool {
-        self.confirmed.get() && self.ready_servers.get() > 0 && !self.is_leaving()
+        self.confirmed.get() && self.ready_servers.get() > 0 && !self.is_shutting_down()
     }
 
     /// From now on each answer ends its connection, and the platform is told to send no more clients.
     /// Gives when what stops.
-    pub fn leave(&self) -> Leaving {
+    pub fn begin_shutdown(&self) -> ShutdownSchedule {
         let grace = Duration::from_secs_f64(self.boot.bounds.grace_s);
-        let leaving = self.leaving.get().unwrap_or_else(|| Leaving::new(Instant::now(), grace));
-        self.leaving.set(Some(leaving));
+        let leaving =
+            self.shutdown_schedule.get().unwrap_or_else(|| ShutdownSchedule::new(Instant::now(), grace));
+        self.shutdown_schedule.set(Some(leaving));
         leaving
     }
 
-    /// When what stops, once [`Self::leave`] was called.
-    pub fn leaving(&self) -> Option<Leaving> {
-        self.leaving.get()
+    /// When what stops, once [`Self::begin_shutdown`] was called.
+    pub fn shutdown_schedule(&self) -> Option<ShutdownSchedule> {
+        self.shutdown_schedule.get()
     }
 
-    /// Whether [`Self::leave`] was called.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.get().is_some()
+    /// Whether [`Self::begin_shutdown`] was called.
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown_schedule.get().is_some()
     }
 
     /// How many requests were read and have no written answer yet.
-    pub fn in_hand(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.open_requests.count()
     }
 
     /// Counts an attempt at a server for the next report.
-    pub fn observe(&self, server: &str, served: bool) {
+    pub fn record_attempt(&self, server: &str, served: bool) {
         let mut observations = self.observations.borrow_mut();
         if !observations.contains_key(server) {
             observations.insert(server.to_owned(), (0, 0));
@@ -226,7 +229,7 @@
 
     /// What the agent is told: demand, and the outcomes since the last report.
     pub fn report(&self) -> ProxyReport {
-        let demand = self.quota.borrow_mut().demand_report(self.clock.now());
+        let demand = self.quota_gate.borrow_mut().demand_report(self.clock.now());
         let observations = self.observations.borrow_mut().drain().collect::<Vec<_>>();
         let observation =
             |(server, (served, failed)): (String, (u32, u32))| ServerObservation { server, served, failed };
@@ -235,15 +238,15 @@
     }
 
     /// The next report tells the load of every server: what was told before may be lost.
-    pub fn repeat_loads(&self) {
-        self.reports_to_whole_loads.set(0);
+    pub fn request_full_loads(&self) {
+        self.reports_until_full_loads.set(0);
     }
 
     /// Requests of this node at servers: all of them now and then, else what has changed.
     fn loads(&self) -> NodeLoads {
-        let is_whole = self.reports_to_whole_loads.get() == 0;
-        let left = if is_whole { WHOLE_LOADS_EACH } else { self.reports_to_whole_loads.get() };
-        self.reports_to_whole_loads.set(left - 1);
+        let is_whole = self.reports_until_full_loads.get() == 0;
+        let left = if is_whole { WHOLE_LOADS_EACH } else { self.reports_until_full_loads.get() };
+        self.reports_until_full_loads.set(left - 1);
         let mut servers = Vec::new();
         self.router.borrow_mut().report_loads(is_whole, PROMPT_UNIT_TOKENS, |id, requests, unread| {
             servers.push(ServerLoad {
--- a/crates/proxy/src/open_requests.rs
+++ b/crates/proxy/src/open_requests.rs
@@ -14,7 +14,7 @@
 
 /// How far a request has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum RequestStage {
     /// Its head was read; its body may still be coming.
     Reading,
     /// It was read whole and let pass; no answer has begun.
@@ -23,7 +23,7 @@
     Answering,
 }
 
-impl Stage {
+impl RequestStage {
     fn name(self) -> &'static str {
         match self {
             Self::Reading => "reading",
@@ -37,13 +37,13 @@
 #[derive(Debug, Clone)]
 pub struct OpenRequest {
     /// When its head was read.
-    pub since: Instant,
+    pub started_at: Instant,
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: RequestStage,
     /// Names the client's try, once it was read whole.
     pub id: Option<HeaderValue>,
     /// When its client's time or its route's is over, once it was let pass.
-    pub ends_at: Option<Instant>,
+    pub deadline: Option<Instant>,
 }
 
 /// All open requests of the process.
@@ -65,28 +65,33 @@
     }
 
     /// Counts a request as open until the guard is dropped.
-    pub fn open(self: &Rc<Self>) -> InHand {
+    pub fn track(self: &Rc<Self>) -> OpenRequestGuard {
         let number = self.next.replace(self.next.get() + 1);
-        let request = OpenRequest { since: Instant::now(), stage: Stage::Reading, id: None, ends_at: None };
+        let request = OpenRequest {
+            started_at: Instant::now(),
+            stage: RequestStage::Reading,
+            id: None,
+            deadline: None,
+        };
         self.requests.borrow_mut().insert(number, request);
-        InHand { requests: self.clone(), number }
+        OpenRequestGuard { requests: self.clone(), number }
     }
 
     /// Names in the log what the end of the process cuts: when each request came, seen from `told`, when the process
     /// was told to end, and what was left of its time.
-    pub fn log_cut(&self, log: &Logger, told: Instant) {
+    pub fn log_unfinished(&self, log: &Logger, told: Instant) {
         let now = Instant::now();
         let requests = self.requests.borrow();
         let mut oldest: Vec<&OpenRequest> = requests.values().collect();
-        oldest.sort_unstable_by_key(|request| request.since);
+        oldest.sort_unstable_by_key(|request| request.started_at);
         for request in oldest.iter().take(NAMED_MOST) {
             let id = request.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
             warn!(log, "request cut by the end of the process";
                 "id" => id,
                 "stage" => request.stage.name(),
-                "age_ms" => milliseconds(now, request.since),
-                "came_after_signal_ms" => milliseconds(request.since, told),
-                "left_ms" => request.ends_at.map(|ends_at| milliseconds(ends_at, now)));
+                "age_ms" => milliseconds(now, request.started_at),
+                "came_after_signal_ms" => milliseconds(request.started_at, told),
+                "left_ms" => request.deadline.map(|deadline| milliseconds(deadline, now)));
         }
     }
 }
@@ -100,24 +105,24 @@
 
 /// A request in hand.
 #[derive(Debug)]
-pub struct InHand {
+pub struct OpenRequestGuard {
     requests: Rc<OpenRequests>,
     number: u64,
 }
 
-impl InHand {
-    /// The request of this id was read whole and let pass; its time is over at `ends_at`.
-    pub fn admitted(&self, id: &HeaderValue, ends_at: Instant) {
+impl OpenRequestGuard {
+    /// The request of this id was read whole and let pass; its time is over at `deadline`.
+    pub fn set_admitted(&self, id: &HeaderValue, deadline: Instant) {
         self.change(|request| {
-            request.stage = Stage::Admitted;
+            request.stage = RequestStage::Admitted;
             request.id = Some(id.clone());
-            request.ends_at = Some(ends_at);
+            request.deadline = Some(deadline);
         });
     }
 
     /// Its answer begins.
-    pub fn answering(&self) {
-        self.change(|request| request.stage = Stage::Answering);
+    pub fn set_answering(&self) {
+        self.change(|request| request.stage = RequestStage::Answering);
     }
 
     fn change(&self, change: impl FnOnce(&mut OpenRequest)) {
@@ -127,7 +132,7 @@
     }
 }
 
-impl Drop for InHand {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.requests.requests.borrow_mut().remove(&self.number);
     }
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/relay.rs
@@ -8,26 +8,26 @@
 use dunelink_routing::Outcome;
 use http::HeaderValue;
 
-use crate::answer::BodyError;
+use crate::attempt_guard::AttemptGuard;
 use crate::exchange::Exchange;
-use crate::tracked::Tracked;
-use crate::upstream::{Alert, Answered};
+use crate::response::BodyError;
+use crate::upstream::{TimeoutKind, UpstreamResponse};
 
 /// Bytes of an event that has not come whole, at most; a stream with a longer one is passed on without resuming.
 const EVENT_MOST: usize = 256 * 1024;
 
 /// An answer and the attempt that it belongs to.
-type Taken = (Box<Answered>, Tracked);
+type Taken = (Box<UpstreamResponse>, AttemptGuard);
 
 type Resuming = Pin<Box<dyn Future<Output = (Exchange, Option<Taken>)>>>;
 
 /// An answer on its way from a server to its client.
-pub struct Passing {
+pub struct RelayedBody {
     source: Source,
     length: Option<u64>,
     /// Bytes that have come.
     passed: u64,
-    events: Option<Events>,
+    events: Option<EventFramer>,
     begun: bool,
 }
 
@@ -46,17 +46,25 @@
 /// A request and the answer that comes to it.
 struct Live {
     exchange: Exchange,
-    answered: Box<Answered>,
-    tracked: Tracked,
+    answered: Box<UpstreamResponse>,
+    tracked: AttemptGuard,
 }
 
-impl Passing {
+impl RelayedBody {
     /// Passes on an answer, of `length` bytes if that is known.
-    pub fn new(exchange: Exchange, answered: Box<Answered>, tracked: Tracked, length: Option<u64>) -> Self {
-        let resumable = exchange.admitted.policy.resumable && length.is_none();
-        let events = resumable.then(|| Events::after(exchange.last_event_id()));
+    pub fn new(
+        exchange: Exchange,
+        answered: Box<UpstreamResponse>,
+        tracked: AttemptGuard,
+        length: Option<u64>,
+    ) -> Self {
+        let resumable = exchange.admission.policy.resumable && length.is_none();
+        let events = resumable.then(|| EventFramer::starting_after(exchange.last_event_id()));
         let mut exchange = exchange;
-        exchange.alarm.watch(resumable.then(|| exchange.pause()), answered.link.heard());
+        exchange.timer.set_silence_timeout(
+            resumable.then(|| exchange.event_gap_timeout()),
+            answered.connection.activity(),
+        );
         let source = Source::Server(Box::new(Live { exchange, answered, tracked }));
         Self { source, length, passed: 0, events, begun: false }
     }
@@ -67,7 +75,7 @@
     }
 
     /// The next bytes for the client.
-    pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+    pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match &mut self.source {
                 Source::Ended => return Poll::Ready(None),
@@ -84,19 +92,22 @@
                     let Some((answered, tracked)) = self.taken_up(resumed, silent) else {
                         return self.fail(BodyError::Broken, cx);
                     };
-                    exchange.alarm.watch(Some(exchange.pause()), answered.link.heard());
+                    exchange.timer.set_silence_timeout(
+                        Some(exchange.event_gap_timeout()),
+                        answered.connection.activity(),
+                    );
                     self.source = Source::Server(Box::new(Live { exchange, answered, tracked }));
                 }
-                Source::Server(live) => match live.answered.poll_piece(cx) {
+                Source::Server(live) => match live.answered.poll_data(cx) {
                     Poll::Ready(Some(Ok(piece))) => {
                         let Ok(piece) = piece.into_data() else { continue };
                         if piece.is_empty() {
                             continue;
                         }
                         if std::mem::replace(&mut self.begun, true) {
-                            live.tracked.progressed(1);
+                            live.tracked.record_progress(1);
                         } else {
-                            live.tracked.first_event();
+                            live.tracked.record_first_event();
                         }
                         self.passed += piece.len() as u64;
                         // Nobody asks for more once the stated length is there.
@@ -104,13 +115,14 @@
                             self.end(cx);
                         }
                         let Some(events) = &mut self.events else { return Poll::Ready(Some(Ok(piece))) };
-                        if let Some(whole) = events.take(piece) {
+                        if let Some(whole) = events.push(piece) {
                             return Poll::Ready(Some(Ok(whole)));
                         }
                     }
                     // A connection that ends amid an event is no end of a stream.
                     Poll::Ready(None)
-                        if live.answered.is_unframed && self.events.as_ref().is_some_and(Events::is_amid) =>
+                        if live.answered.is_close_delimited
+                            && self.events.as_ref().is_some_and(EventFramer::has_partial_event) =>
                     {
                         match self.broken() {
                             Ok(()) => {}
@@ -119,7 +131,7 @@
                     }
                     Poll::Ready(None) => {
                         self.end(cx);
-                        if let Some(rest) = self.events.as_mut().and_then(Events::rest) {
+                        if let Some(rest) = self.events.as_mut().and_then(EventFramer::take_remainder) {
                             return Poll::Ready(Some(Ok(rest)));
                         }
                     }
@@ -127,10 +139,12 @@
                         Ok(()) => {}
                         Err(error) => return self.fail(error, cx),
                     },
-                    Poll::Pending => match ready!(live.exchange.alarm.poll(cx, live.answered.link.heard())) {
-                        Alert::Over => return self.time_out(cx),
-                        Alert::Silent => self.silent(),
-                    },
+                    Poll::Pending => {
+                        match ready!(live.exchange.timer.poll(cx, live.answered.connection.activity())) {
+                            TimeoutKind::Deadline => return self.time_out(cx),
+                            TimeoutKind::Silence => self.silent(),
+                        }
+                    }
                 },
             }
         }
@@ -160,18 +174,18 @@
     /// The server's answer has come whole.
     fn end(&mut self, cx: &mut Context<'_>) {
         let Some(Live { exchange, answered, tracked }) = self.take() else { return };
-        tracked.end(Outcome::Served);
-        exchange.keep(answered.link, cx);
+        tracked.finish(Outcome::Served);
+        exchange.keep(answered.connection, cx);
     }
 
     /// The server broke off: its stream is taken up at another one, if that can be.
     fn broken(&mut self) -> Result<(), BodyError> {
         let Some(Live { exchange, answered, tracked }) = self.take() else { return Ok(()) };
-        tracked.end(Outcome::Broken);
+        tracked.finish(Outcome::Broken);
         drop(answered);
         let Some(events) = &mut self.events else { return Err(BodyError::Broken) };
-        let Ok(last) = events.restart() else { return Err(BodyError::Broken) };
-        if !exchange.may_repeat() {
+        let Ok(last) = events.discard_partial() else { return Err(BodyError::Broken) };
+        if !exchange.try_retry() {
             return Err(BodyError::Broken);
         }
         self.source = Source::Resuming { resuming: Box::pin(exchange.resume(last)), silent: None };
@@ -180,9 +194,9 @@
 
     /// The server is silent: another one is asked to go on, if that can be.
     fn silent(&mut self) {
-        let last = self.events.as_ref().and_then(Events::last);
+        let last = self.events.as_ref().and_then(EventFramer::resume_position);
         let Source::Server(live) = &self.source else { return };
-        let Some(last) = last.filter(|_| live.exchange.may_repeat()) else { return };
+        let Some(last) = last.filter(|_| live.exchange.try_retry()) else { return };
         let Some(Live { exchange, answered, tracked }) = self.take() else { return };
         let resuming = Box::pin(exchange.resume(last));
         self.source = Source::Resuming { resuming, silent: Some((answered, tracked)) };
@@ -194,17 +208,17 @@
             return silent;
         }
         if let Some((_, tracked)) = silent {
-            tracked.end(Outcome::TimedOut);
+            tracked.finish(Outcome::TimedOut);
         }
         // What the silent one left half said is not passed on.
-        self.events.as_mut()?.restart().ok()?;
+        self.events.as_mut()?.discard_partial().ok()?;
         resumed
     }
 }
 
 /// Follows a stream's events, so that only whole ones are passed on.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventFramer {
     /// What has come of an event that is not whole.
     partial: BytesMut,
     /// The id of the last event that was passed on.
@@ -215,16 +229,16 @@
 
 /// Part of an event was passed on: the stream can't be taken up.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Torn;
+pub struct PartialEventForwarded;
 
-impl Events {
+impl EventFramer {
     /// Follows a stream that begins after the event of this id.
-    pub fn after(last_id: Option<HeaderValue>) -> Self {
+    pub fn starting_after(last_id: Option<HeaderValue>) -> Self {
         Self { last_id, ..Self::default() }
     }
 
     /// Takes in what has come, and gives the events that are whole.
-    pub fn take(&mut self, piece: Bytes) -> Option<Bytes> {
+    pub fn push(&mut self, piece: Bytes) -> Option<Bytes> {
         if self.lost {
             return Some(piece);
         }
@@ -243,12 +257,12 @@
     }
 
     /// Whether a part of an event has come.
-    pub fn is_amid(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         self.lost || !self.partial.is_empty()
     }
 
     /// What is left at a stream's proper end.
-    pub fn rest(&mut self) -> Option<Bytes> {
+    pub fn take_remainder(&mut self) -> Option<Bytes> {
         if self.partial.is_empty() { None } else { Some(self.partial.split().freeze()) }
     }
 
@@ -257,16 +271,16 @@
     /// # Errors
     ///
     /// A part of an event was passed on already.
-    pub fn restart(&mut self) -> Result<Option<HeaderValue>, Torn> {
+    pub fn discard_partial(&mut self) -> Result<Option<HeaderValue>, PartialEventForwarded> {
         if self.lost {
-            return Err(Torn);
+            return Err(PartialEventForwarded);
         }
         self.partial.clear();
         Ok(self.last_id.clone())
     }
 
     /// The id to go on after; nothing if a part of an event was passed on.
-    pub fn last(&self) -> Option<Option<HeaderValue>> {
+    pub fn resume_position(&self) -> Option<Option<HeaderValue>> {
         (!self.lost).then(|| self.last_id.clone())
     }
 
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -15,7 +15,9 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 
-use crate::answer::{DEADLINE, EXPECT_INSTANCE, PROMPT_PREFIX, REQUEST_ID, Reply, TENANT, TOKEN_COUNTS};
+use crate::response::{
+    DEADLINE_MS, EXPECT_INSTANCE, LocalReply, PROMPT_PREFIX, REQUEST_ID, TENANT, TOKEN_COUNTS,
+};
 
 /// Most parts of a prompt that are looked at.
 const PARTS_MOST: usize = 256;
@@ -36,31 +38,31 @@
     /// Names the try.
     pub id: HeaderValue,
     /// How long the client waits.
-    pub deadline: Option<Duration>,
+    pub client_timeout: Option<Duration>,
     /// Its key, if it has one.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// What it says of its prompt.
-    pub prompt: Prompt,
+    pub prompt: PromptInfo,
 }
 
 /// What a request says of its prompt.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Prompt {
+pub struct PromptInfo {
     /// Tokens of the prompt and tokens to be made at most, where they are stated.
     pub tokens: Option<(u32, u32)>,
     /// Parts in order.
     pub parts: Vec<PromptPart>,
 }
 
-impl Prompt {
+impl PromptInfo {
     /// Reads the two headers.
-    pub fn read(headers: &HeaderMap) -> Self {
+    pub fn from_headers(headers: &HeaderMap) -> Self {
         let parts = only(headers, &PROMPT_PREFIX).map(parts).unwrap_or_default();
         Self { tokens: only(headers, &TOKEN_COUNTS).and_then(counts), parts }
     }
 
     /// Tokens in and out together, where they are stated.
-    pub fn all_tokens(&self) -> Option<u64> {
+    pub fn total_tokens(&self) -> Option<u64> {
         self.tokens.map(|(read, made)| u64::from(read) + u64::from(made))
     }
 }
@@ -89,12 +91,12 @@
     request: Request<Incoming>,
     limits: &ClientLimits,
     patience: Duration,
-) -> Result<ClientRequest, (Reply, Option<HeaderValue>)> {
+) -> Result<ClientRequest, (LocalReply, Option<HeaderValue>)> {
     let (mut head, body) = request.into_parts();
     let id = single(&head.headers, &REQUEST_ID).cloned();
     // Where its body ends is in doubt.
     if check(&head, Hosting::Wire).is_err() {
-        return Err((Reply::new(StatusCode::BAD_REQUEST).closing(), id));
+        return Err((LocalReply::new(StatusCode::BAD_REQUEST).closing_connection(), id));
     }
     let most = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
     // It is read also if the request is refused: an answer that overtakes it may be lost with the connection.
@@ -104,24 +106,24 @@
     };
     match take(&mut head, id.clone(), body) {
         Some(request) => Ok(request),
-        None => Err((Reply::new(StatusCode::BAD_REQUEST), id)),
+        None => Err((LocalReply::new(StatusCode::BAD_REQUEST), id)),
     }
 }
 
-async fn whole_body(body: Incoming, most: usize, patience: Duration) -> Result<Bytes, Reply> {
+async fn whole_body(body: Incoming, most: usize, patience: Duration) -> Result<Bytes, LocalReply> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > most as u64 {
-        return Err(Reply::new(StatusCode::PAYLOAD_TOO_LARGE).closing());
+        return Err(LocalReply::new(StatusCode::PAYLOAD_TOO_LARGE).closing_connection());
     }
     match within(patience, Limited::new(body, most).collect()).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => {
-            Err(Reply::new(StatusCode::PAYLOAD_TOO_LARGE).closing())
+            Err(LocalReply::new(StatusCode::PAYLOAD_TOO_LARGE).closing_connection())
         }
-        Some(Err(_)) => Err(Reply::new(StatusCode::BAD_REQUEST).closing()),
-        None => Err(Reply::new(StatusCode::REQUEST_TIMEOUT).closing()),
+        Some(Err(_)) => Err(LocalReply::new(StatusCode::BAD_REQUEST).closing_connection()),
+        None => Err(LocalReply::new(StatusCode::REQUEST_TIMEOUT).closing_connection()),
     }
 }
 
@@ -132,12 +134,12 @@
 /// Takes what is needed out of the head, and leaves what goes on; nothing if a field is missing, repeated or odd.
 fn take(head: &mut Parts, id: Option<HeaderValue>, body: Bytes) -> Option<ClientRequest> {
     let id = id.filter(|id| !id.is_empty())?;
-    let deadline = match head.headers.contains_key(&DEADLINE) {
-        true => Some(milliseconds(single(&head.headers, &DEADLINE)?)?),
+    let client_timeout = match head.headers.contains_key(&DEADLINE_MS) {
+        true => Some(milliseconds(single(&head.headers, &DEADLINE_MS)?)?),
         false => None,
     };
-    let prompt = Prompt::read(&head.headers);
-    let key = head.headers.get(header::AUTHORIZATION).and_then(bearer).map(str::to_owned);
+    let prompt = PromptInfo::from_headers(&head.headers);
+    let api_key = head.headers.get(header::AUTHORIZATION).and_then(bearer).map(str::to_owned);
     let headers = &mut head.headers;
     drop_hop_fields(headers);
     for name in [header::AUTHORIZATION, TENANT, EXPECT_INSTANCE] {
@@ -154,8 +156,8 @@
         headers: std::mem::take(headers),
         body,
         id,
-        deadline,
-        key,
+        client_timeout,
+        api_key,
         prompt,
     })
 }
--- a/crates/proxy/src/table.rs
+++ b/crates/proxy/src/request_failure.rs
@@ -10,7 +10,7 @@
 
 use http::StatusCode;
 
-use crate::answer::Reply;
+use crate::response::LocalReply;
 
 /// When a client may come back after a server turned its request down and no other could be tried.
 const AFTER_REJECTION: Duration = Duration::from_millis(300);
@@ -26,16 +26,16 @@
 const AFTER_LEAVING: Duration = Duration::from_millis(50);
 
 /// Times to come back differ by up to this part, so that clients that were refused together do not come together.
-const SPREAD: f64 = 0.15;
+const JITTER_FRACTION: f64 = 0.15;
 
 /// Clients heed a time to come back up to a third of the time that they have left.
 const HEEDED_PART: f64 = 0.3;
 
 /// How a request that no server answered has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum RequestFailure {
     /// It has not run and will not.
-    NotRun {
+    NotExecuted {
         /// When the client may come back.
         retry_after: Duration,
     },
@@ -45,53 +45,53 @@
     TimedOut,
 }
 
-impl Unanswered {
+impl RequestFailure {
     /// Not run, as servers turned it down or could not be reached.
-    pub const REJECTED: Self = Self::NotRun { retry_after: AFTER_REJECTION };
+    pub const REJECTED: Self = Self::NotExecuted { retry_after: AFTER_REJECTION };
 
     /// Not run, as the process, which started `age` ago, has no configuration yet. The time to come back is when it
     /// should have one: a client may ask again only once.
-    pub fn unconfigured(age: Duration) -> Self {
-        Self::NotRun { retry_after: CONFIGURED_WITHIN.saturating_sub(age).max(AFTER_UNCONFIGURED) }
+    pub fn not_configured(age: Duration) -> Self {
+        Self::NotExecuted { retry_after: CONFIGURED_WITHIN.saturating_sub(age).max(AFTER_UNCONFIGURED) }
     }
 
     /// Not run, as it may outlast the process, which was told to end: the platform may send clients here for
-    /// `still_sent`.
-    pub fn leaving(still_sent: Duration) -> Self {
-        Self::NotRun { retry_after: still_sent.max(AFTER_LEAVING) }
+    /// `remaining_accept_time`.
+    pub fn shutting_down(remaining_accept_time: Duration) -> Self {
+        Self::NotExecuted { retry_after: remaining_accept_time.max(AFTER_LEAVING) }
     }
 
     /// With a time to come back that differs from one client to the next.
-    pub fn spread(self) -> Self {
+    pub fn with_jitter(self) -> Self {
         match self {
-            Self::NotRun { retry_after } => Self::NotRun { retry_after: spread(retry_after) },
+            Self::NotExecuted { retry_after } => Self::NotExecuted { retry_after: with_jitter(retry_after) },
             how => how,
         }
     }
 
     /// With a time to come back that a client with `left` before its deadline heeds.
-    pub fn within(self, left: Duration) -> Self {
+    pub fn capped_for(self, left: Duration) -> Self {
         match self {
-            Self::NotRun { retry_after } => {
-                Self::NotRun { retry_after: retry_after.min(left.mul_f64(HEEDED_PART)) }
+            Self::NotExecuted { retry_after } => {
+                Self::NotExecuted { retry_after: retry_after.min(left.mul_f64(HEEDED_PART)) }
             }
             how => how,
         }
     }
 
     /// The answer.
-    pub fn reply(self) -> Reply {
+    pub fn local_reply(self) -> LocalReply {
         match self {
-            Self::NotRun { retry_after } => {
-                Reply::new(StatusCode::SERVICE_UNAVAILABLE).with_retry_after(retry_after)
+            Self::NotExecuted { retry_after } => {
+                LocalReply::new(StatusCode::SERVICE_UNAVAILABLE).with_retry_after(retry_after)
             }
-            Self::Broken => Reply::new(StatusCode::BAD_GATEWAY),
-            Self::TimedOut => Reply::new(StatusCode::GATEWAY_TIMEOUT),
+            Self::Broken => LocalReply::new(StatusCode::BAD_GATEWAY),
+            Self::TimedOut => LocalReply::new(StatusCode::GATEWAY_TIMEOUT),
         }
     }
 }
 
 /// A time to come back, a little shorter or longer.
-pub fn spread(retry_after: Duration) -> Duration {
-    retry_after.mul_f64(1.0 + SPREAD * (2.0 * fastrand::f64() - 1.0))
+pub fn with_jitter(retry_after: Duration) -> Duration {
+    retry_after.mul_f64(1.0 + JITTER_FRACTION * (2.0 * fastrand::f64() - 1.0))
 }
--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/response.rs
@@ -11,12 +11,12 @@
 use http_body::{Body, Frame, SizeHint};
 use thiserror::Error;
 
-use crate::stream::Passing;
+use crate::relay::RelayedBody;
 
 /// Names the try of a client.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-dunelink-request-id");
 /// Milliseconds that the sender waits.
-pub const DEADLINE: HeaderName = HeaderName::from_static("x-dunelink-deadline-ms");
+pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-dunelink-deadline-ms");
 /// The id of the server that alone may run the request.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-dunelink-expect-instance");
 /// How urgent a request is for a server that runs a model, from 0, the most urgent, to 9.
@@ -28,7 +28,7 @@
 /// Parts of the prompt.
 pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-dunelink-prompt-prefix");
 /// A server's stamp on its answer.
-pub const SEAL: HeaderName = HeaderName::from_static("x-dunelink-response-seal");
+pub const RESPONSE_SEAL: HeaderName = HeaderName::from_static("x-dunelink-response-seal");
 /// A server's word that it has not run the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-dunelink-not-executed");
 /// A server's load: running, waiting, slots.
@@ -48,34 +48,34 @@
 }
 
 /// The body of an answer. The request counts as in hand until it is dropped.
-pub struct AnswerBody {
+pub struct ResponseBody {
     kind: Kind,
     _held: Option<Box<dyn Any>>,
 }
 
 enum Kind {
-    Whole(Option<Bytes>),
-    Passing(Box<Passing>),
+    Full(Option<Bytes>),
+    Relayed(Box<RelayedBody>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is there whole.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self { kind: Kind::Whole(Some(bytes).filter(|bytes| !bytes.is_empty())), _held: None }
+    pub fn full(bytes: Bytes) -> Self {
+        Self { kind: Kind::Full(Some(bytes).filter(|bytes| !bytes.is_empty())), _held: None }
     }
 
     /// A body that is passed on as it comes.
-    pub fn passing(passing: Passing) -> Self {
-        Self { kind: Kind::Passing(Box::new(passing)), _held: None }
+    pub fn relayed(passing: RelayedBody) -> Self {
+        Self { kind: Kind::Relayed(Box::new(passing)), _held: None }
     }
 
     /// Drops `held` with the body: what counts the request as in hand.
-    pub fn holding(self, held: Box<dyn Any>) -> Self {
+    pub fn with_guard(self, held: Box<dyn Any>) -> Self {
         Self { _held: Some(held), ..self }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -84,34 +84,34 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut self.kind {
-            Kind::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Kind::Passing(passing) => {
-                passing.poll_piece(cx).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Kind::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Kind::Relayed(passing) => {
+                passing.poll_data(cx).map(|piece| piece.map(|piece| piece.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.kind, Kind::Whole(None))
+        matches!(self.kind, Kind::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
-            Kind::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
-            Kind::Passing(passing) => passing.length().map(SizeHint::with_exact).unwrap_or_default(),
+            Kind::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
+            Kind::Relayed(passing) => passing.length().map(SizeHint::with_exact).unwrap_or_default(),
         }
     }
 }
 
 /// An answer of the process's own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reply {
+pub struct LocalReply {
     status: StatusCode,
     retry_after: Option<Duration>,
     closes: bool,
 }
 
-impl Reply {
+impl LocalReply {
     /// An answer with nothing but its status.
     pub fn new(status: StatusCode) -> Self {
         Self { status, retry_after: None, closes: false }
@@ -123,7 +123,7 @@
     }
 
     /// Ends the client's connection: what stands on it can't be relied on.
-    pub fn closing(self) -> Self {
+    pub fn closing_connection(self) -> Self {
         Self { closes: true, ..self }
     }
 
@@ -133,8 +133,8 @@
     }
 
     /// The response, for the request of this id.
-    pub fn response(self, id: Option<&HeaderValue>) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+    pub fn into_response(self, id: Option<&HeaderValue>) -> Response<ResponseBody> {
+        let mut response = Response::new(ResponseBody::full(Bytes::new()));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         if let Some(id) = id {
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -12,9 +12,9 @@
 use tokio::task::LocalSet;
 
 use crate::arguments::{Arguments, HELP};
-use crate::listen::{Clients, listen};
+use crate::listener::{ClientConnections, listen};
 use crate::node::Node;
-use crate::shutdown::{Signals, finish};
+use crate::shutdown::{Signals, drain};
 use crate::{feed, readiness};
 
 /// Exit code for a command line or settings that can't be followed.
@@ -55,13 +55,13 @@
 fn run(boot: Boot, log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let mut signals = Signals::take().context("signals can't be taken over")?;
+        let mut signals = Signals::install().context("signals can't be taken over")?;
         let proxy = Proxy::bind(Node::new(boot, log.clone()))?;
         let node = proxy.node();
         let clients = proxy.start();
-        signals.told_to_end(&node).await;
-        node.leave();
-        finish(&node, &clients).await;
+        signals.wait_for_termination(&node).await;
+        node.begin_shutdown();
+        drain(&node, &clients).await;
         Ok(())
     })
 }
@@ -110,8 +110,8 @@
     }
 
     /// Starts its tasks on the local set that it is called in.
-    pub fn start(self) -> Rc<Clients> {
-        let clients = Clients::new(self.node.clone());
+    pub fn start(self) -> Rc<ClientConnections> {
+        let clients = ClientConnections::new(self.node.clone());
         tokio::task::spawn_local(clients.clone().accept(self.front));
         tokio::task::spawn_local(clients.clone().sweep());
         tokio::task::spawn_local(readiness::serve(self.node.clone(), self.readiness));
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -7,9 +7,9 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::Instant;
 
-use crate::leaving::Leaving;
-use crate::listen::Clients;
+use crate::listener::ClientConnections;
 use crate::node::Node;
+use crate::shutdown_schedule::ShutdownSchedule;
 
 /// How often it is looked whether anything is in hand.
 const LOOK: Duration = Duration::from_millis(50);
@@ -28,13 +28,13 @@
     /// # Errors
     ///
     /// The system refuses.
-    pub fn take() -> std::io::Result<Self> {
+    pub fn install() -> std::io::Result<Self> {
         let terminate = signal(SignalKind::terminate())?;
         Ok(Self { terminate, hangup: signal(SignalKind::hangup())? })
     }
 
     /// Ends when the process is told to end. Settings that change while it runs concern other programs.
-    pub async fn told_to_end(&mut self, node: &Node) {
+    pub async fn wait_for_termination(&mut self, node: &Node) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
@@ -46,23 +46,23 @@
 
 /// Waits until nothing is in hand, or the time for that is over. New connections are taken while the platform sends
 /// them, and none afterwards, as it would be cut with the request on it. What the kernel holds by then is taken too.
-pub async fn finish(node: &Rc<Node>, clients: &Clients) {
-    let Leaving { told, open_until, ends_at } = node.leave();
-    info!(node.log, "told to end"; "in_hand" => node.in_hand());
-    tokio::time::sleep_until(open_until).await;
-    let last = clients.refuse_more().await;
+pub async fn drain(node: &Rc<Node>, clients: &ClientConnections) {
+    let ShutdownSchedule { signaled_at, accept_until, exit_by } = node.begin_shutdown();
+    info!(node.log, "told to end"; "in_hand" => node.open_request_count());
+    tokio::time::sleep_until(accept_until).await;
+    let last = clients.stop_accepting().await;
     info!(node.log, "no more connections"; "open" => clients.count(), "taken_last" => last,
-        "after_ms" => told.elapsed().as_millis() as u64);
-    while Instant::now() < ends_at && !is_done(node, clients) {
+        "after_ms" => signaled_at.elapsed().as_millis() as u64);
+    while Instant::now() < exit_by && !is_done(node, clients) {
         tokio::time::sleep(LOOK).await;
     }
-    info!(node.log, "ends"; "in_hand" => node.in_hand(), "connections" => clients.count(),
-        "after_ms" => told.elapsed().as_millis() as u64);
-    node.open_requests.log_cut(&node.log, told);
+    info!(node.log, "ends"; "in_hand" => node.open_request_count(), "connections" => clients.count(),
+        "after_ms" => signaled_at.elapsed().as_millis() as u64);
+    node.open_requests.log_unfinished(&node.log, signaled_at);
 }
 
 /// Whether no connection of a client is left; those without a request are told to end.
-fn is_done(node: &Node, clients: &Clients) -> bool {
-    clients.end_resting(RESTS);
-    node.in_hand() == 0 && clients.count() == 0
+fn is_done(node: &Node, clients: &ClientConnections) -> bool {
+    clients.close_idle(RESTS);
+    node.open_request_count() == 0 && clients.count() == 0
 }
--- a/crates/proxy/src/leaving.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -19,32 +19,32 @@
 
 /// When a process that was told to end stops what.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Leaving {
+pub struct ShutdownSchedule {
     /// When the process was told to end.
-    pub told: Instant,
+    pub signaled_at: Instant,
     /// Until then new connections are taken.
-    pub open_until: Instant,
+    pub accept_until: Instant,
     /// The process ends now at the latest.
-    pub ends_at: Instant,
+    pub exit_by: Instant,
 }
 
-impl Leaving {
-    /// Told at `told` to end within `grace`.
-    pub fn new(told: Instant, grace: Duration) -> Self {
+impl ShutdownSchedule {
+    /// Told at `signaled_at` to end within `grace`.
+    pub fn new(signaled_at: Instant, grace: Duration) -> Self {
         Self {
-            told,
-            open_until: told + STILL_SENT.min(grace.mul_f64(OPEN_PART)),
-            ends_at: told + grace.saturating_sub(BEFORE_KILL),
+            signaled_at,
+            accept_until: signaled_at + STILL_SENT.min(grace.mul_f64(OPEN_PART)),
+            exit_by: signaled_at + grace.saturating_sub(BEFORE_KILL),
         }
     }
 
     /// Whether a request whose time is over at `request_ends` may outlast the process, so that its answer would be cut.
     pub fn is_outlasted_by(&self, request_ends: Instant) -> bool {
-        request_ends + ANSWER_WRITTEN_WITHIN > self.ends_at
+        request_ends + ANSWER_WRITTEN_WITHIN > self.exit_by
     }
 
     /// How long the platform may still send clients, seen from `now`: one that is refused comes back after it.
-    pub fn still_sent(&self, now: Instant) -> Duration {
-        self.open_until.saturating_duration_since(now)
+    pub fn remaining_accept_time(&self, now: Instant) -> Duration {
+        self.accept_until.saturating_duration_since(now)
     }
 }
--- a/crates/proxy/src/upstream/link.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -25,9 +25,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::alarm::{Alarm, Alert};
-use super::pool::Place;
-use super::socket::CountedSocket;
+use super::counting_socket::CountingSocket;
+use super::pool::ConnectionPermit;
+use super::timer::{RequestTimer, TimeoutKind};
 
 /// Idle time after which a connection is not used again when its server tells none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(2);
@@ -40,9 +40,9 @@
 const POLLS_TO_IDLE: usize = 3;
 
 /// A connection to one incarnation of a server.
-pub struct Link {
+pub struct UpstreamConnection {
     sender: SendRequest<Full<Bytes>>,
-    connection: Connection<TokioIo<CountedSocket>, Full<Bytes>>,
+    connection: Connection<TokioIo<CountingSocket>, Full<Bytes>>,
     written: Rc<Cell<u64>>,
     ended: bool,
     fresh: bool,
@@ -52,45 +52,45 @@
     server: ServerHandle,
     server_id: Arc<str>,
     /// Frees the connection's place in the pool's count when it is dropped.
-    place: Place,
+    place: ConnectionPermit,
 }
 
 /// What became of a request on a connection.
-pub enum Sent {
+pub enum SendResult {
     /// The head of an answer has come.
-    Answered(Box<Answered>),
+    Response(Box<UpstreamResponse>),
     /// Not every byte was written: the server has not run it.
     NotSent,
     /// The connection broke, or what came is no answer: it may have run.
     Broken,
     /// No answer in time, or the server fell silent: it may have run.
-    TimedOut(Alert),
+    TimedOut(TimeoutKind),
 }
 
 /// An answer whose body is still to be read.
-pub struct Answered {
+pub struct UpstreamResponse {
     /// Status and headers.
     pub head: http::response::Parts,
     /// The body.
     pub body: Incoming,
     /// Whether the end of its connection is its end, if that is not a reset.
-    pub is_unframed: bool,
+    pub is_close_delimited: bool,
     /// The connection that it comes by.
-    pub link: Box<Link>,
+    pub connection: Box<UpstreamConnection>,
 }
 
-impl Link {
+impl UpstreamConnection {
     /// Opens a connection to a server within `patience`; nothing if it can't be opened.
     pub async fn open(
         address: SocketAddr,
         server: ServerHandle,
         server_id: Arc<str>,
-        place: Place,
+        place: ConnectionPermit,
         patience: Duration,
     ) -> Option<Box<Self>> {
         let stream = tokio::time::timeout(patience, TcpStream::connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
-        let (socket, written) = CountedSocket::new(stream);
+        let (socket, written) = CountingSocket::new(stream);
         let mut builder = Builder::new();
         builder.max_buf_size(READ_BUFFER_MOST);
         let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.ok()?;
@@ -120,7 +120,7 @@
     }
 
     /// Whether nothing was sent on it yet.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_new(&self) -> bool {
         self.fresh
     }
 
@@ -138,7 +138,7 @@
 
     /// Whether another request may be sent on it: its last answer has ended, its server does not close it, and
     /// nothing came behind the answer.
-    pub fn is_quiet(&mut self, cx: &mut Context<'_>) -> bool {
+    pub fn is_reusable(&mut self, cx: &mut Context<'_>) -> bool {
         if self.closes {
             return false;
         }
@@ -155,8 +155,8 @@
     }
 
     /// How much has come from the server, on all connections.
-    pub fn heard(&self) -> u64 {
-        self.place.heard()
+    pub fn activity(&self) -> u64 {
+        self.place.activity()
     }
 
     /// Sends a request of `length` bytes and waits for the head of its answer until the alarm fires.
@@ -164,8 +164,8 @@
         mut self: Box<Self>,
         request: Request<Full<Bytes>>,
         length: u64,
-        alarm: &mut Alarm,
-    ) -> Sent {
+        timer: &mut RequestTimer,
+    ) -> SendResult {
         let before = self.written.get();
         self.fresh = false;
         let mut answer = std::pin::pin!(self.sender.try_send_request(request));
@@ -181,51 +181,51 @@
             if *ended {
                 return Poll::Ready(Ok(None));
             }
-            alarm.poll(cx, place.heard()).map(Err)
+            timer.poll(cx, place.activity()).map(Err)
         })
         .await;
         let whole = self.written.get() - before >= length;
         match answered {
-            Ok(Some(response)) => Sent::Answered(Box::new(self.answered(response))),
-            _ if !whole => Sent::NotSent,
-            Ok(None) => Sent::Broken,
-            Err(alert) => Sent::TimedOut(alert),
+            Ok(Some(response)) => SendResult::Response(Box::new(self.answered(response))),
+            _ if !whole => SendResult::NotSent,
+            Ok(None) => SendResult::Broken,
+            Err(alert) => SendResult::TimedOut(alert),
         }
     }
 
-    fn answered(mut self: Box<Self>, response: Response<Incoming>) -> Answered {
+    fn answered(mut self: Box<Self>, response: Response<Incoming>) -> UpstreamResponse {
         let (head, body) = response.into_parts();
-        self.place.note_heard();
+        self.place.record_activity();
         self.closes = has_option(&head.headers, "close") || head.version < http::Version::HTTP_11;
         if let Some(limit) = keep_alive_seconds(&head.headers) {
             self.idle_limit = Duration::from_secs(limit).mul_f64(IDLE_PART);
         }
-        let is_unframed = reading::is_unframed(&head.headers);
-        self.closes |= is_unframed;
-        Answered { head, body, is_unframed, link: self }
+        let is_close_delimited = reading::is_unframed(&head.headers);
+        self.closes |= is_close_delimited;
+        UpstreamResponse { head, body, is_close_delimited, connection: self }
     }
 }
 
-impl Answered {
+impl UpstreamResponse {
     /// The next piece of the body.
-    pub fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
+    pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
         let mut piece = Pin::new(&mut self.body).poll_frame(cx);
         if piece.is_pending() {
-            self.link.drive(cx);
+            self.connection.drive(cx);
             piece = Pin::new(&mut self.body).poll_frame(cx);
         }
         if piece.is_ready() {
-            self.link.place.note_heard();
+            self.connection.place.record_activity();
         }
         piece
     }
 
     /// Reads the body whole: nothing if it breaks off, is longer than `most` bytes, or the alarm fires before.
-    pub async fn whole(&mut self, most: usize, alarm: &mut Alarm) -> Option<Bytes> {
+    pub async fn read_to_end(&mut self, most: usize, timer: &mut RequestTimer) -> Option<Bytes> {
         let mut pieces = Pieces::default();
         poll_fn(|cx| {
             loop {
-                match self.poll_piece(cx) {
+                match self.poll_data(cx) {
                     Poll::Ready(Some(Ok(piece))) => {
                         pieces.push(piece.into_data().unwrap_or_default());
                         if pieces.length > most {
@@ -234,7 +234,7 @@
                     }
                     Poll::Ready(Some(Err(_))) => return Poll::Ready(None),
                     Poll::Ready(None) => return Poll::Ready(Some(pieces.join())),
-                    Poll::Pending => return alarm.poll(cx, self.link.heard()).map(|_| None),
+                    Poll::Pending => return timer.poll(cx, self.connection.activity()).map(|_| None),
                 }
             }
         })
--- a/crates/proxy/src/upstream/socket.rs
+++ b/crates/proxy/src/upstream/counting_socket.rs
@@ -10,12 +10,12 @@
 use tokio::net::TcpStream;
 
 /// A socket whose written bytes are counted: a request of which not every byte was written has not run.
-pub(super) struct CountedSocket {
+pub(super) struct CountingSocket {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
 }
 
-impl CountedSocket {
+impl CountingSocket {
     pub(super) fn new(stream: TcpStream) -> (Self, Rc<Cell<u64>>) {
         let written = Rc::new(Cell::new(0));
         (Self { stream, written: written.clone() }, written)
@@ -29,7 +29,7 @@
     }
 }
 
-impl AsyncRead for CountedSocket {
+impl AsyncRead for CountingSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -39,7 +39,7 @@
     }
 }
 
-impl AsyncWrite for CountedSocket {
+impl AsyncWrite for CountingSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.count(polled)
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,10 +1,10 @@
 //! Connections to servers.
 
-mod alarm;
-mod link;
+mod connection;
+mod counting_socket;
 mod pool;
-mod socket;
+mod timer;
 
-pub use alarm::{Alarm, Alert};
-pub use link::{Answered, Link, Sent};
-pub use pool::{Place, Pool};
+pub use connection::{SendResult, UpstreamConnection, UpstreamResponse};
+pub use pool::{ConnectionPermit, ConnectionPool};
+pub use timer::{RequestTimer, TimeoutKind};
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -8,7 +8,7 @@
 use dunelink_routing::ServerHandle;
 use tokio::time::Instant;
 
-use super::link::Link;
+use super::connection::UpstreamConnection;
 
 /// Idle connections that a server is left with in any case.
 const IDLE_LEAST: usize = 2;
@@ -18,8 +18,8 @@
 const NO_REUSE: Duration = Duration::from_secs(10);
 
 /// Connections to servers. They belong to an incarnation of a server, never to an address.
-pub struct Pool {
-    itself: Weak<Pool>,
+pub struct ConnectionPool {
+    itself: Weak<ConnectionPool>,
     most: usize,
     open: Cell<usize>,
     nodes: Cell<u32>,
@@ -32,7 +32,7 @@
     open: usize,
     /// The most recently used last.
     #[expect(clippy::vec_box, reason = "each is a kilobyte that is passed from hand to hand")]
-    idle: Vec<Box<Link>>,
+    idle: Vec<Box<UpstreamConnection>>,
     /// Counts what comes from it.
     heard: Rc<Cell<u64>>,
     /// Until then no connection to it is used twice.
@@ -46,25 +46,25 @@
 }
 
 /// A place in the count of open connections.
-pub struct Place {
-    pool: Weak<Pool>,
+pub struct ConnectionPermit {
+    pool: Weak<ConnectionPool>,
     server: ServerHandle,
     heard: Rc<Cell<u64>>,
 }
 
-impl Place {
+impl ConnectionPermit {
     /// How much has come from the server, on all connections.
-    pub(super) fn heard(&self) -> u64 {
+    pub(super) fn activity(&self) -> u64 {
         self.heard.get()
     }
 
     /// Something has come from the server.
-    pub(super) fn note_heard(&self) {
+    pub(super) fn record_activity(&self) {
         self.heard.set(self.heard.get() + 1);
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let Some(pool) = self.pool.upgrade() else { return };
         pool.open.set(pool.open.get() - 1);
@@ -76,7 +76,7 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     /// A pool of at most `most` connections.
     pub fn new(most: usize) -> Rc<Self> {
         Rc::new_cyclic(|itself| Self {
@@ -90,22 +90,22 @@
     }
 
     /// Takes over how many connections a server of each service accepts from all processes together.
-    pub fn set_bounds(&self, bounds: HashMap<String, u32>) {
+    pub fn set_connection_limits(&self, bounds: HashMap<String, u32>) {
         *self.bounds.borrow_mut() = bounds;
     }
 
     /// Says how many processes share the servers.
-    pub fn set_nodes(&self, nodes: u32) {
+    pub fn set_node_count(&self, nodes: u32) {
         self.nodes.set(nodes.max(1));
     }
 
     /// Connections that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
     /// The connection to a server that rested least, if it can be used.
-    pub fn take(&self, server: ServerHandle) -> Option<Box<Link>> {
+    pub fn take_idle(&self, server: ServerHandle) -> Option<Box<UpstreamConnection>> {
         let now = Instant::now();
         let mut stale = Vec::new();
         let mut servers = self.servers.borrow_mut();
@@ -126,7 +126,7 @@
     }
 
     /// A place for one more connection; nothing if there are too many.
-    pub fn place(&self, server: ServerHandle) -> Option<Place> {
+    pub fn reserve(&self, server: ServerHandle) -> Option<ConnectionPermit> {
         if self.open.get() >= self.most && !self.evict() {
             return None;
         }
@@ -134,11 +134,11 @@
         let mut servers = self.servers.borrow_mut();
         let of_server = servers.entry(server).or_default();
         of_server.open += 1;
-        Some(Place { pool: self.itself.clone(), server, heard: of_server.heard.clone() })
+        Some(ConnectionPermit { pool: self.itself.clone(), server, heard: of_server.heard.clone() })
     }
 
     /// Keeps a connection for another request to its server of a service.
-    pub fn keep(&self, mut link: Box<Link>, service: &str) {
+    pub fn put_idle(&self, mut link: Box<UpstreamConnection>, service: &str) {
         let now = Instant::now();
         link.idle_since = now;
         let bound = self.idle_bound(service);
@@ -157,7 +157,7 @@
     }
 
     /// Closes idle connections to servers of which `usable` says that nothing is to be sent to them.
-    pub fn keep_only(&self, usable: impl Fn(ServerHandle) -> bool) {
+    pub fn retain_usable(&self, usable: impl Fn(ServerHandle) -> bool) {
         let now = Instant::now();
         let mut dropped = Vec::new();
         let mut servers = self.servers.borrow_mut();
@@ -169,7 +169,7 @@
     }
 
     /// Closes the idle connections to a server that does not answer: each would cost a request its time.
-    pub fn forget(&self, server: ServerHandle) {
+    pub fn close_idle(&self, server: ServerHandle) {
         let mut servers = self.servers.borrow_mut();
         let idle = servers.get_mut(&server).map(|server| std::mem::take(&mut server.idle));
         drop_after(servers, idle);
@@ -177,7 +177,7 @@
 
     /// A server answered with what belongs to no request: another such answer may be on its way on any connection that
     /// it has served, so for some time each request to it gets a connection of its own.
-    pub fn stop_reuse(&self, server: ServerHandle) {
+    pub fn suspend_reuse(&self, server: ServerHandle) {
         let mut servers = self.servers.borrow_mut();
         let of_server = servers.entry(server).or_default();
         of_server.no_reuse_until = Some(Instant::now() + NO_REUSE);
@@ -186,7 +186,7 @@
     }
 
     /// Closes connections that rested for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         let mut dropped = Vec::new();
         let mut servers = self.servers.borrow_mut();
--- a/crates/proxy/src/upstream/alarm.rs
+++ b/crates/proxy/src/upstream/timer.rs
@@ -8,9 +8,9 @@
 use tokio::time::{Instant, Sleep};
 
 /// Fires at a request's end, and when its server was silent for as long as is watched for.
-pub struct Alarm {
+pub struct RequestTimer {
     sleep: Pin<Box<Sleep>>,
-    ends_at: Instant,
+    deadline: Instant,
     watch: Option<Watch>,
 }
 
@@ -23,26 +23,26 @@
 
 /// Why the alarm fired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Alert {
+pub enum TimeoutKind {
     /// The time of the request is over.
-    Over,
+    Deadline,
     /// The server said nothing, on any connection, for the time that is watched for.
-    Silent,
+    Silence,
 }
 
-impl Alarm {
-    /// Fires at `ends_at`.
-    pub fn new(ends_at: Instant) -> Self {
-        Self { sleep: Box::pin(tokio::time::sleep_until(ends_at)), ends_at, watch: None }
+impl RequestTimer {
+    /// Fires at `deadline`.
+    pub fn new(deadline: Instant) -> Self {
+        Self { sleep: Box::pin(tokio::time::sleep_until(deadline)), deadline, watch: None }
     }
 
     /// When the request ends.
-    pub fn ends_at(&self) -> Instant {
-        self.ends_at
+    pub fn deadline(&self) -> Instant {
+        self.deadline
     }
 
     /// Watches for silence of this length from now on, or not any more. `heard` counts what has come from the server.
-    pub fn watch(&mut self, every: Option<Duration>, heard: u64) {
+    pub fn set_silence_timeout(&mut self, every: Option<Duration>, heard: u64) {
         if every.is_none() && self.watch.is_none() {
             return;
         }
@@ -51,22 +51,22 @@
     }
 
     fn set(&mut self) {
-        let look = self.watch.as_ref().map_or(self.ends_at, |watch| Instant::now() + watch.every);
-        self.sleep.as_mut().reset(look.min(self.ends_at));
+        let look = self.watch.as_ref().map_or(self.deadline, |watch| Instant::now() + watch.every);
+        self.sleep.as_mut().reset(look.min(self.deadline));
     }
 
     /// Ready once it fires. `heard` counts what has come from the server.
-    pub fn poll(&mut self, cx: &mut Context<'_>, heard: u64) -> Poll<Alert> {
+    pub fn poll(&mut self, cx: &mut Context<'_>, heard: u64) -> Poll<TimeoutKind> {
         loop {
             ready!(self.sleep.as_mut().poll(cx));
-            let Some(watch) = &mut self.watch else { return Poll::Ready(Alert::Over) };
-            if Instant::now() >= self.ends_at {
-                return Poll::Ready(Alert::Over);
+            let Some(watch) = &mut self.watch else { return Poll::Ready(TimeoutKind::Deadline) };
+            if Instant::now() >= self.deadline {
+                return Poll::Ready(TimeoutKind::Deadline);
             }
             let silent = std::mem::replace(&mut watch.heard, heard) == heard;
             self.set();
             if silent {
-                return Poll::Ready(Alert::Silent);
+                return Poll::Ready(TimeoutKind::Silence);
             }
         }
     }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dunelink_proxy::listen::Clients;
+use dunelink_proxy::listener::ClientConnections;
 use dunelink_proxy::node::Node;
 use dunelink_proxy::{Proxy, shutdown};
 use dunelink_settings::Boot;
@@ -40,7 +40,7 @@
 /// A proxy with its agent.
 pub(crate) struct System {
     pub(crate) node: Rc<Node>,
-    pub(crate) clients: Rc<Clients>,
+    pub(crate) clients: Rc<ClientConnections>,
     pub(crate) agent: Agent,
     front: std::net::SocketAddr,
     readiness: std::net::SocketAddr,
@@ -155,7 +155,7 @@
 
     /// Ends the proxy as on SIGTERM.
     pub(crate) async fn finish(&self) {
-        self.node.leave();
-        shutdown::finish(&self.node, &self.clients).await;
+        self.node.begin_shutdown();
+        shutdown::drain(&self.node, &self.clients).await;
     }
 }
--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -37,7 +37,7 @@
         stream.ask("/again/x", "a2").await;
         assert_eq!(stream.head().await.unwrap().status, 200);
         let ended = tokio::join!(system.finish(), async {
-            until(|| system.node.is_leaving()).await;
+            until(|| system.node.is_shutting_down()).await;
             assert_eq!(system.check().await, 503);
             // The platform sends clients for a while yet.
             let mut late = system.client().await;
@@ -63,7 +63,7 @@
         let system = System::with(&[&one]).await;
         let mut late = system.client().await;
         let ((), ()) = tokio::join!(system.finish(), async {
-            until(|| system.node.is_leaving()).await;
+            until(|| system.node.is_shutting_down()).await;
             assert_eq!(late.call("/safe/x", "b1").await.status, 200);
         });
         assert_eq!(system.clients.count(), 0);
@@ -97,7 +97,7 @@
         }
         let [mut before, mut after, mut short] = clients;
         let ((), ()) = tokio::join!(system.finish(), async {
-            until(|| system.node.is_leaving()).await;
+            until(|| system.node.is_shutting_down()).await;
             // Before the last client is sent: it is served, and its answer ends the connection.
             early.notify_one();
             assert_eq!(before.chunk().await.unwrap(), "");
@@ -120,7 +120,7 @@
         let received = one.received.borrow();
         let sent = |id| received.iter().any(|request| request.header("x-dunelink-request-id") == Some(id));
         assert!(sent("d4") && sent("d6") && !sent("d5"));
-        assert_eq!((system.node.in_hand(), system.clients.count()), (0, 0));
+        assert_eq!((system.node.open_request_count(), system.clients.count()), (0, 0));
     });
 }
 
@@ -136,9 +136,9 @@
         half.send("bo").await;
         let mut kept = system.client().await;
         assert_eq!(kept.call("/safe/x", "e2").await.status, 200);
-        until(|| system.node.in_hand() == 1).await;
+        until(|| system.node.open_request_count() == 1).await;
         let ((), ()) = tokio::join!(system.finish(), async {
-            until(|| system.node.is_leaving()).await;
+            until(|| system.node.is_shutting_down()).await;
             half.send("dy").await;
             kept.send(&format!("{}body", head("/again/x", "e3", OUTLASTS_MS, ""))).await;
             let mut new = system.client().await;
@@ -160,7 +160,7 @@
             .filter_map(|r| Some(r.header("x-dunelink-request-id")?.to_owned()))
             .collect();
         assert_eq!(ids, ["e2", "e5"]);
-        assert_eq!((system.node.in_hand(), system.clients.count()), (0, 0));
+        assert_eq!((system.node.open_request_count(), system.clients.count()), (0, 0));
     });
 }
 
@@ -179,12 +179,12 @@
         client.send(&format!("{}body", head("/again/x", "f1", OUTLASTS_MS, ""))).await;
         until(|| one.count() == 1).await;
         let ((), ()) = tokio::join!(system.finish(), async {
-            until(|| system.node.is_leaving()).await;
+            until(|| system.node.is_shutting_down()).await;
             go.notify_one();
             let answered = client.answer().await;
             assert_eq!((answered.status, answered.complete), (200, true));
         });
-        assert_eq!((system.node.in_hand(), system.clients.count()), (0, 0));
+        assert_eq!((system.node.open_request_count(), system.clients.count()), (0, 0));
     });
 }
 
@@ -222,7 +222,7 @@
         let (in_hand, answered) = tokio::join!(
             async {
                 system.finish().await;
-                (system.node.in_hand(), system.clients.count())
+                (system.node.open_request_count(), system.clients.count())
             },
             asking
         );
--- a/crates/proxy/tests/feeding.rs
+++ b/crates/proxy/tests/feeding.rs
@@ -9,7 +9,7 @@
 use dunelink_protocol::{
     ConfigurationChunk, FeedMessage, Heartbeat, LinkKind, RosterOffset, ServerSuspicion,
 };
-use dunelink_proxy::table::Unanswered;
+use dunelink_proxy::request_failure::RequestFailure;
 
 #[test]
 fn it_is_ready_once_its_configuration_was_confirmed_and_stays_so() {
@@ -25,7 +25,7 @@
         // Its agent has not heard from the core for long, or knows of a newer one.
         system.agent.tick(5_000, 1);
         system.agent.tick(0, 2);
-        until(|| node.version() == 1).await;
+        until(|| node.configuration_version() == 1).await;
         assert_eq!(system.client().await.call("/safe/x", "a1").await.status, 200);
         assert_eq!(system.check().await, 503);
         until(|| node.clock.age() > Duration::from_millis(10)).await;
@@ -43,8 +43,8 @@
 fn without_a_configuration_clients_are_told_to_come_back_when_there_should_be_one() {
     let told = |age_ms, left_ms| {
         let left = Duration::from_millis(left_ms);
-        let how = Unanswered::unconfigured(Duration::from_millis(age_ms)).within(left);
-        let Unanswered::NotRun { retry_after } = how else { panic!("{how:?}") };
+        let how = RequestFailure::not_configured(Duration::from_millis(age_ms)).capped_for(left);
+        let RequestFailure::NotExecuted { retry_after } = how else { panic!("{how:?}") };
         retry_after.as_millis()
     };
     // The whole fleet may just have started.
@@ -73,17 +73,17 @@
         let system = System::with(&[&one]).await;
         let node = system.node.clone();
         system.agent.configure(&configuration(7, &routes()[..1], ""));
-        until(|| node.version() == 7).await;
+        until(|| node.configuration_version() == 7).await;
         system.agent.configure(&configuration(6, &routes(), ""));
         let bytes = b"{".to_vec();
         let torn = ConfigurationChunk { version: 8, total_bytes: 9, offset: 5, bytes };
         system.agent.send(FeedMessage::Configuration(torn));
         // What follows on nothing ends the connection; a new one begins with everything.
         until(|| system.agent.hellos.borrow().len() == 2).await;
-        assert_eq!(node.version(), 7);
+        assert_eq!(node.configuration_version(), 7);
         system.agent.configure(&configuration(6, &routes(), ""));
         system.agent.configure(&configuration(9, &routes()[..2], ""));
-        until(|| node.version() == 9).await;
+        until(|| node.configuration_version() == 9).await;
         assert_eq!(system.client().await.call("/once/x", "a1").await.status, 200);
         assert_eq!(system.client().await.call("/flow/x", "a1").await.status, 404);
     });
@@ -136,13 +136,23 @@
         let node = system.node.clone();
         system.agent.configure(&configuration(1, &routes(), ""));
         system.agent.roster(&[&one]);
-        until(|| node.version() == 1).await;
+        until(|| node.configuration_version() == 1).await;
         assert_eq!(system.client().await.call("/safe/x", "a1").await.status, 200);
         let (configuration_version, roster) = (1, RosterOffset::default());
         let before = node.clock.age().as_millis() as u64 + 100;
-        node.tick(&Heartbeat { confirmed_age_ms: before, configuration_version, roster, roster_age_ms: 0 });
+        node.observe_heartbeat(&Heartbeat {
+            confirmed_age_ms: before,
+            configuration_version,
+            roster,
+            roster_age_ms: 0,
+        });
         assert!(!node.is_ready());
-        node.tick(&Heartbeat { confirmed_age_ms: 0, configuration_version, roster, roster_age_ms: 0 });
+        node.observe_heartbeat(&Heartbeat {
+            confirmed_age_ms: 0,
+            configuration_version,
+            roster,
+            roster_age_ms: 0,
+        });
         assert!(node.is_ready());
     });
 }
@@ -162,7 +172,7 @@
         system.agent.list_at(3, None, vec![one.entry()]);
         system.agent.list_at(5, None, vec![one.entry()]);
         system.agent.configure(&configuration(2, &routes(), ""));
-        until(|| system.node.version() == 2).await;
+        until(|| system.node.configuration_version() == 2).await;
         assert_eq!(system.client().await.call("/safe/x", "a1").await.body, "two");
         assert_eq!(hellos(), 1);
         system.agent.list_at(9, Some(8), vec![one.entry()]);
@@ -183,7 +193,7 @@
         let suspicion = ServerSuspicion { server: one.id.clone(), failed_share: 1.0, reporters: 2 };
         system.agent.send(FeedMessage::Suspicions(vec![suspicion]));
         system.agent.configure(&configuration(2, &routes(), ""));
-        until(|| system.node.version() == 2).await;
+        until(|| system.node.configuration_version() == 2).await;
         for number in 0..20 {
             assert_eq!(system.client().await.call("/safe/x", &format!("a{number}")).await.status, 200);
         }
@@ -201,7 +211,9 @@
     let retry_after = Duration::from_millis(1_000);
     let mut told: Vec<u128> = Vec::new();
     for _ in 0..200 {
-        let Unanswered::NotRun { retry_after } = (Unanswered::NotRun { retry_after }).spread() else {
+        let RequestFailure::NotExecuted { retry_after } =
+            (RequestFailure::NotExecuted { retry_after }).with_jitter()
+        else {
             panic!("another answer")
         };
         told.push(retry_after.as_millis());
@@ -210,7 +222,8 @@
     told.sort_unstable();
     assert!(told[20] < 950 && told[180] > 1_050, "{told:?}");
     // No client is told more than it heeds.
-    let within = (Unanswered::NotRun { retry_after }).spread().within(Duration::from_millis(600));
-    assert_eq!(within, Unanswered::NotRun { retry_after: Duration::from_millis(180) });
-    assert_eq!(Unanswered::TimedOut.spread(), Unanswered::TimedOut);
+    let within =
+        (RequestFailure::NotExecuted { retry_after }).with_jitter().capped_for(Duration::from_millis(600));
+    assert_eq!(within, RequestFailure::NotExecuted { retry_after: Duration::from_millis(180) });
+    assert_eq!(RequestFailure::TimedOut.with_jitter(), RequestFailure::TimedOut);
 }
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -125,7 +125,7 @@
         system.agent.configure(&configuration(2, &routes(), TENANTS));
         system.agent.send(granted(&system.node, 1_000.0));
         let node = system.node.clone();
-        until(|| node.version() == 2).await;
+        until(|| node.configuration_version() == 2).await;
         for (fields, status) in [
             ("", 401),
             ("Authorization: Bearer other\r\n", 401),
@@ -153,7 +153,7 @@
         system.agent.configure(&configuration(2, &routes(), TENANTS));
         system.agent.send(granted(&system.node, 1_000.0));
         let node = system.node.clone();
-        until(|| node.version() == 2).await;
+        until(|| node.configuration_version() == 2).await;
         let mut served = 0;
         let refused = loop {
             let mut client = system.client().await;
@@ -198,7 +198,7 @@
         ];
         for (number, (configuration, told)) in told.into_iter().enumerate() {
             system.agent.configure(&configuration);
-            until(|| node.version() == number as u64 + 2).await;
+            until(|| node.configuration_version() == number as u64 + 2).await;
             for (key, told) in ["k1", "k2"].into_iter().zip(told) {
                 let mut client = system.client().await;
                 client.ask_with("/safe/x", "a1", &format!("Authorization: Bearer {key}\r\n")).await;
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -162,7 +162,7 @@
         until(|| one.count() == 2).await;
         drop(client);
         until(|| one.closed.get() == 2).await;
-        assert_eq!(system.node.in_hand(), 0);
+        assert_eq!(system.node.open_request_count(), 0);
         assert_eq!(system.node.router.borrow().attempts_in_flight(), 0);
     });
 }
