--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -48,17 +48,17 @@
     let units = tenant.map_or(0.0, |tenant| configuration.quota_units(tenant, request.prompt.total_tokens()));
     if let Some(tenant) = tenant {
         let mut quota = node.quota_gate.borrow_mut();
-        let passes = quota.admit(now, &fleet.tenants[tenant].name, units);
+        let admitted = quota.admit(now, &fleet.tenants[tenant].name, units);
         if quota.take_shortage() {
             node.report_requested.notify_one();
         }
-        passes.map_err(|after| over_quota(after.0))?;
+        admitted.map_err(|retry_after| quota_exceeded(retry_after.0))?;
     }
     let priority = tenant.and_then(|tenant| fleet.tenants[tenant].priority).unwrap_or(route.priority);
     Ok(Admission { policy: RoutePolicy::from(route), service, tenant, priority, units })
 }
 
-fn over_quota(after_us: u64) -> LocalReply {
+fn quota_exceeded(retry_after_us: u64) -> LocalReply {
     LocalReply::new(StatusCode::TOO_MANY_REQUESTS)
-        .with_retry_after(with_jitter(Duration::from_micros(after_us)))
+        .with_retry_after(with_jitter(Duration::from_micros(retry_after_us)))
 }
--- a/crates/proxy/src/arguments.rs
+++ b/crates/proxy/src/arguments.rs
@@ -43,14 +43,14 @@
     ///
     /// An option is unknown, or its value is.
     pub fn read() -> Result<Self, ArgumentsError> {
-        let mut given = pico_args::Arguments::from_env();
+        let mut remaining = pico_args::Arguments::from_env();
         let arguments = Self {
-            check: given.contains("--check"),
-            help: given.contains("--help"),
-            log: given.opt_value_from_str("--log")?.unwrap_or(Format::Text),
+            check: remaining.contains("--check"),
+            help: remaining.contains("--help"),
+            log: remaining.opt_value_from_str("--log")?.unwrap_or(Format::Text),
         };
-        match given.finish().first() {
-            Some(other) => Err(ArgumentsError::Unknown(other.to_string_lossy().into_owned())),
+        match remaining.finish().first() {
+            Some(unknown) => Err(ArgumentsError::Unknown(unknown.to_string_lossy().into_owned())),
             None => Ok(arguments),
         }
     }
--- a/crates/proxy/src/client_socket.rs
+++ b/crates/proxy/src/client_socket.rs
@@ -15,17 +15,17 @@
 
 /// The heads of the requests on a connection as they stood on the wire.
 #[derive(Debug, Clone, Default)]
-pub struct RequestHeads(Rc<RefCell<Followed>>);
+pub struct RequestHeads(Rc<RefCell<HeadScanState>>);
 
 #[derive(Debug, Default)]
-struct Followed {
+struct HeadScanState {
     scanner: Scanner,
     /// Since when a part of a request is there, if the rest is not.
     partial_since: Option<Instant>,
 }
 
-impl Followed {
-    fn take(&mut self, bytes: &[u8]) {
+impl HeadScanState {
+    fn scan(&mut self, bytes: &[u8]) {
         self.scanner.take(bytes);
         if !self.scanner.has_begun() {
             self.partial_since = None;
@@ -56,7 +56,7 @@
 
     /// The body in chunks of the request at hand has come whole: what comes next is a head.
     pub fn end_chunked_body(&self) {
-        *self.0.borrow_mut() = Followed::default();
+        *self.0.borrow_mut() = HeadScanState::default();
     }
 }
 
@@ -81,7 +81,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        self.heads.0.borrow_mut().take(&buf.filled()[before..]);
+        self.heads.0.borrow_mut().scan(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -12,11 +12,11 @@
     pub fleet: FleetConfig,
     tenants: Vec<HeaderValue>,
     /// Whether some requests are more urgent than others.
-    ranked: bool,
+    has_priorities: bool,
 }
 
 /// The least urgent rank that servers know.
-const PRIORITY_LAST: u32 = 9;
+const LOWEST_PRIORITY: u32 = 9;
 
 /// What a route says of how its requests are treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,8 +59,8 @@
     pub fn new(fleet: FleetConfig) -> Self {
         let value = |name: &str| HeaderValue::from_str(name).unwrap_or(HeaderValue::from_static(""));
         let tenants = fleet.tenants.iter().map(|tenant| value(&tenant.name)).collect();
-        let ranked = is_ranked(&fleet);
-        Self { fleet, tenants, ranked }
+        let has_priorities = has_several_priorities(&fleet);
+        Self { fleet, tenants, has_priorities }
     }
 
     /// The name of a tenant as a header value.
@@ -71,8 +71,8 @@
     /// What a server of this service is told of a request's urgency; nothing where all requests are alike, or where
     /// servers do not heed it.
     pub fn priority_header(&self, service: usize, priority: u32) -> Option<HeaderValue> {
-        let heeds = self.ranked && self.fleet.services[service].engine.is_some();
-        heeds.then(|| HeaderValue::from(priority.min(PRIORITY_LAST)))
+        let uses_priority = self.has_priorities && self.fleet.services[service].engine.is_some();
+        uses_priority.then(|| HeaderValue::from(priority.min(LOWEST_PRIORITY)))
     }
 
     /// What is charged for a request of a tenant: `tokens` if it states any and tokens are counted.
@@ -103,8 +103,8 @@
 
     /// Names of the services that requests without a tenant go to.
     pub fn tenantless_services(&self) -> Vec<&str> {
-        let keys = self.fleet.asks_for_keys();
-        let routes = self.fleet.routes.iter().filter(|route| route.public || !keys);
+        let requires_keys = self.fleet.asks_for_keys();
+        let routes = self.fleet.routes.iter().filter(|route| route.public || !requires_keys);
         let targets = routes.flat_map(|route| &route.targets).filter(|target| target.weight > 0);
         let mut services: Vec<usize> = targets.map(|target| target.service).collect();
         services.sort_unstable();
@@ -126,9 +126,9 @@
 }
 
 /// Whether routes and tenants differ in priority.
-fn is_ranked(fleet: &FleetConfig) -> bool {
+fn has_several_priorities(fleet: &FleetConfig) -> bool {
     let routes = fleet.routes.iter().map(|route| route.priority);
     let tenants = fleet.tenants.iter().filter_map(|tenant| tenant.priority);
-    let mut all = routes.chain(tenants).map(|priority| priority.min(PRIORITY_LAST));
-    all.next().is_some_and(|first| all.any(|other| other != first))
+    let mut priorities = routes.chain(tenants).map(|priority| priority.min(LOWEST_PRIORITY));
+    priorities.next().is_some_and(|first| priorities.any(|other| other != first))
 }
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -26,9 +26,9 @@
 use crate::response::{LocalReply, ResponseBody};
 
 /// Limits of heads before there is a configuration, in bytes.
-const HEADER_BYTES: u64 = 16_384;
+const DEFAULT_MAX_HEADER_BYTES: u64 = 16_384;
 /// What a connection may hold beyond a head, in bytes: bodies come in fewer pieces.
-const BUFFER_MORE: usize = 32 * 1_024;
+const EXTRA_BUFFER_BYTES: usize = 32 * 1_024;
 
 /// A client's connection as the others see it.
 #[derive(Debug)]
@@ -36,9 +36,9 @@
     /// Since when no request is open on it.
     idle_since: Cell<Option<Instant>>,
     /// Told when it is to end once no request is open on it.
-    close: Notify,
+    close_requested: Notify,
     /// Told when it is to end at once.
-    cut: Notify,
+    abort_requested: Notify,
     /// What was read of requests.
     heads: RequestHeads,
 }
@@ -48,8 +48,8 @@
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
             idle_since: Cell::new(Some(Instant::now())),
-            close: Notify::new(),
-            cut: Notify::new(),
+            close_requested: Notify::new(),
+            abort_requested: Notify::new(),
             heads: RequestHeads::default(),
         })
     }
@@ -61,42 +61,45 @@
 
     /// Ends it once no request is open on it.
     pub fn close_when_idle(&self) {
-        self.close.notify_one();
+        self.close_requested.notify_one();
     }
 
-    /// Ends it if it rests for longer than `rest` and nothing has come of a next request.
-    pub fn close_if_idle(&self, now: Instant, rest: Duration) {
-        let rests = self.idle_since.get().is_some_and(|since| now.saturating_duration_since(since) >= rest);
-        if rests && self.heads.partial_since().is_none() {
+    /// Ends it if it rests for longer than `idle_timeout` and nothing has come of a next request.
+    pub fn close_if_idle(&self, now: Instant, idle_timeout: Duration) {
+        let is_idle =
+            self.idle_since.get().is_some_and(|since| now.saturating_duration_since(since) >= idle_timeout);
+        if is_idle && self.heads.partial_since().is_none() {
             self.close_when_idle();
         }
     }
 
-    /// Ends it if it rests for longer than `rest`, or if a request that has begun lacks a part of its head for longer
-    /// than `head`.
-    pub fn enforce_timeouts(&self, now: Instant, rest: Duration, head: Duration) {
+    /// Ends it if it rests for longer than `idle_timeout`, or if a request that has begun lacks a part of its head for longer
+    /// than `header_timeout`.
+    pub fn enforce_timeouts(&self, now: Instant, idle_timeout: Duration, header_timeout: Duration) {
         let Some(idle_since) = self.idle_since.get() else { return };
-        let is_over = |since: Instant, most: Duration| now.saturating_duration_since(since) > most;
+        let is_over = |since: Instant, max: Duration| now.saturating_duration_since(since) > max;
         match self.heads.partial_since() {
             // What came while a request was open counts from the end of that one.
-            Some(since) if is_over(since.max(idle_since), head) => self.cut.notify_one(),
-            None if is_over(idle_since, rest) => self.close_when_idle(),
+            Some(since) if is_over(since.max(idle_since), header_timeout) => {
+                self.abort_requested.notify_one()
+            }
+            None if is_over(idle_since, idle_timeout) => self.close_when_idle(),
             _ => {}
         }
     }
 }
 
 /// Ends the request that is open on a connection.
-struct Open(Rc<ClientConnection>);
+struct ActiveRequestGuard(Rc<ClientConnection>);
 
-impl Open {
+impl ActiveRequestGuard {
     fn new(connection: &Rc<ClientConnection>) -> Self {
         connection.idle_since.set(None);
         Self(connection.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
         self.0.idle_since.set(Some(Instant::now()));
     }
@@ -106,26 +109,30 @@
 pub async fn serve(node: Rc<Node>, connection: Rc<ClientConnection>, stream: TcpStream) {
     tokio::select! {
         biased;
-        () = connection.cut.notified() => {}
-        () = serve_to_end(node, &connection, stream) => {}
+        () = connection.abort_requested.notified() => {}
+        () = serve_until_closed(node, &connection, stream) => {}
     }
 }
 
-async fn serve_to_end(node: Rc<Node>, connection: &Rc<ClientConnection>, stream: TcpStream) {
+async fn serve_until_closed(node: Rc<Node>, connection: &Rc<ClientConnection>, stream: TcpStream) {
     let limits = node.configuration().map(|configuration| configuration.fleet.limits.clone());
-    let head_most = limits.map_or(HEADER_BYTES, |limits| limits.max_header_bytes) as usize;
+    let max_head_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes) as usize;
     let socket = ClientSocket::new(stream, connection.heads.clone());
     let service = service_fn(|request| {
-        let (node, open, heads) = (node.clone(), Open::new(connection), connection.heads.clone());
-        async move { Ok::<_, Infallible>(respond(node, request, open, &heads).await) }
+        let (node, active, heads) =
+            (node.clone(), ActiveRequestGuard::new(connection), connection.heads.clone());
+        async move { Ok::<_, Infallible>(respond(node, request, active, &heads).await) }
     });
     let mut builder = http1::Builder::new();
-    builder.max_header_size(head_most).max_buf_size(head_most + BUFFER_MORE).auto_date_header(false);
+    builder
+        .max_header_size(max_head_bytes)
+        .max_buf_size(max_head_bytes + EXTRA_BUFFER_BYTES)
+        .auto_date_header(false);
     let mut serving = pin!(builder.serve_connection(TokioIo::new(socket), service));
     tokio::select! {
         biased;
         _ = serving.as_mut() => return,
-        () = connection.close.notified() => serving.as_mut().graceful_shutdown(),
+        () = connection.close_requested.notified() => serving.as_mut().graceful_shutdown(),
     }
     // Its errors are the client's: what it lacks it asks for again.
     let _ = serving.await;
@@ -135,13 +142,13 @@
 async fn respond(
     node: Rc<Node>,
     request: Request<Incoming>,
-    open: Open,
+    active: ActiveRequestGuard,
     heads: &RequestHeads,
 ) -> Response<ResponseBody> {
-    let in_hand = node.open_requests.track();
+    let open_request = node.open_requests.track();
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let mut response = match heads.check_framing(request.headers()) {
-        Ok(()) => answer(&node, request, &in_hand).await,
+        Ok(()) => handle_request(&node, request, &open_request).await,
         Err(_) => LocalReply::new(StatusCode::BAD_REQUEST).closing_connection().into_response(None),
     };
     if chunked {
@@ -150,37 +157,37 @@
     if node.is_shutting_down() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    in_hand.set_answering();
-    response.map(|body| body.with_guard(Box::new((in_hand, open))))
+    open_request.set_answering();
+    response.map(|body| body.with_guard(Box::new((open_request, active))))
 }
 
-async fn answer(
+async fn handle_request(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    in_hand: &OpenRequestGuard,
+    open_request: &OpenRequestGuard,
 ) -> Response<ResponseBody> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let configuration = node.configuration();
     let limits = configuration.as_ref().map(|configuration| &configuration.fleet.limits);
     let limits = limits.cloned().unwrap_or_default();
-    let patience = Duration::from_millis(limits.header_timeout_ms);
-    let request = match request::read(request, &limits, patience).await {
+    let body_timeout = Duration::from_millis(limits.header_timeout_ms);
+    let request = match request::read(request, &limits, body_timeout).await {
         Ok(request) => request,
         Err((reply, id)) => return reply.into_response(id.as_ref()),
     };
     // A newer one may have come with the body.
     let Some(configuration) = node.configuration() else {
-        let left = request
+        let remaining = request
             .client_timeout
-            .map_or(Duration::MAX, |client_timeout| client_timeout.saturating_sub(began.elapsed()));
-        let how = RequestFailure::not_configured(node.clock.age()).with_jitter().capped_for(left);
-        return how.local_reply().into_response(Some(&request.id));
+            .map_or(Duration::MAX, |client_timeout| client_timeout.saturating_sub(started_at.elapsed()));
+        let failure = RequestFailure::not_configured(node.clock.age()).with_jitter().capped_for(remaining);
+        return failure.local_reply().into_response(Some(&request.id));
     };
     let admission = match admit(node, &configuration, &request) {
         Ok(admission) => admission,
         Err(reply) => return reply.into_response(Some(&request.id)),
     };
-    let exchange = Exchange::new(node.clone(), configuration, request, admission, began);
-    in_hand.set_admitted(&exchange.request.id, exchange.timer.deadline());
+    let exchange = Exchange::new(node.clone(), configuration, request, admission, started_at);
+    open_request.set_admitted(&exchange.request.id, exchange.timer.deadline());
     exchange.run().await
 }
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::admission::Admission;
-use crate::attempt::{AttemptResult, passed_on};
+use crate::attempt::{AttemptResult, forwarded_response};
 use crate::attempt_guard::AttemptGuard;
 use crate::configuration::Configuration;
 use crate::node::Node;
@@ -21,18 +21,18 @@
 use crate::upstream::{RequestTimer, UpstreamResponse};
 
 /// Servers that could not be reached, at most, before a request is given up: nothing was sent to them.
-const UNREACHED_MOST: u32 = 3;
+const MAX_UNSENT_ATTEMPTS: u32 = 3;
 /// Part of the target latency that a request waits for room, at most.
-const WAIT_PART: f64 = 0.25;
+const MAX_WAIT_FRACTION: f64 = 0.25;
 /// A server may be silent for so long, or for so many target latencies, before a request that may run twice goes to
 /// another one.
-const SILENCE_LEAST: Duration = Duration::from_millis(1_200);
-const SILENCE_TARGETS: f64 = 2.5;
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
+const SILENCE_TARGET_MULTIPLE: f64 = 2.5;
 /// The same for a stream that has begun, in aimed pauses between its events.
-const PAUSE_LEAST: Duration = Duration::from_millis(1_000);
-const PAUSE_AIMS: f64 = 2.0;
+const MIN_EVENT_GAP_TIMEOUT: Duration = Duration::from_millis(1_000);
+const EVENT_GAP_TARGET_MULTIPLE: f64 = 2.0;
 /// A request is not sent with less time left than this.
-pub(crate) const TIME_LEAST: Duration = Duration::from_millis(5);
+pub(crate) const MIN_REMAINING_TIME: Duration = Duration::from_millis(5);
 
 /// A request and what became of it so far.
 pub struct Exchange {
@@ -42,50 +42,50 @@
     pub(crate) admission: Admission,
     /// Fires when the client or the operator wants it to end.
     pub(crate) timer: RequestTimer,
-    pub(crate) tried: Vec<ServerHandle>,
+    pub(crate) tried_servers: Vec<ServerHandle>,
     /// Servers that may have run it.
     pub(crate) possible_executions: u32,
     /// Servers that the request was sent to.
     pub(crate) servers_sent_to: u32,
     pub(crate) unsent_attempts: u32,
-    waited: Duration,
+    total_wait: Duration,
 }
 
 impl Exchange {
-    /// A request that was admitted at `began`.
+    /// A request that was admitted at `started_at`.
     pub fn new(
         node: Rc<Node>,
         configuration: Rc<Configuration>,
         request: ClientRequest,
         admission: Admission,
-        began: Instant,
+        started_at: Instant,
     ) -> Self {
         let timeout = Duration::from_millis(admission.policy.timeout_ms);
         let deadline =
-            began + request.client_timeout.map_or(timeout, |client_timeout| client_timeout.min(timeout));
+            started_at + request.client_timeout.map_or(timeout, |client_timeout| client_timeout.min(timeout));
         Self {
             node,
             configuration,
             request,
             admission,
             timer: RequestTimer::new(deadline),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
             possible_executions: 0,
             servers_sent_to: 0,
             unsent_attempts: 0,
-            waited: Duration::ZERO,
+            total_wait: Duration::ZERO,
         }
     }
 
     /// Sends the request until one answer stands.
     pub async fn run(mut self) -> Response<ResponseBody> {
-        let mut failed = None;
+        let mut server_error = None;
         loop {
-            match self.next().await {
+            match self.next_attempt().await {
                 Ok(AttemptResult::Response(response)) => return *response,
-                Ok(AttemptResult::Stream(answered, tracked)) => return self.begin_stream(answered, tracked),
+                Ok(AttemptResult::Stream(upstream, attempt)) => return self.begin_stream(upstream, attempt),
                 Ok(AttemptResult::ServerError(response)) => {
-                    failed = Some(response);
+                    server_error = Some(response);
                     if !self.try_retry() {
                         break;
                     }
@@ -95,17 +95,19 @@
                         break;
                     }
                 }
-                Ok(AttemptResult::NotSent) if self.unsent_attempts < UNREACHED_MOST => {}
+                Ok(AttemptResult::NotSent) if self.unsent_attempts < MAX_UNSENT_ATTEMPTS => {}
                 Ok(AttemptResult::NotSent) => break,
-                Ok(AttemptResult::MaybeExecuted(how)) => {
+                Ok(AttemptResult::MaybeExecuted(failure)) => {
                     if !self.try_retry() {
-                        return self.failure_response(how);
+                        return self.failure_response(failure);
                     }
                 }
-                Err(how) => return failed.map_or_else(|| self.failure_response(how), |response| *response),
+                Err(failure) => {
+                    return server_error.map_or_else(|| self.failure_response(failure), |response| *response);
+                }
             }
         }
-        failed.map_or_else(|| self.failure_response(RequestFailure::REJECTED), |response| *response)
+        server_error.map_or_else(|| self.failure_response(RequestFailure::REJECTED), |response| *response)
     }
 
     /// Takes a broken stream up at another server; nothing if that can't be.
@@ -118,9 +120,9 @@
             self.request.headers.insert(LAST_EVENT_ID, last);
         }
         loop {
-            match self.next().await {
-                Ok(AttemptResult::Stream(answered, tracked)) => return (self, Some((answered, tracked))),
-                Ok(AttemptResult::NotSent) if self.unsent_attempts < UNREACHED_MOST => {}
+            match self.next_attempt().await {
+                Ok(AttemptResult::Stream(upstream, attempt)) => return (self, Some((upstream, attempt))),
+                Ok(AttemptResult::NotSent) if self.unsent_attempts < MAX_UNSENT_ATTEMPTS => {}
                 Ok(AttemptResult::Rejected | AttemptResult::MaybeExecuted(_)) if self.try_retry() => {}
                 Ok(_) | Err(_) => return (self, None),
             }
@@ -128,11 +130,11 @@
     }
 
     /// The answer when no server's stands.
-    fn failure_response(&self, how: RequestFailure) -> Response<ResponseBody> {
-        let how = match how {
+    fn failure_response(&self, failure: RequestFailure) -> Response<ResponseBody> {
+        let failure = match failure {
             RequestFailure::NotExecuted { .. } if self.possible_executions > 0 => RequestFailure::Broken,
             RequestFailure::TimedOut if self.possible_executions == 0 => RequestFailure::REJECTED,
-            how => how,
+            failure => failure,
         };
         if self.possible_executions == 0
             && let Some(tenant) = self.admission.tenant
@@ -140,7 +142,7 @@
             let name = &self.configuration.fleet.tenants[tenant].name;
             self.node.quota_gate.borrow_mut().refund(name, self.admission.units);
         }
-        how.with_jitter().capped_for(self.remaining()).local_reply().into_response(Some(&self.request.id))
+        failure.with_jitter().capped_for(self.remaining()).local_reply().into_response(Some(&self.request.id))
     }
 
     /// Whether the request may be sent once more; that is charged to the budget of repeats.
@@ -148,7 +150,7 @@
         if self.servers_sent_to == 0 {
             return true;
         }
-        if !self.is_retryable() || self.remaining() < TIME_LEAST {
+        if !self.is_retryable() || self.remaining() < MIN_REMAINING_TIME {
             return false;
         }
         let service = &self.configuration.fleet.services[self.admission.service].name;
@@ -158,24 +160,24 @@
     /// Whether what is known of the request lets it go to one more server.
     fn is_retryable(&self) -> bool {
         let policy = &self.admission.policy;
-        let runs = self.possible_executions == 0
+        let may_run_again = self.possible_executions == 0
             || policy.idempotent && self.possible_executions < policy.max_attempts;
-        runs && self.servers_sent_to <= policy.max_attempts
+        may_run_again && self.servers_sent_to <= policy.max_attempts
     }
 
     /// How long a server may be silent before the request is sent to another one; nothing if it can't be.
     pub(crate) fn silence_timeout(&self) -> Option<Duration> {
         let policy = &self.admission.policy;
         let target = Duration::from_millis(policy.target_latency_ms);
-        let silence = SILENCE_LEAST.max(target.mul_f64(SILENCE_TARGETS));
-        let repeatable = policy.idempotent && self.possible_executions + 1 < policy.max_attempts;
-        (repeatable && self.remaining() > silence + target).then_some(silence)
+        let silence = MIN_SILENCE_TIMEOUT.max(target.mul_f64(SILENCE_TARGET_MULTIPLE));
+        let retryable = policy.idempotent && self.possible_executions + 1 < policy.max_attempts;
+        (retryable && self.remaining() > silence + target).then_some(silence)
     }
 
     /// How long a stream that may be taken up elsewhere may pause.
     pub(crate) fn event_gap_timeout(&self) -> Duration {
-        let aim = Duration::from_millis(self.admission.policy.target_event_gap_ms);
-        PAUSE_LEAST.max(aim.mul_f64(PAUSE_AIMS))
+        let target_gap = Duration::from_millis(self.admission.policy.target_event_gap_ms);
+        MIN_EVENT_GAP_TIMEOUT.max(target_gap.mul_f64(EVENT_GAP_TARGET_MULTIPLE))
     }
 
     pub(crate) fn remaining(&self) -> Duration {
@@ -184,25 +186,27 @@
 
     /// What the process's end is, if the request may last longer and no server may have run it yet.
     pub(crate) fn shutdown_before_deadline(&self) -> Option<ShutdownSchedule> {
-        let leaving = self.node.shutdown_schedule().filter(|_| self.possible_executions == 0)?;
-        leaving.is_outlasted_by(self.timer.deadline()).then_some(leaving)
+        let shutdown = self.node.shutdown_schedule().filter(|_| self.possible_executions == 0)?;
+        shutdown.is_outlasted_by(self.timer.deadline()).then_some(shutdown)
     }
 
     /// Makes the next attempt, after waiting for room if there is none.
-    async fn next(&mut self) -> Result<AttemptResult, RequestFailure> {
+    async fn next_attempt(&mut self) -> Result<AttemptResult, RequestFailure> {
         loop {
-            if self.remaining() < TIME_LEAST {
+            if self.remaining() < MIN_REMAINING_TIME {
                 return Err(RequestFailure::TimedOut);
             }
-            if let Some(leaving) = self.shutdown_before_deadline() {
-                return Err(RequestFailure::shutting_down(leaving.remaining_accept_time(Instant::now())));
+            if let Some(shutdown) = self.shutdown_before_deadline() {
+                return Err(RequestFailure::shutting_down(shutdown.remaining_accept_time(Instant::now())));
             }
-            match self.choose() {
+            match self.choose_server() {
                 Decision::Send { server, attempt } => {
-                    let tracked = AttemptGuard::new(self.node.clone(), attempt, server);
-                    return Ok(self.attempt(tracked).await);
+                    let attempt = AttemptGuard::new(self.node.clone(), attempt, server);
+                    return Ok(self.attempt(attempt).await);
+                }
+                Decision::Wait { retry_in } => {
+                    self.wait_for_capacity(Duration::from_micros(retry_in)).await?
                 }
-                Decision::Wait { retry_in } => self.wait(Duration::from_micros(retry_in)).await?,
                 Decision::Refuse { retry_after, .. } => {
                     return Err(RequestFailure::NotExecuted {
                         retry_after: Duration::from_micros(retry_after),
@@ -212,10 +216,10 @@
         }
     }
 
-    fn choose(&self) -> Decision {
+    fn choose_server(&self) -> Decision {
         let fleet = &self.configuration.fleet;
         let (tokens_in, tokens_out) = self.request.prompt.tokens.unwrap_or_default();
-        let asked = RoutingRequest {
+        let routing_request = RoutingRequest {
             service: &fleet.services[self.admission.service].name,
             tenant: self.admission.tenant.map(|tenant| fleet.tenants[tenant].name.as_str()),
             parts: &self.request.prompt.parts,
@@ -224,31 +228,35 @@
             priority: self.admission.priority,
             target_latency: self.admission.policy.target_latency_ms * 1_000,
             remaining: self.remaining().as_micros() as u64,
-            excluded: &self.tried,
+            excluded: &self.tried_servers,
             is_first_attempt: self.servers_sent_to == 0,
         };
-        self.node.router.borrow_mut().choose(self.node.clock.now(), &asked)
+        self.node.router.borrow_mut().choose(self.node.clock.now(), &routing_request)
     }
 
     /// Waits for room, within a part of the target latency in all.
-    async fn wait(&mut self, time: Duration) -> Result<(), RequestFailure> {
-        let most = Duration::from_millis(self.admission.policy.target_latency_ms).mul_f64(WAIT_PART);
-        if self.waited + time > most {
+    async fn wait_for_capacity(&mut self, delay: Duration) -> Result<(), RequestFailure> {
+        let max_wait =
+            Duration::from_millis(self.admission.policy.target_latency_ms).mul_f64(MAX_WAIT_FRACTION);
+        if self.total_wait + delay > max_wait {
             return Err(RequestFailure::REJECTED);
         }
-        self.waited += time;
-        tokio::time::sleep(time).await;
+        self.total_wait += delay;
+        tokio::time::sleep(delay).await;
         Ok(())
     }
 
     fn begin_stream(
         self,
-        mut answered: Box<UpstreamResponse>,
-        tracked: AttemptGuard,
+        mut upstream: Box<UpstreamResponse>,
+        attempt: AttemptGuard,
     ) -> Response<ResponseBody> {
-        let length = http_body::Body::size_hint(&answered.body).exact();
-        let mut head = std::mem::replace(&mut answered.head, Response::new(()).into_parts().0);
-        passed_on(&mut head, ResponseBody::relayed(RelayedBody::new(self, answered, tracked, length)))
+        let length = http_body::Body::size_hint(&upstream.body).exact();
+        let mut head = std::mem::replace(&mut upstream.head, Response::new(()).into_parts().0);
+        forwarded_response(
+            &mut head,
+            ResponseBody::relayed(RelayedBody::new(self, upstream, attempt, length)),
+        )
     }
 
     /// What the client's own `Last-Event-Id` says.
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -21,11 +21,11 @@
 /// New connections that the kernel holds while they are not accepted.
 const BACKLOG: i32 = 1_024;
 /// Pause after the system refused a connection, for want of descriptors.
-const REFUSED_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How often resting connections are looked through.
 pub const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Part of the time that clients may rest after which a connection is closed: clients keep below it.
-const IDLE_PART: f64 = 1.1;
+const IDLE_TIMEOUT_FACTOR: f64 = 1.1;
 
 /// Listens at an address, also if connections to it linger from before a restart.
 ///
@@ -42,7 +42,7 @@
 }
 
 /// What a future gives if it needs no waiting.
-async fn at_once<F: Future>(future: F) -> Option<F::Output> {
+async fn poll_once<F: Future>(future: F) -> Option<F::Output> {
     let mut future = pin!(future);
     poll_fn(|cx| match future.as_mut().poll(cx) {
         Poll::Ready(output) => Poll::Ready(Some(output)),
@@ -54,31 +54,31 @@
 /// The clients' connections.
 pub struct ClientConnections {
     node: Rc<Node>,
-    most: usize,
-    next: RefCell<u64>,
+    max_connections: usize,
+    next_id: RefCell<u64>,
     connections: RefCell<HashMap<u64, Rc<ClientConnection>>>,
-    freed: Notify,
+    connection_closed: Notify,
     /// Connections that were accepted as the listener was closed.
-    taken_last: Cell<usize>,
+    accepted_at_close: Cell<usize>,
     /// Told when no more connections are to be accepted.
-    refusing: Notify,
+    stop_requested: Notify,
     /// Told once the listener is closed.
-    refused: Notify,
+    listener_closed: Notify,
 }
 
 impl ClientConnections {
     /// No connections yet.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
-        let most = Node::max_client_connections(&node.boot);
+        let max_connections = Node::max_client_connections(&node.boot);
         Rc::new(Self {
             node,
-            most,
-            next: RefCell::default(),
+            max_connections,
+            next_id: RefCell::default(),
             connections: RefCell::default(),
-            freed: Notify::new(),
-            taken_last: Cell::new(0),
-            refusing: Notify::new(),
-            refused: Notify::new(),
+            connection_closed: Notify::new(),
+            accepted_at_close: Cell::new(0),
+            stop_requested: Notify::new(),
+            listener_closed: Notify::new(),
         })
     }
 
@@ -90,65 +90,64 @@
     /// Accepts connections until [`Self::stop_accepting`] is called; then the listener is closed.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         tokio::select! {
-            () = self.accept_all(&listener) => {}
-            () = self.refusing.notified() => {}
+            () = self.accept_loop(&listener) => {}
+            () = self.stop_requested.notified() => {}
         }
-        while let Some(Ok((stream, _))) = at_once(listener.accept()).await {
-            self.clone().adopt(stream);
-            self.taken_last.set(self.taken_last.get() + 1);
+        while let Some(Ok((stream, _))) = poll_once(listener.accept()).await {
+            self.clone().spawn_connection(stream);
+            self.accepted_at_close.set(self.accepted_at_close.get() + 1);
         }
         drop(listener);
-        self.refused.notify_one();
+        self.listener_closed.notify_one();
     }
 
     /// Closes the listener, with all connections accepted that are there; gives how many there were.
     pub async fn stop_accepting(&self) -> usize {
-        self.refusing.notify_one();
-        self.refused.notified().await;
-        self.taken_last.get()
+        self.stop_requested.notify_one();
+        self.listener_closed.notified().await;
+        self.accepted_at_close.get()
     }
 
-    async fn accept_all(self: &Rc<Self>, listener: &TcpListener) {
+    async fn accept_loop(self: &Rc<Self>, listener: &TcpListener) {
         loop {
-            while self.count() >= self.most {
-                self.make_room();
+            while self.count() >= self.max_connections {
+                self.close_longest_idle();
                 // Whatever is missed here is seen after the pause.
-                let _ = tokio::time::timeout(REFUSED_PAUSE, self.freed.notified()).await;
+                let _ = tokio::time::timeout(ACCEPT_RETRY_DELAY, self.connection_closed.notified()).await;
             }
             match listener.accept().await {
-                Ok((stream, _)) => self.clone().adopt(stream),
-                Err(_) => tokio::time::sleep(REFUSED_PAUSE).await,
+                Ok((stream, _)) => self.clone().spawn_connection(stream),
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    fn adopt(self: Rc<Self>, stream: TcpStream) {
+    fn spawn_connection(self: Rc<Self>, stream: TcpStream) {
         // Without it answers are later, not wrong.
         let _ = stream.set_nodelay(true);
-        let number = self.next.replace_with(|next| *next + 1);
+        let id = self.next_id.replace_with(|next_id| *next_id + 1);
         let connection = ClientConnection::new();
-        self.connections.borrow_mut().insert(number, connection.clone());
+        self.connections.borrow_mut().insert(id, connection.clone());
         tokio::task::spawn_local(async move {
             serve(self.node.clone(), connection, stream).await;
-            self.connections.borrow_mut().remove(&number);
-            self.freed.notify_one();
+            self.connections.borrow_mut().remove(&id);
+            self.connection_closed.notify_one();
         });
     }
 
     /// Ends the connection that has rested for longest.
-    fn make_room(&self) {
+    fn close_longest_idle(&self) {
         let connections = self.connections.borrow();
-        let resting =
-            connections.values().filter_map(|connection| Some((connection.idle_since()?, connection)));
-        if let Some((_, connection)) = resting.min_by_key(|(since, _)| *since) {
+        let idle = connections.values().filter_map(|connection| Some((connection.idle_since()?, connection)));
+        if let Some((_, connection)) = idle.min_by_key(|(since, _)| *since) {
             connection.close_when_idle();
         }
     }
 
-    /// Ends connections on which nothing has come of a request for `rest`.
-    pub fn close_idle(&self, rest: Duration) {
+    /// Ends connections on which nothing has come of a request for `idle_timeout`.
+    pub fn close_idle(&self, idle_timeout: Duration) {
         let now = Instant::now();
-        self.connections.borrow().values().for_each(|connection| connection.close_if_idle(now, rest));
+        self.connections.borrow().values().for_each(|connection| connection.close_if_idle(now, idle_timeout));
     }
 
     /// Ends connections that rest or take for too long, of clients and to servers, for as long as it is polled.
@@ -158,11 +157,11 @@
             self.node.pool.close_expired();
             let limits = self.node.configuration().map(|configuration| configuration.fleet.limits.clone());
             let limits = limits.unwrap_or_default();
-            let rest = Duration::from_millis(limits.idle_timeout_ms).mul_f64(IDLE_PART);
-            let head = Duration::from_millis(limits.header_timeout_ms);
+            let idle_timeout = Duration::from_millis(limits.idle_timeout_ms).mul_f64(IDLE_TIMEOUT_FACTOR);
+            let header_timeout = Duration::from_millis(limits.header_timeout_ms);
             let now = Instant::now();
             for connection in self.connections.borrow().values() {
-                connection.enforce_timeouts(now, rest, head);
+                connection.enforce_timeouts(now, idle_timeout, header_timeout);
             }
         }
     }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -23,15 +23,15 @@
 use crate::upstream::ConnectionPool;
 
 /// A configuration is known to be current while the agent's proof of that is younger than this, in milliseconds.
-const CONFIRMED_WITHIN_MS: u64 = 1_000;
+const MAX_CONFIRMATION_AGE_MS: u64 = 1_000;
 /// Descriptors that the platform keeps for files.
 const RESERVED_FDS: u64 = 200;
 /// Descriptors taken to be there where the settings name none.
-const DEFAULT_FDS: u64 = 1_024;
+const DEFAULT_MAX_FDS: u64 = 1_024;
 /// Part of the descriptors that clients' connections may take.
-const CLIENT_PART: f64 = 0.6;
+const CLIENT_FD_FRACTION: f64 = 0.6;
 /// One report of so many tells the load of every server. The reports of that time, 2 s, are what a leader waits for.
-const WHOLE_LOADS_EACH: u32 = 13;
+const REPORTS_PER_FULL_LOADS: u32 = 13;
 
 /// State of the process.
 pub struct Node {
@@ -51,7 +51,7 @@
     /// Connections to servers.
     pub pool: Rc<ConnectionPool>,
     configuration: RefCell<Option<Rc<Configuration>>>,
-    confirmed: Cell<bool>,
+    configuration_confirmed: Cell<bool>,
     ready_servers: Cell<usize>,
     shutdown_schedule: Cell<Option<ShutdownSchedule>>,
     /// Requests that were read and whose answer is not written yet.
@@ -80,18 +80,18 @@
         let router = Router::new(RouterSettings { zone: boot.zone.clone() }, fastrand::u64(..));
         let incarnation = fastrand::u64(..);
         let clock = Clock::start();
-        let gate = QuotaGate::new(quota, incarnation, clock.now());
-        let servers = Self::descriptors(&boot) - Self::max_client_connections(&boot);
+        let quota_gate = QuotaGate::new(quota, incarnation, clock.now());
+        let max_server_connections = Self::usable_fds(&boot) - Self::max_client_connections(&boot);
         Rc::new(Self {
             log,
             clock,
             router: RefCell::new(router),
-            quota_gate: RefCell::new(gate),
+            quota_gate: RefCell::new(quota_gate),
             incarnation,
             retry_budget: RefCell::new(RetryBudget::new(retry)),
-            pool: ConnectionPool::new(servers),
+            pool: ConnectionPool::new(max_server_connections),
             configuration: RefCell::default(),
-            confirmed: Cell::new(false),
+            configuration_confirmed: Cell::new(false),
             ready_servers: Cell::new(0),
             shutdown_schedule: Cell::new(None),
             open_requests: OpenRequests::new(),
@@ -102,14 +102,14 @@
         })
     }
 
-    fn descriptors(boot: &Boot) -> usize {
-        let all = if boot.limits.max_fds > 0 { boot.limits.max_fds } else { DEFAULT_FDS };
+    fn usable_fds(boot: &Boot) -> usize {
+        let all = if boot.limits.max_fds > 0 { boot.limits.max_fds } else { DEFAULT_MAX_FDS };
         all.saturating_sub(RESERVED_FDS).max(64) as usize
     }
 
     /// Most connections of clients.
     pub fn max_client_connections(boot: &Boot) -> usize {
-        (Self::descriptors(boot) as f64 * CLIENT_PART) as usize
+        (Self::usable_fds(boot) as f64 * CLIENT_FD_FRACTION) as usize
     }
 
     /// Drawn at random at the start: grants are for this start alone.
@@ -176,29 +176,29 @@
 
     /// Takes in a sign of life of the agent. A proof from before the process started says nothing of a version that
     /// was committed since.
-    pub fn observe_heartbeat(&self, tick: &Heartbeat) {
+    pub fn observe_heartbeat(&self, heartbeat: &Heartbeat) {
         let version = self.configuration_version();
-        let own = self.clock.age().as_millis() as u64;
-        let proven = tick.confirmed_age_ms < CONFIRMED_WITHIN_MS.min(own.saturating_add(1));
-        if proven && tick.configuration_version <= version && version > 0 {
-            self.confirmed.set(true);
+        let uptime_ms = self.clock.age().as_millis() as u64;
+        let is_recent = heartbeat.confirmed_age_ms < MAX_CONFIRMATION_AGE_MS.min(uptime_ms.saturating_add(1));
+        if is_recent && heartbeat.configuration_version <= version && version > 0 {
+            self.configuration_confirmed.set(true);
         }
     }
 
     /// Whether the platform may send clients: the configuration was confirmed as current once, there is a server, and
     /// the process is not about to end.
     pub fn is_ready(&self) -> bool {
-        self.confirmed.get() && self.ready_servers.get() > 0 && !self.is_shutting_down()
+        self.configuration_confirmed.get() && self.ready_servers.get() > 0 && !self.is_shutting_down()
     }
 
     /// From now on each answer ends its connection, and the platform is told to send no more clients.
     /// Gives when what stops.
     pub fn begin_shutdown(&self) -> ShutdownSchedule {
         let grace = Duration::from_secs_f64(self.boot.bounds.grace_s);
-        let leaving =
+        let schedule =
             self.shutdown_schedule.get().unwrap_or_else(|| ShutdownSchedule::new(Instant::now(), grace));
-        self.shutdown_schedule.set(Some(leaving));
-        leaving
+        self.shutdown_schedule.set(Some(schedule));
+        schedule
     }
 
     /// When what stops, once [`Self::begin_shutdown`] was called.
@@ -244,17 +244,22 @@
 
     /// Requests of this node at servers: all of them now and then, else what has changed.
     fn loads(&self) -> NodeLoads {
-        let is_whole = self.reports_until_full_loads.get() == 0;
-        let left = if is_whole { WHOLE_LOADS_EACH } else { self.reports_until_full_loads.get() };
-        self.reports_until_full_loads.set(left - 1);
+        let is_full = self.reports_until_full_loads.get() == 0;
+        let remaining_reports =
+            if is_full { REPORTS_PER_FULL_LOADS } else { self.reports_until_full_loads.get() };
+        self.reports_until_full_loads.set(remaining_reports - 1);
         let mut servers = Vec::new();
-        self.router.borrow_mut().report_loads(is_whole, PROMPT_UNIT_TOKENS, |id, requests, unread| {
-            servers.push(ServerLoad {
-                server_key: server_key(id),
-                in_flight: requests,
-                pending_prompt_units: unread,
-            });
-        });
-        NodeLoads { is_full: is_whole, servers }
+        self.router.borrow_mut().report_loads(
+            is_full,
+            PROMPT_UNIT_TOKENS,
+            |id, requests, pending_prompt_units| {
+                servers.push(ServerLoad {
+                    server_key: server_key(id),
+                    in_flight: requests,
+                    pending_prompt_units: pending_prompt_units,
+                });
+            },
+        );
+        NodeLoads { is_full: is_full, servers }
     }
 }
--- a/crates/proxy/src/open_requests.rs
+++ b/crates/proxy/src/open_requests.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// Most requests that are named in the log at the end.
-const NAMED_MOST: usize = 32;
+const MAX_LOGGED_REQUESTS: usize = 32;
 
 /// How far a request has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 /// All open requests of the process.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
-    next: Cell<u64>,
+    next_key: Cell<u64>,
     requests: RefCell<HashMap<u64, OpenRequest>>,
 }
 
@@ -66,38 +66,38 @@
 
     /// Counts a request as open until the guard is dropped.
     pub fn track(self: &Rc<Self>) -> OpenRequestGuard {
-        let number = self.next.replace(self.next.get() + 1);
+        let key = self.next_key.replace(self.next_key.get() + 1);
         let request = OpenRequest {
             started_at: Instant::now(),
             stage: RequestStage::Reading,
             id: None,
             deadline: None,
         };
-        self.requests.borrow_mut().insert(number, request);
-        OpenRequestGuard { requests: self.clone(), number }
+        self.requests.borrow_mut().insert(key, request);
+        OpenRequestGuard { requests: self.clone(), key }
     }
 
-    /// Names in the log what the end of the process cuts: when each request came, seen from `told`, when the process
+    /// Names in the log what the end of the process cuts: when each request came, seen from `signaled_at`, when the process
     /// was told to end, and what was left of its time.
-    pub fn log_unfinished(&self, log: &Logger, told: Instant) {
+    pub fn log_unfinished(&self, log: &Logger, signaled_at: Instant) {
         let now = Instant::now();
         let requests = self.requests.borrow();
-        let mut oldest: Vec<&OpenRequest> = requests.values().collect();
-        oldest.sort_unstable_by_key(|request| request.started_at);
-        for request in oldest.iter().take(NAMED_MOST) {
+        let mut oldest_first: Vec<&OpenRequest> = requests.values().collect();
+        oldest_first.sort_unstable_by_key(|request| request.started_at);
+        for request in oldest_first.iter().take(MAX_LOGGED_REQUESTS) {
             let id = request.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
             warn!(log, "request cut by the end of the process";
                 "id" => id,
                 "stage" => request.stage.name(),
-                "age_ms" => milliseconds(now, request.started_at),
-                "came_after_signal_ms" => milliseconds(request.started_at, told),
-                "left_ms" => request.deadline.map(|deadline| milliseconds(deadline, now)));
+                "age_ms" => signed_millis(now, request.started_at),
+                "came_after_signal_ms" => signed_millis(request.started_at, signaled_at),
+                "left_ms" => request.deadline.map(|deadline| signed_millis(deadline, now)));
         }
     }
 }
 
 /// Time from `earlier` to `later` in milliseconds, below zero if it is the other way round.
-fn milliseconds(later: Instant, earlier: Instant) -> i64 {
+fn signed_millis(later: Instant, earlier: Instant) -> i64 {
     let forward = later.saturating_duration_since(earlier).as_millis() as i64;
     let backward = earlier.saturating_duration_since(later).as_millis() as i64;
     forward - backward
@@ -107,13 +107,13 @@
 #[derive(Debug)]
 pub struct OpenRequestGuard {
     requests: Rc<OpenRequests>,
-    number: u64,
+    key: u64,
 }
 
 impl OpenRequestGuard {
     /// The request of this id was read whole and let pass; its time is over at `deadline`.
     pub fn set_admitted(&self, id: &HeaderValue, deadline: Instant) {
-        self.change(|request| {
+        self.update(|request| {
             request.stage = RequestStage::Admitted;
             request.id = Some(id.clone());
             request.deadline = Some(deadline);
@@ -122,18 +122,18 @@
 
     /// Its answer begins.
     pub fn set_answering(&self) {
-        self.change(|request| request.stage = RequestStage::Answering);
+        self.update(|request| request.stage = RequestStage::Answering);
     }
 
-    fn change(&self, change: impl FnOnce(&mut OpenRequest)) {
-        if let Some(request) = self.requests.requests.borrow_mut().get_mut(&self.number) {
-            change(request);
+    fn update(&self, update: impl FnOnce(&mut OpenRequest)) {
+        if let Some(request) = self.requests.requests.borrow_mut().get_mut(&self.key) {
+            update(request);
         }
     }
 }
 
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.requests.requests.borrow_mut().remove(&self.number);
+        self.requests.requests.borrow_mut().remove(&self.key);
     }
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -14,48 +14,48 @@
 use crate::upstream::{TimeoutKind, UpstreamResponse};
 
 /// Bytes of an event that has not come whole, at most; a stream with a longer one is passed on without resuming.
-const EVENT_MOST: usize = 256 * 1024;
+const MAX_PARTIAL_EVENT_BYTES: usize = 256 * 1024;
 
 /// An answer and the attempt that it belongs to.
-type Taken = (Box<UpstreamResponse>, AttemptGuard);
+type ResponseAttempt = (Box<UpstreamResponse>, AttemptGuard);
 
-type Resuming = Pin<Box<dyn Future<Output = (Exchange, Option<Taken>)>>>;
+type ResumeFuture = Pin<Box<dyn Future<Output = (Exchange, Option<ResponseAttempt>)>>>;
 
 /// An answer on its way from a server to its client.
 pub struct RelayedBody {
     source: Source,
     length: Option<u64>,
     /// Bytes that have come.
-    passed: u64,
+    forwarded_bytes: u64,
     events: Option<EventFramer>,
-    begun: bool,
+    first_event_recorded: bool,
 }
 
 enum Source {
-    Server(Box<Live>),
+    Streaming(Box<ActiveStream>),
     /// Taken up at another server. One that only fell silent is kept until the other has answered.
     Resuming {
-        resuming: Resuming,
-        silent: Option<Taken>,
+        resume: ResumeFuture,
+        silent_attempt: Option<ResponseAttempt>,
     },
     /// What came before is written out before the connection is cut.
-    Failing(BodyError),
+    Failed(BodyError),
     Ended,
 }
 
 /// A request and the answer that comes to it.
-struct Live {
+struct ActiveStream {
     exchange: Exchange,
-    answered: Box<UpstreamResponse>,
-    tracked: AttemptGuard,
+    response: Box<UpstreamResponse>,
+    attempt: AttemptGuard,
 }
 
 impl RelayedBody {
     /// Passes on an answer, of `length` bytes if that is known.
     pub fn new(
         exchange: Exchange,
-        answered: Box<UpstreamResponse>,
-        tracked: AttemptGuard,
+        response: Box<UpstreamResponse>,
+        attempt: AttemptGuard,
         length: Option<u64>,
     ) -> Self {
         let resumable = exchange.admission.policy.resumable && length.is_none();
@@ -63,10 +63,10 @@
         let mut exchange = exchange;
         exchange.timer.set_silence_timeout(
             resumable.then(|| exchange.event_gap_timeout()),
-            answered.connection.activity(),
+            response.connection.activity(),
         );
-        let source = Source::Server(Box::new(Live { exchange, answered, tracked }));
-        Self { source, length, passed: 0, events, begun: false }
+        let source = Source::Streaming(Box::new(ActiveStream { exchange, response, attempt }));
+        Self { source, length, forwarded_bytes: 0, events, first_event_recorded: false }
     }
 
     /// The answer's length, if it is known.
@@ -79,70 +79,71 @@
         loop {
             match &mut self.source {
                 Source::Ended => return Poll::Ready(None),
-                Source::Failing(_) => {
-                    let Source::Failing(error) = std::mem::replace(&mut self.source, Source::Ended) else {
+                Source::Failed(_) => {
+                    let Source::Failed(error) = std::mem::replace(&mut self.source, Source::Ended) else {
                         continue;
                     };
                     return Poll::Ready(Some(Err(error)));
                 }
-                Source::Resuming { resuming, silent } => {
-                    let (mut exchange, resumed) = ready!(resuming.as_mut().poll(cx));
-                    let silent = silent.take();
-                    self.begun &= resumed.is_none();
-                    let Some((answered, tracked)) = self.taken_up(resumed, silent) else {
+                Source::Resuming { resume, silent_attempt } => {
+                    let (mut exchange, resumed_response) = ready!(resume.as_mut().poll(cx));
+                    let silent_attempt = silent_attempt.take();
+                    self.first_event_recorded &= resumed_response.is_none();
+                    let Some((response, attempt)) = self.select_response(resumed_response, silent_attempt)
+                    else {
                         return self.fail(BodyError::Broken, cx);
                     };
                     exchange.timer.set_silence_timeout(
                         Some(exchange.event_gap_timeout()),
-                        answered.connection.activity(),
+                        response.connection.activity(),
                     );
-                    self.source = Source::Server(Box::new(Live { exchange, answered, tracked }));
+                    self.source = Source::Streaming(Box::new(ActiveStream { exchange, response, attempt }));
                 }
-                Source::Server(live) => match live.answered.poll_data(cx) {
-                    Poll::Ready(Some(Ok(piece))) => {
-                        let Ok(piece) = piece.into_data() else { continue };
-                        if piece.is_empty() {
+                Source::Streaming(stream) => match stream.response.poll_data(cx) {
+                    Poll::Ready(Some(Ok(frame))) => {
+                        let Ok(data) = frame.into_data() else { continue };
+                        if data.is_empty() {
                             continue;
                         }
-                        if std::mem::replace(&mut self.begun, true) {
-                            live.tracked.record_progress(1);
+                        if std::mem::replace(&mut self.first_event_recorded, true) {
+                            stream.attempt.record_progress(1);
                         } else {
-                            live.tracked.record_first_event();
+                            stream.attempt.record_first_event();
                         }
-                        self.passed += piece.len() as u64;
+                        self.forwarded_bytes += data.len() as u64;
                         // Nobody asks for more once the stated length is there.
-                        if self.length == Some(self.passed) {
-                            self.end(cx);
+                        if self.length == Some(self.forwarded_bytes) {
+                            self.finish_served(cx);
                         }
-                        let Some(events) = &mut self.events else { return Poll::Ready(Some(Ok(piece))) };
-                        if let Some(whole) = events.push(piece) {
-                            return Poll::Ready(Some(Ok(whole)));
+                        let Some(events) = &mut self.events else { return Poll::Ready(Some(Ok(data))) };
+                        if let Some(complete) = events.push(data) {
+                            return Poll::Ready(Some(Ok(complete)));
                         }
                     }
                     // A connection that ends amid an event is no end of a stream.
                     Poll::Ready(None)
-                        if live.answered.is_close_delimited
+                        if stream.response.is_close_delimited
                             && self.events.as_ref().is_some_and(EventFramer::has_partial_event) =>
                     {
-                        match self.broken() {
+                        match self.resume_after_break() {
                             Ok(()) => {}
                             Err(error) => return self.fail(error, cx),
                         }
                     }
                     Poll::Ready(None) => {
-                        self.end(cx);
+                        self.finish_served(cx);
                         if let Some(rest) = self.events.as_mut().and_then(EventFramer::take_remainder) {
                             return Poll::Ready(Some(Ok(rest)));
                         }
                     }
-                    Poll::Ready(Some(Err(_))) => match self.broken() {
+                    Poll::Ready(Some(Err(_))) => match self.resume_after_break() {
                         Ok(()) => {}
                         Err(error) => return self.fail(error, cx),
                     },
                     Poll::Pending => {
-                        match ready!(live.exchange.timer.poll(cx, live.answered.connection.activity())) {
+                        match ready!(stream.exchange.timer.poll(cx, stream.response.connection.activity())) {
                             TimeoutKind::Deadline => return self.time_out(cx),
-                            TimeoutKind::Silence => self.silent(),
+                            TimeoutKind::Silence => self.resume_after_silence(),
                         }
                     }
                 },
@@ -153,7 +154,7 @@
     /// Ends the answer early. hyper writes out what it holds once nothing more is at hand, and only then the error
     /// cuts the connection.
     fn fail(&mut self, error: BodyError, cx: &Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
-        self.source = Source::Failing(error);
+        self.source = Source::Failed(error);
         cx.waker().wake_by_ref();
         Poll::Pending
     }
@@ -164,55 +165,59 @@
         self.fail(BodyError::TimedOut, cx)
     }
 
-    fn take(&mut self) -> Option<Live> {
+    fn take_active(&mut self) -> Option<ActiveStream> {
         match std::mem::replace(&mut self.source, Source::Ended) {
-            Source::Server(live) => Some(*live),
+            Source::Streaming(stream) => Some(*stream),
             _ => None,
         }
     }
 
     /// The server's answer has come whole.
-    fn end(&mut self, cx: &mut Context<'_>) {
-        let Some(Live { exchange, answered, tracked }) = self.take() else { return };
-        tracked.finish(Outcome::Served);
-        exchange.keep(answered.connection, cx);
+    fn finish_served(&mut self, cx: &mut Context<'_>) {
+        let Some(ActiveStream { exchange, response, attempt }) = self.take_active() else { return };
+        attempt.finish(Outcome::Served);
+        exchange.return_to_pool(response.connection, cx);
     }
 
     /// The server broke off: its stream is taken up at another one, if that can be.
-    fn broken(&mut self) -> Result<(), BodyError> {
-        let Some(Live { exchange, answered, tracked }) = self.take() else { return Ok(()) };
-        tracked.finish(Outcome::Broken);
-        drop(answered);
+    fn resume_after_break(&mut self) -> Result<(), BodyError> {
+        let Some(ActiveStream { exchange, response, attempt }) = self.take_active() else { return Ok(()) };
+        attempt.finish(Outcome::Broken);
+        drop(response);
         let Some(events) = &mut self.events else { return Err(BodyError::Broken) };
         let Ok(last) = events.discard_partial() else { return Err(BodyError::Broken) };
         if !exchange.try_retry() {
             return Err(BodyError::Broken);
         }
-        self.source = Source::Resuming { resuming: Box::pin(exchange.resume(last)), silent: None };
+        self.source = Source::Resuming { resume: Box::pin(exchange.resume(last)), silent_attempt: None };
         Ok(())
     }
 
     /// The server is silent: another one is asked to go on, if that can be.
-    fn silent(&mut self) {
+    fn resume_after_silence(&mut self) {
         let last = self.events.as_ref().and_then(EventFramer::resume_position);
-        let Source::Server(live) = &self.source else { return };
-        let Some(last) = last.filter(|_| live.exchange.try_retry()) else { return };
-        let Some(Live { exchange, answered, tracked }) = self.take() else { return };
-        let resuming = Box::pin(exchange.resume(last));
-        self.source = Source::Resuming { resuming, silent: Some((answered, tracked)) };
+        let Source::Streaming(stream) = &self.source else { return };
+        let Some(last) = last.filter(|_| stream.exchange.try_retry()) else { return };
+        let Some(ActiveStream { exchange, response, attempt }) = self.take_active() else { return };
+        let resume = Box::pin(exchange.resume(last));
+        self.source = Source::Resuming { resume, silent_attempt: Some((response, attempt)) };
     }
 
     /// The answer that goes on: the other server's, else that of the silent one.
-    fn taken_up(&mut self, resumed: Option<Taken>, silent: Option<Taken>) -> Option<Taken> {
-        if resumed.is_none() {
-            return silent;
+    fn select_response(
+        &mut self,
+        resumed_response: Option<ResponseAttempt>,
+        silent_attempt: Option<ResponseAttempt>,
+    ) -> Option<ResponseAttempt> {
+        if resumed_response.is_none() {
+            return silent_attempt;
         }
-        if let Some((_, tracked)) = silent {
-            tracked.finish(Outcome::TimedOut);
+        if let Some((_, attempt)) = silent_attempt {
+            attempt.finish(Outcome::TimedOut);
         }
         // What the silent one left half said is not passed on.
         self.events.as_mut()?.discard_partial().ok()?;
-        resumed
+        resumed_response
     }
 }
 
@@ -224,7 +229,7 @@
     /// The id of the last event that was passed on.
     last_id: Option<HeaderValue>,
     /// An event was too long to be kept: bytes of it were passed on.
-    lost: bool,
+    forwarded_partial: bool,
 }
 
 /// Part of an event was passed on: the stream can't be taken up.
@@ -238,27 +243,27 @@
     }
 
     /// Takes in what has come, and gives the events that are whole.
-    pub fn push(&mut self, piece: Bytes) -> Option<Bytes> {
-        if self.lost {
-            return Some(piece);
+    pub fn push(&mut self, data: Bytes) -> Option<Bytes> {
+        if self.forwarded_partial {
+            return Some(data);
         }
-        if self.partial.is_empty() && ends_event(&piece) {
-            self.note_id(&piece);
-            return Some(piece);
+        if self.partial.is_empty() && ends_event(&data) {
+            self.record_last_id(&data);
+            return Some(data);
         }
-        self.partial.extend_from_slice(&piece);
-        let Some(end) = last_end(&self.partial) else {
-            self.lost = self.partial.len() > EVENT_MOST;
-            return if self.lost { Some(self.partial.split().freeze()) } else { None };
+        self.partial.extend_from_slice(&data);
+        let Some(event_end) = last_event_end(&self.partial) else {
+            self.forwarded_partial = self.partial.len() > MAX_PARTIAL_EVENT_BYTES;
+            return if self.forwarded_partial { Some(self.partial.split().freeze()) } else { None };
         };
-        let whole = self.partial.split_to(end).freeze();
-        self.note_id(&whole);
-        Some(whole)
+        let complete = self.partial.split_to(event_end).freeze();
+        self.record_last_id(&complete);
+        Some(complete)
     }
 
     /// Whether a part of an event has come.
     pub fn has_partial_event(&self) -> bool {
-        self.lost || !self.partial.is_empty()
+        self.forwarded_partial || !self.partial.is_empty()
     }
 
     /// What is left at a stream's proper end.
@@ -272,7 +277,7 @@
     ///
     /// A part of an event was passed on already.
     pub fn discard_partial(&mut self) -> Result<Option<HeaderValue>, PartialEventForwarded> {
-        if self.lost {
+        if self.forwarded_partial {
             return Err(PartialEventForwarded);
         }
         self.partial.clear();
@@ -281,11 +286,11 @@
 
     /// The id to go on after; nothing if a part of an event was passed on.
     pub fn resume_position(&self) -> Option<Option<HeaderValue>> {
-        (!self.lost).then(|| self.last_id.clone())
+        (!self.forwarded_partial).then(|| self.last_id.clone())
     }
 
     /// Notes the last id in whole events.
-    fn note_id(&mut self, events: &[u8]) {
+    fn record_last_id(&mut self, events: &[u8]) {
         let mut lines = events.rsplit(|octet| *octet == b'\n');
         let id = lines.find_map(|line| line.strip_prefix(b"id:"));
         let Some(id) = id else { return };
@@ -300,13 +305,13 @@
 }
 
 /// Where the last whole event ends.
-fn last_end(bytes: &[u8]) -> Option<usize> {
-    let mut at = bytes.len();
-    while at >= 2 {
-        if ends_event(&bytes[..at]) {
-            return Some(at);
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let mut end = bytes.len();
+    while end >= 2 {
+        if ends_event(&bytes[..end]) {
+            return Some(end);
         }
-        at -= 1;
+        end -= 1;
     }
     None
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dunelink_edge::fields::{drop_hop_fields, only};
-use dunelink_edge::request::{Hosting, read as check};
+use dunelink_edge::request::{Hosting, read as validate_head};
 use dunelink_serving_model::PromptPart;
 use dunelink_settings::ClientLimits;
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -20,9 +20,9 @@
 };
 
 /// Most parts of a prompt that are looked at.
-const PARTS_MOST: usize = 256;
+const MAX_PROMPT_PARTS: usize = 256;
 /// Digits of a prompt part's id that name it.
-const PART_DIGITS: usize = 16;
+const PART_ID_HEX_DIGITS: usize = 16;
 
 /// A client's request, read whole.
 #[derive(Debug)]
@@ -57,32 +57,32 @@
 impl PromptInfo {
     /// Reads the two headers.
     pub fn from_headers(headers: &HeaderMap) -> Self {
-        let parts = only(headers, &PROMPT_PREFIX).map(parts).unwrap_or_default();
-        Self { tokens: only(headers, &TOKEN_COUNTS).and_then(counts), parts }
+        let parts = only(headers, &PROMPT_PREFIX).map(parse_prompt_parts).unwrap_or_default();
+        Self { tokens: only(headers, &TOKEN_COUNTS).and_then(parse_token_counts), parts }
     }
 
     /// Tokens in and out together, where they are stated.
     pub fn total_tokens(&self) -> Option<u64> {
-        self.tokens.map(|(read, made)| u64::from(read) + u64::from(made))
+        self.tokens.map(|(input, output)| u64::from(input) + u64::from(output))
     }
 }
 
-fn counts(text: &str) -> Option<(u32, u32)> {
-    let (read, made) = text.split_once(',')?;
-    Some((read.trim().parse().ok()?, made.trim().parse().ok()?))
+fn parse_token_counts(text: &str) -> Option<(u32, u32)> {
+    let (input, output) = text.split_once(',')?;
+    Some((input.trim().parse().ok()?, output.trim().parse().ok()?))
 }
 
-fn parts(text: &str) -> Vec<PromptPart> {
-    text.split(',').take(PARTS_MOST).map_while(part).collect()
+fn parse_prompt_parts(text: &str) -> Vec<PromptPart> {
+    text.split(',').take(MAX_PROMPT_PARTS).map_while(parse_prompt_part).collect()
 }
 
-fn part(text: &str) -> Option<PromptPart> {
+fn parse_prompt_part(text: &str) -> Option<PromptPart> {
     let (id, tokens) = text.trim().split_once(':')?;
-    let digits = id.get(id.len().saturating_sub(PART_DIGITS)..)?;
+    let digits = id.get(id.len().saturating_sub(PART_ID_HEX_DIGITS)..)?;
     Some(PromptPart { id: u64::from_str_radix(digits, 16).ok()?, tokens: tokens.parse().ok()? })
 }
 
-/// Reads a request whole; its body within `patience`.
+/// Reads a request whole; its body within `body_timeout`.
 ///
 /// # Errors
 ///
@@ -90,34 +90,34 @@
 pub async fn read(
     request: Request<Incoming>,
     limits: &ClientLimits,
-    patience: Duration,
+    body_timeout: Duration,
 ) -> Result<ClientRequest, (LocalReply, Option<HeaderValue>)> {
     let (mut head, body) = request.into_parts();
-    let id = single(&head.headers, &REQUEST_ID).cloned();
+    let id = single_value(&head.headers, &REQUEST_ID).cloned();
     // Where its body ends is in doubt.
-    if check(&head, Hosting::Wire).is_err() {
+    if validate_head(&head, Hosting::Wire).is_err() {
         return Err((LocalReply::new(StatusCode::BAD_REQUEST).closing_connection(), id));
     }
-    let most = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
+    let max_bytes = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
     // It is read also if the request is refused: an answer that overtakes it may be lost with the connection.
-    let body = match whole_body(body, most, patience).await {
+    let body = match read_body(body, max_bytes, body_timeout).await {
         Ok(body) => body,
         Err(reply) => return Err((reply, id)),
     };
-    match take(&mut head, id.clone(), body) {
+    match build_request(&mut head, id.clone(), body) {
         Some(request) => Ok(request),
         None => Err((LocalReply::new(StatusCode::BAD_REQUEST), id)),
     }
 }
 
-async fn whole_body(body: Incoming, most: usize, patience: Duration) -> Result<Bytes, LocalReply> {
+async fn read_body(body: Incoming, max_bytes: usize, body_timeout: Duration) -> Result<Bytes, LocalReply> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(LocalReply::new(StatusCode::PAYLOAD_TOO_LARGE).closing_connection());
     }
-    match within(patience, Limited::new(body, most).collect()).await {
+    match with_timeout(body_timeout, Limited::new(body, max_bytes).collect()).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(error)) if error.is::<LengthLimitError>() => {
             Err(LocalReply::new(StatusCode::PAYLOAD_TOO_LARGE).closing_connection())
@@ -127,19 +127,19 @@
     }
 }
 
-async fn within<T>(patience: Duration, work: impl Future<Output = T>) -> Option<T> {
-    tokio::time::timeout(patience, work).await.ok()
+async fn with_timeout<T>(timeout: Duration, future: impl Future<Output = T>) -> Option<T> {
+    tokio::time::timeout(timeout, future).await.ok()
 }
 
 /// Takes what is needed out of the head, and leaves what goes on; nothing if a field is missing, repeated or odd.
-fn take(head: &mut Parts, id: Option<HeaderValue>, body: Bytes) -> Option<ClientRequest> {
+fn build_request(head: &mut Parts, id: Option<HeaderValue>, body: Bytes) -> Option<ClientRequest> {
     let id = id.filter(|id| !id.is_empty())?;
     let client_timeout = match head.headers.contains_key(&DEADLINE_MS) {
-        true => Some(milliseconds(single(&head.headers, &DEADLINE_MS)?)?),
+        true => Some(parse_milliseconds(single_value(&head.headers, &DEADLINE_MS)?)?),
         false => None,
     };
     let prompt = PromptInfo::from_headers(&head.headers);
-    let api_key = head.headers.get(header::AUTHORIZATION).and_then(bearer).map(str::to_owned);
+    let api_key = head.headers.get(header::AUTHORIZATION).and_then(bearer_token).map(str::to_owned);
     let headers = &mut head.headers;
     drop_hop_fields(headers);
     for name in [header::AUTHORIZATION, TENANT, EXPECT_INSTANCE] {
@@ -163,17 +163,17 @@
 }
 
 /// The value of a field that stands there once.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
+fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
 
-fn milliseconds(value: &HeaderValue) -> Option<Duration> {
-    let milliseconds: f64 = value.to_str().ok()?.trim().parse().ok()?;
-    Duration::try_from_secs_f64(milliseconds / 1_000.0).ok()
+fn parse_milliseconds(value: &HeaderValue) -> Option<Duration> {
+    let millis: f64 = value.to_str().ok()?.trim().parse().ok()?;
+    Duration::try_from_secs_f64(millis / 1_000.0).ok()
 }
 
-fn bearer(value: &HeaderValue) -> Option<&str> {
-    let (scheme, key) = value.to_str().ok()?.split_once(' ')?;
-    scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
+fn bearer_token(value: &HeaderValue) -> Option<&str> {
+    let (scheme, token) = value.to_str().ok()?.split_once(' ')?;
+    scheme.eq_ignore_ascii_case("bearer").then(|| token.trim())
 }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -49,11 +49,11 @@
 
 /// The body of an answer. The request counts as in hand until it is dropped.
 pub struct ResponseBody {
-    kind: Kind,
-    _held: Option<Box<dyn Any>>,
+    kind: BodyKind,
+    _guard: Option<Box<dyn Any>>,
 }
 
-enum Kind {
+enum BodyKind {
     Full(Option<Bytes>),
     Relayed(Box<RelayedBody>),
 }
@@ -61,17 +61,17 @@
 impl ResponseBody {
     /// A body that is there whole.
     pub fn full(bytes: Bytes) -> Self {
-        Self { kind: Kind::Full(Some(bytes).filter(|bytes| !bytes.is_empty())), _held: None }
+        Self { kind: BodyKind::Full(Some(bytes).filter(|bytes| !bytes.is_empty())), _guard: None }
     }
 
     /// A body that is passed on as it comes.
-    pub fn relayed(passing: RelayedBody) -> Self {
-        Self { kind: Kind::Relayed(Box::new(passing)), _held: None }
+    pub fn relayed(relayed: RelayedBody) -> Self {
+        Self { kind: BodyKind::Relayed(Box::new(relayed)), _guard: None }
     }
 
-    /// Drops `held` with the body: what counts the request as in hand.
-    pub fn with_guard(self, held: Box<dyn Any>) -> Self {
-        Self { _held: Some(held), ..self }
+    /// Drops `guard` with the body: what counts the request as in hand.
+    pub fn with_guard(self, guard: Box<dyn Any>) -> Self {
+        Self { _guard: Some(guard), ..self }
     }
 }
 
@@ -84,21 +84,23 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut self.kind {
-            Kind::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Kind::Relayed(passing) => {
-                passing.poll_data(cx).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            BodyKind::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            BodyKind::Relayed(relayed) => {
+                relayed.poll_data(cx).map(|data| data.map(|data| data.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.kind, Kind::Full(None))
+        matches!(self.kind, BodyKind::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
-            Kind::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
-            Kind::Relayed(passing) => passing.length().map(SizeHint::with_exact).unwrap_or_default(),
+            BodyKind::Full(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
+            }
+            BodyKind::Relayed(relayed) => relayed.length().map(SizeHint::with_exact).unwrap_or_default(),
         }
     }
 }
@@ -108,13 +110,13 @@
 pub struct LocalReply {
     status: StatusCode,
     retry_after: Option<Duration>,
-    closes: bool,
+    closes_connection: bool,
 }
 
 impl LocalReply {
     /// An answer with nothing but its status.
     pub fn new(status: StatusCode) -> Self {
-        Self { status, retry_after: None, closes: false }
+        Self { status, retry_after: None, closes_connection: false }
     }
 
     /// Tells the client when to come back.
@@ -124,7 +126,7 @@
 
     /// Ends the client's connection: what stands on it can't be relied on.
     pub fn closing_connection(self) -> Self {
-        Self { closes: true, ..self }
+        Self { closes_connection: true, ..self }
     }
 
     /// Its status.
@@ -140,12 +142,12 @@
         if let Some(id) = id {
             headers.insert(REQUEST_ID, id.clone());
         }
-        if let Some(after) = self.retry_after
-            && let Ok(after) = HeaderValue::from_str(&format!("{:.3}", after.as_secs_f64()))
+        if let Some(retry_after) = self.retry_after
+            && let Ok(retry_after) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64()))
         {
-            headers.insert(header::RETRY_AFTER, after);
+            headers.insert(header::RETRY_AFTER, retry_after);
         }
-        if self.closes {
+        if self.closes_connection {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -18,13 +18,13 @@
 use crate::{feed, readiness};
 
 /// Exit code for a command line or settings that can't be followed.
-const BAD_SETTINGS: u8 = 2;
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
 /// The program: 0 after an ordered end, 1 if it can't run, 2 if command line or settings are wrong.
 pub fn main() -> ExitCode {
     let arguments = match Arguments::read() {
         Ok(arguments) => arguments,
-        Err(wrong) => return refuse(&wrong),
+        Err(error) => return exit_invalid(&error),
     };
     if arguments.help {
         print!("{HELP}");
@@ -32,7 +32,7 @@
     }
     let boot = match Boot::load() {
         Ok(boot) => boot,
-        Err(wrong) => return refuse(&wrong),
+        Err(error) => return exit_invalid(&error),
     };
     if arguments.check {
         return ExitCode::SUCCESS;
@@ -47,9 +47,9 @@
     }
 }
 
-fn refuse(wrong: &dyn std::error::Error) -> ExitCode {
-    eprintln!("dunelink-proxy: {wrong}");
-    ExitCode::from(BAD_SETTINGS)
+fn exit_invalid(error: &dyn std::error::Error) -> ExitCode {
+    eprintln!("dunelink-proxy: {error}");
+    ExitCode::from(INVALID_SETTINGS_EXIT_CODE)
 }
 
 fn run(boot: Boot, log: &Logger) -> anyhow::Result<()> {
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -12,9 +12,9 @@
 use crate::shutdown_schedule::ShutdownSchedule;
 
 /// How often it is looked whether anything is in hand.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A connection rests for so long before it is ended: the first request of a new one may be on its way.
-const RESTS: Duration = Duration::from_millis(300);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(300);
 
 /// The signals that the process heeds.
 pub struct Signals {
@@ -50,11 +50,11 @@
     let ShutdownSchedule { signaled_at, accept_until, exit_by } = node.begin_shutdown();
     info!(node.log, "told to end"; "in_hand" => node.open_request_count());
     tokio::time::sleep_until(accept_until).await;
-    let last = clients.stop_accepting().await;
-    info!(node.log, "no more connections"; "open" => clients.count(), "taken_last" => last,
+    let accepted_at_close = clients.stop_accepting().await;
+    info!(node.log, "no more connections"; "open" => clients.count(), "taken_last" => accepted_at_close,
         "after_ms" => signaled_at.elapsed().as_millis() as u64);
-    while Instant::now() < exit_by && !is_done(node, clients) {
-        tokio::time::sleep(LOOK).await;
+    while Instant::now() < exit_by && !is_drained(node, clients) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     info!(node.log, "ends"; "in_hand" => node.open_request_count(), "connections" => clients.count(),
         "after_ms" => signaled_at.elapsed().as_millis() as u64);
@@ -62,7 +62,7 @@
 }
 
 /// Whether no connection of a client is left; those without a request are told to end.
-fn is_done(node: &Node, clients: &ClientConnections) -> bool {
-    clients.close_idle(RESTS);
+fn is_drained(node: &Node, clients: &ClientConnections) -> bool {
+    clients.close_idle(MIN_IDLE_TIME);
     node.open_request_count() == 0 && clients.count() == 0
 }
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -9,13 +9,13 @@
 use tokio::time::Instant;
 
 /// After the signal, the platform still sends clients until it has missed the readiness twice, once a second.
-const STILL_SENT: Duration = Duration::from_millis(2_200);
+const TRAFFIC_STOP_DELAY: Duration = Duration::from_millis(2_200);
 /// The process ends so long before it would be killed.
-const BEFORE_KILL: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// An answer that comes as a request's time is over is written within this time.
-const ANSWER_WRITTEN_WITHIN: Duration = Duration::from_millis(100);
+const RESPONSE_WRITE_TIME: Duration = Duration::from_millis(100);
 /// Part of the grace in which new connections are taken, at most: what comes by later ones may not end in time.
-const OPEN_PART: f64 = 0.5;
+const MAX_ACCEPT_FRACTION: f64 = 0.5;
 
 /// When a process that was told to end stops what.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,14 +33,14 @@
     pub fn new(signaled_at: Instant, grace: Duration) -> Self {
         Self {
             signaled_at,
-            accept_until: signaled_at + STILL_SENT.min(grace.mul_f64(OPEN_PART)),
-            exit_by: signaled_at + grace.saturating_sub(BEFORE_KILL),
+            accept_until: signaled_at + TRAFFIC_STOP_DELAY.min(grace.mul_f64(MAX_ACCEPT_FRACTION)),
+            exit_by: signaled_at + grace.saturating_sub(EXIT_MARGIN),
         }
     }
 
-    /// Whether a request whose time is over at `request_ends` may outlast the process, so that its answer would be cut.
-    pub fn is_outlasted_by(&self, request_ends: Instant) -> bool {
-        request_ends + ANSWER_WRITTEN_WITHIN > self.exit_by
+    /// Whether a request whose time is over at `request_deadline` may outlast the process, so that its answer would be cut.
+    pub fn is_outlasted_by(&self, request_deadline: Instant) -> bool {
+        request_deadline + RESPONSE_WRITE_TIME > self.exit_by
     }
 
     /// How long the platform may still send clients, seen from `now`: one that is refused comes back after it.
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunelink_edge::answer as reading;
+use dunelink_edge::answer as edge_answer;
 use dunelink_routing::ServerHandle;
 use http::header::{self, HeaderMap};
 use http::{Request, Response};
@@ -30,29 +30,29 @@
 use super::timer::{RequestTimer, TimeoutKind};
 
 /// Idle time after which a connection is not used again when its server tells none.
-const DEFAULT_IDLE: Duration = Duration::from_secs(2);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Part of the time told by the server for which a connection is used again: a request that crosses the server's
 /// close may be lost.
-const IDLE_PART: f64 = 0.7;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 /// Read buffer of a connection at most, in bytes; bounds the head of an answer.
-const READ_BUFFER_MOST: usize = 64 * 1024;
+const MAX_READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Idle connections that fail at once are replaced so often for one attempt.
-const POLLS_TO_IDLE: usize = 3;
+const MAX_READY_POLLS: usize = 3;
 
 /// A connection to one incarnation of a server.
 pub struct UpstreamConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Connection<TokioIo<CountingSocket>, Full<Bytes>>,
-    written: Rc<Cell<u64>>,
-    ended: bool,
-    fresh: bool,
-    closes: bool,
-    idle_limit: Duration,
+    written_bytes: Rc<Cell<u64>>,
+    is_closed: bool,
+    is_new: bool,
+    closes_after_response: bool,
+    idle_timeout: Duration,
     pub(super) idle_since: Instant,
     server: ServerHandle,
     server_id: Arc<str>,
     /// Frees the connection's place in the pool's count when it is dropped.
-    place: ConnectionPermit,
+    permit: ConnectionPermit,
 }
 
 /// What became of a request on a connection.
@@ -80,32 +80,32 @@
 }
 
 impl UpstreamConnection {
-    /// Opens a connection to a server within `patience`; nothing if it can't be opened.
+    /// Opens a connection to a server within `timeout`; nothing if it can't be opened.
     pub async fn open(
         address: SocketAddr,
         server: ServerHandle,
         server_id: Arc<str>,
-        place: ConnectionPermit,
-        patience: Duration,
+        permit: ConnectionPermit,
+        timeout: Duration,
     ) -> Option<Box<Self>> {
-        let stream = tokio::time::timeout(patience, TcpStream::connect(address)).await.ok()?.ok()?;
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
-        let (socket, written) = CountingSocket::new(stream);
+        let (socket, written_bytes) = CountingSocket::new(stream);
         let mut builder = Builder::new();
-        builder.max_buf_size(READ_BUFFER_MOST);
+        builder.max_buf_size(MAX_READ_BUFFER_BYTES);
         let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.ok()?;
         Some(Box::new(Self {
             sender,
             connection,
-            written,
-            ended: false,
-            fresh: true,
-            closes: false,
-            idle_limit: DEFAULT_IDLE.mul_f64(IDLE_PART),
+            written_bytes,
+            is_closed: false,
+            is_new: true,
+            closes_after_response: false,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT.mul_f64(IDLE_TIMEOUT_FRACTION),
             idle_since: Instant::now(),
             server,
             server_id,
-            place,
+            permit,
         }))
     }
 
@@ -121,30 +121,30 @@
 
     /// Whether nothing was sent on it yet.
     pub fn is_new(&self) -> bool {
-        self.fresh
+        self.is_new
     }
 
     /// Whether it has rested for too long to be used again.
     pub(super) fn is_stale(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.idle_since) >= self.idle_limit
+        now.saturating_duration_since(self.idle_since) >= self.idle_timeout
     }
 
     /// Moves bytes.
-    fn drive(&mut self, cx: &mut Context<'_>) {
-        if !self.ended && Pin::new(&mut self.connection).poll(cx).is_ready() {
-            self.ended = true;
+    fn poll_io(&mut self, cx: &mut Context<'_>) {
+        if !self.is_closed && Pin::new(&mut self.connection).poll(cx).is_ready() {
+            self.is_closed = true;
         }
     }
 
     /// Whether another request may be sent on it: its last answer has ended, its server does not close it, and
     /// nothing came behind the answer.
     pub fn is_reusable(&mut self, cx: &mut Context<'_>) -> bool {
-        if self.closes {
+        if self.closes_after_response {
             return false;
         }
-        for _ in 0..POLLS_TO_IDLE {
-            self.drive(cx);
-            if self.ended {
+        for _ in 0..MAX_READY_POLLS {
+            self.poll_io(cx);
+            if self.is_closed {
                 return false;
             }
             if self.sender.is_ready() {
@@ -156,7 +156,7 @@
 
     /// How much has come from the server, on all connections.
     pub fn activity(&self) -> u64 {
-        self.place.activity()
+        self.permit.activity()
     }
 
     /// Sends a request of `length` bytes and waits for the head of its answer until the alarm fires.
@@ -166,42 +166,43 @@
         length: u64,
         timer: &mut RequestTimer,
     ) -> SendResult {
-        let before = self.written.get();
-        self.fresh = false;
-        let mut answer = std::pin::pin!(self.sender.try_send_request(request));
+        let written_before = self.written_bytes.get();
+        self.is_new = false;
+        let mut response = std::pin::pin!(self.sender.try_send_request(request));
         let mut connection = Pin::new(&mut self.connection);
-        let (ended, place) = (&mut self.ended, &self.place);
-        let answered = poll_fn(|cx| {
-            if !*ended && connection.as_mut().poll(cx).is_ready() {
-                *ended = true;
+        let (is_closed, permit) = (&mut self.is_closed, &self.permit);
+        let result = poll_fn(|cx| {
+            if !*is_closed && connection.as_mut().poll(cx).is_ready() {
+                *is_closed = true;
             }
-            if let Poll::Ready(answered) = answer.as_mut().poll(cx) {
-                return Poll::Ready(Ok(answered.ok()));
+            if let Poll::Ready(result) = response.as_mut().poll(cx) {
+                return Poll::Ready(Ok(result.ok()));
             }
-            if *ended {
+            if *is_closed {
                 return Poll::Ready(Ok(None));
             }
-            timer.poll(cx, place.activity()).map(Err)
+            timer.poll(cx, permit.activity()).map(Err)
         })
         .await;
-        let whole = self.written.get() - before >= length;
-        match answered {
-            Ok(Some(response)) => SendResult::Response(Box::new(self.answered(response))),
-            _ if !whole => SendResult::NotSent,
+        let fully_written = self.written_bytes.get() - written_before >= length;
+        match result {
+            Ok(Some(response)) => SendResult::Response(Box::new(self.into_upstream_response(response))),
+            _ if !fully_written => SendResult::NotSent,
             Ok(None) => SendResult::Broken,
-            Err(alert) => SendResult::TimedOut(alert),
+            Err(kind) => SendResult::TimedOut(kind),
         }
     }
 
-    fn answered(mut self: Box<Self>, response: Response<Incoming>) -> UpstreamResponse {
+    fn into_upstream_response(mut self: Box<Self>, response: Response<Incoming>) -> UpstreamResponse {
         let (head, body) = response.into_parts();
-        self.place.record_activity();
-        self.closes = has_option(&head.headers, "close") || head.version < http::Version::HTTP_11;
+        self.permit.record_activity();
+        self.closes_after_response =
+            has_connection_option(&head.headers, "close") || head.version < http::Version::HTTP_11;
         if let Some(limit) = keep_alive_seconds(&head.headers) {
-            self.idle_limit = Duration::from_secs(limit).mul_f64(IDLE_PART);
+            self.idle_timeout = Duration::from_secs(limit).mul_f64(IDLE_TIMEOUT_FRACTION);
         }
-        let is_close_delimited = reading::is_unframed(&head.headers);
-        self.closes |= is_close_delimited;
+        let is_close_delimited = edge_answer::is_unframed(&head.headers);
+        self.closes_after_response |= is_close_delimited;
         UpstreamResponse { head, body, is_close_delimited, connection: self }
     }
 }
@@ -209,31 +210,31 @@
 impl UpstreamResponse {
     /// The next piece of the body.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
-        let mut piece = Pin::new(&mut self.body).poll_frame(cx);
-        if piece.is_pending() {
-            self.connection.drive(cx);
-            piece = Pin::new(&mut self.body).poll_frame(cx);
+        let mut frame = Pin::new(&mut self.body).poll_frame(cx);
+        if frame.is_pending() {
+            self.connection.poll_io(cx);
+            frame = Pin::new(&mut self.body).poll_frame(cx);
         }
-        if piece.is_ready() {
-            self.connection.place.record_activity();
+        if frame.is_ready() {
+            self.connection.permit.record_activity();
         }
-        piece
+        frame
     }
 
-    /// Reads the body whole: nothing if it breaks off, is longer than `most` bytes, or the alarm fires before.
-    pub async fn read_to_end(&mut self, most: usize, timer: &mut RequestTimer) -> Option<Bytes> {
-        let mut pieces = Pieces::default();
+    /// Reads the body whole: nothing if it breaks off, is longer than `max_bytes` bytes, or the alarm fires before.
+    pub async fn read_to_end(&mut self, max_bytes: usize, timer: &mut RequestTimer) -> Option<Bytes> {
+        let mut chunks = BodyChunks::default();
         poll_fn(|cx| {
             loop {
                 match self.poll_data(cx) {
-                    Poll::Ready(Some(Ok(piece))) => {
-                        pieces.push(piece.into_data().unwrap_or_default());
-                        if pieces.length > most {
+                    Poll::Ready(Some(Ok(frame))) => {
+                        chunks.push(frame.into_data().unwrap_or_default());
+                        if chunks.length > max_bytes {
                             return Poll::Ready(None);
                         }
                     }
                     Poll::Ready(Some(Err(_))) => return Poll::Ready(None),
-                    Poll::Ready(None) => return Poll::Ready(Some(pieces.join())),
+                    Poll::Ready(None) => return Poll::Ready(Some(chunks.join())),
                     Poll::Pending => return timer.poll(cx, self.connection.activity()).map(|_| None),
                 }
             }
@@ -244,35 +245,35 @@
 
 /// Pieces of a body; a single one is not copied.
 #[derive(Default)]
-struct Pieces {
-    pieces: Vec<Bytes>,
+struct BodyChunks {
+    chunks: Vec<Bytes>,
     length: usize,
 }
 
-impl Pieces {
-    fn push(&mut self, piece: Bytes) {
-        self.length += piece.len();
-        self.pieces.push(piece);
+impl BodyChunks {
+    fn push(&mut self, chunk: Bytes) {
+        self.length += chunk.len();
+        self.chunks.push(chunk);
     }
 
     fn join(&mut self) -> Bytes {
-        match self.pieces.len() {
+        match self.chunks.len() {
             0 => Bytes::new(),
-            1 => self.pieces.remove(0),
-            _ => self.pieces.concat().into(),
+            1 => self.chunks.remove(0),
+            _ => self.chunks.concat().into(),
         }
     }
 }
 
 /// Whether `Connection` holds an option.
-fn has_option(headers: &HeaderMap, option: &str) -> bool {
+fn has_connection_option(headers: &HeaderMap, option: &str) -> bool {
     let values = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    values.flat_map(|value| value.split(',')).any(|own| own.trim().eq_ignore_ascii_case(option))
+    values.flat_map(|value| value.split(',')).any(|token| token.trim().eq_ignore_ascii_case(option))
 }
 
 /// The time that `Keep-Alive` tells.
 fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
-    let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+    let timeout = value.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok()
 }
--- a/crates/proxy/src/upstream/counting_socket.rs
+++ b/crates/proxy/src/upstream/counting_socket.rs
@@ -21,11 +21,11 @@
         (Self { stream, written: written.clone() }, written)
     }
 
-    fn count(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let Poll::Ready(Ok(bytes)) = &polled {
+    fn count_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(bytes)) = &result {
             self.written.set(self.written.get() + *bytes as u64);
         }
-        polled
+        result
     }
 }
 
@@ -41,8 +41,8 @@
 
 impl AsyncWrite for CountingSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.count(polled)
+        let result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        self.count_written(result)
     }
 
     fn poll_write_vectored(
@@ -50,8 +50,8 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.count(polled)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
+        self.count_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/proxy/src/upstream/timer.rs
+++ b/crates/proxy/src/upstream/timer.rs
@@ -11,14 +11,14 @@
 pub struct RequestTimer {
     sleep: Pin<Box<Sleep>>,
     deadline: Instant,
-    watch: Option<Watch>,
+    silence: Option<SilenceWatch>,
 }
 
 /// What is watched for.
-struct Watch {
-    every: Duration,
+struct SilenceWatch {
+    timeout: Duration,
     /// What had been heard of the server when it was last looked.
-    heard: u64,
+    last_activity: u64,
 }
 
 /// Why the alarm fired.
@@ -33,7 +33,7 @@
 impl RequestTimer {
     /// Fires at `deadline`.
     pub fn new(deadline: Instant) -> Self {
-        Self { sleep: Box::pin(tokio::time::sleep_until(deadline)), deadline, watch: None }
+        Self { sleep: Box::pin(tokio::time::sleep_until(deadline)), deadline, silence: None }
     }
 
     /// When the request ends.
@@ -41,30 +41,31 @@
         self.deadline
     }
 
-    /// Watches for silence of this length from now on, or not any more. `heard` counts what has come from the server.
-    pub fn set_silence_timeout(&mut self, every: Option<Duration>, heard: u64) {
-        if every.is_none() && self.watch.is_none() {
+    /// Watches for silence of this length from now on, or not any more. `activity` counts what has come from the server.
+    pub fn set_silence_timeout(&mut self, timeout: Option<Duration>, activity: u64) {
+        if timeout.is_none() && self.silence.is_none() {
             return;
         }
-        self.watch = every.map(|every| Watch { every, heard });
-        self.set();
+        self.silence = timeout.map(|timeout| SilenceWatch { timeout, last_activity: activity });
+        self.reset_sleep();
     }
 
-    fn set(&mut self) {
-        let look = self.watch.as_ref().map_or(self.deadline, |watch| Instant::now() + watch.every);
-        self.sleep.as_mut().reset(look.min(self.deadline));
+    fn reset_sleep(&mut self) {
+        let next_check =
+            self.silence.as_ref().map_or(self.deadline, |silence| Instant::now() + silence.timeout);
+        self.sleep.as_mut().reset(next_check.min(self.deadline));
     }
 
-    /// Ready once it fires. `heard` counts what has come from the server.
-    pub fn poll(&mut self, cx: &mut Context<'_>, heard: u64) -> Poll<TimeoutKind> {
+    /// Ready once it fires. `activity` counts what has come from the server.
+    pub fn poll(&mut self, cx: &mut Context<'_>, activity: u64) -> Poll<TimeoutKind> {
         loop {
             ready!(self.sleep.as_mut().poll(cx));
-            let Some(watch) = &mut self.watch else { return Poll::Ready(TimeoutKind::Deadline) };
+            let Some(silence) = &mut self.silence else { return Poll::Ready(TimeoutKind::Deadline) };
             if Instant::now() >= self.deadline {
                 return Poll::Ready(TimeoutKind::Deadline);
             }
-            let silent = std::mem::replace(&mut watch.heard, heard) == heard;
-            self.set();
+            let silent = std::mem::replace(&mut silence.last_activity, activity) == activity;
+            self.reset_sleep();
             if silent {
                 return Poll::Ready(TimeoutKind::Silence);
             }
