--- a/crates/proxy/src/arguments.rs
+++ b/crates/proxy/src/arguments.rs
@@ -1,9 +1,9 @@
-//! The command line.
+//! Command-line parsing.
 
 use dunelink_runtime::log::Format;
 use thiserror::Error;
 
-/// What `--help` shows.
+/// The text that `--help` prints.
 pub const HELP: &str = "\
 dunelink-proxy: the data plane of a front machine
 
@@ -14,34 +14,34 @@
     --help           this page
 ";
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arguments {
-    /// Only the settings are read.
+    /// Validate the settings and exit.
     pub check: bool,
-    /// Only the help is shown.
+    /// Print the help text and exit.
     pub help: bool,
-    /// How events are logged.
+    /// Output format of log records.
     pub log: Format,
 }
 
-/// Why the command line can't be followed.
+/// Why the command line is invalid.
 #[derive(Debug, Error)]
 pub enum ArgumentsError {
-    /// An option lacks its value or has a wrong one.
+    /// An option has no value or an invalid one.
     #[error("{0}; see --help")]
     Option(#[from] pico_args::Error),
-    /// Something stands there that means nothing.
+    /// An argument that the program does not know.
     #[error("`{0}` is no option of dunelink-proxy; see --help")]
     Unknown(String),
 }
 
 impl Arguments {
-    /// Reads the process's command line.
+    /// Parses the arguments of the process.
     ///
     /// # Errors
     ///
-    /// An option is unknown, or its value is.
+    /// An argument is unknown, or the value of an option is missing or invalid.
     pub fn read() -> Result<Self, ArgumentsError> {
         let mut remaining = pico_args::Arguments::from_env();
         let arguments = Self {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at a server, up to an answer that was read whole or a stream's head.
+//! One attempt of a request at one server, up to a completely read response or the head of a stream.
 
 use std::future::poll_fn;
 use std::sync::Arc;
@@ -22,30 +22,30 @@
 };
 use crate::upstream::{SendResult, UpstreamConnection, UpstreamResponse};
 
-/// How long a connection to a server may take to open.
+/// Timeout for opening a connection to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Answers of up to this many bytes are read whole before they are passed on, so that a server that breaks off can
-/// be replaced.
+/// Responses of up to this many bytes are read completely before they are forwarded, so that the request can
+/// be retried at another server if the first one breaks off.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// What became of one attempt.
+/// The result of one attempt.
 pub(crate) enum AttemptResult {
-    /// This answer stands, if nothing better can be had.
+    /// A complete response that is forwarded to the client.
     Response(Box<Response<ResponseBody>>),
-    /// A stream begins.
+    /// The head of a response whose body is relayed as it arrives.
     Stream(Box<UpstreamResponse>, AttemptGuard),
-    /// A server's own failure, after it ran.
+    /// A complete 5xx response: the server executed the request and failed.
     ServerError(Box<Response<ResponseBody>>),
-    /// The server said that it did not run it.
+    /// The server declared that it did not execute the request.
     Rejected,
-    /// Nothing was sent.
+    /// Nothing was sent to the server.
     NotSent,
-    /// It may have run.
+    /// The server may have executed the request, but there is no usable response.
     MaybeExecuted(RequestFailure),
 }
 
 impl Exchange {
-    /// One attempt at a server, up to an answer that was read whole or a stream's head.
+    /// Makes one attempt at a server, up to a completely read response or the head of a stream.
     pub(crate) async fn attempt(&mut self, attempt: AttemptGuard) -> AttemptResult {
         let server = attempt.server();
         loop {
@@ -53,7 +53,7 @@
                 Ok(connection) => connection,
                 Err(outcome) => return self.finish_unsent(attempt, outcome),
             };
-            // What has changed while the connection came up.
+            // The server's state or the shutdown may have changed while the connection was opened.
             if !self.node.router.borrow().is_usable(server) || self.shutdown_before_deadline().is_some() {
                 return self.finish_unsent(attempt, Outcome::Cancelled);
             }
@@ -66,7 +66,7 @@
             attempt.record_sent();
             match connection.send(request, min_wire_bytes, &mut self.timer).await {
                 SendResult::Response(upstream) => return self.handle_response(upstream, attempt).await,
-                // An idle connection that was closing.
+                // The server closed the idle connection; the next one is tried.
                 SendResult::NotSent if !is_new => {}
                 SendResult::NotSent => return self.finish_unsent(attempt, Outcome::ConnectFailed),
                 SendResult::Broken => return self.finish_lost(attempt, RequestFailure::Broken),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The server may have run it.
+    /// Counts an attempt that the server may have executed.
     fn record_possible_execution(&mut self, attempt: &AttemptGuard) {
         self.tried_servers.push(attempt.server());
         self.servers_sent_to += 1;
@@ -96,12 +96,12 @@
         AttemptResult::MaybeExecuted(failure)
     }
 
-    /// A connection to the server: an idle one for a first try, else a new one. What went wrong on an idle connection
-    /// may well go wrong on the next.
+    /// Returns a connection to the server: an idle one for a first attempt, otherwise a new one. A failure on
+    /// an idle connection is likely to repeat on the next idle one.
     ///
     /// # Errors
     ///
-    /// What the attempt ends as.
+    /// The outcome to record for the attempt.
     async fn connect(&self, server: ServerHandle) -> Result<Box<UpstreamConnection>, Outcome> {
         if self.possible_executions == 0
             && let Some(connection) = self.node.pool.take_idle(server)
@@ -116,7 +116,7 @@
         UpstreamConnection::open(address, server, id, permit, timeout).await.ok_or(Outcome::ConnectFailed)
     }
 
-    /// The request as a server gets it, and how many bytes it has on the wire at least.
+    /// Builds the request for a server. Also returns the minimum number of bytes that it takes on the wire.
     fn upstream_request(&self, server_id: &str) -> (Request<Full<Bytes>>, u64) {
         let mut request = Request::new(Full::new(self.request.body.clone()));
         *request.method_mut() = self.request.method.clone();
@@ -139,7 +139,7 @@
         (request, min_wire_bytes)
     }
 
-    /// Reads what a server answered.
+    /// Evaluates the head of a response and reads its body if it is not relayed.
     async fn handle_response(
         &mut self,
         mut upstream: Box<UpstreamResponse>,
@@ -155,12 +155,14 @@
         if not_executed || status == StatusCode::MISDIRECTED_REQUEST {
             return self.handle_rejection(upstream, attempt).await;
         }
-        // Without that word it may have run, whatever the status promises to a client.
+        // Without a `NOT_EXECUTED` header the server may have executed the request, whatever its status means
+        // to clients.
         if promises_no_execution(status) && !self.admission.policy.idempotent {
             return self.finish_lost(attempt, RequestFailure::Broken);
         }
         let length = upstream.body.size_hint().exact();
-        // One that ends with its connection may be reset at its end: it is passed on only when that has come.
+        // A response that ends with its connection may still be reset, so it is forwarded only once its end
+        // has arrived.
         let is_streamed =
             length.map_or(!upstream.is_close_delimited, |length| length > MAX_BUFFERED_RESPONSE_BYTES as u64);
         if status.is_success() && (self.admission.policy.streaming || is_streamed) {
@@ -186,7 +188,8 @@
         AttemptResult::Response(response)
     }
 
-    /// Whether what came is a server's answer to this request, with an end that can be told.
+    /// Whether this is the server's response to this request, with unambiguous framing and, if successful, a
+    /// response seal.
     fn is_valid_response(&self, upstream: &UpstreamResponse) -> bool {
         let head = &upstream.head;
         let ids = head.headers.get_all(&REQUEST_ID);
@@ -219,7 +222,7 @@
         self.tried_servers.push(attempt.server());
         self.servers_sent_to += 1;
         attempt.finish(if misdirected { Outcome::WrongInstance } else { Outcome::Rejected });
-        // Where another server listens now, the connection is of no use.
+        // After a misdirected request another server listens at the address, so the connection is closed.
         if !misdirected && upstream.read_to_end(MAX_BUFFERED_RESPONSE_BYTES, &mut self.timer).await.is_some()
         {
             self.return_to_pool_now(upstream.connection).await;
@@ -233,7 +236,7 @@
             .await;
     }
 
-    /// Keeps a connection whose answer has come whole.
+    /// Returns a connection to the pool once its response is complete.
     pub(crate) fn return_to_pool(&self, mut connection: Box<UpstreamConnection>, cx: &mut Context<'_>) {
         let usable = self.node.router.borrow().is_usable(connection.server());
         if usable && connection.is_reusable(cx) {
@@ -244,7 +247,7 @@
     }
 }
 
-/// Whether a status tells clients that the request has not run and never will.
+/// Whether clients understand the status as a promise that the request was not and will not be executed.
 fn promises_no_execution(status: StatusCode) -> bool {
     matches!(
         status,
@@ -252,7 +255,7 @@
     )
 }
 
-/// A server's answer as its client gets it.
+/// Builds the client's response from the server's head, without hop-by-hop headers.
 pub(crate) fn forwarded_response(
     head: &mut http::response::Parts,
     body: ResponseBody,
@@ -264,7 +267,7 @@
     response
 }
 
-/// How many bytes a request's head has on the wire at least.
+/// Returns the minimum number of bytes that the head of a request takes on the wire.
 fn head_wire_bytes<B>(request: &Request<B>) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     let line = request.method().as_str().len() + target + "  HTTP/1.1\r\n".len();
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -1,41 +1,42 @@
-//! The configuration in force, with what the data plane computes of it once.
+//! The active configuration, with values that the data plane computes from it once.
 
 use dunelink_grants::TenantQuota;
 use dunelink_routing::{EngineSpec, ServiceSpec};
 use dunelink_settings::{FleetConfig, QuotaUnit, Route, RouteKind};
 use http::HeaderValue;
 
-/// A configuration with the header values of its tenants.
+/// A fleet configuration with the precomputed header values of its tenants.
 #[derive(Debug)]
 pub struct Configuration {
-    /// As the operator gave it.
+    /// The configuration as the operator wrote it.
     pub fleet: FleetConfig,
     tenants: Vec<HeaderValue>,
-    /// Whether some requests are more urgent than others.
+    /// Whether routes and tenants use more than one priority.
     has_priorities: bool,
 }
 
-/// The least urgent rank that servers know.
+/// The largest value of the `priority` header that servers understand: the least urgent one.
 const LOWEST_PRIORITY: u32 = 9;
 
-/// What a route says of how its requests are treated.
+/// How the requests of a route are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoutePolicy {
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
-    /// Whether its answers are streams of events.
+    /// Whether responses are event streams.
     pub streaming: bool,
-    /// Whether a stream may be taken up at another server.
+    /// Whether a broken stream may be resumed at another server.
     pub resumable: bool,
-    /// Longest time that a request is held, in milliseconds.
+    /// Maximum time from the arrival of a request to its response, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full worth, in milliseconds.
+    /// Response time up to which a response has its full value, in milliseconds.
     pub target_latency_ms: u64,
-    /// Longest pause between events of a stream that keeps it in time, in milliseconds; 0 where none is told.
+    /// Longest gap between two events of a stream that still counts as on time, in milliseconds; 0 if the
+    /// route sets none.
     pub target_event_gap_ms: u64,
-    /// Rank; 0 is the highest.
+    /// Priority of requests; 0 is the most urgent.
     pub priority: u32,
-    /// Most servers that one request may run at.
+    /// Maximum number of servers that may execute one request.
     pub max_attempts: u32,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl Configuration {
-    /// Prepares a configuration.
+    /// Precomputes the values that requests need.
     pub fn new(fleet: FleetConfig) -> Self {
         let value = |name: &str| HeaderValue::from_str(name).unwrap_or(HeaderValue::from_static(""));
         let tenants = fleet.tenants.iter().map(|tenant| value(&tenant.name)).collect();
@@ -63,19 +64,21 @@
         Self { fleet, tenants, has_priorities }
     }
 
-    /// The name of a tenant as a header value.
+    /// Returns the tenant's name as a header value. `tenant` is an index into the configured tenants.
     pub fn tenant_header(&self, tenant: usize) -> &HeaderValue {
         &self.tenants[tenant]
     }
 
-    /// What a server of this service is told of a request's urgency; nothing where all requests are alike, or where
-    /// servers do not heed it.
+    /// Returns the value of the `priority` header for a server of this service. `None` if all requests have
+    /// the same priority, or if the service's servers do not run a model engine and so ignore the header.
     pub fn priority_header(&self, service: usize, priority: u32) -> Option<HeaderValue> {
         let uses_priority = self.has_priorities && self.fleet.services[service].engine.is_some();
         uses_priority.then(|| HeaderValue::from(priority.min(LOWEST_PRIORITY)))
     }
 
-    /// What is charged for a request of a tenant: `tokens` if it states any and tokens are counted.
+    /// Returns the quota units to charge for a request of a tenant. `tokens` is the number of tokens that the
+    /// request states; it counts only for tenants whose quota is in tokens, and defaults to the tenant's
+    /// `plain_tokens`.
     pub fn quota_units(&self, tenant: usize, tokens: Option<u64>) -> f64 {
         let tenant = &self.fleet.tenants[tenant];
         match tenant.unit {
@@ -84,7 +87,7 @@
         }
     }
 
-    /// The services for the router.
+    /// Returns the services as the router needs them.
     pub fn service_specs(&self) -> Vec<ServiceSpec> {
         let engine = |engine: &dunelink_settings::Engine| EngineSpec {
             slots: engine.slots,
@@ -101,7 +104,7 @@
             .collect()
     }
 
-    /// Names of the services that requests without a tenant go to.
+    /// Returns the names of the services that receive requests without a tenant.
     pub fn tenantless_services(&self) -> Vec<&str> {
         let requires_keys = self.fleet.asks_for_keys();
         let routes = self.fleet.routes.iter().filter(|route| route.public || !requires_keys);
@@ -112,7 +115,7 @@
         services.into_iter().map(|service| self.fleet.services[service].name.as_str()).collect()
     }
 
-    /// The tenants' quotas for the gate.
+    /// Returns the tenants' quotas as the quota gate needs them.
     pub fn tenant_quotas(&self) -> Vec<TenantQuota> {
         let tenants = self.fleet.tenants.iter();
         tenants
@@ -125,7 +128,7 @@
     }
 }
 
-/// Whether routes and tenants differ in priority.
+/// Whether routes and tenants use more than one priority.
 fn has_several_priorities(fleet: &FleetConfig) -> bool {
     let routes = fleet.routes.iter().map(|route| route.priority);
     let tenants = fleet.tenants.iter().filter_map(|tenant| tenant.priority);
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of clients.
+//! Client connections.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -25,26 +25,26 @@
 use crate::request_failure::RequestFailure;
 use crate::response::{LocalReply, ResponseBody};
 
-/// Limits of heads before there is a configuration, in bytes.
+/// Limit of a request's head while there is no configuration, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: u64 = 16_384;
-/// What a connection may hold beyond a head, in bytes: bodies come in fewer pieces.
+/// Read buffer beyond the size of a head, in bytes. A larger buffer delivers bodies in fewer pieces.
 const EXTRA_BUFFER_BYTES: usize = 32 * 1_024;
 
-/// A client's connection as the others see it.
+/// The state of a client connection that other tasks read or change.
 #[derive(Debug)]
 pub struct ClientConnection {
-    /// Since when no request is open on it.
+    /// Time since which no request is open on the connection; `None` while one is open.
     idle_since: Cell<Option<Instant>>,
-    /// Told when it is to end once no request is open on it.
+    /// Notified when the connection is to close once no request is open on it.
     close_requested: Notify,
-    /// Told when it is to end at once.
+    /// Notified when the connection is to close immediately.
     abort_requested: Notify,
-    /// What was read of requests.
+    /// Request heads as they were read from the socket.
     heads: RequestHeads,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Creates the state of a newly accepted connection.
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
             idle_since: Cell::new(Some(Instant::now())),
@@ -54,17 +54,18 @@
         })
     }
 
-    /// Since when no request is open on it.
+    /// Returns the time since which no request is open on the connection; `None` while one is open.
     pub fn idle_since(&self) -> Option<Instant> {
         self.idle_since.get()
     }
 
-    /// Ends it once no request is open on it.
+    /// Closes the connection once no request is open on it.
     pub fn close_when_idle(&self) {
         self.close_requested.notify_one();
     }
 
-    /// Ends it if it rests for longer than `idle_timeout` and nothing has come of a next request.
+    /// Closes the connection if it has been idle for at least `idle_timeout` and no part of a next request
+    /// has arrived.
     pub fn close_if_idle(&self, now: Instant, idle_timeout: Duration) {
         let is_idle =
             self.idle_since.get().is_some_and(|since| now.saturating_duration_since(since) >= idle_timeout);
@@ -73,13 +74,13 @@
         }
     }
 
-    /// Ends it if it rests for longer than `idle_timeout`, or if a request that has begun lacks a part of its head for longer
-    /// than `header_timeout`.
+    /// Closes the connection if it has been idle for longer than `idle_timeout`, or if the head of a request
+    /// is still incomplete `header_timeout` after its first byte.
     pub fn enforce_timeouts(&self, now: Instant, idle_timeout: Duration, header_timeout: Duration) {
         let Some(idle_since) = self.idle_since.get() else { return };
         let is_over = |since: Instant, max: Duration| now.saturating_duration_since(since) > max;
         match self.heads.partial_since() {
-            // What came while a request was open counts from the end of that one.
+            // Bytes that arrived while the previous request was open count from that request's end.
             Some(since) if is_over(since.max(idle_since), header_timeout) => {
                 self.abort_requested.notify_one()
             }
@@ -89,7 +90,7 @@
     }
 }
 
-/// Ends the request that is open on a connection.
+/// Marks a connection as active; dropping it marks the connection as idle.
 struct ActiveRequestGuard(Rc<ClientConnection>);
 
 impl ActiveRequestGuard {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Serves a client's connection to its end.
+/// Serves a client connection until it closes.
 pub async fn serve(node: Rc<Node>, connection: Rc<ClientConnection>, stream: TcpStream) {
     tokio::select! {
         biased;
@@ -134,11 +135,11 @@
         _ = serving.as_mut() => return,
         () = connection.close_requested.notified() => serving.as_mut().graceful_shutdown(),
     }
-    // Its errors are the client's: what it lacks it asks for again.
+    // Errors of the connection are not logged: the client sees them and may retry.
     let _ = serving.await;
 }
 
-/// Answers one request.
+/// Handles one request.
 async fn respond(
     node: Rc<Node>,
     request: Request<Incoming>,
@@ -175,7 +176,7 @@
         Ok(request) => request,
         Err((reply, id)) => return reply.into_response(id.as_ref()),
     };
-    // A newer one may have come with the body.
+    // A configuration may have arrived while the body was read.
     let Some(configuration) = node.configuration() else {
         let remaining = request
             .client_timeout
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,4 +1,4 @@
-//! A client's request on its way to servers, until one answer stands.
+//! The execution of one client request: attempts at servers until there is a final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,39 +20,41 @@
 use crate::shutdown_schedule::ShutdownSchedule;
 use crate::upstream::{RequestTimer, UpstreamResponse};
 
-/// Servers that could not be reached, at most, before a request is given up: nothing was sent to them.
+/// Maximum number of attempts that end before anything was sent, for example because the server cannot be
+/// reached.
 const MAX_UNSENT_ATTEMPTS: u32 = 3;
-/// Part of the target latency that a request waits for room, at most.
+/// Share of the target latency that a request may wait for server capacity in total.
 const MAX_WAIT_FRACTION: f64 = 0.25;
-/// A server may be silent for so long, or for so many target latencies, before a request that may run twice goes to
-/// another one.
+/// Silence timeout of a server: after this time, or after this multiple of the target latency if that is
+/// longer, a request that may be executed twice is sent to another server.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 const SILENCE_TARGET_MULTIPLE: f64 = 2.5;
-/// The same for a stream that has begun, in aimed pauses between its events.
+/// Silence timeout within a resumable stream: this time, or this multiple of the route's target gap between
+/// events if that is longer.
 const MIN_EVENT_GAP_TIMEOUT: Duration = Duration::from_millis(1_000);
 const EVENT_GAP_TARGET_MULTIPLE: f64 = 2.0;
-/// A request is not sent with less time left than this.
+/// Minimum remaining time with which a request is still sent to a server.
 pub(crate) const MIN_REMAINING_TIME: Duration = Duration::from_millis(5);
 
-/// A request and what became of it so far.
+/// A request with the state of its attempts.
 pub struct Exchange {
     pub(crate) node: Rc<Node>,
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) request: ClientRequest,
     pub(crate) admission: Admission,
-    /// Fires when the client or the operator wants it to end.
+    /// Fires at the deadline of the request, and earlier when the server is silent.
     pub(crate) timer: RequestTimer,
     pub(crate) tried_servers: Vec<ServerHandle>,
-    /// Servers that may have run it.
+    /// Number of servers that may have executed the request.
     pub(crate) possible_executions: u32,
-    /// Servers that the request was sent to.
+    /// Number of servers that the request was sent to.
     pub(crate) servers_sent_to: u32,
     pub(crate) unsent_attempts: u32,
     total_wait: Duration,
 }
 
 impl Exchange {
-    /// A request that was admitted at `started_at`.
+    /// Creates the exchange of an admitted request. Its timeout counts from `started_at`.
     pub fn new(
         node: Rc<Node>,
         configuration: Rc<Configuration>,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Sends the request until one answer stands.
+    /// Sends the request to servers until there is a final response.
     pub async fn run(mut self) -> Response<ResponseBody> {
         let mut server_error = None;
         loop {
@@ -110,8 +112,8 @@
         server_error.map_or_else(|| self.failure_response(RequestFailure::REJECTED), |response| *response)
     }
 
-    /// Takes a broken stream up at another server; nothing if that can't be.
-    /// The first try was charged by [`Self::try_retry`].
+    /// Resumes a broken stream at another server. Returns no response if that is not possible. The retry
+    /// budget was charged for the first attempt by [`Self::try_retry`].
     pub(crate) async fn resume(
         mut self,
         last_event_id: Option<HeaderValue>,
@@ -129,7 +131,8 @@
         }
     }
 
-    /// The answer when no server's stands.
+    /// Builds the response to the client when no server has given a usable one. Refunds the quota if no
+    /// server can have executed the request.
     fn failure_response(&self, failure: RequestFailure) -> Response<ResponseBody> {
         let failure = match failure {
             RequestFailure::NotExecuted { .. } if self.possible_executions > 0 => RequestFailure::Broken,
@@ -145,7 +148,7 @@
         failure.with_jitter().capped_for(self.remaining()).local_reply().into_response(Some(&self.request.id))
     }
 
-    /// Whether the request may be sent once more; that is charged to the budget of repeats.
+    /// Whether the request may be sent once more. A retry is charged to the retry budget.
     pub(crate) fn try_retry(&self) -> bool {
         if self.servers_sent_to == 0 {
             return true;
@@ -157,7 +160,7 @@
         self.node.retry_budget.borrow_mut().try_retry(self.node.clock.now(), service)
     }
 
-    /// Whether what is known of the request lets it go to one more server.
+    /// Whether the route's policy and the attempts so far allow one more attempt.
     fn is_retryable(&self) -> bool {
         let policy = &self.admission.policy;
         let may_run_again = self.possible_executions == 0
@@ -165,7 +168,8 @@
         may_run_again && self.servers_sent_to <= policy.max_attempts
     }
 
-    /// How long a server may be silent before the request is sent to another one; nothing if it can't be.
+    /// Returns how long a server may be silent before the request is sent to another one; `None` if it must
+    /// not be.
     pub(crate) fn silence_timeout(&self) -> Option<Duration> {
         let policy = &self.admission.policy;
         let target = Duration::from_millis(policy.target_latency_ms);
@@ -174,7 +178,7 @@
         (retryable && self.remaining() > silence + target).then_some(silence)
     }
 
-    /// How long a stream that may be taken up elsewhere may pause.
+    /// Returns how long a resumable stream may be silent between events.
     pub(crate) fn event_gap_timeout(&self) -> Duration {
         let target_gap = Duration::from_millis(self.admission.policy.target_event_gap_ms);
         MIN_EVENT_GAP_TIMEOUT.max(target_gap.mul_f64(EVENT_GAP_TARGET_MULTIPLE))
@@ -184,13 +188,14 @@
         self.timer.deadline().saturating_duration_since(Instant::now())
     }
 
-    /// What the process's end is, if the request may last longer and no server may have run it yet.
+    /// Returns the shutdown schedule if the process is shutting down, the request's deadline may be after the
+    /// exit, and no server may have executed the request yet.
     pub(crate) fn shutdown_before_deadline(&self) -> Option<ShutdownSchedule> {
         let shutdown = self.node.shutdown_schedule().filter(|_| self.possible_executions == 0)?;
         shutdown.is_outlasted_by(self.timer.deadline()).then_some(shutdown)
     }
 
-    /// Makes the next attempt, after waiting for room if there is none.
+    /// Makes the next attempt, after waiting for capacity if no server has any.
     async fn next_attempt(&mut self) -> Result<AttemptResult, RequestFailure> {
         loop {
             if self.remaining() < MIN_REMAINING_TIME {
@@ -234,7 +239,7 @@
         self.node.router.borrow_mut().choose(self.node.clock.now(), &routing_request)
     }
 
-    /// Waits for room, within a part of the target latency in all.
+    /// Waits for server capacity. Fails if the total wait would exceed its share of the target latency.
     async fn wait_for_capacity(&mut self, delay: Duration) -> Result<(), RequestFailure> {
         let max_wait =
             Duration::from_millis(self.admission.policy.target_latency_ms).mul_f64(MAX_WAIT_FRACTION);
@@ -259,7 +264,7 @@
         )
     }
 
-    /// What the client's own `Last-Event-Id` says.
+    /// Returns the `Last-Event-Id` header of the client's request.
     pub(crate) fn last_event_id(&self) -> Option<HeaderValue> {
         self.request.headers.get(&LAST_EVENT_ID).cloned()
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,14 +1,16 @@
-//! The data plane of a front machine: reads clients' requests, asks the routing decision for a server, passes the
-//! answer on.
+//! The data plane of a front machine: it reads client requests, asks the router for a server, and relays the
+//! response.
 //!
-//! A request's way: [`listener`] accepts its connection, [`connection`] lets hyper read it, [`request`] takes what is
-//! needed out of its head, [`admission`] finds its route and tenant and charges its quota, [`exchange`] sends it to
-//! servers until one answer stands, one attempt at a time, [`upstream`] holds the connections to them, [`relay`]
-//! passes events on and resumes at another server, [`request_failure`] says what a client is told when no server's answer
-//! stands.
+//! The path of a request: [`listener`] accepts its connection, [`connection`] lets hyper read it, [`request`]
+//! extracts the needed fields from its head, [`admission`] finds its route and tenant and charges the
+//! tenant's quota, [`exchange`] sends it to servers, one attempt at a time, until there is a final response,
+//! [`upstream`] holds the connections to the servers, [`relay`] forwards event streams and resumes them at
+//! another server, and [`request_failure`] defines the response to the client when no server has given a
+//! usable one.
 //!
-//! [`feed`] takes configuration, servers and grants from the agent on the machine; [`readiness`] answers the
-//! platform's check; [`shutdown`] ends the process without cutting what was read.
+//! [`feed`] receives the configuration, the servers and the grants from the agent on the machine;
+//! [`readiness`] answers the platform's readiness checks; [`shutdown`] drains open requests before the
+//! process exits.
 
 #![forbid(unsafe_code)]
 
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting clients.
+//! Accepts client connections and keeps track of them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,20 +18,21 @@
 use crate::connection::{ClientConnection, serve};
 use crate::node::Node;
 
-/// New connections that the kernel holds while they are not accepted.
+/// Length of the kernel's queue of connections that are not accepted yet.
 const BACKLOG: i32 = 1_024;
-/// Pause after the system refused a connection, for want of descriptors.
+/// Delay after a failed `accept`, for example because no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often resting connections are looked through.
+/// Interval between checks for expired connections.
 pub const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Part of the time that clients may rest after which a connection is closed: clients keep below it.
+/// An idle client connection is closed after this multiple of the configured idle timeout. Clients stop
+/// reusing a connection before that timeout, so a request does not cross the close.
 const IDLE_TIMEOUT_FACTOR: f64 = 1.1;
 
-/// Listens at an address, also if connections to it linger from before a restart.
+/// Listens on an address, even if connections to it from before a restart are still in `TIME_WAIT`.
 ///
 /// # Errors
 ///
-/// The address is in use, or not the machine's.
+/// The address is in use, or does not belong to this machine.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -41,7 +42,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// What a future gives if it needs no waiting.
+/// Polls a future once and returns its output if it is ready.
 async fn poll_once<F: Future>(future: F) -> Option<F::Output> {
     let mut future = pin!(future);
     poll_fn(|cx| match future.as_mut().poll(cx) {
@@ -51,23 +52,23 @@
     .await
 }
 
-/// The clients' connections.
+/// The open client connections.
 pub struct ClientConnections {
     node: Rc<Node>,
     max_connections: usize,
     next_id: RefCell<u64>,
     connections: RefCell<HashMap<u64, Rc<ClientConnection>>>,
     connection_closed: Notify,
-    /// Connections that were accepted as the listener was closed.
+    /// Connections that were accepted while the listener was being closed.
     accepted_at_close: Cell<usize>,
-    /// Told when no more connections are to be accepted.
+    /// Notified when accepting is to stop.
     stop_requested: Notify,
-    /// Told once the listener is closed.
+    /// Notified once the listener is closed.
     listener_closed: Notify,
 }
 
 impl ClientConnections {
-    /// No connections yet.
+    /// Creates an empty set of connections.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
         let max_connections = Node::max_client_connections(&node.boot);
         Rc::new(Self {
@@ -82,12 +83,12 @@
         })
     }
 
-    /// How many connections there are.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Accepts connections until [`Self::stop_accepting`] is called; then the listener is closed.
+    /// Accepts connections until [`Self::stop_accepting`] is called, then closes the listener.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         tokio::select! {
             () = self.accept_loop(&listener) => {}
@@ -101,7 +102,8 @@
         self.listener_closed.notify_one();
     }
 
-    /// Closes the listener, with all connections accepted that are there; gives how many there were.
+    /// Accepts the connections that the kernel has queued and closes the listener. Returns how many
+    /// connections were queued.
     pub async fn stop_accepting(&self) -> usize {
         self.stop_requested.notify_one();
         self.listener_closed.notified().await;
@@ -112,7 +114,7 @@
         loop {
             while self.count() >= self.max_connections {
                 self.close_longest_idle();
-                // Whatever is missed here is seen after the pause.
+                // A notification that is missed here is noticed after the delay.
                 let _ = tokio::time::timeout(ACCEPT_RETRY_DELAY, self.connection_closed.notified()).await;
             }
             match listener.accept().await {
@@ -123,7 +125,7 @@
     }
 
     fn spawn_connection(self: Rc<Self>, stream: TcpStream) {
-        // Without it answers are later, not wrong.
+        // Without `TCP_NODELAY`, responses are delayed but correct.
         let _ = stream.set_nodelay(true);
         let id = self.next_id.replace_with(|next_id| *next_id + 1);
         let connection = ClientConnection::new();
@@ -135,7 +137,7 @@
         });
     }
 
-    /// Ends the connection that has rested for longest.
+    /// Closes the connection that has been idle for the longest time.
     fn close_longest_idle(&self) {
         let connections = self.connections.borrow();
         let idle = connections.values().filter_map(|connection| Some((connection.idle_since()?, connection)));
@@ -144,13 +146,14 @@
         }
     }
 
-    /// Ends connections on which nothing has come of a request for `idle_timeout`.
+    /// Closes connections that have been idle for at least `idle_timeout` without a part of a next request.
     pub fn close_idle(&self, idle_timeout: Duration) {
         let now = Instant::now();
         self.connections.borrow().values().for_each(|connection| connection.close_if_idle(now, idle_timeout));
     }
 
-    /// Ends connections that rest or take for too long, of clients and to servers, for as long as it is polled.
+    /// Closes connections to clients and servers that exceed their timeouts, for as long as the future is
+    /// polled.
     pub async fn sweep(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of the process share. One thread runs them all.
+//! State that all tasks of the process share. A single thread runs all tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,31 +22,34 @@
 use crate::shutdown_schedule::ShutdownSchedule;
 use crate::upstream::ConnectionPool;
 
-/// A configuration is known to be current while the agent's proof of that is younger than this, in milliseconds.
+/// A heartbeat confirms the active configuration only if the agent has confirmed it with the control plane
+/// more recently than this, in milliseconds.
 const MAX_CONFIRMATION_AGE_MS: u64 = 1_000;
-/// Descriptors that the platform keeps for files.
+/// File descriptors that are kept free for files and other uses than connections.
 const RESERVED_FDS: u64 = 200;
-/// Descriptors taken to be there where the settings name none.
+/// File descriptor limit that is assumed if the settings have none.
 const DEFAULT_MAX_FDS: u64 = 1_024;
-/// Part of the descriptors that clients' connections may take.
+/// Share of the usable file descriptors that client connections may take; connections to servers take the
+/// rest.
 const CLIENT_FD_FRACTION: f64 = 0.6;
-/// One report of so many tells the load of every server. The reports of that time, 2 s, are what a leader waits for.
+/// Every n-th report contains the loads of all servers; the others contain only changes. A newly elected
+/// leader waits for the 2 s that this many reports take.
 const REPORTS_PER_FULL_LOADS: u32 = 13;
 
-/// State of the process.
+/// Shared state of the proxy process.
 pub struct Node {
-    /// Settings at the start.
+    /// Settings that were read at startup.
     pub boot: Boot,
-    /// Where events go.
+    /// Logger of the process.
     pub log: Logger,
-    /// The steady clock.
+    /// Monotonic clock of the process.
     pub clock: Clock,
-    /// Which server takes a request.
+    /// Chooses the server for each request.
     pub router: RefCell<Router>,
-    /// Quotas of tenants.
+    /// Enforces the tenants' quotas.
     pub quota_gate: RefCell<QuotaGate>,
     incarnation: u64,
-    /// Bound on repeats.
+    /// Limits the retries of each service.
     pub retry_budget: RefCell<RetryBudget>,
     /// Connections to servers.
     pub pool: Rc<ConnectionPool>,
@@ -54,17 +57,17 @@
     configuration_confirmed: Cell<bool>,
     ready_servers: Cell<usize>,
     shutdown_schedule: Cell<Option<ShutdownSchedule>>,
-    /// Requests that were read and whose answer is not written yet.
+    /// Requests that were read and whose response is not fully written yet.
     pub open_requests: Rc<OpenRequests>,
     observations: RefCell<HashMap<String, (u32, u32)>>,
-    /// Told when a report had better not wait for its time.
+    /// Notified when a report to the agent is needed before its regular time.
     pub report_requested: Notify,
-    /// Reports until the next one that tells the load of every server.
+    /// Number of reports left until the next one that contains the loads of all servers.
     reports_until_full_loads: Cell<u32>,
 }
 
 impl Node {
-    /// A node that holds nothing yet.
+    /// Creates the state of a proxy without configuration, servers or grants.
     pub fn new(boot: Boot, log: Logger) -> Rc<Self> {
         let bounds = &boot.bounds;
         let quota = QuotaBounds {
@@ -107,27 +110,27 @@
         all.saturating_sub(RESERVED_FDS).max(64) as usize
     }
 
-    /// Most connections of clients.
+    /// Returns the maximum number of client connections.
     pub fn max_client_connections(boot: &Boot) -> usize {
         (Self::usable_fds(boot) as f64 * CLIENT_FD_FRACTION) as usize
     }
 
-    /// Drawn at random at the start: grants are for this start alone.
+    /// Returns a random number that identifies this run of the process. Grants apply to a single incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration, if there is one.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Version of the configuration in force; 0 for none.
+    /// Returns the version of the active configuration, or 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.borrow().as_ref().map_or(0, |configuration| configuration.fleet.version)
     }
 
-    /// Puts a configuration in force, unless it is not newer than the one that is.
+    /// Activates a configuration, unless its version is not newer than the active one.
     pub fn activate_configuration(&self, configuration: Configuration) {
         if configuration.fleet.version <= self.configuration_version() {
             return;
@@ -144,7 +147,7 @@
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
     }
 
-    /// Takes over the whole list of servers.
+    /// Replaces the list of servers.
     pub fn set_servers(&self, servers: &[ServerInfo]) {
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
@@ -153,7 +156,7 @@
         self.pool.retain_usable(|server| router.is_usable(server));
     }
 
-    /// Takes over grants.
+    /// Applies an update of quota grants and of the number of nodes.
     pub fn apply_grants(&self, update: &GrantUpdate) {
         match self.quota_gate.borrow_mut().apply(self.clock.now(), update) {
             ApplyOutcome::Ignored => return,
@@ -165,7 +168,7 @@
         self.pool.set_node_count(update.node_count);
     }
 
-    /// Takes over which servers other nodes find failing.
+    /// Passes on to the router which servers other nodes report as failing.
     pub fn apply_suspicions(&self, suspicions: &[ServerSuspicion]) {
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
@@ -174,8 +177,8 @@
         }
     }
 
-    /// Takes in a sign of life of the agent. A proof from before the process started says nothing of a version that
-    /// was committed since.
+    /// Processes a heartbeat of the agent. A confirmation from before this process started is ignored: a
+    /// newer version may have been committed since then.
     pub fn observe_heartbeat(&self, heartbeat: &Heartbeat) {
         let version = self.configuration_version();
         let uptime_ms = self.clock.age().as_millis() as u64;
@@ -185,14 +188,14 @@
         }
     }
 
-    /// Whether the platform may send clients: the configuration was confirmed as current once, there is a server, and
-    /// the process is not about to end.
+    /// Whether the platform may send clients: the configuration was confirmed as current at least once, at
+    /// least one server is ready, and the process is not shutting down.
     pub fn is_ready(&self) -> bool {
         self.configuration_confirmed.get() && self.ready_servers.get() > 0 && !self.is_shutting_down()
     }
 
-    /// From now on each answer ends its connection, and the platform is told to send no more clients.
-    /// Gives when what stops.
+    /// Starts the shutdown and returns its schedule. From now on each response closes its connection, and
+    /// readiness checks fail.
     pub fn begin_shutdown(&self) -> ShutdownSchedule {
         let grace = Duration::from_secs_f64(self.boot.bounds.grace_s);
         let schedule =
@@ -201,7 +204,7 @@
         schedule
     }
 
-    /// When what stops, once [`Self::begin_shutdown`] was called.
+    /// Returns the shutdown schedule, once [`Self::begin_shutdown`] was called.
     pub fn shutdown_schedule(&self) -> Option<ShutdownSchedule> {
         self.shutdown_schedule.get()
     }
@@ -211,12 +214,12 @@
         self.shutdown_schedule.get().is_some()
     }
 
-    /// How many requests were read and have no written answer yet.
+    /// Returns the number of requests that were read and whose response is not fully written yet.
     pub fn open_request_count(&self) -> usize {
         self.open_requests.count()
     }
 
-    /// Counts an attempt at a server for the next report.
+    /// Counts the outcome of an attempt at a server for the next report.
     pub fn record_attempt(&self, server: &str, served: bool) {
         let mut observations = self.observations.borrow_mut();
         if !observations.contains_key(server) {
@@ -227,7 +230,7 @@
         }
     }
 
-    /// What the agent is told: demand, and the outcomes since the last report.
+    /// Builds the next report to the agent: quota demand, outcomes since the last report, and server loads.
     pub fn report(&self) -> ProxyReport {
         let demand = self.quota_gate.borrow_mut().demand_report(self.clock.now());
         let observations = self.observations.borrow_mut().drain().collect::<Vec<_>>();
@@ -237,12 +240,13 @@
         ProxyReport { demand, observations, loads: self.loads() }
     }
 
-    /// The next report tells the load of every server: what was told before may be lost.
+    /// Makes the next report contain the loads of all servers, because earlier reports may be lost.
     pub fn request_full_loads(&self) {
         self.reports_until_full_loads.set(0);
     }
 
-    /// Requests of this node at servers: all of them now and then, else what has changed.
+    /// Returns this node's in-flight requests per server: for all servers at a fixed interval of reports,
+    /// otherwise only those that changed.
     fn loads(&self) -> NodeLoads {
         let is_full = self.reports_until_full_loads.get() == 0;
         let remaining_reports =
@@ -260,6 +264,6 @@
                 });
             },
         );
-        NodeLoads { is_full: is_full, servers }
+        NodeLoads { is_full, servers }
     }
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading a client's request.
+//! Reads a client request and validates its head.
 
 use std::future::Future;
 use std::time::Duration;
@@ -19,49 +19,50 @@
     DEADLINE_MS, EXPECT_INSTANCE, LocalReply, PROMPT_PREFIX, REQUEST_ID, TENANT, TOKEN_COUNTS,
 };
 
-/// Most parts of a prompt that are looked at.
+/// Maximum number of prompt parts that are read.
 const MAX_PROMPT_PARTS: usize = 256;
-/// Digits of a prompt part's id that name it.
+/// Number of trailing hex digits of a prompt part's id that are used.
 const PART_ID_HEX_DIGITS: usize = 16;
 
-/// A client's request, read whole.
+/// A client request whose body was read completely.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub target: Uri,
-    /// What goes on to a server; `Host` is among it.
+    /// Headers that are forwarded to a server, including `Host`.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
-    /// Names the try.
+    /// Client-chosen id of this attempt, from `x-dunelink-request-id`.
     pub id: HeaderValue,
-    /// How long the client waits.
+    /// How long the client waits for the response; `None` if it does not say.
     pub client_timeout: Option<Duration>,
-    /// Its key, if it has one.
+    /// Bearer token of the client; `None` if it sent none.
     pub api_key: Option<String>,
-    /// What it says of its prompt.
+    /// Prompt size and prefix that the request states.
     pub prompt: PromptInfo,
 }
 
-/// What a request says of its prompt.
+/// Prompt size and prefix that a request states in its headers.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct PromptInfo {
-    /// Tokens of the prompt and tokens to be made at most, where they are stated.
+    /// Prompt tokens and maximum output tokens; `None` if the request does not state them.
     pub tokens: Option<(u32, u32)>,
-    /// Parts in order.
+    /// Prompt parts in prompt order.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptInfo {
-    /// Reads the two headers.
+    /// Parses the `x-dunelink-prompt-prefix` and `x-dunelink-token-counts` headers. Invalid values are
+    /// ignored.
     pub fn from_headers(headers: &HeaderMap) -> Self {
         let parts = only(headers, &PROMPT_PREFIX).map(parse_prompt_parts).unwrap_or_default();
         Self { tokens: only(headers, &TOKEN_COUNTS).and_then(parse_token_counts), parts }
     }
 
-    /// Tokens in and out together, where they are stated.
+    /// Returns the sum of prompt tokens and maximum output tokens, if the request states them.
     pub fn total_tokens(&self) -> Option<u64> {
         self.tokens.map(|(input, output)| u64::from(input) + u64::from(output))
     }
@@ -82,11 +83,11 @@
     Some(PromptPart { id: u64::from_str_radix(digits, 16).ok()?, tokens: tokens.parse().ok()? })
 }
 
-/// Reads a request whole; its body within `body_timeout`.
+/// Reads a request completely, its body within `body_timeout`.
 ///
 /// # Errors
 ///
-/// What its client is told, and its id if it has one.
+/// The reply to the client, and the request's id if it has one.
 pub async fn read(
     request: Request<Incoming>,
     limits: &ClientLimits,
@@ -94,12 +95,13 @@
 ) -> Result<ClientRequest, (LocalReply, Option<HeaderValue>)> {
     let (mut head, body) = request.into_parts();
     let id = single_value(&head.headers, &REQUEST_ID).cloned();
-    // Where its body ends is in doubt.
+    // The head is ambiguous, so the end of the request's body is uncertain.
     if validate_head(&head, Hosting::Wire).is_err() {
         return Err((LocalReply::new(StatusCode::BAD_REQUEST).closing_connection(), id));
     }
     let max_bytes = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
-    // It is read also if the request is refused: an answer that overtakes it may be lost with the connection.
+    // The body is read even if the request will be rejected: a response sent before the client has finished
+    // sending may be lost when the connection closes.
     let body = match read_body(body, max_bytes, body_timeout).await {
         Ok(body) => body,
         Err(reply) => return Err((reply, id)),
@@ -131,7 +133,8 @@
     tokio::time::timeout(timeout, future).await.ok()
 }
 
-/// Takes what is needed out of the head, and leaves what goes on; nothing if a field is missing, repeated or odd.
+/// Builds the request from its head and body; removes the headers that are not forwarded. `None` if a
+/// required field is missing, repeated or invalid.
 fn build_request(head: &mut Parts, id: Option<HeaderValue>, body: Bytes) -> Option<ClientRequest> {
     let id = id.filter(|id| !id.is_empty())?;
     let client_timeout = match head.headers.contains_key(&DEADLINE_MS) {
@@ -162,7 +165,7 @@
     })
 }
 
-/// The value of a field that stands there once.
+/// Returns the value of a header that occurs exactly once.
 fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: the process's own, and those of servers.
+//! Responses to clients: the proxy's own replies and relayed server responses.
 
 use std::any::Any;
 use std::pin::Pin;
@@ -13,41 +13,42 @@
 
 use crate::relay::RelayedBody;
 
-/// Names the try of a client.
+/// Client-chosen id of one attempt of a request.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-dunelink-request-id");
-/// Milliseconds that the sender waits.
+/// Time that the sender waits for the response, in milliseconds.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-dunelink-deadline-ms");
-/// The id of the server that alone may run the request.
+/// Id of the only server instance that may execute the request.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-dunelink-expect-instance");
-/// How urgent a request is for a server that runs a model, from 0, the most urgent, to 9.
+/// Priority of a request at a server that runs a model, from 0, the most urgent, to 9.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// The tenant that holds the client's key.
+/// Name of the tenant that the client's API key belongs to.
 pub const TENANT: HeaderName = HeaderName::from_static("x-dunelink-tenant");
-/// Tokens of the prompt and tokens to be made at most.
+/// Number of prompt tokens and maximum number of output tokens, separated by a comma.
 pub const TOKEN_COUNTS: HeaderName = HeaderName::from_static("x-dunelink-token-counts");
-/// Parts of the prompt.
+/// Prompt parts in order, as `id:tokens` separated by commas.
 pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-dunelink-prompt-prefix");
-/// A server's stamp on its answer.
+/// Seal that a server puts on each successful response.
 pub const RESPONSE_SEAL: HeaderName = HeaderName::from_static("x-dunelink-response-seal");
-/// A server's word that it has not run the request.
+/// Declares that the server has not executed the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-dunelink-not-executed");
-/// A server's load: running, waiting, slots.
+/// Load of a server: running requests, waiting requests, slots.
 pub const SERVER_LOAD: HeaderName = HeaderName::from_static("x-dunelink-server-load");
-/// The last event that a client has seen.
+/// Id of the last event of a stream that the client has received.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// Why an answer's body ended early: the client's connection is cut, so that it does not look complete.
+/// Why a response body ended early. The client's connection is aborted, so that the response does not look
+/// complete.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The server or the way to it broke.
+    /// The server or the connection to it failed.
     #[error("the server's answer broke off; the client's connection is closed, and a client may ask again")]
     Broken,
-    /// The time of the request is over.
+    /// The deadline of the request has passed.
     #[error("the time of the request is over; a client may ask again with a longer deadline")]
     TimedOut,
 }
 
-/// The body of an answer. The request counts as in hand until it is dropped.
+/// The body of a response to a client. The request counts as open until the body is dropped.
 pub struct ResponseBody {
     kind: BodyKind,
     _guard: Option<Box<dyn Any>>,
@@ -59,17 +60,17 @@
 }
 
 impl ResponseBody {
-    /// A body that is there whole.
+    /// Creates a body from complete content.
     pub fn full(bytes: Bytes) -> Self {
         Self { kind: BodyKind::Full(Some(bytes).filter(|bytes| !bytes.is_empty())), _guard: None }
     }
 
-    /// A body that is passed on as it comes.
+    /// Creates a body that is relayed from a server as it arrives.
     pub fn relayed(relayed: RelayedBody) -> Self {
         Self { kind: BodyKind::Relayed(Box::new(relayed)), _guard: None }
     }
 
-    /// Drops `guard` with the body: what counts the request as in hand.
+    /// Attaches a guard that is dropped with the body and until then counts the request as open.
     pub fn with_guard(self, guard: Box<dyn Any>) -> Self {
         Self { _guard: Some(guard), ..self }
     }
@@ -105,7 +106,7 @@
     }
 }
 
-/// An answer of the process's own.
+/// A reply that the proxy generates itself, without a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalReply {
     status: StatusCode,
@@ -114,27 +115,27 @@
 }
 
 impl LocalReply {
-    /// An answer with nothing but its status.
+    /// Creates a reply with only a status.
     pub fn new(status: StatusCode) -> Self {
         Self { status, retry_after: None, closes_connection: false }
     }
 
-    /// Tells the client when to come back.
+    /// Adds a `Retry-After` header.
     pub fn with_retry_after(self, retry_after: Duration) -> Self {
         Self { retry_after: Some(retry_after), ..self }
     }
 
-    /// Ends the client's connection: what stands on it can't be relied on.
+    /// Adds `Connection: close`, for connections whose remaining input cannot be parsed reliably.
     pub fn closing_connection(self) -> Self {
         Self { closes_connection: true, ..self }
     }
 
-    /// Its status.
+    /// Returns the status code.
     pub fn status(&self) -> StatusCode {
         self.status
     }
 
-    /// The response, for the request of this id.
+    /// Builds the response to the request with this id; `None` if the id is unknown.
     pub fn into_response(self, id: Option<&HeaderValue>) -> Response<ResponseBody> {
         let mut response = Response::new(ResponseBody::full(Bytes::new()));
         *response.status_mut() = self.status;
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! From the command line to the end of the process.
+//! Process startup, from the command line to the exit code.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -17,10 +17,11 @@
 use crate::shutdown::{Signals, drain};
 use crate::{feed, readiness};
 
-/// Exit code for a command line or settings that can't be followed.
+/// Exit code for an invalid command line or invalid settings.
 const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
-/// The program: 0 after an ordered end, 1 if it can't run, 2 if command line or settings are wrong.
+/// Runs the program. Exits with 0 after an orderly shutdown, 1 if it cannot run, and 2 if the command line or
+/// the settings are invalid.
 pub fn main() -> ExitCode {
     let arguments = match Arguments::read() {
         Ok(arguments) => arguments,
@@ -66,7 +67,7 @@
     })
 }
 
-/// A proxy whose addresses are bound.
+/// A proxy whose listening sockets are bound.
 pub struct Proxy {
     node: Rc<Node>,
     front: TcpListener,
@@ -74,11 +75,11 @@
 }
 
 impl Proxy {
-    /// Binds the addresses that the settings name.
+    /// Binds the addresses that the settings configure.
     ///
     /// # Errors
     ///
-    /// An address is missing, in use, or not the machine's.
+    /// An address is missing from the settings, is in use, or does not belong to this machine.
     pub fn bind(node: Rc<Node>) -> anyhow::Result<Self> {
         let front = bind(node.boot.listen.front, "listen.front")?;
         let readiness = bind(node.boot.listen.readiness, "listen.readiness")?;
@@ -86,30 +87,30 @@
         Ok(Self { node, front, readiness })
     }
 
-    /// The state that its parts share.
+    /// Returns the state that the proxy's tasks share.
     pub fn node(&self) -> Rc<Node> {
         self.node.clone()
     }
 
-    /// Where clients connect.
+    /// Returns the address that accepts client connections.
     ///
     /// # Errors
     ///
-    /// The system can't tell.
+    /// The operating system does not report the socket's address.
     pub fn front(&self) -> std::io::Result<SocketAddr> {
         self.front.local_addr()
     }
 
-    /// Where the platform checks.
+    /// Returns the address that answers the platform's readiness checks.
     ///
     /// # Errors
     ///
-    /// The system can't tell.
+    /// The operating system does not report the socket's address.
     pub fn readiness(&self) -> std::io::Result<SocketAddr> {
         self.readiness.local_addr()
     }
 
-    /// Starts its tasks on the local set that it is called in.
+    /// Spawns the proxy's tasks on the current `LocalSet`.
     pub fn start(self) -> Rc<ClientConnections> {
         let clients = ClientConnections::new(self.node.clone());
         tokio::task::spawn_local(clients.clone().accept(self.front));
