--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go to a server, and to which service.
+//! Admission: whether a request may go to a server, and to which service.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use crate::request_failure::with_jitter;
 use crate::response::LocalReply;
 
-/// What the configuration says of a request that it allows.
+/// What the configuration determines for an admitted request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Admission {
-    /// How it is treated.
+    /// The route's policy.
     pub policy: RoutePolicy,
-    /// Position of its service in the configuration.
+    /// Index of the service in the configuration.
     pub service: usize,
-    /// Position of its tenant in the configuration.
+    /// Index of the tenant in the configuration; `None` for a request without a tenant.
     pub tenant: Option<usize>,
-    /// From 0, the most urgent: of the tenant, else of the route.
+    /// Priority of the tenant, or of the route if the tenant has none; 0 is the most urgent.
     pub priority: u32,
-    /// What its tenant was charged.
+    /// Quota units that the tenant was charged.
     pub units: f64,
 }
 
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// What the client is told: 404, 401 or 429.
+/// The reply to the client: 404, 401 or 429.
 pub fn admit(
     node: &Node,
     configuration: &Configuration,
--- a/crates/proxy/src/arguments.rs
+++ b/crates/proxy/src/arguments.rs
@@ -32,7 +32,7 @@
     #[error("{0}; see --help")]
     Option(#[from] pico_args::Error),
     /// An argument that the program does not know.
-    #[error("`{0}` is no option of dunelink-proxy; see --help")]
+    #[error("unknown argument `{0}`; see --help")]
     Unknown(String),
 }
 
--- a/crates/proxy/src/attempt_guard.rs
+++ b/crates/proxy/src/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! An attempt as the router counts it, ended exactly once.
+//! Reports the progress of an attempt to the router, and its outcome exactly once.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 
 use crate::node::Node;
 
-/// An attempt that is out. Dropped without [`AttemptGuard::finish`], it counts as cancelled.
+/// An attempt in progress. If it is dropped without [`AttemptGuard::finish`], it counts as cancelled.
 pub struct AttemptGuard {
     node: Rc<Node>,
     attempt: Option<AttemptId>,
@@ -14,38 +14,38 @@
 }
 
 impl AttemptGuard {
-    /// Follows an attempt that the router decided on.
+    /// Tracks an attempt that the router has started.
     pub fn new(node: Rc<Node>, attempt: AttemptId, server: ServerHandle) -> Self {
         Self { node, attempt: Some(attempt), server }
     }
 
-    /// The server it goes to.
+    /// Returns the server of the attempt.
     pub fn server(&self) -> ServerHandle {
         self.server
     }
 
-    /// The first byte is about to be written.
+    /// Records that the request is about to be written.
     pub fn record_sent(&self) {
         if let Some(attempt) = self.attempt {
             self.node.router.borrow_mut().record_sent(self.node.clock.now(), attempt);
         }
     }
 
-    /// The first event of a stream, or the head of another answer, has come.
+    /// Records the first event of a stream, or the head of another response.
     pub fn record_first_event(&self) {
         if let Some(attempt) = self.attempt {
             self.node.router.borrow_mut().record_first_event(self.node.clock.now(), attempt);
         }
     }
 
-    /// More events of a stream have come.
+    /// Records further events of a stream.
     pub fn record_progress(&self, events: u32) {
         if let Some(attempt) = self.attempt {
             self.node.router.borrow_mut().record_progress(self.node.clock.now(), attempt, events);
         }
     }
 
-    /// The attempt has ended.
+    /// Records the outcome of the attempt.
     pub fn finish(mut self, outcome: Outcome) {
         self.record(outcome);
     }
--- a/crates/proxy/src/client_socket.rs
+++ b/crates/proxy/src/client_socket.rs
@@ -1,4 +1,5 @@
-//! A client's socket, for what hyper drops of a head before it hands a request on.
+//! A client socket that also scans the request heads, because hyper drops parts of a head before it passes a
+//! request on.
 
 use std::cell::RefCell;
 use std::io;
@@ -13,14 +14,14 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The heads of the requests on a connection as they stood on the wire.
+/// The request heads of a connection as they appeared on the wire.
 #[derive(Debug, Clone, Default)]
 pub struct RequestHeads(Rc<RefCell<HeadScanState>>);
 
 #[derive(Debug, Default)]
 struct HeadScanState {
     scanner: Scanner,
-    /// Since when a part of a request is there, if the rest is not.
+    /// When the first bytes of an incomplete request arrived; `None` if there is none.
     partial_since: Option<Instant>,
 }
 
@@ -36,16 +37,18 @@
 }
 
 impl RequestHeads {
-    /// Since when a part of a request is there, if the rest is not. Bodies in chunks are not followed.
+    /// Returns when the first bytes of an incomplete request arrived; `None` if there is none. Chunked bodies
+    /// are not tracked.
     pub fn partial_since(&self) -> Option<Instant> {
         self.0.borrow().partial_since
     }
 
-    /// Whether the request that was just handed over ends where hyper says.
+    /// Checks that the request that hyper just passed on ends where hyper assumes it does.
     ///
     /// # Errors
     ///
-    /// It states its end in two ways, or it comes in chunks and its head could not be followed.
+    /// The head states the end of the body in two ways, or the body is chunked and the head could not be
+    /// scanned.
     pub fn check_framing(&self, headers: &HeaderMap) -> Result<(), Fault> {
         match self.0.borrow_mut().scanner.next_head() {
             Some(head) => head.check(),
@@ -54,20 +57,20 @@
         }
     }
 
-    /// The body in chunks of the request at hand has come whole: what comes next is a head.
+    /// Records that the chunked body of the current request is complete: the next bytes are a head.
     pub fn end_chunked_body(&self) {
         *self.0.borrow_mut() = HeadScanState::default();
     }
 }
 
-/// hyper's side of a client's connection.
+/// The socket that hyper reads and writes.
 pub struct ClientSocket {
     stream: TcpStream,
     heads: RequestHeads,
 }
 
 impl ClientSocket {
-    /// Follows the heads that come, in `heads`.
+    /// Creates a socket that records the scanned heads in `heads`.
     pub fn new(stream: TcpStream, heads: RequestHeads) -> Self {
         Self { stream, heads }
     }
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -1,4 +1,4 @@
-//! What the agent on the machine feeds: configuration, servers, grants.
+//! Receives configuration, servers and grants from the agent on the machine.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,43 +21,43 @@
 use crate::configuration::Configuration;
 use crate::node::Node;
 
-/// Pause between attempts to reach the agent.
+/// Delay between attempts to connect to the agent.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
-/// How long the agent may take to answer a connection.
+/// Timeout for connecting to the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// An agent that says nothing for so long is gone.
+/// The connection is given up if the agent sends nothing for this time.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
-/// How often the agent is told of demand and outcomes.
+/// Interval between reports of demand and outcomes to the agent.
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
-/// The least time between two reports: one that is wanted sooner waits for so long.
+/// Minimum time between two reports; a report that is requested earlier is delayed until then.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Why a connection to the agent ended.
 #[derive(Debug, Error)]
 enum Disconnected {
-    /// It was lost.
+    /// The connection was lost.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The agent broke the rules of the feed.
+    /// The agent violated the feed protocol.
     #[error(transparent)]
     Feed(#[from] FeedError),
-    /// The agent's changes follow another roster than the one held.
-    #[error("the agent's changes follow another roster than the one held: the connection is opened anew")]
+    /// The agent's roster changes are based on a different roster than the local one.
+    #[error("the agent's roster changes are based on a different roster than the local one: reconnecting")]
     RosterGap,
 }
 
-/// Takes in what the agent feeds, for as long as it is polled.
+/// Processes the agent's feed for as long as the future is polled.
 pub async fn run(node: Rc<Node>) {
     let mut consumer = FeedConsumer::new(node.clone());
     loop {
-        // The agent may start after this process, and restart at any time.
+        // The agent may start after this process, and may restart at any time.
         let reason = follow_connection(&node, &mut consumer).await;
-        slog::debug!(node.log, "agent lost"; "reason" => %reason);
+        slog::debug!(node.log, "connection to the agent lost"; "reason" => %reason);
         tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// One connection to the agent, to its end.
+/// Processes one connection to the agent until it ends.
 async fn follow_connection(node: &Node, consumer: &mut FeedConsumer) -> Disconnected {
     match process_messages(node, consumer).await {
         Ok(never) => match never {},
@@ -109,7 +109,7 @@
     }
 }
 
-/// What was fed, from one connection to the next.
+/// The state received from the agent; it is kept across connections.
 struct FeedConsumer {
     node: Rc<Node>,
     state: FeedState,
@@ -121,7 +121,8 @@
         Self { node, state: FeedState::default(), reader: FeedReader::new() }
     }
 
-    /// A new connection begins with a whole configuration and a whole roster; what is held already is left out.
+    /// Prepares for a new connection, which starts with a complete configuration and a complete roster. Parts
+    /// that are already present are skipped.
     fn begin_connection(&mut self) {
         self.reader = FeedReader::new();
         self.node.request_full_loads();
@@ -150,7 +151,8 @@
         Ok(())
     }
 
-    /// Tells the router how many requests of the fleet are at the servers, unless another roster is meant.
+    /// Passes on to the router how many of the fleet's requests are at each server, unless the loads refer to
+    /// a different roster.
     fn apply_loads(&self, now: u64) {
         let Some((loads, _)) = self.state.loads.get() else { return };
         let roster = &self.state.roster;
@@ -166,14 +168,15 @@
         }
     }
 
-    /// Puts what was fed last in force. Its bytes are not kept.
+    /// Activates the configuration that was received last. Its bytes are not kept.
     fn apply_configuration(&mut self) {
         let Some(received) = &mut self.state.configuration else { return };
         let (version, bytes) = (received.version, std::mem::take(&mut received.bytes));
         if !is_long(bytes.len()) {
             return activate(&self.node, version, parse_configuration(bytes));
         }
-        // Clients are served while it is read. Should a newer one come meanwhile, that one stays in force.
+        // Requests are served while a long configuration is parsed. If a newer one arrives meanwhile, the
+        // newer one stays active.
         let node = self.node.clone();
         spawn_local(async move {
             let Some(parsed) = aside(bytes, parse_configuration).await else { return };
@@ -193,14 +196,14 @@
 fn activate(node: &Node, version: u64, parsed: Result<Configuration, ConfigError>) {
     match parsed {
         Ok(configuration) => {
-            info!(node.log, "configuration in force"; "version" => version);
+            info!(node.log, "configuration activated"; "version" => version);
             node.activate_configuration(configuration);
         }
-        Err(error) => warn!(node.log, "configuration left out"; "version" => version, "reason" => %error),
+        Err(error) => warn!(node.log, "configuration rejected"; "version" => version, "reason" => %error),
     }
 }
 
-/// A server for the router; nothing if its address can't be read.
+/// Converts a roster entry for the router; `None` if its address is invalid.
 fn server_info(listed: &RosterEntry, now: u64) -> Option<ServerInfo> {
     let entry = listed.entry_at(now);
     Some(ServerInfo {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy as a program.
+//! The proxy program.
 
 fn main() -> std::process::ExitCode {
     dunelink_proxy::main()
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -25,7 +25,7 @@
 /// A heartbeat confirms the active configuration only if the agent has confirmed it with the control plane
 /// more recently than this, in milliseconds.
 const MAX_CONFIRMATION_AGE_MS: u64 = 1_000;
-/// File descriptors that are kept free for files and other uses than connections.
+/// File descriptors that the platform reserves for files.
 const RESERVED_FDS: u64 = 200;
 /// File descriptor limit that is assumed if the settings have none.
 const DEFAULT_MAX_FDS: u64 = 1_024;
--- a/crates/proxy/src/open_requests.rs
+++ b/crates/proxy/src/open_requests.rs
@@ -1,5 +1,5 @@
-//! The requests that are open: something of them was read, and their answers are not written yet. Those that the end
-//! of the process cuts are named in its log.
+//! Tracks open requests: those whose head was read and whose response is not fully written. Requests that are
+//! cut off when the process exits are logged.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,17 +9,17 @@
 use slog::{Logger, warn};
 use tokio::time::Instant;
 
-/// Most requests that are named in the log at the end.
+/// Maximum number of open requests that are logged at exit.
 const MAX_LOGGED_REQUESTS: usize = 32;
 
-/// How far a request has come.
+/// Processing stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Its head was read; its body may still be coming.
+    /// The head was read; the body may still be arriving.
     Reading,
-    /// It was read whole and let pass; no answer has begun.
+    /// The request was read completely and admitted; no response has started.
     Admitted,
-    /// Its answer is being written.
+    /// The response is being written.
     Answering,
 }
 
@@ -33,16 +33,16 @@
     }
 }
 
-/// One request.
+/// State of one open request.
 #[derive(Debug, Clone)]
 pub struct OpenRequest {
-    /// When its head was read.
+    /// When the head was read.
     pub started_at: Instant,
-    /// How far it has come.
+    /// Processing stage.
     pub stage: RequestStage,
-    /// Names the client's try, once it was read whole.
+    /// Client-chosen request id; `None` until the request is admitted.
     pub id: Option<HeaderValue>,
-    /// When its client's time or its route's is over, once it was let pass.
+    /// Deadline from the client's and the route's timeout; `None` until the request is admitted.
     pub deadline: Option<Instant>,
 }
 
@@ -54,12 +54,12 @@
 }
 
 impl OpenRequests {
-    /// None yet.
+    /// Creates an empty set.
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
-    /// How many there are.
+    /// Returns the number of open requests.
     pub fn count(&self) -> usize {
         self.requests.borrow().len()
     }
@@ -77,8 +77,8 @@
         OpenRequestGuard { requests: self.clone(), key }
     }
 
-    /// Names in the log what the end of the process cuts: when each request came, seen from `signaled_at`, when the process
-    /// was told to end, and what was left of its time.
+    /// Logs the requests that are cut off when the process exits: when each arrived relative to
+    /// `signaled_at`, the time of the shutdown signal, and how much of its time was left.
     pub fn log_unfinished(&self, log: &Logger, signaled_at: Instant) {
         let now = Instant::now();
         let requests = self.requests.borrow();
@@ -96,14 +96,14 @@
     }
 }
 
-/// Time from `earlier` to `later` in milliseconds, below zero if it is the other way round.
+/// Returns the time from `earlier` to `later` in milliseconds; negative if `later` is before `earlier`.
 fn signed_millis(later: Instant, earlier: Instant) -> i64 {
     let forward = later.saturating_duration_since(earlier).as_millis() as i64;
     let backward = earlier.saturating_duration_since(later).as_millis() as i64;
     forward - backward
 }
 
-/// A request in hand.
+/// Counts a request as open until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequestGuard {
     requests: Rc<OpenRequests>,
@@ -111,7 +111,7 @@
 }
 
 impl OpenRequestGuard {
-    /// The request of this id was read whole and let pass; its time is over at `deadline`.
+    /// Records that the request with this id was read completely and admitted.
     pub fn set_admitted(&self, id: &HeaderValue, deadline: Instant) {
         self.update(|request| {
             request.stage = RequestStage::Admitted;
@@ -120,7 +120,7 @@
         });
     }
 
-    /// Its answer begins.
+    /// Records that the response has started.
     pub fn set_answering(&self) {
         self.update(|request| request.stage = RequestStage::Answering);
     }
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's check: whether it may send clients.
+//! Answers the platform's readiness checks, which decide whether it sends clients to this node.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 
 use crate::node::Node;
 
-/// Where the platform asks.
+/// Path of the readiness check.
 const READINESS_PATH: &str = "/api/ready";
-/// How long a check may rest or take.
+/// Timeout for reading the head of a check, also on an idle connection.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause after the system refused a connection.
+/// Delay after a failed `accept`.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers checks for as long as it is polled.
+/// Answers readiness checks for as long as the future is polled.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -42,7 +42,7 @@
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(HEADER_READ_TIMEOUT).auto_date_header(false);
-    // The platform asks again.
+    // Errors are ignored: the platform repeats its checks.
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,4 +1,5 @@
-//! Answers that are passed on as they come; a broken stream is taken up at another server where its route allows.
+//! Relays response bodies to clients as they arrive. A broken stream is resumed at another server if its
+//! route allows.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,19 +14,20 @@
 use crate::response::BodyError;
 use crate::upstream::{TimeoutKind, UpstreamResponse};
 
-/// Bytes of an event that has not come whole, at most; a stream with a longer one is passed on without resuming.
+/// Maximum size of a buffered partial event in bytes. A stream with a longer event is forwarded without being
+/// resumable.
 const MAX_PARTIAL_EVENT_BYTES: usize = 256 * 1024;
 
-/// An answer and the attempt that it belongs to.
+/// A server's response and the attempt that it belongs to.
 type ResponseAttempt = (Box<UpstreamResponse>, AttemptGuard);
 
 type ResumeFuture = Pin<Box<dyn Future<Output = (Exchange, Option<ResponseAttempt>)>>>;
 
-/// An answer on its way from a server to its client.
+/// A response body on its way from a server to the client.
 pub struct RelayedBody {
     source: Source,
     length: Option<u64>,
-    /// Bytes that have come.
+    /// Number of body bytes received from servers.
     forwarded_bytes: u64,
     events: Option<EventFramer>,
     first_event_recorded: bool,
@@ -33,17 +35,18 @@
 
 enum Source {
     Streaming(Box<ActiveStream>),
-    /// Taken up at another server. One that only fell silent is kept until the other has answered.
+    /// The stream is being resumed at another server. If the previous server only fell silent, its response
+    /// is kept until the other server has answered.
     Resuming {
         resume: ResumeFuture,
         silent_attempt: Option<ResponseAttempt>,
     },
-    /// What came before is written out before the connection is cut.
+    /// hyper writes the data received so far before this error aborts the connection.
     Failed(BodyError),
     Ended,
 }
 
-/// A request and the answer that comes to it.
+/// A request and the response that is being relayed for it.
 struct ActiveStream {
     exchange: Exchange,
     response: Box<UpstreamResponse>,
@@ -51,7 +54,7 @@
 }
 
 impl RelayedBody {
-    /// Passes on an answer, of `length` bytes if that is known.
+    /// Relays a response body of `length` bytes, or of unknown length if `None`.
     pub fn new(
         exchange: Exchange,
         response: Box<UpstreamResponse>,
@@ -69,12 +72,12 @@
         Self { source, length, forwarded_bytes: 0, events, first_event_recorded: false }
     }
 
-    /// The answer's length, if it is known.
+    /// Returns the length of the body, if it is known.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// The next bytes for the client.
+    /// Returns the next data for the client.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match &mut self.source {
@@ -111,7 +114,8 @@
                             stream.attempt.record_first_event();
                         }
                         self.forwarded_bytes += data.len() as u64;
-                        // Nobody asks for more once the stated length is there.
+                        // hyper does not poll again after the stated length, so the response is finished
+                        // here.
                         if self.length == Some(self.forwarded_bytes) {
                             self.finish_served(cx);
                         }
@@ -120,7 +124,7 @@
                             return Poll::Ready(Some(Ok(complete)));
                         }
                     }
-                    // A connection that ends amid an event is no end of a stream.
+                    // The end of the connection within an event is not the end of the stream.
                     Poll::Ready(None)
                         if stream.response.is_close_delimited
                             && self.events.as_ref().is_some_and(EventFramer::has_partial_event) =>
@@ -151,8 +155,8 @@
         }
     }
 
-    /// Ends the answer early. hyper writes out what it holds once nothing more is at hand, and only then the error
-    /// cuts the connection.
+    /// Ends the body early. hyper first flushes its buffered data when the body is pending; the error that
+    /// follows aborts the connection.
     fn fail(&mut self, error: BodyError, cx: &Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         self.source = Source::Failed(error);
         cx.waker().wake_by_ref();
@@ -160,7 +164,8 @@
     }
 
     fn time_out(&mut self, cx: &Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
-        // What says nothing of the server ends as cancelled.
+        // A timeout of the request says nothing about the server: the attempt is dropped and counts as
+        // cancelled.
         self.source = Source::Ended;
         self.fail(BodyError::TimedOut, cx)
     }
@@ -172,14 +177,14 @@
         }
     }
 
-    /// The server's answer has come whole.
+    /// Finishes a completely received response.
     fn finish_served(&mut self, cx: &mut Context<'_>) {
         let Some(ActiveStream { exchange, response, attempt }) = self.take_active() else { return };
         attempt.finish(Outcome::Served);
         exchange.return_to_pool(response.connection, cx);
     }
 
-    /// The server broke off: its stream is taken up at another one, if that can be.
+    /// Resumes the stream at another server after the connection broke, if that is possible.
     fn resume_after_break(&mut self) -> Result<(), BodyError> {
         let Some(ActiveStream { exchange, response, attempt }) = self.take_active() else { return Ok(()) };
         attempt.finish(Outcome::Broken);
@@ -193,7 +198,7 @@
         Ok(())
     }
 
-    /// The server is silent: another one is asked to go on, if that can be.
+    /// Asks another server to resume the stream after a silence, if that is possible.
     fn resume_after_silence(&mut self) {
         let last = self.events.as_ref().and_then(EventFramer::resume_position);
         let Source::Streaming(stream) = &self.source else { return };
@@ -203,7 +208,7 @@
         self.source = Source::Resuming { resume, silent_attempt: Some((response, attempt)) };
     }
 
-    /// The answer that goes on: the other server's, else that of the silent one.
+    /// Selects the response to continue with: the new server's, otherwise the one of the silent server.
     fn select_response(
         &mut self,
         resumed_response: Option<ResponseAttempt>,
@@ -215,34 +220,34 @@
         if let Some((_, attempt)) = silent_attempt {
             attempt.finish(Outcome::TimedOut);
         }
-        // What the silent one left half said is not passed on.
+        // A partial event of the silent server is not forwarded.
         self.events.as_mut()?.discard_partial().ok()?;
         resumed_response
     }
 }
 
-/// Follows a stream's events, so that only whole ones are passed on.
+/// Splits a stream at event boundaries, so that only complete events are forwarded.
 #[derive(Debug, Default)]
 pub struct EventFramer {
-    /// What has come of an event that is not whole.
+    /// Received bytes of an incomplete event.
     partial: BytesMut,
-    /// The id of the last event that was passed on.
+    /// Id of the last forwarded event; `None` if no event had one.
     last_id: Option<HeaderValue>,
-    /// An event was too long to be kept: bytes of it were passed on.
+    /// Whether part of an event was forwarded because the event was too long to buffer.
     forwarded_partial: bool,
 }
 
-/// Part of an event was passed on: the stream can't be taken up.
+/// Part of an event was already forwarded, so the stream cannot be resumed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PartialEventForwarded;
 
 impl EventFramer {
-    /// Follows a stream that begins after the event of this id.
+    /// Creates a framer for a stream that starts after the event with this id.
     pub fn starting_after(last_id: Option<HeaderValue>) -> Self {
         Self { last_id, ..Self::default() }
     }
 
-    /// Takes in what has come, and gives the events that are whole.
+    /// Adds received data and returns the events that are complete.
     pub fn push(&mut self, data: Bytes) -> Option<Bytes> {
         if self.forwarded_partial {
             return Some(data);
@@ -261,21 +266,21 @@
         Some(complete)
     }
 
-    /// Whether a part of an event has come.
+    /// Whether the stream is within an event.
     pub fn has_partial_event(&self) -> bool {
         self.forwarded_partial || !self.partial.is_empty()
     }
 
-    /// What is left at a stream's proper end.
+    /// Returns the remaining bytes at the regular end of a stream.
     pub fn take_remainder(&mut self) -> Option<Bytes> {
         if self.partial.is_empty() { None } else { Some(self.partial.split().freeze()) }
     }
 
-    /// Forgets the event that was not whole, and gives the id to go on after.
+    /// Discards the incomplete event and returns the event id to resume after.
     ///
     /// # Errors
     ///
-    /// A part of an event was passed on already.
+    /// Part of an event was already forwarded.
     pub fn discard_partial(&mut self) -> Result<Option<HeaderValue>, PartialEventForwarded> {
         if self.forwarded_partial {
             return Err(PartialEventForwarded);
@@ -284,12 +289,13 @@
         Ok(self.last_id.clone())
     }
 
-    /// The id to go on after; nothing if a part of an event was passed on.
+    /// Returns the event id to resume after; the outer option is `None` if part of an event was already
+    /// forwarded.
     pub fn resume_position(&self) -> Option<Option<HeaderValue>> {
         (!self.forwarded_partial).then(|| self.last_id.clone())
     }
 
-    /// Notes the last id in whole events.
+    /// Records the last id that occurs in complete events.
     fn record_last_id(&mut self, events: &[u8]) {
         let mut lines = events.rsplit(|octet| *octet == b'\n');
         let id = lines.find_map(|line| line.strip_prefix(b"id:"));
@@ -304,7 +310,7 @@
     bytes.ends_with(b"\n\n") || bytes.ends_with(b"\r\n\r\n")
 }
 
-/// Where the last whole event ends.
+/// Returns the offset just behind the last complete event.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let mut end = bytes.len();
     while end >= 2 {
--- a/crates/proxy/src/request_failure.rs
+++ b/crates/proxy/src/request_failure.rs
@@ -1,10 +1,10 @@
-//! What a client is told when no server's answer stands.
+//! The reply to a client when no server has given a usable response.
 //!
-//! | the request | answer |
+//! | the request | reply |
 //! | --- | --- |
-//! | has not run and will not | 503 with `Retry-After` |
-//! | may have run, no answer in time | 504 |
-//! | may have run, the connection broke | 502 |
+//! | was not and will not be executed | 503 with `Retry-After` |
+//! | may have been executed, no response in time | 504 |
+//! | may have been executed, the connection broke | 502 |
 
 use std::time::Duration;
 
@@ -12,58 +12,61 @@
 
 use crate::response::LocalReply;
 
-/// When a client may come back after a server turned its request down and no other could be tried.
+/// `Retry-After` when servers rejected the request and no other server could be tried.
 const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Requests should be let pass within this time from the start, also when all programs of the fleet have started at
-/// once: the control machines, which may start later, elect their leader, feed all, and issue the first grants.
+/// Time after the start of the process within which it should have its configuration and admit requests, even
+/// if all programs of the fleet start at once: the control nodes, which may start later, elect their leader,
+/// send their state to the agents, and issue the first grants.
 const STARTUP_CONFIGURATION_TIME: Duration = Duration::from_millis(1_500);
 
-/// When a client may come back at the soonest while there is no configuration.
+/// Minimum `Retry-After` while there is no configuration.
 const MIN_UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When a client may come back at the soonest to a fleet of which this process leaves: another node can take it at once.
+/// Minimum `Retry-After` during a shutdown. Another node can serve the request immediately.
 const MIN_SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Times to come back differ by up to this part, so that clients that were refused together do not come together.
+/// `Retry-After` is randomly changed by up to this fraction, so that clients rejected together do not retry
+/// together.
 const JITTER_FRACTION: f64 = 0.15;
 
-/// Clients heed a time to come back up to a third of the time that they have left.
+/// Maximum `Retry-After` as a fraction of the client's remaining time. Clients ignore values above a third of
+/// it.
 const MAX_RETRY_AFTER_FRACTION: f64 = 0.3;
 
-/// How a request that no server answered has ended.
+/// How a request without a usable response has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestFailure {
-    /// It has not run and will not.
+    /// The request was not and will not be executed.
     NotExecuted {
-        /// When the client may come back.
+        /// When the client may retry.
         retry_after: Duration,
     },
-    /// It may have run; the connection to its server broke.
+    /// The request may have been executed; the connection to its server broke.
     Broken,
-    /// It may have run or run on; its time is over.
+    /// The request may have been executed or may still run; its deadline has passed.
     TimedOut,
 }
 
 impl RequestFailure {
-    /// Not run, as servers turned it down or could not be reached.
+    /// The request was not executed: servers rejected it or could not be reached.
     pub const REJECTED: Self = Self::NotExecuted { retry_after: REJECTED_RETRY_AFTER };
 
-    /// Not run, as the process, which started `uptime` ago, has no configuration yet. The time to come back is when it
-    /// should have one: a client may ask again only once.
+    /// The request was not executed: the process, which has run for `uptime`, has no configuration yet.
+    /// `Retry-After` is when the configuration is expected, because a client may retry only once.
     pub fn not_configured(uptime: Duration) -> Self {
         Self::NotExecuted {
             retry_after: STARTUP_CONFIGURATION_TIME.saturating_sub(uptime).max(MIN_UNCONFIGURED_RETRY_AFTER),
         }
     }
 
-    /// Not run, as it may outlast the process, which was told to end: the platform may send clients here for
-    /// `remaining_accept_time`.
+    /// The request was not executed: it may outlast the process, which is shutting down. The platform may
+    /// send clients to this node for `remaining_accept_time`.
     pub fn shutting_down(remaining_accept_time: Duration) -> Self {
         Self::NotExecuted { retry_after: remaining_accept_time.max(MIN_SHUTDOWN_RETRY_AFTER) }
     }
 
-    /// With a time to come back that differs from one client to the next.
+    /// Adds random jitter to `Retry-After`.
     pub fn with_jitter(self) -> Self {
         match self {
             Self::NotExecuted { retry_after } => Self::NotExecuted { retry_after: with_jitter(retry_after) },
@@ -71,7 +74,7 @@
         }
     }
 
-    /// With a time to come back that a client with `remaining` before its deadline heeds.
+    /// Limits `Retry-After` to what a client with `remaining` until its deadline follows.
     pub fn capped_for(self, remaining: Duration) -> Self {
         match self {
             Self::NotExecuted { retry_after } => Self::NotExecuted {
@@ -81,7 +84,7 @@
         }
     }
 
-    /// The answer.
+    /// Returns the reply to the client.
     pub fn local_reply(self) -> LocalReply {
         match self {
             Self::NotExecuted { retry_after } => {
@@ -93,7 +96,7 @@
     }
 }
 
-/// A time to come back, a little shorter or longer.
+/// Returns a `Retry-After` that is randomly shorter or longer.
 pub fn with_jitter(retry_after: Duration) -> Duration {
     retry_after.mul_f64(1.0 + JITTER_FRACTION * (2.0 * fastrand::f64() - 1.0))
 }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -41,10 +41,10 @@
 #[derive(Debug, Error)]
 pub enum BodyError {
     /// The server or the connection to it failed.
-    #[error("the server's answer broke off; the client's connection is closed, and a client may ask again")]
+    #[error("the server's response ended early; the client's connection is closed, and the client may retry")]
     Broken,
     /// The deadline of the request has passed.
-    #[error("the time of the request is over; a client may ask again with a longer deadline")]
+    #[error("the deadline of the request has passed; the client may retry with a longer deadline")]
     TimedOut,
 }
 
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -42,7 +42,7 @@
     match run(boot, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
-            error!(log, "can't run"; "reason" => format!("{reason:#}"));
+            error!(log, "startup or shutdown failed"; "reason" => format!("{reason:#}"));
             ExitCode::FAILURE
         }
     }
@@ -56,7 +56,7 @@
 fn run(boot: Boot, log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let mut signals = Signals::install().context("signals can't be taken over")?;
+        let mut signals = Signals::install().context("failed to install signal handlers")?;
         let proxy = Proxy::bind(Node::new(boot, log.clone()))?;
         let node = proxy.node();
         let clients = proxy.start();
@@ -83,7 +83,7 @@
     pub fn bind(node: Rc<Node>) -> anyhow::Result<Self> {
         let front = bind(node.boot.listen.front, "listen.front")?;
         let readiness = bind(node.boot.listen.readiness, "listen.readiness")?;
-        info!(node.log, "listens"; "front" => %front.local_addr()?, "readiness" => %readiness.local_addr()?);
+        info!(node.log, "listening"; "front" => %front.local_addr()?, "readiness" => %readiness.local_addr()?);
         Ok(Self { node, front, readiness })
     }
 
@@ -122,7 +122,8 @@
 }
 
 fn bind(address: Option<SocketAddr>, key: &str) -> anyhow::Result<TcpListener> {
-    let address = address.with_context(|| format!("`{key}` is missing in the settings file: add it"))?;
-    listen(address)
-        .with_context(|| format!("can't listen at {address}: check `{key}`, and that nothing else listens"))
+    let address = address.with_context(|| format!("`{key}` is missing from the settings file: add it"))?;
+    listen(address).with_context(|| {
+        format!("failed to listen on {address}: check `{key}`, and that no other process uses the address")
+    })
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: nothing that was read is cut while there is time for it.
+//! Graceful shutdown: open requests are completed as long as time remains.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,57 +11,60 @@
 use crate::node::Node;
 use crate::shutdown_schedule::ShutdownSchedule;
 
-/// How often it is looked whether anything is in hand.
+/// Interval between checks for remaining requests and connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A connection rests for so long before it is ended: the first request of a new one may be on its way.
+/// Idle time after which a connection is closed during the shutdown. The first request on a new connection
+/// may still be in transit.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(300);
 
-/// The signals that the process heeds.
+/// The signals that the process handles.
 pub struct Signals {
     terminate: Signal,
     hangup: Signal,
 }
 
 impl Signals {
-    /// Takes the signals over.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// The system refuses.
+    /// The operating system does not allow it.
     pub fn install() -> std::io::Result<Self> {
         let terminate = signal(SignalKind::terminate())?;
         Ok(Self { terminate, hangup: signal(SignalKind::hangup())? })
     }
 
-    /// Ends when the process is told to end. Settings that change while it runs concern other programs.
+    /// Waits for SIGTERM. SIGHUP announces changed settings, none of which concern the proxy, and is only
+    /// logged.
     pub async fn wait_for_termination(&mut self, node: &Node) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
-                _ = self.hangup.recv() => info!(node.log, "settings changed; nothing of them concerns the proxy"),
+                _ = self.hangup.recv() => info!(node.log, "settings changed: ignored, none of them concern the proxy"),
             }
         }
     }
 }
 
-/// Waits until nothing is in hand, or the time for that is over. New connections are taken while the platform sends
-/// them, and none afterwards, as it would be cut with the request on it. What the kernel holds by then is taken too.
+/// Waits until no request or connection is open, or the time for the shutdown is over. New connections are
+/// accepted while the platform still sends clients. Later ones are not, because they would be cut off with
+/// their requests; connections in the kernel's queue at that time are still accepted.
 pub async fn drain(node: &Rc<Node>, clients: &ClientConnections) {
     let ShutdownSchedule { signaled_at, accept_until, exit_by } = node.begin_shutdown();
-    info!(node.log, "told to end"; "in_hand" => node.open_request_count());
+    info!(node.log, "shutdown signal received"; "in_hand" => node.open_request_count());
     tokio::time::sleep_until(accept_until).await;
     let accepted_at_close = clients.stop_accepting().await;
-    info!(node.log, "no more connections"; "open" => clients.count(), "taken_last" => accepted_at_close,
+    info!(node.log, "listener closed"; "open" => clients.count(), "taken_last" => accepted_at_close,
         "after_ms" => signaled_at.elapsed().as_millis() as u64);
     while Instant::now() < exit_by && !is_drained(node, clients) {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    info!(node.log, "ends"; "in_hand" => node.open_request_count(), "connections" => clients.count(),
+    info!(node.log, "exiting"; "in_hand" => node.open_request_count(), "connections" => clients.count(),
         "after_ms" => signaled_at.elapsed().as_millis() as u64);
     node.open_requests.log_unfinished(&node.log, signaled_at);
 }
 
-/// Whether no connection of a client is left; those without a request are told to end.
+/// Whether no client connection is left. Closes the idle ones.
 fn is_drained(node: &Node, clients: &ClientConnections) -> bool {
     clients.close_idle(MIN_IDLE_TIME);
     node.open_request_count() == 0 && clients.count() == 0
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -1,35 +1,38 @@
-//! The times of a process that was told to end.
+//! The schedule of a graceful shutdown.
 //!
-//! From then on it lets no request pass that may outlast it: the time of a request, its client's or its route's, bounds
-//! how long its answer may take, and what would be cut at the end is refused while another node can still take it.
-//! A request that had been sent to a server before is answered for as long as the process may run.
+//! After the shutdown signal, requests that may outlast the process are rejected: a request may take until
+//! its deadline, from the client's or the route's timeout, and one that would be cut off at exit is refused
+//! while another node can still serve it. A request that was sent to a server before the signal is completed
+//! for as long as the process may run.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// After the signal, the platform still sends clients until it has missed the readiness twice, once a second.
+/// Time after the signal during which the platform still sends clients: it checks readiness once a second and
+/// stops after two failed checks.
 const TRAFFIC_STOP_DELAY: Duration = Duration::from_millis(2_200);
-/// The process ends so long before it would be killed.
+/// The process exits this long before the platform would kill it.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
-/// An answer that comes as a request's time is over is written within this time.
+/// Time to write a response that arrives at the deadline of its request.
 const RESPONSE_WRITE_TIME: Duration = Duration::from_millis(100);
-/// Part of the grace in which new connections are taken, at most: what comes by later ones may not end in time.
+/// Maximum fraction of the grace period during which new connections are accepted. Requests on later
+/// connections may not finish in time.
 const MAX_ACCEPT_FRACTION: f64 = 0.5;
 
-/// When a process that was told to end stops what.
+/// The times at which the steps of a shutdown happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// When the process was told to end.
+    /// When the process received the shutdown signal.
     pub signaled_at: Instant,
-    /// Until then new connections are taken.
+    /// When the process stops accepting connections.
     pub accept_until: Instant,
-    /// The process ends now at the latest.
+    /// When the process exits at the latest.
     pub exit_by: Instant,
 }
 
 impl ShutdownSchedule {
-    /// Told at `signaled_at` to end within `grace`.
+    /// Computes the schedule of a shutdown that was signaled at `signaled_at` and may take `grace`.
     pub fn new(signaled_at: Instant, grace: Duration) -> Self {
         Self {
             signaled_at,
@@ -38,12 +41,12 @@
         }
     }
 
-    /// Whether a request whose time is over at `request_deadline` may outlast the process, so that its answer would be cut.
+    /// Whether a request with this deadline may outlast the process, so that its response would be cut off.
     pub fn is_outlasted_by(&self, request_deadline: Instant) -> bool {
         request_deadline + RESPONSE_WRITE_TIME > self.exit_by
     }
 
-    /// How long the platform may still send clients, seen from `now`: one that is refused comes back after it.
+    /// Returns how long the platform may still send clients; a rejected client retries after that time.
     pub fn remaining_accept_time(&self, now: Instant) -> Duration {
         self.accept_until.saturating_duration_since(now)
     }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a server, driven by the request that uses it.
 //!
-//! hyper splits a connection into a sender and a future that moves its bytes. Here that future is polled by whoever
-//! waits for the answer: no task of its own, and no wake-up between two tasks for each piece.
+//! hyper splits a connection into a sender and a future that does the I/O. Here the task that waits for the
+//! response polls that future, which saves a separate task and a wake-up between two tasks per piece of data.
 
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
@@ -29,14 +29,14 @@
 use super::pool::ConnectionPermit;
 use super::timer::{RequestTimer, TimeoutKind};
 
-/// Idle time after which a connection is not used again when its server tells none.
+/// Idle time after which a connection is not reused, if the server states no keep-alive timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Part of the time told by the server for which a connection is used again: a request that crosses the server's
+/// Share of the keep-alive timeout within which a connection is reused: a request that crosses the server's
 /// close may be lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
-/// Read buffer of a connection at most, in bytes; bounds the head of an answer.
+/// Maximum read buffer of a connection in bytes; it also limits the head of a response.
 const MAX_READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Idle connections that fail at once are replaced so often for one attempt.
+/// How often a connection is polled until hyper reports that it is ready for the next request.
 const MAX_READY_POLLS: usize = 3;
 
 /// A connection to one incarnation of a server.
@@ -51,36 +51,38 @@
     pub(super) idle_since: Instant,
     server: ServerHandle,
     server_id: Arc<str>,
-    /// Frees the connection's place in the pool's count when it is dropped.
+    /// Releases the connection's slot in the pool when it is dropped.
     permit: ConnectionPermit,
 }
 
-/// What became of a request on a connection.
+/// The result of sending a request on a connection.
 pub enum SendResult {
-    /// The head of an answer has come.
+    /// The head of a response has arrived.
     Response(Box<UpstreamResponse>),
-    /// Not every byte was written: the server has not run it.
+    /// The request was not written completely, so the server has not executed it.
     NotSent,
-    /// The connection broke, or what came is no answer: it may have run.
+    /// The connection broke, or the received bytes are not a valid response. The server may have executed the
+    /// request.
     Broken,
-    /// No answer in time, or the server fell silent: it may have run.
+    /// There was no response before the deadline or the silence timeout. The server may have executed the
+    /// request.
     TimedOut(TimeoutKind),
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 pub struct UpstreamResponse {
     /// Status and headers.
     pub head: http::response::Parts,
-    /// The body.
+    /// Body.
     pub body: Incoming,
-    /// Whether the end of its connection is its end, if that is not a reset.
+    /// Whether the body ends with the connection. A reset of the connection is not a regular end.
     pub is_close_delimited: bool,
-    /// The connection that it comes by.
+    /// The connection that the response arrives on.
     pub connection: Box<UpstreamConnection>,
 }
 
 impl UpstreamConnection {
-    /// Opens a connection to a server within `timeout`; nothing if it can't be opened.
+    /// Opens a connection to a server within `timeout`; `None` if that fails.
     pub async fn open(
         address: SocketAddr,
         server: ServerHandle,
@@ -109,35 +111,35 @@
         }))
     }
 
-    /// The server that it leads to.
+    /// Returns the server that the connection leads to.
     pub fn server(&self) -> ServerHandle {
         self.server
     }
 
-    /// The id of that server.
+    /// Returns the id of that server.
     pub fn server_id(&self) -> &Arc<str> {
         &self.server_id
     }
 
-    /// Whether nothing was sent on it yet.
+    /// Whether nothing has been sent on the connection yet.
     pub fn is_new(&self) -> bool {
         self.is_new
     }
 
-    /// Whether it has rested for too long to be used again.
+    /// Whether the connection has been idle for too long to be reused.
     pub(super) fn is_stale(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.idle_since) >= self.idle_timeout
     }
 
-    /// Moves bytes.
+    /// Makes progress on the connection's I/O.
     fn poll_io(&mut self, cx: &mut Context<'_>) {
         if !self.is_closed && Pin::new(&mut self.connection).poll(cx).is_ready() {
             self.is_closed = true;
         }
     }
 
-    /// Whether another request may be sent on it: its last answer has ended, its server does not close it, and
-    /// nothing came behind the answer.
+    /// Whether another request may be sent on the connection: the last response is complete, the server does
+    /// not close the connection, and no bytes followed the response.
     pub fn is_reusable(&mut self, cx: &mut Context<'_>) -> bool {
         if self.closes_after_response {
             return false;
@@ -154,12 +156,13 @@
         false
     }
 
-    /// How much has come from the server, on all connections.
+    /// Returns a counter that increases whenever data arrives from the server on any connection.
     pub fn activity(&self) -> u64 {
         self.permit.activity()
     }
 
-    /// Sends a request of `length` bytes and waits for the head of its answer until the alarm fires.
+    /// Sends a request and waits for the head of its response until the timer fires. `length` is the minimum
+    /// number of bytes that the request takes on the wire.
     pub async fn send(
         mut self: Box<Self>,
         request: Request<Full<Bytes>>,
@@ -208,7 +211,7 @@
 }
 
 impl UpstreamResponse {
-    /// The next piece of the body.
+    /// Returns the next frame of the body.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
         let mut frame = Pin::new(&mut self.body).poll_frame(cx);
         if frame.is_pending() {
@@ -221,7 +224,8 @@
         frame
     }
 
-    /// Reads the body whole: nothing if it breaks off, is longer than `max_bytes` bytes, or the alarm fires before.
+    /// Reads the complete body. `None` if it breaks off, is longer than `max_bytes`, or the timer fires
+    /// before its end.
     pub async fn read_to_end(&mut self, max_bytes: usize, timer: &mut RequestTimer) -> Option<Bytes> {
         let mut chunks = BodyChunks::default();
         poll_fn(|cx| {
@@ -243,7 +247,7 @@
     }
 }
 
-/// Pieces of a body; a single one is not copied.
+/// Chunks of a body; a single chunk is not copied.
 #[derive(Default)]
 struct BodyChunks {
     chunks: Vec<Bytes>,
@@ -265,13 +269,13 @@
     }
 }
 
-/// Whether `Connection` holds an option.
+/// Whether the `Connection` header contains an option.
 fn has_connection_option(headers: &HeaderMap, option: &str) -> bool {
     let values = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).any(|token| token.trim().eq_ignore_ascii_case(option))
 }
 
-/// The time that `Keep-Alive` tells.
+/// Returns the timeout that the `Keep-Alive` header states, in seconds.
 fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
--- a/crates/proxy/src/upstream/counting_socket.rs
+++ b/crates/proxy/src/upstream/counting_socket.rs
@@ -1,4 +1,4 @@
-//! A server's socket that counts what is written to it.
+//! A socket to a server that counts the bytes written to it.
 
 use std::cell::Cell;
 use std::io;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket whose written bytes are counted: a request of which not every byte was written has not run.
+/// Counts written bytes: a request that was not written completely has not been executed.
 pub(super) struct CountingSocket {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections by server, and the count of all.
+//! Pool of idle connections per server, with a limit on all open connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -10,14 +10,15 @@
 
 use super::connection::UpstreamConnection;
 
-/// Idle connections that a server is left with in any case.
+/// Minimum number of idle connections that may be kept per server.
 const MIN_IDLE_PER_SERVER: usize = 2;
-/// Part of this process's share of a server's connections that may rest.
+/// Share of this process's part of a server's connection limit that may be idle.
 const IDLE_FRACTION: f64 = 0.75;
-/// How long a server that answered with what belongs to no request is asked on new connections only.
+/// Time during which connections to a server are not reused after it sent a response that belongs to no
+/// request.
 const REUSE_SUSPENSION: Duration = Duration::from_secs(10);
 
-/// Connections to servers. They belong to an incarnation of a server, never to an address.
+/// Pool of connections to servers. A connection belongs to one incarnation of a server, not to an address.
 pub struct ConnectionPool {
     weak_self: Weak<ConnectionPool>,
     max_open: usize,
@@ -30,12 +31,12 @@
 #[derive(Default)]
 struct ServerConnections {
     open: usize,
-    /// The most recently used last.
+    /// Idle connections, the most recently used last.
     #[expect(clippy::vec_box, reason = "each is a kilobyte that is passed from hand to hand")]
     idle: Vec<Box<UpstreamConnection>>,
-    /// Counts what comes from it.
+    /// Counts data arrivals from the server on all connections.
     activity: Rc<Cell<u64>>,
-    /// Until then no connection to it is used twice.
+    /// Time until which connections to the server are not reused; `None` if they are.
     no_reuse_until: Option<Instant>,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// A place in the count of open connections.
+/// Counts one open connection in the pool until it is dropped.
 pub struct ConnectionPermit {
     pool: Weak<ConnectionPool>,
     server: ServerHandle,
@@ -53,12 +54,12 @@
 }
 
 impl ConnectionPermit {
-    /// How much has come from the server, on all connections.
+    /// Returns a counter that increases whenever data arrives from the server on any connection.
     pub(super) fn activity(&self) -> u64 {
         self.activity.get()
     }
 
-    /// Something has come from the server.
+    /// Records that data has arrived from the server.
     pub(super) fn record_activity(&self) {
         self.activity.set(self.activity.get() + 1);
     }
@@ -77,7 +78,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool of at most `max_open` connections.
+    /// Creates a pool of at most `max_open` open connections.
     pub fn new(max_open: usize) -> Rc<Self> {
         Rc::new_cyclic(|weak_self| Self {
             weak_self: weak_self.clone(),
@@ -89,22 +90,22 @@
         })
     }
 
-    /// Takes over how many connections a server of each service accepts from all processes together.
+    /// Sets, per service, how many connections one server accepts from all proxies together.
     pub fn set_connection_limits(&self, connection_limits: HashMap<String, u32>) {
         *self.connection_limits.borrow_mut() = connection_limits;
     }
 
-    /// Says how many processes share the servers.
+    /// Sets the number of proxies that share the servers.
     pub fn set_node_count(&self, node_count: u32) {
         self.node_count.set(node_count.max(1));
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
-    /// The connection to a server that rested least, if it can be used.
+    /// Takes the most recently used idle connection to a server that is not stale.
     pub fn take_idle(&self, server: ServerHandle) -> Option<Box<UpstreamConnection>> {
         let now = Instant::now();
         let mut stale = Vec::new();
@@ -113,7 +114,7 @@
         let mut found = None;
         while let Some(connection) = idle.pop() {
             if connection.is_stale(now) {
-                // Older ones are stale too, unless their server tells each connection another time.
+                // Older ones are stale too, unless the server states a different timeout per connection.
                 stale.push(connection);
                 continue;
             }
@@ -125,7 +126,8 @@
         found
     }
 
-    /// A place for one more connection; nothing if there are too many.
+    /// Reserves a slot for one more connection. `None` if the limit is reached and no idle connection can be
+    /// closed.
     pub fn reserve(&self, server: ServerHandle) -> Option<ConnectionPermit> {
         if self.open.get() >= self.max_open && !self.evict_idle() {
             return None;
@@ -141,7 +143,7 @@
         })
     }
 
-    /// Keeps a connection for another request to its server of a service.
+    /// Keeps a connection for later requests to its server, which belongs to `service`.
     pub fn put_idle(&self, mut connection: Box<UpstreamConnection>, service: &str) {
         let now = Instant::now();
         connection.idle_since = now;
@@ -162,7 +164,7 @@
         (share as usize).max(MIN_IDLE_PER_SERVER)
     }
 
-    /// Closes idle connections to servers of which `usable` says that nothing is to be sent to them.
+    /// Closes idle connections to servers for which `usable` returns false.
     pub fn retain_usable(&self, usable: impl Fn(ServerHandle) -> bool) {
         let now = Instant::now();
         let mut dropped = Vec::new();
@@ -174,15 +176,16 @@
         self.remove_unused(now);
     }
 
-    /// Closes the idle connections to a server that does not answer: each would cost a request its time.
+    /// Closes the idle connections to a server that does not answer: each would cost a request its timeout.
     pub fn close_idle(&self, server: ServerHandle) {
         let mut servers = self.servers.borrow_mut();
         let idle = servers.get_mut(&server).map(|server| std::mem::take(&mut server.idle));
         drop_after_release(servers, idle);
     }
 
-    /// A server answered with what belongs to no request: another such answer may be on its way on any connection that
-    /// it has served, so for some time each request to it gets a connection of its own.
+    /// Stops the reuse of connections to a server that sent a response that belongs to no request. Another
+    /// such response may be in transit on any used connection, so for some time each request to the server
+    /// gets a new connection.
     pub fn suspend_reuse(&self, server: ServerHandle) {
         let mut servers = self.servers.borrow_mut();
         let connections = servers.entry(server).or_default();
@@ -191,7 +194,7 @@
         drop_after_release(servers, idle);
     }
 
-    /// Closes connections that rested for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         let now = Instant::now();
         let mut dropped = Vec::new();
@@ -214,7 +217,7 @@
         self.servers.borrow_mut().retain(|_, server| server.open > 0 || !server.allows_reuse(now));
     }
 
-    /// Closes an idle connection; false if there is none.
+    /// Closes one idle connection; false if there is none.
     fn evict_idle(&self) -> bool {
         let mut servers = self.servers.borrow_mut();
         let connection = servers.values_mut().find_map(|server| server.idle.pop());
@@ -224,7 +227,7 @@
     }
 }
 
-/// Drops connections once the pool is not borrowed any more: each gives back its place.
+/// Drops connections after releasing the pool's borrow: dropping a connection returns its slot to the pool.
 fn drop_after_release<G, L>(servers: G, connections: L) {
     drop(servers);
     drop(connections);
--- a/crates/proxy/src/upstream/timer.rs
+++ b/crates/proxy/src/upstream/timer.rs
@@ -1,4 +1,4 @@
-//! The one timer of a request: its end, and before that silence of its server.
+//! The single timer of a request: its deadline, and the silence timeout of its server.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,41 +7,42 @@
 
 use tokio::time::{Instant, Sleep};
 
-/// Fires at a request's end, and when its server was silent for as long as is watched for.
+/// Fires at the request's deadline, and earlier if its server is silent for the silence timeout.
 pub struct RequestTimer {
     sleep: Pin<Box<Sleep>>,
     deadline: Instant,
     silence: Option<SilenceWatch>,
 }
 
-/// What is watched for.
+/// State of the silence timeout.
 struct SilenceWatch {
     timeout: Duration,
-    /// What had been heard of the server when it was last looked.
+    /// Value of the server's activity counter at the last check.
     last_activity: u64,
 }
 
-/// Why the alarm fired.
+/// Why the timer fired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TimeoutKind {
-    /// The time of the request is over.
+    /// The deadline of the request has passed.
     Deadline,
-    /// The server said nothing, on any connection, for the time that is watched for.
+    /// No data arrived from the server, on any connection, for the silence timeout.
     Silence,
 }
 
 impl RequestTimer {
-    /// Fires at `deadline`.
+    /// Creates a timer that fires at `deadline`.
     pub fn new(deadline: Instant) -> Self {
         Self { sleep: Box::pin(tokio::time::sleep_until(deadline)), deadline, silence: None }
     }
 
-    /// When the request ends.
+    /// Returns the deadline of the request.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Watches for silence of this length from now on, or not any more. `activity` counts what has come from the server.
+    /// Starts the silence timeout anew, or removes it if `None`. `activity` is the current value of the
+    /// server's activity counter.
     pub fn set_silence_timeout(&mut self, timeout: Option<Duration>, activity: u64) {
         if timeout.is_none() && self.silence.is_none() {
             return;
@@ -56,7 +57,7 @@
         self.sleep.as_mut().reset(next_check.min(self.deadline));
     }
 
-    /// Ready once it fires. `activity` counts what has come from the server.
+    /// Returns ready once the timer fires. `activity` is the current value of the server's activity counter.
     pub fn poll(&mut self, cx: &mut Context<'_>, activity: u64) -> Poll<TimeoutKind> {
         loop {
             ready!(self.sleep.as_mut().poll(cx));
