--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -42,7 +42,7 @@
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) request: ClientRequest,
     pub(crate) admission: Admission,
-    /// Fires at the deadline, the earlier of the client's and the route's timeout, and when the server is silent.
+    /// Fires at the deadline, from the client's or the route's timeout, and when the server is silent.
     pub(crate) timer: RequestTimer,
     pub(crate) tried_servers: Vec<ServerHandle>,
     /// Number of servers that may have executed the request.
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -260,7 +260,7 @@
                 servers.push(ServerLoad {
                     server_key: server_key(id),
                     in_flight: requests,
-                    pending_prompt_units: pending_prompt_units,
+                    pending_prompt_units,
                 });
             },
         );
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -83,7 +83,7 @@
     pub fn bind(node: Rc<Node>) -> anyhow::Result<Self> {
         let front = bind(node.boot.listen.front, "listen.front")?;
         let readiness = bind(node.boot.listen.readiness, "listen.readiness")?;
-        info!(node.log, "listening"; "front" => %front.local_addr()?, "readiness" => %readiness.local_addr()?);
+        info!(node.log, "listens"; "front" => %front.local_addr()?, "readiness" => %readiness.local_addr()?);
         Ok(Self { node, front, readiness })
     }
 
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -40,7 +40,7 @@
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
-                _ = self.hangup.recv() => info!(node.log, "settings changed: ignored, none of them concern the proxy"),
+                _ = self.hangup.recv() => info!(node.log, "settings changed: none concern the proxy"),
             }
         }
     }
@@ -59,7 +59,7 @@
     while Instant::now() < exit_by && !is_drained(node, clients) {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    info!(node.log, "exiting"; "in_hand" => node.open_request_count(), "connections" => clients.count(),
+    info!(node.log, "ends"; "in_hand" => node.open_request_count(), "connections" => clients.count(),
         "after_ms" => signaled_at.elapsed().as_millis() as u64);
     node.open_requests.log_unfinished(&node.log, signaled_at);
 }
