--- a/crates/proxy/tests/common/agent.rs
+++ b/crates/proxy/tests/common/agent.rs
@@ -35,16 +35,16 @@
                 let (mut stream, _) = listener.accept().await.unwrap();
                 let (mut reader, mut writer) = stream.split();
                 let mut incoming = BytesMut::new();
-                let mut greeted = false;
+                let mut hello_received = false;
                 loop {
                     tokio::select! {
                         read = reader.read_buf(&mut incoming) => {
                             if read.unwrap_or(0) == 0 { break }
-                            if !greeted && let Some(hello) = decode::<Hello>(&mut incoming).unwrap() {
-                                greeted = true;
+                            if !hello_received && let Some(hello) = decode::<Hello>(&mut incoming).unwrap() {
+                                hello_received = true;
                                 hellos.borrow_mut().push(hello);
                             }
-                            while greeted && let Some(ProxyMessage::Report(report)) = decode(&mut incoming).unwrap() {
+                            while hello_received && let Some(ProxyMessage::Report(report)) = decode(&mut incoming).unwrap() {
                                 reports.borrow_mut().push(report);
                             }
                         }
@@ -66,44 +66,44 @@
     }
 
     /// Feeds a configuration in two parts.
-    pub(crate) fn configure(&self, json: &str) {
+    pub(crate) fn send_configuration(&self, json: &str) {
         let bytes = json.as_bytes();
         let version: u64 = json.split(['{', ':', ',']).nth(2).unwrap().parse().unwrap();
-        for (at, part) in bytes.chunks(bytes.len() / 2 + 1).scan(0, |at, part| {
-            let here = *at;
-            *at += part.len();
-            Some((here, part))
+        for (offset, part) in bytes.chunks(bytes.len() / 2 + 1).scan(0, |next_offset, part| {
+            let start = *next_offset;
+            *next_offset += part.len();
+            Some((start, part))
         }) {
-            let (total_bytes, offset) = (bytes.len() as u64, at as u64);
+            let (total_bytes, offset) = (bytes.len() as u64, offset as u64);
             let chunk = ConfigurationChunk { version, total_bytes, offset, bytes: part.to_vec() };
             self.send(FeedMessage::Configuration(chunk));
         }
     }
 
-    pub(crate) fn roster(&self, servers: &[&Server]) {
-        self.list(servers.iter().map(|server| server.entry()).collect());
+    pub(crate) fn set_servers(&self, servers: &[&Server]) {
+        self.send_roster(servers.iter().map(|server| server.entry()).collect());
     }
 
     /// Feeds a whole roster, newer than the one before.
-    pub(crate) fn list(&self, changed: Vec<ServerEntry>) {
+    pub(crate) fn send_roster(&self, changed: Vec<ServerEntry>) {
         self.sequence.set(self.sequence.get() + 1);
-        self.list_at(self.sequence.get(), None, changed);
+        self.send_roster_at(self.sequence.get(), None, changed);
     }
 
     /// Feeds a roster at a position: a whole one, or changes since the position `base`.
-    pub(crate) fn list_at(&self, sequence: u64, base: Option<u64>, changed: Vec<ServerEntry>) {
+    pub(crate) fn send_roster_at(&self, sequence: u64, base: Option<u64>, changed: Vec<ServerEntry>) {
         let at = |sequence| RosterOffset { epoch: 1, sequence };
         let update = RosterUpdate { base: base.map(at), offset: at(sequence), changed, removed: Vec::new() };
         self.send(FeedMessage::Roster(update));
     }
 
-    pub(crate) fn tick(&self, confirmed_age_ms: u64, configuration_version: u64) {
+    pub(crate) fn send_heartbeat(&self, confirmed_age_ms: u64, configuration_version: u64) {
         let roster = RosterOffset::default();
-        let tick = Heartbeat { confirmed_age_ms, configuration_version, roster, roster_age_ms: 0 };
-        self.send(FeedMessage::Heartbeat(tick));
+        let heartbeat = Heartbeat { confirmed_age_ms, configuration_version, roster, roster_age_ms: 0 };
+        self.send(FeedMessage::Heartbeat(heartbeat));
     }
 
-    pub(crate) fn grant(&self, nodes: u32) {
+    pub(crate) fn send_grants(&self, nodes: u32) {
         let update = GrantUpdate {
             valid_ms: 1_000,
             node_count: nodes,
--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -12,18 +12,18 @@
 
 /// An answer. `complete` says whether its end came.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
     pub(crate) complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
-            let (own, value) = line.split_once(": ")?;
-            own.eq_ignore_ascii_case(name).then_some(value)
+            let (field, value) = line.split_once(": ")?;
+            field.eq_ignore_ascii_case(name).then_some(value)
         })
     }
 }
@@ -32,11 +32,11 @@
 const DEADLINE_MS: u32 = 3_000;
 
 fn request(path: &str, id: &str, fields: &str) -> String {
-    format!("{}body", head(path, id, DEADLINE_MS, fields))
+    format!("{}body", request_head(path, id, DEADLINE_MS, fields))
 }
 
 /// The head of a request with a body of four bytes.
-pub(crate) fn head(path: &str, id: &str, deadline_ms: u32, fields: &str) -> String {
+pub(crate) fn request_head(path: &str, id: &str, deadline_ms: u32, fields: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: h.example\r\nX-Dunelink-Request-Id: {id}\r\nX-Dunelink-Deadline-Ms: {deadline_ms}\r\n{fields}Content-Length: 4\r\n\r\n"
     )
@@ -50,7 +50,7 @@
     }
 
     /// A connection, if one is taken.
-    pub(crate) async fn connect_if_taken(address: SocketAddr) -> Option<Self> {
+    pub(crate) async fn try_connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).await.ok()?;
         Some(Self { stream, buffer: Vec::new() })
     }
@@ -60,97 +60,97 @@
     }
 
     /// Sends a request with a body, its own id and a deadline.
-    pub(crate) async fn ask(&mut self, path: &str, id: &str) {
-        self.ask_with(path, id, "").await;
+    pub(crate) async fn send_request(&mut self, path: &str, id: &str) {
+        self.send_request_with(path, id, "").await;
     }
 
-    pub(crate) async fn ask_with(&mut self, path: &str, id: &str, fields: &str) {
+    pub(crate) async fn send_request_with(&mut self, path: &str, id: &str, fields: &str) {
         self.send(&request(path, id, fields)).await;
     }
 
     /// Sends a request, if the connection still stands.
-    pub(crate) async fn try_ask(&mut self, path: &str, id: &str) -> bool {
+    pub(crate) async fn try_send_request(&mut self, path: &str, id: &str) -> bool {
         self.stream.write_all(request(path, id, "").as_bytes()).await.is_ok()
     }
 
     /// Reads a whole answer; nothing if the connection ends before it.
-    pub(crate) async fn answer_if_any(&mut self) -> Option<Answer> {
+    pub(crate) async fn try_read_response(&mut self) -> Option<Response> {
         while self.buffer.is_empty() {
-            if !self.fill().await {
+            if !self.read_more().await {
                 return None;
             }
         }
-        Some(self.answer().await)
+        Some(self.read_response().await)
     }
 
     /// Asks and reads the whole answer.
-    pub(crate) async fn call(&mut self, path: &str, id: &str) -> Answer {
-        self.ask(path, id).await;
-        self.answer().await
+    pub(crate) async fn call(&mut self, path: &str, id: &str) -> Response {
+        self.send_request(path, id).await;
+        self.read_response().await
     }
 
-    async fn fill(&mut self) -> bool {
+    async fn read_more(&mut self) -> bool {
         self.stream.read_buf(&mut self.buffer).await.unwrap_or(0) > 0
     }
 
     /// Reads an answer's head; nothing if the connection ends.
-    pub(crate) async fn head(&mut self) -> Option<Answer> {
+    pub(crate) async fn read_head(&mut self) -> Option<Response> {
         loop {
-            if let Some(at) = self.buffer.windows(4).position(|four| four == b"\r\n\r\n") {
-                let head = String::from_utf8(self.buffer.drain(..at + 4).collect()).unwrap();
+            if let Some(end) = self.buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
+                let head = String::from_utf8(self.buffer.drain(..end + 4).collect()).unwrap();
                 let status = head.split(' ').nth(1).unwrap().parse().unwrap();
-                return Some(Answer { status, head, body: String::new(), complete: false });
+                return Some(Response { status, head, body: String::new(), complete: false });
             }
-            if !self.fill().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 
     /// Reads until so many bytes of a chunked body have come.
-    pub(crate) async fn chunk(&mut self) -> Option<String> {
+    pub(crate) async fn read_chunk(&mut self) -> Option<String> {
         loop {
-            if let Some(at) = self.buffer.windows(2).position(|two| two == b"\r\n") {
-                let line = std::str::from_utf8(&self.buffer[..at]).unwrap();
+            if let Some(end) = self.buffer.windows(2).position(|bytes| bytes == b"\r\n") {
+                let line = std::str::from_utf8(&self.buffer[..end]).unwrap();
                 let size = usize::from_str_radix(line, 16).unwrap_or_else(|_| panic!("no chunk: {line:?}"));
-                if self.buffer.len() >= at + 2 + size + 2 {
-                    let whole: Vec<u8> = self.buffer.drain(..at + 2 + size + 2).collect();
-                    return Some(String::from_utf8(whole[at + 2..at + 2 + size].to_vec()).unwrap());
+                if self.buffer.len() >= end + 2 + size + 2 {
+                    let chunk: Vec<u8> = self.buffer.drain(..end + 2 + size + 2).collect();
+                    return Some(String::from_utf8(chunk[end + 2..end + 2 + size].to_vec()).unwrap());
                 }
             }
-            if !self.fill().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 
     /// Reads a whole answer.
-    pub(crate) async fn answer(&mut self) -> Answer {
-        let mut answer = self.head().await.expect("the connection ended before an answer");
-        if let Some(length) = answer.header("content-length") {
+    pub(crate) async fn read_response(&mut self) -> Response {
+        let mut response = self.read_head().await.expect("the connection ended before an answer");
+        if let Some(length) = response.header("content-length") {
             let length: usize = length.parse().unwrap();
             while self.buffer.len() < length {
-                if !self.fill().await {
-                    answer.body = String::from_utf8(std::mem::take(&mut self.buffer)).unwrap();
-                    return answer;
+                if !self.read_more().await {
+                    response.body = String::from_utf8(std::mem::take(&mut self.buffer)).unwrap();
+                    return response;
                 }
             }
-            answer.body = String::from_utf8(self.buffer.drain(..length).collect()).unwrap();
-            answer.complete = true;
-            return answer;
+            response.body = String::from_utf8(self.buffer.drain(..length).collect()).unwrap();
+            response.complete = true;
+            return response;
         }
-        while let Some(chunk) = self.chunk().await {
+        while let Some(chunk) = self.read_chunk().await {
             if chunk.is_empty() {
-                answer.complete = true;
-                return answer;
+                response.complete = true;
+                return response;
             }
-            answer.body.push_str(&chunk);
+            response.body.push_str(&chunk);
         }
-        answer
+        response
     }
 
     /// Whether the connection was closed.
     pub(crate) async fn is_closed(&mut self) -> bool {
-        !self.fill().await
+        !self.read_more().await
     }
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -20,25 +20,25 @@
 use client::Client;
 
 /// A test that takes longer hangs.
-const MOST: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs a test on one thread.
 pub(crate) fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(MOST, test).await.expect("the test hangs");
+        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test hangs");
     });
 }
 
 /// Waits for something that other tasks bring about.
-pub(crate) async fn until(mut holds: impl FnMut() -> bool) {
-    while !holds() {
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         yield_now().await;
     }
 }
 
 /// A proxy with its agent.
-pub(crate) struct System {
+pub(crate) struct ProxyHarness {
     pub(crate) node: Rc<Node>,
     pub(crate) clients: Rc<ClientConnections>,
     pub(crate) agent: Agent,
@@ -90,9 +90,9 @@
     )
 }
 
-impl System {
+impl ProxyHarness {
     /// A proxy without anything.
-    pub(crate) async fn bare() -> Self {
+    pub(crate) async fn unconfigured() -> Self {
         let agent = Agent::listen().await;
         let settings = format!(
             r#"
@@ -120,15 +120,15 @@
     }
 
     /// A proxy with the usual routes and these servers.
-    pub(crate) async fn with(servers: &[&server::Server]) -> Self {
-        let system = Self::bare().await;
-        system.agent.configure(&configuration(1, &routes(), ""));
-        system.agent.grant(1);
-        system.agent.roster(servers);
-        system.agent.tick(0, 1);
-        let node = system.node.clone();
-        until(|| node.is_ready()).await;
-        system
+    pub(crate) async fn with_servers(servers: &[&server::Server]) -> Self {
+        let harness = Self::unconfigured().await;
+        harness.agent.send_configuration(&configuration(1, &routes(), ""));
+        harness.agent.send_grants(1);
+        harness.agent.set_servers(servers);
+        harness.agent.send_heartbeat(0, 1);
+        let node = harness.node.clone();
+        wait_until(|| node.is_ready()).await;
+        harness
     }
 
     /// A new connection of a client.
@@ -137,24 +137,24 @@
     }
 
     /// A new connection of a client, if one is taken.
-    pub(crate) async fn client_if_taken(&self) -> Option<Client> {
-        Client::connect_if_taken(self.front).await
+    pub(crate) async fn try_client(&self) -> Option<Client> {
+        Client::try_connect(self.front).await
     }
 
     /// Whether a client can connect.
-    pub(crate) async fn accepts(&self) -> bool {
+    pub(crate) async fn accepts_connections(&self) -> bool {
         tokio::net::TcpStream::connect(self.front).await.is_ok()
     }
 
     /// What the platform's check is answered.
-    pub(crate) async fn check(&self) -> u16 {
+    pub(crate) async fn readiness_status(&self) -> u16 {
         let mut client = Client::connect(self.readiness).await;
         client.send("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n").await;
-        client.answer().await.status
+        client.read_response().await.status
     }
 
     /// Ends the proxy as on SIGTERM.
-    pub(crate) async fn finish(&self) {
+    pub(crate) async fn shut_down(&self) {
         self.node.begin_shutdown();
         shutdown::drain(&self.node, &self.clients).await;
     }
--- a/crates/proxy/tests/common/server.rs
+++ b/crates/proxy/tests/common/server.rs
@@ -26,38 +26,41 @@
 
 /// A request as a server got it.
 #[derive(Debug, Clone)]
-pub(crate) struct Received {
+pub(crate) struct ReceivedRequest {
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
     /// Requests before it on its connection.
-    pub(crate) before: usize,
+    pub(crate) earlier_on_connection: usize,
 }
 
-impl Received {
+impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
-            let (own, value) = line.split_once(": ")?;
-            own.eq_ignore_ascii_case(name).then_some(value)
+            let (field, value) = line.split_once(": ")?;
+            field.eq_ignore_ascii_case(name).then_some(value)
         })
     }
 }
 
-type Script = dyn Fn(usize, &Received) -> Vec<Step>;
+type Script = dyn Fn(usize, &ReceivedRequest) -> Vec<Step>;
 
 pub(crate) struct Server {
     pub(crate) id: String,
     pub(crate) address: SocketAddr,
-    pub(crate) received: Rc<RefCell<Vec<Received>>>,
+    pub(crate) received: Rc<RefCell<Vec<ReceivedRequest>>>,
     pub(crate) connections: Rc<Cell<usize>>,
     /// Whether it answers before it has read a body, and reads that behind its answer.
-    pub(crate) answers_early: Rc<Cell<bool>>,
+    pub(crate) responds_before_body: Rc<Cell<bool>>,
     /// Connections that the proxy has closed.
-    pub(crate) closed: Rc<Cell<usize>>,
+    pub(crate) closed_connections: Rc<Cell<usize>>,
 }
 
 impl Server {
     /// A server whose script gets the number of the request and the request.
-    pub(crate) async fn start(id: &str, script: impl Fn(usize, &Received) -> Vec<Step> + 'static) -> Self {
+    pub(crate) async fn start(
+        id: &str,
+        script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let server = Self {
@@ -65,22 +68,23 @@
             address,
             received: Rc::default(),
             connections: Rc::default(),
-            answers_early: Rc::default(),
-            closed: Rc::default(),
+            responds_before_body: Rc::default(),
+            closed_connections: Rc::default(),
         };
-        let (received, connections, closed) =
-            (server.received.clone(), server.connections.clone(), server.closed.clone());
-        let early = server.answers_early.clone();
+        let (received, connections, closed_connections) =
+            (server.received.clone(), server.connections.clone(), server.closed_connections.clone());
+        let responds_early = server.responds_before_body.clone();
         let script: Rc<Script> = Rc::new(script);
         tokio::task::spawn_local(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
                 connections.set(connections.get() + 1);
-                let (received, closed, script) = (received.clone(), closed.clone(), script.clone());
-                let early = early.clone();
+                let (received, closed_connections, script) =
+                    (received.clone(), closed_connections.clone(), script.clone());
+                let responds_early = responds_early.clone();
                 tokio::task::spawn_local(async move {
-                    serve(stream, &received, &*script, &early).await;
-                    closed.set(closed.get() + 1);
+                    serve(stream, &received, &*script, &responds_early).await;
+                    closed_connections.set(closed_connections.get() + 1);
                 });
             }
         });
@@ -108,18 +112,18 @@
 
 async fn serve(
     mut stream: TcpStream,
-    received: &RefCell<Vec<Received>>,
+    received: &RefCell<Vec<ReceivedRequest>>,
     script: &Script,
-    early: &Cell<bool>,
+    responds_early: &Cell<bool>,
 ) {
     let mut buffer = Vec::new();
-    let mut before = 0;
+    let mut earlier_on_connection = 0;
     while let Some(mut request) = read_head(&mut stream, &mut buffer).await {
-        if !early.get() && read_body(&mut stream, &mut buffer, &mut request).await.is_none() {
+        if !responds_early.get() && read_body(&mut stream, &mut buffer, &mut request).await.is_none() {
             return;
         }
-        request.before = before;
-        before += 1;
+        request.earlier_on_connection = earlier_on_connection;
+        earlier_on_connection += 1;
         let id = request.header("x-dunelink-request-id").unwrap_or_default().to_owned();
         let number = received.borrow().len();
         received.borrow_mut().push(request.clone());
@@ -131,10 +135,10 @@
                         return;
                     }
                 }
-                Step::Wait(go) => {
+                Step::Wait(release) => {
                     let mut byte = [0];
                     tokio::select! {
-                        () = go.notified() => {}
+                        () = release.notified() => {}
                         _ = stream.read(&mut byte) => return,
                     }
                 }
@@ -150,7 +154,7 @@
                 }
             }
         }
-        if early.get() {
+        if responds_early.get() {
             if read_body(&mut stream, &mut buffer, &mut request).await.is_none() {
                 return;
             }
@@ -159,9 +163,9 @@
     }
 }
 
-async fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Received> {
+async fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let end = loop {
-        if let Some(at) = buffer.windows(4).position(|four| four == b"\r\n\r\n") {
+        if let Some(at) = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
             break at + 4;
         }
         if stream.read_buf(buffer).await.ok()? == 0 {
@@ -169,10 +173,14 @@
         }
     };
     let head = String::from_utf8(buffer.drain(..end).collect()).unwrap();
-    Some(Received { head, body: Vec::new(), before: 0 })
+    Some(ReceivedRequest { head, body: Vec::new(), earlier_on_connection: 0 })
 }
 
-async fn read_body(stream: &mut TcpStream, buffer: &mut Vec<u8>, request: &mut Received) -> Option<()> {
+async fn read_body(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    request: &mut ReceivedRequest,
+) -> Option<()> {
     let length = request.header("content-length").map_or(0, |length| length.parse().unwrap());
     while buffer.len() < length {
         if stream.read_buf(buffer).await.ok()? == 0 {
@@ -184,7 +192,7 @@
 }
 
 /// An answer with a length and a seal.
-pub(crate) fn answer(status: u16, fields: &str, body: &str) -> Vec<Step> {
+pub(crate) fn respond(status: u16, fields: &str, body: &str) -> Vec<Step> {
     let length = body.len();
     vec![Step::Write(format!(
         "HTTP/1.1 {status} X\r\nX-Dunelink-Request-Id: {{id}}\r\nX-Dunelink-Response-Seal: seal-{status}\r\n{fields}Content-Length: {length}\r\n\r\n{body}"
@@ -192,8 +200,8 @@
 }
 
 /// Says that the request was not run.
-pub(crate) fn declined() -> Vec<Step> {
-    answer(503, "X-Dunelink-Not-Executed: 1\r\n", "full")
+pub(crate) fn rejected() -> Vec<Step> {
+    respond(503, "X-Dunelink-Not-Executed: 1\r\n", "full")
 }
 
 /// The head of a stream.
--- a/crates/proxy/tests/feeding.rs
+++ b/crates/proxy/tests/feeding.rs
@@ -4,144 +4,144 @@
 
 use std::time::Duration;
 
-use common::server::{Server, Step, answer};
-use common::{System, configuration, routes, run, until};
+use common::server::{Server, Step, respond};
+use common::{ProxyHarness, configuration, routes, run, wait_until};
 use dunelink_protocol::{
     ConfigurationChunk, FeedMessage, Heartbeat, LinkKind, RosterOffset, ServerSuspicion,
 };
 use dunelink_proxy::request_failure::RequestFailure;
 
 #[test]
-fn it_is_ready_once_its_configuration_was_confirmed_and_stays_so() {
+fn readiness_starts_with_confirmation_and_lasts() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let system = System::bare().await;
-        let node = system.node.clone();
-        assert_eq!(system.check().await, 503);
-        let refused = system.client().await.call("/safe/x", "a1").await;
-        assert!(refused.status == 503 && refused.header("retry-after").is_some());
-        system.agent.configure(&configuration(1, &routes(), ""));
-        system.agent.roster(&[&one]);
+        let server_1 = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::unconfigured().await;
+        let node = harness.node.clone();
+        assert_eq!(harness.readiness_status().await, 503);
+        let rejection = harness.client().await.call("/safe/x", "a1").await;
+        assert!(rejection.status == 503 && rejection.header("retry-after").is_some());
+        harness.agent.send_configuration(&configuration(1, &routes(), ""));
+        harness.agent.set_servers(&[&server_1]);
         // Its agent has not heard from the core for long, or knows of a newer one.
-        system.agent.tick(5_000, 1);
-        system.agent.tick(0, 2);
-        until(|| node.configuration_version() == 1).await;
-        assert_eq!(system.client().await.call("/safe/x", "a1").await.status, 200);
-        assert_eq!(system.check().await, 503);
-        until(|| node.clock.age() > Duration::from_millis(10)).await;
-        system.agent.tick(10, 1);
-        until(|| node.is_ready()).await;
-        assert_eq!(system.check().await, 200);
-        system.agent.tick(9_000, 1);
-        system.agent.tick(0, 2);
-        assert_eq!(system.check().await, 200);
-        assert_eq!(system.agent.hellos.borrow()[0].link, LinkKind::Proxy);
+        harness.agent.send_heartbeat(5_000, 1);
+        harness.agent.send_heartbeat(0, 2);
+        wait_until(|| node.configuration_version() == 1).await;
+        assert_eq!(harness.client().await.call("/safe/x", "a1").await.status, 200);
+        assert_eq!(harness.readiness_status().await, 503);
+        wait_until(|| node.clock.age() > Duration::from_millis(10)).await;
+        harness.agent.send_heartbeat(10, 1);
+        wait_until(|| node.is_ready()).await;
+        assert_eq!(harness.readiness_status().await, 200);
+        harness.agent.send_heartbeat(9_000, 1);
+        harness.agent.send_heartbeat(0, 2);
+        assert_eq!(harness.readiness_status().await, 200);
+        assert_eq!(harness.agent.hellos.borrow()[0].link, LinkKind::Proxy);
     });
 }
 
 #[test]
-fn without_a_configuration_clients_are_told_to_come_back_when_there_should_be_one() {
-    let told = |age_ms, left_ms| {
-        let left = Duration::from_millis(left_ms);
-        let how = RequestFailure::not_configured(Duration::from_millis(age_ms)).capped_for(left);
-        let RequestFailure::NotExecuted { retry_after } = how else { panic!("{how:?}") };
+fn unconfigured_retry_after_is_expected_configuration_time() {
+    let retry_after_ms = |uptime_ms, remaining_ms| {
+        let remaining = Duration::from_millis(remaining_ms);
+        let failure = RequestFailure::not_configured(Duration::from_millis(uptime_ms)).capped_for(remaining);
+        let RequestFailure::NotExecuted { retry_after } = failure else { panic!("{failure:?}") };
         retry_after.as_millis()
     };
     // The whole fleet may just have started.
-    assert_eq!(told(0, 12_000), 1_500);
-    assert_eq!(told(400, 12_000), 1_100);
-    assert_eq!(told(60_000, 12_000), 300);
+    assert_eq!(retry_after_ms(0, 12_000), 1_500);
+    assert_eq!(retry_after_ms(400, 12_000), 1_100);
+    assert_eq!(retry_after_ms(60_000, 12_000), 300);
     // Clients heed a third of their time.
-    assert_eq!(told(0, 1_500), 450);
+    assert_eq!(retry_after_ms(0, 1_500), 450);
 }
 
 #[test]
-fn without_a_configuration_a_client_is_told_no_more_than_it_heeds() {
+fn unconfigured_retry_after_fits_client_timeout() {
     run(async {
-        let system = System::bare().await;
-        let refused = system.client().await.call("/safe/x", "a1").await;
-        let after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
+        let harness = ProxyHarness::unconfigured().await;
+        let rejection = harness.client().await.call("/safe/x", "a1").await;
+        let retry_after: f64 = rejection.header("retry-after").unwrap().parse().unwrap();
         // A third of the 3 s that it has is no less.
-        assert!(refused.status == 503 && (0.3..=0.9).contains(&after), "{after} s");
+        assert!(rejection.status == 503 && (0.3..=0.9).contains(&retry_after), "{retry_after} s");
     });
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn older_configuration_is_ignored() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let system = System::with(&[&one]).await;
-        let node = system.node.clone();
-        system.agent.configure(&configuration(7, &routes()[..1], ""));
-        until(|| node.configuration_version() == 7).await;
-        system.agent.configure(&configuration(6, &routes(), ""));
+        let server_1 = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
+        let node = harness.node.clone();
+        harness.agent.send_configuration(&configuration(7, &routes()[..1], ""));
+        wait_until(|| node.configuration_version() == 7).await;
+        harness.agent.send_configuration(&configuration(6, &routes(), ""));
         let bytes = b"{".to_vec();
-        let torn = ConfigurationChunk { version: 8, total_bytes: 9, offset: 5, bytes };
-        system.agent.send(FeedMessage::Configuration(torn));
+        let gap_chunk = ConfigurationChunk { version: 8, total_bytes: 9, offset: 5, bytes };
+        harness.agent.send(FeedMessage::Configuration(gap_chunk));
         // What follows on nothing ends the connection; a new one begins with everything.
-        until(|| system.agent.hellos.borrow().len() == 2).await;
+        wait_until(|| harness.agent.hellos.borrow().len() == 2).await;
         assert_eq!(node.configuration_version(), 7);
-        system.agent.configure(&configuration(6, &routes(), ""));
-        system.agent.configure(&configuration(9, &routes()[..2], ""));
-        until(|| node.configuration_version() == 9).await;
-        assert_eq!(system.client().await.call("/once/x", "a1").await.status, 200);
-        assert_eq!(system.client().await.call("/flow/x", "a1").await.status, 404);
+        harness.agent.send_configuration(&configuration(6, &routes(), ""));
+        harness.agent.send_configuration(&configuration(9, &routes()[..2], ""));
+        wait_until(|| node.configuration_version() == 9).await;
+        assert_eq!(harness.client().await.call("/once/x", "a1").await.status, 200);
+        assert_eq!(harness.client().await.call("/flow/x", "a1").await.status, 404);
     });
 }
 
 #[test]
-fn a_server_that_is_gone_gets_nothing_and_its_connections_close() {
+fn unusable_server_gets_no_requests_and_is_disconnected() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "one")).await;
-        let two = Server::start("i-2", |_, _| answer(200, "", "two")).await;
-        let system = System::with(&[&one]).await;
-        assert_eq!(system.client().await.call("/safe/x", "a1").await.body, "one");
-        let mut leaving = one.entry();
-        leaving.ready = false;
-        system.agent.list(vec![leaving, two.entry()]);
-        until(|| one.closed.get() == 1).await;
-        assert_eq!(system.client().await.call("/safe/x", "a2").await.body, "two");
+        let server_1 = Server::start("i-1", |_, _| respond(200, "", "one")).await;
+        let server_2 = Server::start("i-2", |_, _| respond(200, "", "two")).await;
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
+        assert_eq!(harness.client().await.call("/safe/x", "a1").await.body, "one");
+        let mut not_ready = server_1.entry();
+        not_ready.ready = false;
+        harness.agent.send_roster(vec![not_ready, server_2.entry()]);
+        wait_until(|| server_1.closed_connections.get() == 1).await;
+        assert_eq!(harness.client().await.call("/safe/x", "a2").await.body, "two");
         // Another incarnation at the same address: connections to the one before are not used for it.
-        let mut again = two.entry();
-        again.id = "i-3".to_owned();
-        system.agent.list(vec![again]);
-        until(|| two.closed.get() == 1).await;
-        assert_eq!(system.client().await.call("/safe/x", "a3").await.body, "two");
-        assert_eq!(two.received.borrow()[1].header("x-dunelink-expect-instance"), Some("i-3"));
+        let mut replacement = server_2.entry();
+        replacement.id = "i-3".to_owned();
+        harness.agent.send_roster(vec![replacement]);
+        wait_until(|| server_2.closed_connections.get() == 1).await;
+        assert_eq!(harness.client().await.call("/safe/x", "a3").await.body, "two");
+        assert_eq!(server_2.received.borrow()[1].header("x-dunelink-expect-instance"), Some("i-3"));
     });
 }
 
 #[test]
-fn outcomes_are_reported() {
+fn attempt_outcomes_are_reported() {
     run(async {
-        let one =
-            Server::start("i-1", |n, _| if n == 0 { vec![Step::Close] } else { answer(200, "", "") }).await;
-        let system = System::with(&[&one]).await;
-        assert_eq!(system.client().await.call("/once/x", "a1").await.status, 502);
-        assert_eq!(system.client().await.call("/once/x", "a2").await.status, 200);
+        let server_1 =
+            Server::start("i-1", |n, _| if n == 0 { vec![Step::Close] } else { respond(200, "", "") }).await;
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
+        assert_eq!(harness.client().await.call("/once/x", "a1").await.status, 502);
+        assert_eq!(harness.client().await.call("/once/x", "a2").await.status, 200);
         let counts = || {
-            let reports = system.agent.reports.borrow();
+            let reports = harness.agent.reports.borrow();
             let all = reports.iter().flat_map(|report| &report.observations);
-            all.fold((0, 0), |sum, own| (sum.0 + own.served, sum.1 + own.failed))
+            all.fold((0, 0), |sum, observation| (sum.0 + observation.served, sum.1 + observation.failed))
         };
-        until(|| counts() == (1, 1)).await;
+        wait_until(|| counts() == (1, 1)).await;
     });
 }
 
 #[test]
-fn a_proof_from_before_its_start_does_not_make_it_ready() {
+fn confirmation_from_before_start_is_ignored() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let system = System::bare().await;
-        let node = system.node.clone();
-        system.agent.configure(&configuration(1, &routes(), ""));
-        system.agent.roster(&[&one]);
-        until(|| node.configuration_version() == 1).await;
-        assert_eq!(system.client().await.call("/safe/x", "a1").await.status, 200);
+        let server_1 = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::unconfigured().await;
+        let node = harness.node.clone();
+        harness.agent.send_configuration(&configuration(1, &routes(), ""));
+        harness.agent.set_servers(&[&server_1]);
+        wait_until(|| node.configuration_version() == 1).await;
+        assert_eq!(harness.client().await.call("/safe/x", "a1").await.status, 200);
         let (configuration_version, roster) = (1, RosterOffset::default());
-        let before = node.clock.age().as_millis() as u64 + 100;
+        let age_before_start_ms = node.clock.age().as_millis() as u64 + 100;
         node.observe_heartbeat(&Heartbeat {
-            confirmed_age_ms: before,
+            confirmed_age_ms: age_before_start_ms,
             configuration_version,
             roster,
             roster_age_ms: 0,
@@ -158,72 +158,72 @@
 }
 
 #[test]
-fn a_roster_never_goes_back_and_changes_of_another_one_open_the_connection_anew() {
+fn stale_roster_is_ignored_and_gap_reconnects() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "one")).await;
-        let two = Server::start("i-2", |_, _| answer(200, "", "two")).await;
-        let system = System::with(&[&one]).await;
-        let hellos = || system.agent.hellos.borrow().len();
-        let mut leaving = one.entry();
-        leaving.ready = false;
-        system.agent.list_at(5, Some(1), vec![leaving, two.entry()]);
-        until(|| system.node.router.borrow().status(0).len() == 2).await;
+        let server_1 = Server::start("i-1", |_, _| respond(200, "", "one")).await;
+        let server_2 = Server::start("i-2", |_, _| respond(200, "", "two")).await;
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
+        let hello_count = || harness.agent.hellos.borrow().len();
+        let mut not_ready = server_1.entry();
+        not_ready.ready = false;
+        harness.agent.send_roster_at(5, Some(1), vec![not_ready, server_2.entry()]);
+        wait_until(|| harness.node.router.borrow().status(0).len() == 2).await;
         // A whole one from before, and one at the same position.
-        system.agent.list_at(3, None, vec![one.entry()]);
-        system.agent.list_at(5, None, vec![one.entry()]);
-        system.agent.configure(&configuration(2, &routes(), ""));
-        until(|| system.node.configuration_version() == 2).await;
-        assert_eq!(system.client().await.call("/safe/x", "a1").await.body, "two");
-        assert_eq!(hellos(), 1);
-        system.agent.list_at(9, Some(8), vec![one.entry()]);
-        until(|| hellos() == 2).await;
-        assert_eq!(system.client().await.call("/safe/x", "a2").await.body, "two");
-        system.agent.list_at(9, None, vec![one.entry()]);
-        until(|| system.node.router.borrow().status(0).len() == 1).await;
-        assert_eq!(system.client().await.call("/safe/x", "a3").await.body, "one");
+        harness.agent.send_roster_at(3, None, vec![server_1.entry()]);
+        harness.agent.send_roster_at(5, None, vec![server_1.entry()]);
+        harness.agent.send_configuration(&configuration(2, &routes(), ""));
+        wait_until(|| harness.node.configuration_version() == 2).await;
+        assert_eq!(harness.client().await.call("/safe/x", "a1").await.body, "two");
+        assert_eq!(hello_count(), 1);
+        harness.agent.send_roster_at(9, Some(8), vec![server_1.entry()]);
+        wait_until(|| hello_count() == 2).await;
+        assert_eq!(harness.client().await.call("/safe/x", "a2").await.body, "two");
+        harness.agent.send_roster_at(9, None, vec![server_1.entry()]);
+        wait_until(|| harness.node.router.borrow().status(0).len() == 1).await;
+        assert_eq!(harness.client().await.call("/safe/x", "a3").await.body, "one");
     });
 }
 
 #[test]
-fn a_server_that_others_find_failing_is_passed_over() {
+fn suspected_server_is_avoided() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let two = Server::start("i-2", |_, _| answer(200, "", "fine")).await;
-        let system = System::with(&[&one, &two]).await;
-        let suspicion = ServerSuspicion { server: one.id.clone(), failed_share: 1.0, reporters: 2 };
-        system.agent.send(FeedMessage::Suspicions(vec![suspicion]));
-        system.agent.configure(&configuration(2, &routes(), ""));
-        until(|| system.node.configuration_version() == 2).await;
+        let server_1 = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let server_2 = Server::start("i-2", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::with_servers(&[&server_1, &server_2]).await;
+        let suspicion = ServerSuspicion { server: server_1.id.clone(), failed_share: 1.0, reporters: 2 };
+        harness.agent.send(FeedMessage::Suspicions(vec![suspicion]));
+        harness.agent.send_configuration(&configuration(2, &routes(), ""));
+        wait_until(|| harness.node.configuration_version() == 2).await;
         for number in 0..20 {
-            assert_eq!(system.client().await.call("/safe/x", &format!("a{number}")).await.status, 200);
+            assert_eq!(harness.client().await.call("/safe/x", &format!("a{number}")).await.status, 200);
         }
-        assert_eq!((one.count(), two.count()), (0, 20));
+        assert_eq!((server_1.count(), server_2.count()), (0, 20));
         // Where nobody else is left, it serves.
-        system.agent.roster(&[&one]);
-        until(|| system.node.router.borrow().status(0).len() == 1).await;
-        assert_eq!(system.client().await.call("/safe/x", "b1").await.status, 200);
-        assert_eq!(one.count(), 1);
+        harness.agent.set_servers(&[&server_1]);
+        wait_until(|| harness.node.router.borrow().status(0).len() == 1).await;
+        assert_eq!(harness.client().await.call("/safe/x", "b1").await.status, 200);
+        assert_eq!(server_1.count(), 1);
     });
 }
 
 #[test]
-fn times_to_come_back_differ_from_one_client_to_the_next() {
+fn retry_after_has_jitter() {
     let retry_after = Duration::from_millis(1_000);
-    let mut told: Vec<u128> = Vec::new();
+    let mut retry_after_ms: Vec<u128> = Vec::new();
     for _ in 0..200 {
         let RequestFailure::NotExecuted { retry_after } =
             (RequestFailure::NotExecuted { retry_after }).with_jitter()
         else {
             panic!("another answer")
         };
-        told.push(retry_after.as_millis());
+        retry_after_ms.push(retry_after.as_millis());
     }
-    assert!(told.iter().all(|told| (850..=1_150).contains(told)), "{told:?}");
-    told.sort_unstable();
-    assert!(told[20] < 950 && told[180] > 1_050, "{told:?}");
+    assert!(retry_after_ms.iter().all(|millis| (850..=1_150).contains(millis)), "{retry_after_ms:?}");
+    retry_after_ms.sort_unstable();
+    assert!(retry_after_ms[20] < 950 && retry_after_ms[180] > 1_050, "{retry_after_ms:?}");
     // No client is told more than it heeds.
-    let within =
+    let capped =
         (RequestFailure::NotExecuted { retry_after }).with_jitter().capped_for(Duration::from_millis(600));
-    assert_eq!(within, RequestFailure::NotExecuted { retry_after: Duration::from_millis(180) });
+    assert_eq!(capped, RequestFailure::NotExecuted { retry_after: Duration::from_millis(180) });
     assert_eq!(RequestFailure::TimedOut.with_jitter(), RequestFailure::TimedOut);
 }
--- a/crates/proxy/tests/program.rs
+++ b/crates/proxy/tests/program.rs
@@ -8,9 +8,9 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 /// A settings file that is removed at the end.
-struct Settings(PathBuf);
+struct SettingsFile(PathBuf);
 
-impl Settings {
+impl SettingsFile {
     fn write(name: &str, text: &str) -> Self {
         let path = std::env::temp_dir().join(format!("dunelink-proxy-{}-{name}.toml", std::process::id()));
         std::fs::write(&path, text).unwrap();
@@ -18,7 +18,7 @@
     }
 }
 
-impl Drop for Settings {
+impl Drop for SettingsFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -35,13 +35,13 @@
 graceS = 1
 "#;
 
-fn command(settings: &Settings, arguments: &[&str]) -> Command {
+fn command(settings: &SettingsFile, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunelink-proxy"));
     command.args(arguments).env("DUNELINK_BOOT", &settings.0).stdout(Stdio::piped()).stderr(Stdio::piped());
     command
 }
 
-fn output(settings: &Settings, arguments: &[&str]) -> Output {
+fn output(settings: &SettingsFile, arguments: &[&str]) -> Output {
     command(settings, arguments).output().unwrap()
 }
 
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn the_command_line_is_checked_and_so_are_the_settings() {
-    let valid = Settings::write("valid", VALID);
-    let wrong = Settings::write("wrong", "nodeName = 7");
+fn invalid_arguments_and_settings_exit_with_2() {
+    let valid = SettingsFile::write("valid", VALID);
+    let wrong = SettingsFile::write("wrong", "nodeName = 7");
     assert_eq!(output(&valid, &["--check"]).status.code(), Some(0));
-    let refused = output(&wrong, &["--check"]);
-    assert_eq!(refused.status.code(), Some(2));
-    assert_eq!(String::from_utf8_lossy(&refused.stderr).lines().count(), 1);
+    let invalid = output(&wrong, &["--check"]);
+    assert_eq!(invalid.status.code(), Some(2));
+    assert_eq!(String::from_utf8_lossy(&invalid.stderr).lines().count(), 1);
     assert_eq!(output(&valid, &["--chekc"]).status.code(), Some(2));
     assert_eq!(output(&valid, &["--log", "xml"]).status.code(), Some(2));
     let help = output(&wrong, &["--help"]);
@@ -64,28 +64,28 @@
 }
 
 #[test]
-fn it_ends_in_order_on_sigterm_and_heeds_no_sighup() {
-    let settings = Settings::write("run", VALID);
+fn sigterm_exits_cleanly_and_sighup_is_ignored() {
+    let settings = SettingsFile::write("run", VALID);
     let mut child = command(&settings, &["--log", "json"]).spawn().unwrap();
-    let mut events = BufReader::new(child.stderr.take().unwrap());
+    let mut log_lines = BufReader::new(child.stderr.take().unwrap());
     let mut line = String::new();
-    events.read_line(&mut line).unwrap();
+    log_lines.read_line(&mut line).unwrap();
     assert!(line.starts_with('{') && line.contains("listens"), "{line}");
     signal(&child, Signal::HUP);
     line.clear();
-    events.read_line(&mut line).unwrap();
+    log_lines.read_line(&mut line).unwrap();
     assert!(line.contains("settings changed"), "{line}");
     signal(&child, Signal::TERM);
     assert!(child.wait().unwrap().success());
 }
 
 #[test]
-fn it_answers_without_an_agent() {
-    let settings = Settings::write("alone", VALID);
+fn responds_503_without_agent() {
+    let settings = SettingsFile::write("alone", VALID);
     let mut child = command(&settings, &[]).spawn().unwrap();
-    let mut events = BufReader::new(child.stderr.take().unwrap());
+    let mut log_lines = BufReader::new(child.stderr.take().unwrap());
     let mut line = String::new();
-    events.read_line(&mut line).unwrap();
+    log_lines.read_line(&mut line).unwrap();
     let address = line.split("front=").nth(1).unwrap().split_whitespace().next().unwrap();
     let mut client = TcpStream::connect(address).unwrap();
     client.write_all(b"GET / HTTP/1.1\r\nHost: h\r\nX-Dunelink-Request-Id: a\r\n\r\n").unwrap();
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::server::{Server, answer};
-use common::{System, configuration, routes, run, until};
+use common::server::{Server, respond};
+use common::{ProxyHarness, configuration, routes, run, wait_until};
 use dunelink_protocol::{FeedMessage, GrantUpdate, TenantGrant};
 use dunelink_proxy::node::Node;
 
 const TENANTS: &str = r#"{"name":"acme","apiKeys":["k1","k2"],"unit":"token_stream","plainTokens":200,"ratePerS":1000,"burst":1000}"#;
 
-fn granted(node: &Node, ceiling: f64) -> FeedMessage {
+fn grant_message(node: &Node, ceiling: f64) -> FeedMessage {
     let incarnation = node.incarnation();
     let tenant = "acme".to_owned();
     let tenants = vec![TenantGrant {
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn a_server_gets_the_request_as_it_was_sent() {
+fn request_is_forwarded_unchanged() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let system = System::with(&[&one]).await;
-        let mut client = system.client().await;
+        let server = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::with_servers(&[&server]).await;
+        let mut client = harness.client().await;
         let fields = "X-Note: 7\r\nConnection: keep-alive, x-hop\r\nX-Hop: 1\r\nX-Dunelink-Tenant: forged\r\nX-Dunelink-Expect-Instance: forged\r\nAuthorization: Bearer k\r\n";
-        client.ask_with("/once/a%20b?q=1&r=%2F", "a1", fields).await;
-        assert_eq!(client.answer().await.status, 200);
-        let received = one.received.borrow()[0].clone();
+        client.send_request_with("/once/a%20b?q=1&r=%2F", "a1", fields).await;
+        assert_eq!(client.read_response().await.status, 200);
+        let received = server.received.borrow()[0].clone();
         assert!(received.head.starts_with("POST /once/a%20b?q=1&r=%2F HTTP/1.1\r\n"));
         assert_eq!(received.body, b"body");
         assert_eq!(received.header("host"), Some("h.example"));
@@ -52,35 +52,36 @@
             assert_eq!(received.header(name), None, "{name}");
         }
         // The route holds requests for two seconds at most.
-        let left: u64 = received.header("x-dunelink-deadline-ms").unwrap().parse().unwrap();
-        assert!((1_000..=2_000).contains(&left), "{left}");
+        let remaining_ms: u64 = received.header("x-dunelink-deadline-ms").unwrap().parse().unwrap();
+        assert!((1_000..=2_000).contains(&remaining_ms), "{remaining_ms}");
     });
 }
 
 #[test]
-fn bodies_in_chunks_and_kept_connections_work() {
+fn chunked_bodies_and_keep_alive_work() {
     run(async {
-        let one =
-            Server::start("i-1", |_, request| answer(200, "", &String::from_utf8_lossy(&request.body))).await;
-        let system = System::with(&[&one]).await;
-        let mut client = system.client().await;
+        let server =
+            Server::start("i-1", |_, request| respond(200, "", &String::from_utf8_lossy(&request.body)))
+                .await;
+        let harness = ProxyHarness::with_servers(&[&server]).await;
+        let mut client = harness.client().await;
         for number in 0..10 {
             client
                 .send(&format!("POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Dunelink-Request-Id: a{number}\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"))
                 .await;
             client.send("2\r\nde\r\n0\r\n\r\n").await;
-            assert_eq!(client.answer().await.body, "abcde");
+            assert_eq!(client.read_response().await.body, "abcde");
         }
         // Idle connections to the server are used again.
-        assert_eq!(one.connections.get(), 1);
+        assert_eq!(server.connections.get(), 1);
     });
 }
 
 #[test]
-fn requests_that_are_none_are_refused() {
+fn invalid_requests_are_rejected() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let system = System::with(&[&one]).await;
+        let server = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::with_servers(&[&server]).await;
         let id = "X-Dunelink-Request-Id: a1\r\n";
         for (text, status) in [
             ("GET /safe/x HTTP/1.1\r\nHost: h.example\r\n\r\n".to_owned(), 400),
@@ -109,23 +110,23 @@
             ),
             (format!("POST /safe/x HTTP/1.1\r\nHost: h.example\r\n{id}Content-Length: 4\r\n\r\nbo"), 408),
         ] {
-            let mut client = system.client().await;
+            let mut client = harness.client().await;
             client.send(&text).await;
-            assert_eq!(client.answer().await.status, status, "{text}");
+            assert_eq!(client.read_response().await.status, status, "{text}");
         }
-        assert_eq!(one.count(), 0);
+        assert_eq!(server.count(), 0);
     });
 }
 
 #[test]
-fn keys_name_tenants_and_are_not_shown() {
+fn api_key_selects_tenant_and_is_removed() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let system = System::with(&[&one]).await;
-        system.agent.configure(&configuration(2, &routes(), TENANTS));
-        system.agent.send(granted(&system.node, 1_000.0));
-        let node = system.node.clone();
-        until(|| node.configuration_version() == 2).await;
+        let server = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::with_servers(&[&server]).await;
+        harness.agent.send_configuration(&configuration(2, &routes(), TENANTS));
+        harness.agent.send(grant_message(&harness.node, 1_000.0));
+        let node = harness.node.clone();
+        wait_until(|| node.configuration_version() == 2).await;
         for (fields, status) in [
             ("", 401),
             ("Authorization: Bearer other\r\n", 401),
@@ -135,76 +136,78 @@
                 200,
             ),
         ] {
-            let mut client = system.client().await;
-            client.ask_with("/safe/x", "a1", fields).await;
-            assert_eq!(client.answer().await.status, status, "{fields}");
+            let mut client = harness.client().await;
+            client.send_request_with("/safe/x", "a1", fields).await;
+            assert_eq!(client.read_response().await.status, status, "{fields}");
         }
-        let received = one.received.borrow()[0].clone();
+        let received = server.received.borrow()[0].clone();
         assert_eq!(received.header("x-dunelink-tenant"), Some("acme"));
         assert_eq!(received.header("authorization"), None);
     });
 }
 
 #[test]
-fn what_is_over_the_quota_is_told_when_to_come_back() {
+fn quota_excess_gets_429_with_retry_after() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let system = System::with(&[&one]).await;
-        system.agent.configure(&configuration(2, &routes(), TENANTS));
-        system.agent.send(granted(&system.node, 1_000.0));
-        let node = system.node.clone();
-        until(|| node.configuration_version() == 2).await;
+        let server = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::with_servers(&[&server]).await;
+        harness.agent.send_configuration(&configuration(2, &routes(), TENANTS));
+        harness.agent.send(grant_message(&harness.node, 1_000.0));
+        let node = harness.node.clone();
+        wait_until(|| node.configuration_version() == 2).await;
         let mut served = 0;
-        let refused = loop {
-            let mut client = system.client().await;
+        let rejection = loop {
+            let mut client = harness.client().await;
             let fields = "Authorization: Bearer k1\r\nX-Dunelink-Token-Counts: 90,10\r\n";
-            client.ask_with("/safe/x", "a1", fields).await;
-            let answered = client.answer().await;
-            if answered.status != 200 {
-                break answered;
+            client.send_request_with("/safe/x", "a1", fields).await;
+            let response = client.read_response().await;
+            if response.status != 200 {
+                break response;
             }
             served += 1;
         };
-        assert_eq!(refused.status, 429);
-        let after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
-        assert!(after > 0.0 && served < 50);
-        assert_eq!(one.count(), served);
-        until(|| system.agent.reports.borrow().iter().any(|report| !report.demand.tenants.is_empty())).await;
+        assert_eq!(rejection.status, 429);
+        let retry_after: f64 = rejection.header("retry-after").unwrap().parse().unwrap();
+        assert!(retry_after > 0.0 && served < 50);
+        assert_eq!(server.count(), served);
+        wait_until(|| harness.agent.reports.borrow().iter().any(|report| !report.demand.tenants.is_empty()))
+            .await;
     });
 }
 
 /// A configuration whose service runs a model, if `engine` says so, and whose tenants have these priorities.
-fn ranked(version: u64, engine: bool, tenants: [u32; 2]) -> String {
+fn configuration_with_priorities(version: u64, engine: bool, tenants: [u32; 2]) -> String {
     let tenants = [("acme", "k1", tenants[0]), ("blue", "k2", tenants[1])];
     let tenants = tenants.map(|(name, key, priority)| {
         format!(r#"{{"name":"{name}","apiKeys":["{key}"],"priority":{priority}}}"#)
     });
-    let plain = configuration(version, &routes(), &tenants.join(","));
-    let with = r#""maxConns":64,"engine":{"slots":8,"kvTokens":1000,"stride":6,"models":[{"name":"m"}]}"#;
-    if engine { plain.replace(r#""maxConns":64"#, with) } else { plain }
+    let base = configuration(version, &routes(), &tenants.join(","));
+    let engine_fields =
+        r#""maxConns":64,"engine":{"slots":8,"kvTokens":1000,"stride":6,"models":[{"name":"m"}]}"#;
+    if engine { base.replace(r#""maxConns":64"#, engine_fields) } else { base }
 }
 
 #[test]
-fn model_servers_are_told_how_urgent_a_request_is_where_requests_differ() {
+fn priority_header_is_sent_only_if_priorities_differ() {
     run(async {
-        let one = Server::start("i-1", |_, _| answer(200, "", "fine")).await;
-        let system = System::with(&[&one]).await;
-        let node = system.node.clone();
+        let server = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
+        let harness = ProxyHarness::with_servers(&[&server]).await;
+        let node = harness.node.clone();
         // Routes have priority 0, which stands for no tenant here.
-        let told = [
-            (ranked(2, true, [3, 12]), [Some("3"), Some("9")]),
-            (ranked(3, true, [0, 0]), [None, None]),
-            (ranked(4, false, [3, 12]), [None, None]),
+        let expected = [
+            (configuration_with_priorities(2, true, [3, 12]), [Some("3"), Some("9")]),
+            (configuration_with_priorities(3, true, [0, 0]), [None, None]),
+            (configuration_with_priorities(4, false, [3, 12]), [None, None]),
         ];
-        for (number, (configuration, told)) in told.into_iter().enumerate() {
-            system.agent.configure(&configuration);
-            until(|| node.configuration_version() == number as u64 + 2).await;
-            for (key, told) in ["k1", "k2"].into_iter().zip(told) {
-                let mut client = system.client().await;
-                client.ask_with("/safe/x", "a1", &format!("Authorization: Bearer {key}\r\n")).await;
-                assert_eq!(client.answer().await.status, 200);
-                let received = one.received.borrow().last().cloned().unwrap();
-                assert_eq!(received.header("priority"), told, "{number}, {key}");
+        for (number, (configuration, expected)) in expected.into_iter().enumerate() {
+            harness.agent.send_configuration(&configuration);
+            wait_until(|| node.configuration_version() == number as u64 + 2).await;
+            for (key, expected) in ["k1", "k2"].into_iter().zip(expected) {
+                let mut client = harness.client().await;
+                client.send_request_with("/safe/x", "a1", &format!("Authorization: Bearer {key}\r\n")).await;
+                assert_eq!(client.read_response().await.status, 200);
+                let received = server.received.borrow().last().cloned().unwrap();
+                assert_eq!(received.header("priority"), expected, "{number}, {key}");
             }
         }
     });
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -5,8 +5,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use common::server::{Received, Server, Step, answer, chunk, declined, event, last_chunk, stream_head};
-use common::{System, run, until};
+use common::server::{
+    ReceivedRequest, Server, Step, chunk, event, last_chunk, rejected, respond, stream_head,
+};
+use common::{ProxyHarness, run, wait_until};
 use tokio::sync::Notify;
 
 /// Events `from..to` in pieces of their own.
@@ -14,82 +16,92 @@
     (from..to).map(|id| chunk(&event(id))).collect()
 }
 
-fn text(from: usize, to: usize) -> String {
+fn events_text(from: usize, to: usize) -> String {
     (from..to).map(event).collect()
 }
 
-/// The first request that either of two servers gets is treated by `first`, the others by `then`.
-async fn two(
-    first: impl Fn(&Received) -> Vec<Step> + 'static,
-    then: impl Fn(&Received) -> Vec<Step> + 'static,
-) -> (Server, Server, System) {
-    let begun = Rc::new(Cell::new(false));
-    let script =
-        Rc::new(move |request: &Received| if begun.replace(true) { then(request) } else { first(request) });
+/// The first request that either of two servers gets is treated by `first`, the others by `later`.
+async fn start_two_servers(
+    first: impl Fn(&ReceivedRequest) -> Vec<Step> + 'static,
+    later: impl Fn(&ReceivedRequest) -> Vec<Step> + 'static,
+) -> (Server, Server, ProxyHarness) {
+    let first_request_seen = Rc::new(Cell::new(false));
+    let script = Rc::new(
+        move |request: &ReceivedRequest| {
+            if first_request_seen.replace(true) { later(request) } else { first(request) }
+        },
+    );
     let (a, b) = (script.clone(), script);
-    let one = Server::start("i-1", move |_, request| a(request)).await;
-    let two = Server::start("i-2", move |_, request| b(request)).await;
-    let system = System::with(&[&one, &two]).await;
-    (one, two, system)
+    let server_1 = Server::start("i-1", move |_, request| a(request)).await;
+    let server_2 = Server::start("i-2", move |_, request| b(request)).await;
+    let harness = ProxyHarness::with_servers(&[&server_1, &server_2]).await;
+    (server_1, server_2, harness)
 }
 
 /// Goes on after the last event that the client has, up to the tenth.
-fn go_on(request: &Received) -> Vec<Step> {
+fn resume_stream(request: &ReceivedRequest) -> Vec<Step> {
     let last = request.header("last-event-id").map_or(0, |id| id.parse::<usize>().unwrap() + 1);
     [vec![stream_head("second")], events(last, 10), vec![last_chunk()]].concat()
 }
 
 #[test]
-fn events_pass_at_once() {
+fn events_are_forwarded_immediately() {
     run(async {
-        let go = Rc::new(Notify::new());
-        let wait = go.clone();
-        let one = Server::start("i-1", move |_, _| {
-            let wait = Step::Wait(wait.clone());
-            vec![stream_head("s"), chunk(&event(0)), wait.clone(), chunk(&event(1)), wait, last_chunk()]
+        let release = Rc::new(Notify::new());
+        let released = release.clone();
+        let server_1 = Server::start("i-1", move |_, _| {
+            let released = Step::Wait(released.clone());
+            vec![
+                stream_head("s"),
+                chunk(&event(0)),
+                released.clone(),
+                chunk(&event(1)),
+                released,
+                last_chunk(),
+            ]
         })
         .await;
-        let system = System::with(&[&one]).await;
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
         for path in ["/flow/x", "/again/x"] {
-            let mut client = system.client().await;
-            client.ask(path, "a1").await;
-            let head = client.head().await.unwrap();
+            let mut client = harness.client().await;
+            client.send_request(path, "a1").await;
+            let head = client.read_head().await.unwrap();
             assert_eq!((head.status, head.header("x-dunelink-response-seal")), (200, Some("s")));
-            assert_eq!(client.chunk().await.unwrap(), event(0));
-            go.notify_one();
-            assert_eq!(client.chunk().await.unwrap(), event(1));
-            go.notify_one();
-            assert_eq!(client.chunk().await.unwrap(), "");
+            assert_eq!(client.read_chunk().await.unwrap(), event(0));
+            release.notify_one();
+            assert_eq!(client.read_chunk().await.unwrap(), event(1));
+            release.notify_one();
+            assert_eq!(client.read_chunk().await.unwrap(), "");
             // The connection lasts.
-            client.ask(path, "a2").await;
-            assert_eq!(client.head().await.unwrap().status, 200);
-            client.chunk().await.unwrap();
+            client.send_request(path, "a2").await;
+            assert_eq!(client.read_head().await.unwrap().status, 200);
+            client.read_chunk().await.unwrap();
         }
     });
 }
 
 #[test]
-fn a_stream_that_breaks_off_never_looks_complete() {
+fn broken_stream_never_looks_complete() {
     run(async {
-        for cut in [event(1), "id: 1\nda".to_owned()] {
-            let one = Server::start("i-1", move |_, _| {
-                vec![stream_head("s"), chunk(&event(0)), chunk(&cut), Step::Close]
+        for last_data in [event(1), "id: 1\nda".to_owned()] {
+            let server_1 = Server::start("i-1", move |_, _| {
+                vec![stream_head("s"), chunk(&event(0)), chunk(&last_data), Step::Close]
             })
             .await;
-            let system = System::with(&[&one]).await;
-            let mut client = system.client().await;
-            let answered = client.call("/flow/x", "a1").await;
-            assert!(!answered.complete && answered.status == 200);
-            assert_eq!(one.count(), 1);
+            let harness = ProxyHarness::with_servers(&[&server_1]).await;
+            let mut client = harness.client().await;
+            let response = client.call("/flow/x", "a1").await;
+            assert!(!response.complete && response.status == 200);
+            assert_eq!(server_1.count(), 1);
         }
     });
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_server() {
+fn resumable_stream_resumes_at_other_server() {
     run(async {
         for partial in ["", "id: 4\ndata: pi", "id: 4\ndata: piece 4\n"] {
-            let first = move |_: &Received| {
+            let first = move |_: &ReceivedRequest| {
                 let mut steps = [vec![stream_head("first")], events(0, 4)].concat();
                 if !partial.is_empty() {
                     steps.push(chunk(partial));
@@ -97,103 +109,106 @@
                 steps.push(Step::Close);
                 steps
             };
-            let (one, two, system) = two(first, go_on).await;
-            let answered = system.client().await.call("/again/x", "a1").await;
-            assert!(answered.complete);
-            assert_eq!(answered.header("x-dunelink-response-seal"), Some("first"));
-            assert_eq!(answered.body, text(0, 10));
-            assert_eq!((one.count(), two.count()), (1, 1));
+            let (server_1, server_2, harness) = start_two_servers(first, resume_stream).await;
+            let response = harness.client().await.call("/again/x", "a1").await;
+            assert!(response.complete);
+            assert_eq!(response.header("x-dunelink-response-seal"), Some("first"));
+            assert_eq!(response.body, events_text(0, 10));
+            assert_eq!((server_1.count(), server_2.count()), (1, 1));
         }
     });
 }
 
 #[test]
-fn a_stream_that_broke_before_its_first_event_begins_anew() {
+fn stream_broken_before_first_event_restarts() {
     run(async {
-        let (one, two, system) = two(|_| vec![stream_head("first"), Step::Close], go_on).await;
-        let answered = system.client().await.call("/again/x", "a1").await;
-        assert!(answered.complete);
-        assert_eq!(answered.body, text(0, 10));
-        assert_eq!(one.count() + two.count(), 2);
+        let (server_1, server_2, harness) =
+            start_two_servers(|_| vec![stream_head("first"), Step::Close], resume_stream).await;
+        let response = harness.client().await.call("/again/x", "a1").await;
+        assert!(response.complete);
+        assert_eq!(response.body, events_text(0, 10));
+        assert_eq!(server_1.count() + server_2.count(), 2);
     });
 }
 
 #[test]
-fn a_client_may_take_a_stream_up_itself() {
+fn client_resumes_stream_with_last_event_id() {
     run(async {
-        let one = Server::start("i-1", |_, request| go_on(request)).await;
-        let system = System::with(&[&one]).await;
-        let mut client = system.client().await;
-        client.ask_with("/again/x", "a1", "Last-Event-Id: 6\r\n").await;
-        assert_eq!(client.answer().await.body, text(7, 10));
+        let server_1 = Server::start("i-1", |_, request| resume_stream(request)).await;
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
+        let mut client = harness.client().await;
+        client.send_request_with("/again/x", "a1", "Last-Event-Id: 6\r\n").await;
+        assert_eq!(client.read_response().await.body, events_text(7, 10));
     });
 }
 
 #[test]
-fn a_stream_that_nobody_takes_up_is_cut() {
+fn stream_without_resuming_server_is_aborted() {
     run(async {
-        let first = |_: &Received| [vec![stream_head("first")], events(0, 3), vec![Step::Close]].concat();
-        for then in [declined as fn() -> Vec<Step>, || answer(500, "", "no"), || vec![Step::Close]] {
-            let (one, two, system) = two(first, move |_| then()).await;
-            let answered = system.client().await.call("/again/x", "a1").await;
-            assert!(!answered.complete && answered.body == text(0, 3));
-            assert!(one.count() + two.count() <= 3);
+        let first =
+            |_: &ReceivedRequest| [vec![stream_head("first")], events(0, 3), vec![Step::Close]].concat();
+        for later in [rejected as fn() -> Vec<Step>, || respond(500, "", "no"), || vec![Step::Close]] {
+            let (server_1, server_2, harness) = start_two_servers(first, move |_| later()).await;
+            let response = harness.client().await.call("/again/x", "a1").await;
+            assert!(!response.complete && response.body == events_text(0, 3));
+            assert!(server_1.count() + server_2.count() <= 3);
         }
     });
 }
 
 #[test]
-fn a_client_that_leaves_frees_the_server() {
+fn client_disconnect_cancels_attempt() {
     run(async {
-        let one = Server::start("i-1", |_, request| match request.head.contains("/flow/") {
+        let server_1 = Server::start("i-1", |_, request| match request.head.contains("/flow/") {
             true => vec![stream_head("s"), chunk(&event(0)), Step::Hang],
             false => vec![Step::Hang],
         })
         .await;
-        let system = System::with(&[&one]).await;
-        let mut client = system.client().await;
-        client.ask("/flow/x", "a1").await;
-        client.head().await.unwrap();
-        client.chunk().await.unwrap();
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
+        let mut client = harness.client().await;
+        client.send_request("/flow/x", "a1").await;
+        client.read_head().await.unwrap();
+        client.read_chunk().await.unwrap();
         drop(client);
-        until(|| one.closed.get() == 1).await;
-        let mut client = system.client().await;
-        client.ask("/safe/x", "a2").await;
-        until(|| one.count() == 2).await;
+        wait_until(|| server_1.closed_connections.get() == 1).await;
+        let mut client = harness.client().await;
+        client.send_request("/safe/x", "a2").await;
+        wait_until(|| server_1.count() == 2).await;
         drop(client);
-        until(|| one.closed.get() == 2).await;
-        assert_eq!(system.node.open_request_count(), 0);
-        assert_eq!(system.node.router.borrow().attempts_in_flight(), 0);
+        wait_until(|| server_1.closed_connections.get() == 2).await;
+        assert_eq!(harness.node.open_request_count(), 0);
+        assert_eq!(harness.node.router.borrow().attempts_in_flight(), 0);
     });
 }
 
 #[test]
-fn a_stream_ends_with_the_time_of_its_request() {
+fn stream_is_aborted_at_deadline() {
     run(async {
-        let one = Server::start("i-1", |_, _| vec![stream_head("s"), chunk(&event(0)), Step::Hang]).await;
-        let system = System::with(&[&one]).await;
-        let mut client = system.client().await;
+        let server_1 =
+            Server::start("i-1", |_, _| vec![stream_head("s"), chunk(&event(0)), Step::Hang]).await;
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
+        let mut client = harness.client().await;
         let fields = "X-Note: 1\r\n";
         client
             .send(&format!("GET /again/x HTTP/1.1\r\nHost: h.example\r\nX-Dunelink-Request-Id: a\r\nX-Dunelink-Deadline-Ms: 150\r\n{fields}\r\n"))
             .await;
-        let answered = client.answer().await;
-        assert!(!answered.complete && answered.body == event(0));
-        assert_eq!(one.count(), 1);
+        let response = client.read_response().await;
+        assert!(!response.complete && response.body == event(0));
+        assert_eq!(server_1.count(), 1);
     });
 }
 
 #[test]
-fn a_long_answer_is_passed_on_with_its_length() {
+fn long_response_keeps_content_length() {
     run(async {
         let body = "x".repeat(700_000);
-        let whole = body.clone();
-        let one = Server::start("i-1", move |_, _| answer(200, "", &body)).await;
-        let system = System::with(&[&one]).await;
-        let mut client = system.client().await;
-        let answered = client.call("/safe/x", "a1").await;
-        assert!(answered.complete && answered.body == whole);
+        let expected = body.clone();
+        let server_1 = Server::start("i-1", move |_, _| respond(200, "", &body)).await;
+        let harness = ProxyHarness::with_servers(&[&server_1]).await;
+        let mut client = harness.client().await;
+        let response = client.call("/safe/x", "a1").await;
+        assert!(response.complete && response.body == expected);
         assert_eq!(client.call("/safe/x", "a2").await.body.len(), 700_000);
-        assert_eq!(one.connections.get(), 1);
+        assert_eq!(server_1.connections.get(), 1);
     });
 }
