--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -44,12 +44,15 @@
     pub(crate) admission: Admission,
     /// Fires at the deadline, from the client's or the route's timeout, and when the server is silent.
     pub(crate) timer: RequestTimer,
+    /// Servers that are excluded from further attempts.
     pub(crate) tried_servers: Vec<ServerHandle>,
     /// Number of servers that may have executed the request.
     pub(crate) possible_executions: u32,
     /// Number of servers that the request was sent to.
     pub(crate) servers_sent_to: u32,
+    /// Number of attempts that ended before anything was sent.
     pub(crate) unsent_attempts: u32,
+    /// Time that the request has waited for server capacity.
     total_wait: Duration,
 }
 
@@ -184,6 +187,7 @@
         MIN_EVENT_GAP_TIMEOUT.max(target_gap.mul_f64(EVENT_GAP_TARGET_MULTIPLE))
     }
 
+    /// Returns the time until the deadline.
     pub(crate) fn remaining(&self) -> Duration {
         self.timer.deadline().saturating_duration_since(Instant::now())
     }
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -134,7 +134,7 @@
             Change::Nothing | Change::Members => {}
             Change::Configuration => self.apply_configuration(),
             Change::Roster => self.node.set_servers(&self.server_infos(now)),
-            Change::Heartbeat(tick) => self.node.observe_heartbeat(&tick),
+            Change::Heartbeat(heartbeat) => self.node.observe_heartbeat(&heartbeat),
             Change::Grants => {
                 if let Some((update, _)) = self.state.grants.get() {
                     self.node.apply_grants(update);
@@ -162,9 +162,14 @@
         let loads_by_position = loads.in_flight.iter().zip(&loads.pending_prompt_units);
         let server_loads = roster.servers().skip(loads.first_server as usize).zip(loads_by_position);
         let mut router = self.node.router.borrow_mut();
-        for (listed, (requests, pending_prompt_tokens)) in server_loads {
+        for (roster_entry, (requests, pending_prompt_tokens)) in server_loads {
             let pending_prompt_tokens = u32::from(*pending_prompt_tokens) * PROMPT_UNIT_TOKENS;
-            router.observe_fleet_load(now, &listed.entry.id, u32::from(*requests), pending_prompt_tokens);
+            router.observe_fleet_load(
+                now,
+                &roster_entry.entry.id,
+                u32::from(*requests),
+                pending_prompt_tokens,
+            );
         }
     }
 
@@ -185,7 +190,7 @@
     }
 
     fn server_infos(&self, now: u64) -> Vec<ServerInfo> {
-        self.state.roster.servers().filter_map(|listed| server_info(listed, now)).collect()
+        self.state.roster.servers().filter_map(|roster_entry| server_info(roster_entry, now)).collect()
     }
 }
 
@@ -204,8 +209,8 @@
 }
 
 /// Converts a roster entry for the router; `None` if its address is invalid.
-fn server_info(listed: &RosterEntry, now: u64) -> Option<ServerInfo> {
-    let entry = listed.entry_at(now);
+fn server_info(roster_entry: &RosterEntry, now: u64) -> Option<ServerInfo> {
+    let entry = roster_entry.entry_at(now);
     Some(ServerInfo {
         id: entry.id,
         service: entry.service,
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -54,11 +54,13 @@
     /// Connections to servers.
     pub pool: Rc<ConnectionPool>,
     configuration: RefCell<Option<Rc<Configuration>>>,
+    /// Whether the active configuration was confirmed as current at least once.
     configuration_confirmed: Cell<bool>,
     ready_servers: Cell<usize>,
     shutdown_schedule: Cell<Option<ShutdownSchedule>>,
     /// Requests that were read and whose response is not fully written yet.
     pub open_requests: Rc<OpenRequests>,
+    /// Served and failed attempts per server id since the last report.
     observations: RefCell<HashMap<String, (u32, u32)>>,
     /// Notified when a report to the agent is needed before its regular time.
     pub report_requested: Notify,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -32,7 +32,7 @@
 struct ServerConnections {
     open: usize,
     /// Idle connections, the most recently used last.
-    #[expect(clippy::vec_box, reason = "each is a kilobyte that is passed from hand to hand")]
+    #[expect(clippy::vec_box, reason = "a connection is about a kilobyte and is moved often")]
     idle: Vec<Box<UpstreamConnection>>,
     /// Counts data arrivals from the server on all connections.
     activity: Rc<Cell<u64>>,
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -1,11 +1,11 @@
-//! The table of answers: each way a server can fail, for each kind of request.
+//! Responses to failing servers: each way to fail, for each kind of route.
 
 mod common;
 
 use common::server::{Server, Step, rejected, respond};
 use common::{ProxyHarness, run, wait_until};
 
-/// A way to fail.
+/// The steps of a server that fails.
 type Failure = fn() -> Vec<Step>;
 
 fn close_connection() -> Vec<Step> {
@@ -32,12 +32,12 @@
     )]
 }
 
-/// An answer that ends with its connection, which is reset.
+/// A response that ends with its connection, which is reset.
 fn reset_close_delimited() -> Vec<Step> {
     vec![Step::Write(format!("{CLOSE_DELIMITED_HEAD}no")), Step::Reset]
 }
 
-/// The head of an answer that ends with its connection.
+/// The head of a response that ends with its connection.
 const CLOSE_DELIMITED_HEAD: &str =
     "HTTP/1.1 200 OK\r\nX-Dunelink-Request-Id: {id}\r\nX-Dunelink-Response-Seal: s\r\n\r\n";
 
@@ -53,7 +53,8 @@
     vec![Step::Hang]
 }
 
-/// Statuses of one request to two servers that both fail in this way, and how often it arrived.
+/// Sends one request to two servers that both fail this way. Returns its status and how often servers
+/// received it.
 async fn run_with_both_failing(path: &str, failure: Failure) -> (u16, usize) {
     let server_1 = Server::start("i-1", move |_, _| failure()).await;
     let server_2 = Server::start("i-2", move |_, _| failure()).await;
@@ -64,7 +65,8 @@
     (response.status, server_1.count() + server_2.count())
 }
 
-/// The answer to one request where only the first attempt fails in this way, and how often it arrived.
+/// Sends one request of which only the first attempt fails this way. Returns its status and how often servers
+/// received it.
 async fn run_with_first_failing(path: &str, failure: Failure) -> (u16, usize) {
     let attempts = std::rc::Rc::new(std::cell::Cell::new(0));
     let script = move |_: usize, _: &common::server::ReceivedRequest| {
@@ -142,7 +144,7 @@
         let dead = Server::start("i-2", |_, _| Vec::new()).await;
         let harness = ProxyHarness::with_servers(&[&live]).await;
         let mut entry = dead.entry();
-        // Nothing listens there.
+        // No process listens on this port.
         entry.address = "127.0.0.1:1".to_owned();
         harness.agent.send_roster(vec![live.entry(), entry]);
         harness.agent.send_heartbeat(0, 1);
@@ -163,7 +165,7 @@
         let entry = |number: usize| {
             let mut entry = dead.entry();
             entry.id = format!("i-{number}");
-            // Nothing listens there.
+            // No process listens on this port.
             entry.address = "127.0.0.1:1".to_owned();
             entry
         };
@@ -194,13 +196,13 @@
         assert_eq!(response.header("x-dunelink-response-seal"), Some("seal-404"));
         assert_eq!(response.header("x-note"), Some("7"));
         assert_eq!(response.header("connection"), None);
-        // The client's connection lasts.
+        // The client's connection stays open.
         assert_eq!(client.call("/once/x", "a2").await.status, 404);
         assert_eq!(server_1.connections.get(), 2);
     });
 }
 
-/// A surplus answer of an earlier request comes in the place of each answer on a connection that is used again.
+/// A response without a length ends with its connection, but a reset is not a regular end.
 #[test]
 fn close_delimited_response_is_forwarded() {
     run(async {
@@ -212,7 +214,7 @@
         let harness = ProxyHarness::with_servers(&[&server_1]).await;
         let response = harness.client().await.call("/once/x", "e1").await;
         assert_eq!((response.status, response.body.as_str(), response.complete), (200, "the whole", true));
-        // A reset is no end.
+        // The second response ends with a reset.
         let mut client = harness.client().await;
         client.send_request("/once/x", "e2").await;
         let response = client.try_read_response().await;
@@ -220,7 +222,8 @@
     });
 }
 
-/// A server answers before it has read the body, keeps the connection, and takes the next bytes for the rest of it.
+/// A server that responds before it has read the body takes the next bytes on the connection for the rest of
+/// that body, so the connection must not be reused for another request.
 #[test]
 fn early_response_does_not_corrupt_next_request() {
     run(async {
@@ -242,12 +245,13 @@
         let bodies: Vec<Vec<u8>> =
             server_1.received.borrow().iter().map(|request| request.body.clone()).collect();
         assert_eq!(bodies.len(), 3);
-        // The last one may not have been read yet.
+        // The last body may not have been read yet.
         assert!(bodies.iter().all(|received| received.is_empty() || received == body.as_bytes()));
         assert!(server_1.received.borrow().iter().all(|request| request.head.starts_with("POST /safe/x ")));
     });
 }
 
+/// A surplus response of an earlier request takes the place of each response on a reused connection.
 #[test]
 fn surplus_responses_suspend_connection_reuse() {
     run(async {
@@ -266,7 +270,7 @@
             client.send_request("/safe/x", &format!("a{number}")).await;
             assert_eq!(client.read_response().await.status, 200, "{number}");
         }
-        // Each server has misled one attempt at most.
+        // Each server has failed at most one attempt.
         assert!(server_1.count() + server_2.count() <= 22, "{} and {}", server_1.count(), server_2.count());
         client.send_request("/once/x", "b1").await;
         assert_eq!(client.read_response().await.status, 200);
--- a/crates/proxy/tests/common/agent.rs
+++ b/crates/proxy/tests/common/agent.rs
@@ -1,4 +1,4 @@
-//! An agent that feeds what a test says.
+//! A test agent that sends the feed messages that a test asks for and records what the proxy sends.
 
 use bytes::BytesMut;
 use dunelink_protocol::{
@@ -18,7 +18,7 @@
     messages: UnboundedSender<FeedMessage>,
     pub(crate) reports: Rc<RefCell<Vec<ProxyReport>>>,
     pub(crate) hellos: Rc<RefCell<Vec<Hello>>>,
-    /// Position of the roster fed last.
+    /// Sequence number of the last complete roster.
     sequence: Cell<u64>,
 }
 
@@ -65,7 +65,7 @@
         self.messages.send(message).unwrap();
     }
 
-    /// Feeds a configuration in two parts.
+    /// Sends a configuration in two chunks.
     pub(crate) fn send_configuration(&self, json: &str) {
         let bytes = json.as_bytes();
         let version: u64 = json.split(['{', ':', ',']).nth(2).unwrap().parse().unwrap();
@@ -84,13 +84,14 @@
         self.send_roster(servers.iter().map(|server| server.entry()).collect());
     }
 
-    /// Feeds a whole roster, newer than the one before.
+    /// Sends a complete roster with the next sequence number.
     pub(crate) fn send_roster(&self, changed: Vec<ServerEntry>) {
         self.sequence.set(self.sequence.get() + 1);
         self.send_roster_at(self.sequence.get(), None, changed);
     }
 
-    /// Feeds a roster at a position: a whole one, or changes since the position `base`.
+    /// Sends a roster with this sequence number: a complete one, or changes to the roster with the sequence
+    /// number `base`.
     pub(crate) fn send_roster_at(&self, sequence: u64, base: Option<u64>, changed: Vec<ServerEntry>) {
         let at = |sequence| RosterOffset { epoch: 1, sequence };
         let update = RosterUpdate { base: base.map(at), offset: at(sequence), changed, removed: Vec::new() };
--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A client that writes bytes and reads answers.
+//! A test client that writes raw bytes and parses responses.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
     buffer: Vec<u8>,
 }
 
-/// An answer. `complete` says whether its end came.
+/// A response. `complete` tells whether its end was received.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub(crate) status: u16,
@@ -28,14 +28,14 @@
     }
 }
 
-/// The time that a client waits, in milliseconds, where a test tells no other.
+/// The client timeout that requests state by default, in milliseconds.
 const DEADLINE_MS: u32 = 3_000;
 
 fn request(path: &str, id: &str, fields: &str) -> String {
     format!("{}body", request_head(path, id, DEADLINE_MS, fields))
 }
 
-/// The head of a request with a body of four bytes.
+/// Returns the head of a request with a body of four bytes.
 pub(crate) fn request_head(path: &str, id: &str, deadline_ms: u32, fields: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: h.example\r\nX-Dunelink-Request-Id: {id}\r\nX-Dunelink-Deadline-Ms: {deadline_ms}\r\n{fields}Content-Length: 4\r\n\r\n"
@@ -49,7 +49,7 @@
         Self { stream, buffer: Vec::new() }
     }
 
-    /// A connection, if one is taken.
+    /// Opens a connection; `None` if it is refused.
     pub(crate) async fn try_connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).await.ok()?;
         Some(Self { stream, buffer: Vec::new() })
@@ -59,7 +59,7 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Sends a request with a body, its own id and a deadline.
+    /// Sends a request with a body, the given id and the default timeout.
     pub(crate) async fn send_request(&mut self, path: &str, id: &str) {
         self.send_request_with(path, id, "").await;
     }
@@ -68,12 +68,12 @@
         self.send(&request(path, id, fields)).await;
     }
 
-    /// Sends a request, if the connection still stands.
+    /// Sends a request; false if the connection is closed.
     pub(crate) async fn try_send_request(&mut self, path: &str, id: &str) -> bool {
         self.stream.write_all(request(path, id, "").as_bytes()).await.is_ok()
     }
 
-    /// Reads a whole answer; nothing if the connection ends before it.
+    /// Reads a response; `None` if the connection closes before its first byte.
     pub(crate) async fn try_read_response(&mut self) -> Option<Response> {
         while self.buffer.is_empty() {
             if !self.read_more().await {
@@ -83,7 +83,7 @@
         Some(self.read_response().await)
     }
 
-    /// Asks and reads the whole answer.
+    /// Sends a request and reads its response.
     pub(crate) async fn call(&mut self, path: &str, id: &str) -> Response {
         self.send_request(path, id).await;
         self.read_response().await
@@ -93,7 +93,7 @@
         self.stream.read_buf(&mut self.buffer).await.unwrap_or(0) > 0
     }
 
-    /// Reads an answer's head; nothing if the connection ends.
+    /// Reads the head of a response; `None` if the connection closes.
     pub(crate) async fn read_head(&mut self) -> Option<Response> {
         loop {
             if let Some(end) = self.buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
@@ -107,12 +107,13 @@
         }
     }
 
-    /// Reads until so many bytes of a chunked body have come.
+    /// Reads the next chunk of a chunked body; `None` if the connection closes.
     pub(crate) async fn read_chunk(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|bytes| bytes == b"\r\n") {
                 let line = std::str::from_utf8(&self.buffer[..end]).unwrap();
-                let size = usize::from_str_radix(line, 16).unwrap_or_else(|_| panic!("no chunk: {line:?}"));
+                let size = usize::from_str_radix(line, 16)
+                    .unwrap_or_else(|_| panic!("invalid chunk size: {line:?}"));
                 if self.buffer.len() >= end + 2 + size + 2 {
                     let chunk: Vec<u8> = self.buffer.drain(..end + 2 + size + 2).collect();
                     return Some(String::from_utf8(chunk[end + 2..end + 2 + size].to_vec()).unwrap());
@@ -124,9 +125,9 @@
         }
     }
 
-    /// Reads a whole answer.
+    /// Reads a response up to its end, or up to the end of the connection.
     pub(crate) async fn read_response(&mut self) -> Response {
-        let mut response = self.read_head().await.expect("the connection ended before an answer");
+        let mut response = self.read_head().await.expect("the connection closed before a response");
         if let Some(length) = response.header("content-length") {
             let length: usize = length.parse().unwrap();
             while self.buffer.len() < length {
@@ -149,7 +150,7 @@
         response
     }
 
-    /// Whether the connection was closed.
+    /// Whether the connection is closed.
     pub(crate) async fn is_closed(&mut self) -> bool {
         !self.read_more().await
     }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A proxy in this process, with an agent and servers that do as they are told, over loopback.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Runs a proxy in the test process, with a scripted agent and scripted servers, over loopback.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 pub(crate) mod agent;
 pub(crate) mod client;
@@ -19,18 +19,18 @@
 use agent::Agent;
 use client::Client;
 
-/// A test that takes longer hangs.
+/// Timeout of a test; a test that takes longer hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test on one thread.
+/// Runs a test on a single thread.
 pub(crate) fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test hangs");
+        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test timed out");
     });
 }
 
-/// Waits for something that other tasks bring about.
+/// Waits until other tasks have made a condition true.
 pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
     while !condition() {
         yield_now().await;
@@ -46,7 +46,7 @@
     readiness: std::net::SocketAddr,
 }
 
-/// A route as tests need it.
+/// A route of the test configuration.
 pub(crate) struct Route {
     pub(crate) path: &'static str,
     pub(crate) kind: &'static str,
@@ -81,7 +81,7 @@
     ]
 }
 
-/// A configuration with these routes and tenants.
+/// Returns a configuration with these routes and tenants as JSON.
 pub(crate) fn configuration(version: u64, routes: &[Route], tenants: &str) -> String {
     let routes: Vec<String> = routes.iter().map(Route::json).collect();
     format!(
@@ -91,7 +91,7 @@
 }
 
 impl ProxyHarness {
-    /// A proxy without anything.
+    /// Starts a proxy without configuration, servers or grants.
     pub(crate) async fn unconfigured() -> Self {
         let agent = Agent::listen().await;
         let settings = format!(
@@ -119,7 +119,7 @@
         Self { node, clients: proxy.start(), agent, front, readiness }
     }
 
-    /// A proxy with the usual routes and these servers.
+    /// Starts a proxy with the default routes and these servers, and waits until it is ready.
     pub(crate) async fn with_servers(servers: &[&server::Server]) -> Self {
         let harness = Self::unconfigured().await;
         harness.agent.send_configuration(&configuration(1, &routes(), ""));
@@ -131,29 +131,29 @@
         harness
     }
 
-    /// A new connection of a client.
+    /// Opens a client connection.
     pub(crate) async fn client(&self) -> Client {
         Client::connect(self.front).await
     }
 
-    /// A new connection of a client, if one is taken.
+    /// Opens a client connection; `None` if it is refused.
     pub(crate) async fn try_client(&self) -> Option<Client> {
         Client::try_connect(self.front).await
     }
 
-    /// Whether a client can connect.
+    /// Whether the proxy accepts connections.
     pub(crate) async fn accepts_connections(&self) -> bool {
         tokio::net::TcpStream::connect(self.front).await.is_ok()
     }
 
-    /// What the platform's check is answered.
+    /// Returns the status of a readiness check.
     pub(crate) async fn readiness_status(&self) -> u16 {
         let mut client = Client::connect(self.readiness).await;
         client.send("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n").await;
         client.read_response().await.status
     }
 
-    /// Ends the proxy as on SIGTERM.
+    /// Shuts the proxy down as SIGTERM does.
     pub(crate) async fn shut_down(&self) {
         self.node.begin_shutdown();
         shutdown::drain(&self.node, &self.clients).await;
--- a/crates/proxy/tests/common/server.rs
+++ b/crates/proxy/tests/common/server.rs
@@ -1,4 +1,4 @@
-//! A server that does as a test says, byte by byte.
+//! A test server that follows a script, down to single bytes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -9,27 +9,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// What a server does with a request, step by step.
+/// A step of a server's reaction to a request.
 #[derive(Clone)]
 pub(crate) enum Step {
-    /// Writes text; `{id}` stands for the request's id.
+    /// Writes text; `{id}` is replaced by the request's id.
     Write(String),
-    /// Waits until the test lets it go on.
+    /// Waits until the test notifies it or the proxy closes the connection.
     Wait(Rc<Notify>),
     /// Closes the connection.
     Close,
     /// Resets the connection.
     Reset,
-    /// Never does anything more.
+    /// Keeps the connection open without writing anything.
     Hang,
 }
 
-/// A request as a server got it.
+/// A request as the server received it.
 #[derive(Debug, Clone)]
 pub(crate) struct ReceivedRequest {
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
-    /// Requests before it on its connection.
+    /// Number of earlier requests on the same connection.
     pub(crate) earlier_on_connection: usize,
 }
 
@@ -49,14 +49,14 @@
     pub(crate) address: SocketAddr,
     pub(crate) received: Rc<RefCell<Vec<ReceivedRequest>>>,
     pub(crate) connections: Rc<Cell<usize>>,
-    /// Whether it answers before it has read a body, and reads that behind its answer.
+    /// Whether the server responds before it reads a request's body, and reads the body afterwards.
     pub(crate) responds_before_body: Rc<Cell<bool>>,
-    /// Connections that the proxy has closed.
+    /// Number of connections that have ended.
     pub(crate) closed_connections: Rc<Cell<usize>>,
 }
 
 impl Server {
-    /// A server whose script gets the number of the request and the request.
+    /// Starts a server. Its script gets the number of the request, counted from 0, and the request.
     pub(crate) async fn start(
         id: &str,
         script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + 'static,
@@ -191,7 +191,7 @@
     Some(())
 }
 
-/// An answer with a length and a seal.
+/// A response with a content length and a seal.
 pub(crate) fn respond(status: u16, fields: &str, body: &str) -> Vec<Step> {
     let length = body.len();
     vec![Step::Write(format!(
@@ -199,29 +199,29 @@
     ))]
 }
 
-/// Says that the request was not run.
+/// A response that declares that the request was not executed.
 pub(crate) fn rejected() -> Vec<Step> {
     respond(503, "X-Dunelink-Not-Executed: 1\r\n", "full")
 }
 
-/// The head of a stream.
+/// The head of an event stream.
 pub(crate) fn stream_head(seal: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 200 OK\r\nX-Dunelink-Request-Id: {{id}}\r\nX-Dunelink-Response-Seal: {seal}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     ))
 }
 
-/// A piece of a stream.
+/// A chunk of a stream.
 pub(crate) fn chunk(text: &str) -> Step {
     Step::Write(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
-/// The end of a stream.
+/// The end of a chunked stream.
 pub(crate) fn last_chunk() -> Step {
     Step::Write("0\r\n\r\n".to_owned())
 }
 
-/// An event.
+/// The text of an event.
 pub(crate) fn event(id: usize) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -1,4 +1,4 @@
-//! The end of the process.
+//! Graceful shutdown of the proxy.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use common::{ProxyHarness, run, wait_until};
 use tokio::sync::Notify;
 
-/// A client's time that is over after the process's end: its grace is four seconds.
+/// A client timeout beyond the proxy's exit; the grace period is four seconds.
 const OUTLASTING_TIMEOUT_MS: u32 = 9_000;
-/// Seconds for which the platform may still send clients.
+/// Time during which the platform may still send clients, in seconds.
 const TRAFFIC_STOP_S: f64 = 2.0;
 
 #[test]
@@ -39,12 +39,12 @@
         let joined = tokio::join!(harness.shut_down(), async {
             wait_until(|| harness.node.is_shutting_down()).await;
             assert_eq!(harness.readiness_status().await, 503);
-            // The platform sends clients for a while yet.
+            // The platform still sends clients for some time.
             let mut late = harness.client().await;
             let response = late.call("/safe/x", "a3").await;
             assert_eq!((response.status, response.header("connection")), (200, Some("close")));
             assert!(late.is_closed().await);
-            // Nothing is asked on this one: it is closed.
+            // No request was sent on this connection; the proxy closes it.
             assert!(idle.is_closed().await);
             release.notify_one();
             assert_eq!(stream.read_chunk().await.unwrap(), event(0));
@@ -69,13 +69,14 @@
         assert_eq!(harness.clients.count(), 0);
         assert!(
             !harness.accepts_connections().await,
-            "nobody is left to answer a request on a connection taken now"
+            "a connection accepted now would be cut off with its request"
         );
     });
 }
 
-/// A stream that began before the process was told to end leaves a connection whose client knows nothing of that. What
-/// comes on it after the platform has stopped sending clients is served only if it can't outlast the process.
+/// A stream that began before the shutdown leaves a kept-alive connection whose client does not know of the
+/// shutdown. A request that arrives on it after the listener has closed is served only if it cannot outlast
+/// the process.
 #[test]
 fn kept_connection_rejects_requests_that_outlast_exit() {
     run(async {
@@ -101,14 +102,14 @@
         let [mut before, mut after_close, mut short] = clients;
         let ((), ()) = tokio::join!(harness.shut_down(), async {
             wait_until(|| harness.node.is_shutting_down()).await;
-            // Before the last client is sent: it is served, and its answer ends the connection.
+            // Before the listener closes, the request is served, and its response closes the connection.
             early.notify_one();
             assert_eq!(before.read_chunk().await.unwrap(), "");
             let response = before.call("/long/x", "d4").await;
             assert_eq!((response.status, response.header("connection")), (200, Some("close")));
             assert!(before.is_closed().await);
             while harness.accepts_connections().await {}
-            // After it: what may last for longer than the process is sent to no server.
+            // After the listener has closed, a request that may outlast the process is not sent to a server.
             for (client, path, id, status) in
                 [(&mut after_close, "/long/x", "d5", 503), (&mut short, "/hasty/x", "d6", 200)]
             {
@@ -127,8 +128,8 @@
     });
 }
 
-/// From the signal on, also while the platform still sends clients: a request whose time is over after the process's
-/// end is sent to no server, on whatever connection it comes, and whenever its first byte came.
+/// From the signal on, even while the platform still sends clients, a request that may outlast the process is
+/// not sent to a server, on whichever connection it arrives and whenever its first byte arrived.
 #[test]
 fn long_requests_are_rejected_after_signal() {
     run(async {
@@ -167,7 +168,7 @@
     });
 }
 
-/// A request that was on its way to a server when the signal came is answered for as long as the process may run.
+/// A request that was sent to a server before the signal is completed for as long as the process may run.
 #[test]
 fn request_sent_before_signal_completes() {
     run(async {
@@ -191,13 +192,13 @@
     });
 }
 
-/// Connects and asks until nobody listens any more; gives how many answers came whole from a server. Towards the end a
-/// request may outlast the process: it is refused, and all that come later are.
+/// Connects and sends requests until the listener is closed. Returns the number of complete responses from a
+/// server. Towards the end requests may outlast the process: one is rejected, and so are all later ones.
 async fn send_until_listener_closes(harness: &ProxyHarness, number: usize) -> usize {
     let (mut served, mut rejected) = (0, 0);
     while let Some(mut client) = harness.try_client().await {
         let id = format!("c{number}-{}", served + rejected);
-        // A connection that is closed before its request was read lost nothing.
+        // A connection that closes before its request was read has lost nothing.
         if !client.try_send_request("/safe/x", &id).await {
             continue;
         }
@@ -233,9 +234,9 @@
             sending
         );
         assert_eq!(remaining, (0, 0));
-        // What a server got was answered.
+        // Each request that a server received got its response.
         assert_eq!(server.count(), served);
-        // The grace is four seconds; clients were sent for half of it.
+        // The grace period is four seconds; connections are accepted for half of it.
         let took = started_at.elapsed();
         assert!(took < std::time::Duration::from_millis(3_600), "{took:?}");
     });
--- a/crates/proxy/tests/feeding.rs
+++ b/crates/proxy/tests/feeding.rs
@@ -1,4 +1,4 @@
-//! What the agent feeds, and what the platform is told.
+//! The agent's feed, the reports to the agent, and readiness.
 
 mod common;
 
@@ -22,7 +22,7 @@
         assert!(rejection.status == 503 && rejection.header("retry-after").is_some());
         harness.agent.send_configuration(&configuration(1, &routes(), ""));
         harness.agent.set_servers(&[&server_1]);
-        // Its agent has not heard from the core for long, or knows of a newer one.
+        // The agent has had no contact with the control nodes for too long, or knows a newer version.
         harness.agent.send_heartbeat(5_000, 1);
         harness.agent.send_heartbeat(0, 2);
         wait_until(|| node.configuration_version() == 1).await;
@@ -51,7 +51,7 @@
     assert_eq!(retry_after_ms(0, 12_000), 1_500);
     assert_eq!(retry_after_ms(400, 12_000), 1_100);
     assert_eq!(retry_after_ms(60_000, 12_000), 300);
-    // Clients heed a third of their time.
+    // The value is limited to 0.3 of the client's remaining time.
     assert_eq!(retry_after_ms(0, 1_500), 450);
 }
 
@@ -61,7 +61,7 @@
         let harness = ProxyHarness::unconfigured().await;
         let rejection = harness.client().await.call("/safe/x", "a1").await;
         let retry_after: f64 = rejection.header("retry-after").unwrap().parse().unwrap();
-        // A third of the 3 s that it has is no less.
+        // The upper bound is 0.3 of the client's timeout of 3 s.
         assert!(rejection.status == 503 && (0.3..=0.9).contains(&retry_after), "{retry_after} s");
     });
 }
@@ -78,7 +78,7 @@
         let bytes = b"{".to_vec();
         let gap_chunk = ConfigurationChunk { version: 8, total_bytes: 9, offset: 5, bytes };
         harness.agent.send(FeedMessage::Configuration(gap_chunk));
-        // What follows on nothing ends the connection; a new one begins with everything.
+        // A chunk without its predecessor ends the connection; a new one starts with the complete state.
         wait_until(|| harness.agent.hellos.borrow().len() == 2).await;
         assert_eq!(node.configuration_version(), 7);
         harness.agent.send_configuration(&configuration(6, &routes(), ""));
@@ -101,7 +101,7 @@
         harness.agent.send_roster(vec![not_ready, server_2.entry()]);
         wait_until(|| server_1.closed_connections.get() == 1).await;
         assert_eq!(harness.client().await.call("/safe/x", "a2").await.body, "two");
-        // Another incarnation at the same address: connections to the one before are not used for it.
+        // A new incarnation at the same address must not get the old incarnation's connections.
         let mut replacement = server_2.entry();
         replacement.id = "i-3".to_owned();
         harness.agent.send_roster(vec![replacement]);
@@ -168,7 +168,7 @@
         not_ready.ready = false;
         harness.agent.send_roster_at(5, Some(1), vec![not_ready, server_2.entry()]);
         wait_until(|| harness.node.router.borrow().status(0).len() == 2).await;
-        // A whole one from before, and one at the same position.
+        // An older complete roster, and another one with the same sequence number.
         harness.agent.send_roster_at(3, None, vec![server_1.entry()]);
         harness.agent.send_roster_at(5, None, vec![server_1.entry()]);
         harness.agent.send_configuration(&configuration(2, &routes(), ""));
@@ -198,7 +198,7 @@
             assert_eq!(harness.client().await.call("/safe/x", &format!("a{number}")).await.status, 200);
         }
         assert_eq!((server_1.count(), server_2.count()), (0, 20));
-        // Where nobody else is left, it serves.
+        // The suspected server is used if there is no other one.
         harness.agent.set_servers(&[&server_1]);
         wait_until(|| harness.node.router.borrow().status(0).len() == 1).await;
         assert_eq!(harness.client().await.call("/safe/x", "b1").await.status, 200);
@@ -214,14 +214,14 @@
         let RequestFailure::NotExecuted { retry_after } =
             (RequestFailure::NotExecuted { retry_after }).with_jitter()
         else {
-            panic!("another answer")
+            panic!("expected NotExecuted")
         };
         retry_after_ms.push(retry_after.as_millis());
     }
     assert!(retry_after_ms.iter().all(|millis| (850..=1_150).contains(millis)), "{retry_after_ms:?}");
     retry_after_ms.sort_unstable();
     assert!(retry_after_ms[20] < 950 && retry_after_ms[180] > 1_050, "{retry_after_ms:?}");
-    // No client is told more than it heeds.
+    // The value is limited to 0.3 of the client's remaining time.
     let capped =
         (RequestFailure::NotExecuted { retry_after }).with_jitter().capped_for(Duration::from_millis(600));
     assert_eq!(capped, RequestFailure::NotExecuted { retry_after: Duration::from_millis(180) });
--- a/crates/proxy/tests/program.rs
+++ b/crates/proxy/tests/program.rs
@@ -1,4 +1,4 @@
-//! The proxy as a program: command line, settings, signals.
+//! The proxy program: command line, settings and signals.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -7,7 +7,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A settings file that is removed at the end.
+/// A settings file that is removed when it is dropped.
 struct SettingsFile(PathBuf);
 
 impl SettingsFile {
@@ -52,14 +52,14 @@
 #[test]
 fn invalid_arguments_and_settings_exit_with_2() {
     let valid = SettingsFile::write("valid", VALID);
-    let wrong = SettingsFile::write("wrong", "nodeName = 7");
+    let invalid_settings = SettingsFile::write("wrong", "nodeName = 7");
     assert_eq!(output(&valid, &["--check"]).status.code(), Some(0));
-    let invalid = output(&wrong, &["--check"]);
+    let invalid = output(&invalid_settings, &["--check"]);
     assert_eq!(invalid.status.code(), Some(2));
     assert_eq!(String::from_utf8_lossy(&invalid.stderr).lines().count(), 1);
     assert_eq!(output(&valid, &["--chekc"]).status.code(), Some(2));
     assert_eq!(output(&valid, &["--log", "xml"]).status.code(), Some(2));
-    let help = output(&wrong, &["--help"]);
+    let help = output(&invalid_settings, &["--help"]);
     assert!(help.status.success() && String::from_utf8_lossy(&help.stdout).contains("--check"));
 }
 
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What clients send, what servers get of it, and what is refused without asking a server.
+//! Request validation and forwarding, and rejections without asking a server.
 
 mod common;
 
@@ -51,7 +51,7 @@
         for name in ["x-hop", "x-dunelink-tenant", "authorization"] {
             assert_eq!(received.header(name), None, "{name}");
         }
-        // The route holds requests for two seconds at most.
+        // The route limits requests to two seconds.
         let remaining_ms: u64 = received.header("x-dunelink-deadline-ms").unwrap().parse().unwrap();
         assert!((1_000..=2_000).contains(&remaining_ms), "{remaining_ms}");
     });
@@ -72,7 +72,7 @@
             client.send("2\r\nde\r\n0\r\n\r\n").await;
             assert_eq!(client.read_response().await.body, "abcde");
         }
-        // Idle connections to the server are used again.
+        // Idle connections to the server are reused.
         assert_eq!(server.connections.get(), 1);
     });
 }
@@ -175,7 +175,7 @@
     });
 }
 
-/// A configuration whose service runs a model, if `engine` says so, and whose tenants have these priorities.
+/// Returns a configuration whose tenants have these priorities, and whose service runs a model if `engine` is set.
 fn configuration_with_priorities(version: u64, engine: bool, tenants: [u32; 2]) -> String {
     let tenants = [("acme", "k1", tenants[0]), ("blue", "k2", tenants[1])];
     let tenants = tenants.map(|(name, key, priority)| {
@@ -193,7 +193,7 @@
         let server = Server::start("i-1", |_, _| respond(200, "", "fine")).await;
         let harness = ProxyHarness::with_servers(&[&server]).await;
         let node = harness.node.clone();
-        // Routes have priority 0, which stands for no tenant here.
+        // All routes have priority 0, but every tenant has a priority of its own, which takes precedence.
         let expected = [
             (configuration_with_priorities(2, true, [3, 12]), [Some("3"), Some("9")]),
             (configuration_with_priorities(3, true, [0, 0]), [None, None]),
--- a/crates/proxy/tests/silence.rs
+++ b/crates/proxy/tests/silence.rs
@@ -1,11 +1,11 @@
-//! Servers that fall silent without an end of their connections.
+//! Servers and clients that fall silent without closing their connections.
 
 mod common;
 
 use common::server::{Server, Step, chunk, event, last_chunk, respond, stream_head};
 use common::{ProxyHarness, run, wait_until};
 
-/// Longer than what counts as silence.
+/// Longer than the silence timeout of a stream.
 const LONGER_THAN_SILENCE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(2_600);
 
 #[test]
@@ -20,7 +20,7 @@
             Server::start("i-2", move |_, _| steps_by_order(&b, vec![Step::Hang], respond(200, "", "fine")))
                 .await;
         let harness = ProxyHarness::with_servers(&[&server_1, &server_2]).await;
-        // The target latency is 500 ms, the deadline 3 s.
+        // The target latency is 500 ms, the client's timeout 3 s.
         let response = harness.client().await.call("/long/x", "a1").await;
         assert_eq!((response.status, server_1.count() + server_2.count()), (200, 2));
         assert_eq!(server_1.closed_connections.get() + server_2.closed_connections.get(), 1);
@@ -71,7 +71,7 @@
         client.send_request("/again/x", "a1").await;
         client.read_head().await.unwrap();
         assert_eq!(client.read_chunk().await.unwrap(), event(0));
-        // The pause is noticed, and nobody else can be asked.
+        // The silence is noticed, but no other server is available.
         let attempts_in_flight = || harness.node.router.borrow().attempts_in_flight();
         assert_eq!(attempts_in_flight(), 1);
         let silence_noticed_at = tokio::time::Instant::now() + LONGER_THAN_SILENCE_TIMEOUT;
@@ -83,7 +83,7 @@
     });
 }
 
-/// Longer than the configuration gives for a head.
+/// Longer than the configured header timeout.
 const LONGER_THAN_HEADER_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1_800);
 
 #[test]
@@ -93,7 +93,7 @@
         let harness = ProxyHarness::with_servers(&[&server_1]).await;
         let (mut partial, mut unused) = (harness.client().await, harness.client().await);
         partial.send("POST /once/x HTTP/1.1\r\nHost: h.exa").await;
-        // The head of a second request counts as the first one does.
+        // The header timeout also applies to a second request on a connection.
         let mut second = harness.client().await;
         assert_eq!(second.call("/once/x", "a1").await.status, 200);
         second.send("POST /onc").await;
@@ -102,7 +102,7 @@
         let header_timeout_over = tokio::time::Instant::now() + LONGER_THAN_HEADER_TIMEOUT;
         assert!(partial.is_closed().await && second.is_closed().await);
         wait_until(|| tokio::time::Instant::now() > header_timeout_over).await;
-        // Those without a part of a head may rest for longer.
+        // Connections without a partial head may stay idle for longer.
         assert_eq!(unused.call("/once/x", "a3").await.status, 200);
         assert_eq!(kept.call("/once/x", "a4").await.status, 200);
         assert_eq!(server_1.count(), 4);
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: passed on at once, cut where their server cuts, taken up elsewhere where the route allows.
+//! Event streams: forwarded immediately, aborted when the server breaks off, and resumed at another server if
+//! the route allows.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use common::{ProxyHarness, run, wait_until};
 use tokio::sync::Notify;
 
-/// Events `from..to` in pieces of their own.
+/// The events `from..to`, each in a chunk of its own.
 fn events(from: usize, to: usize) -> Vec<Step> {
     (from..to).map(|id| chunk(&event(id))).collect()
 }
@@ -20,7 +21,8 @@
     (from..to).map(event).collect()
 }
 
-/// The first request that either of two servers gets is treated by `first`, the others by `later`.
+/// Starts two servers. The first request that either of them receives is handled by `first`, all others by
+/// `later`.
 async fn start_two_servers(
     first: impl Fn(&ReceivedRequest) -> Vec<Step> + 'static,
     later: impl Fn(&ReceivedRequest) -> Vec<Step> + 'static,
@@ -38,7 +40,7 @@
     (server_1, server_2, harness)
 }
 
-/// Goes on after the last event that the client has, up to the tenth.
+/// Resumes the stream after the client's last event, up to the tenth event.
 fn resume_stream(request: &ReceivedRequest) -> Vec<Step> {
     let last = request.header("last-event-id").map_or(0, |id| id.parse::<usize>().unwrap() + 1);
     [vec![stream_head("second")], events(last, 10), vec![last_chunk()]].concat()
@@ -72,7 +74,7 @@
             assert_eq!(client.read_chunk().await.unwrap(), event(1));
             release.notify_one();
             assert_eq!(client.read_chunk().await.unwrap(), "");
-            // The connection lasts.
+            // The connection stays open.
             client.send_request(path, "a2").await;
             assert_eq!(client.read_head().await.unwrap().status, 200);
             client.read_chunk().await.unwrap();
