--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -102,7 +102,7 @@
                     );
                     self.source = Source::Streaming(Box::new(ActiveStream { exchange, response, attempt }));
                 }
-                Source::Streaming(stream) => match stream.response.poll_data(cx) {
+                Source::Streaming(stream) => match stream.response.poll_frame(cx) {
                     Poll::Ready(Some(Ok(frame))) => {
                         let Ok(data) = frame.into_data() else { continue };
                         if data.is_empty() {
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -161,12 +161,12 @@
         self.permit.activity()
     }
 
-    /// Sends a request and waits for the head of its response until the timer fires. `length` is the minimum
+    /// Sends a request and waits for the head of its response until the timer fires. `min_wire_bytes` is the minimum
     /// number of bytes that the request takes on the wire.
     pub async fn send(
         mut self: Box<Self>,
         request: Request<Full<Bytes>>,
-        length: u64,
+        min_wire_bytes: u64,
         timer: &mut RequestTimer,
     ) -> SendResult {
         let written_before = self.written_bytes.get();
@@ -187,7 +187,7 @@
             timer.poll(cx, permit.activity()).map(Err)
         })
         .await;
-        let fully_written = self.written_bytes.get() - written_before >= length;
+        let fully_written = self.written_bytes.get() - written_before >= min_wire_bytes;
         match result {
             Ok(Some(response)) => SendResult::Response(Box::new(self.into_upstream_response(response))),
             _ if !fully_written => SendResult::NotSent,
@@ -201,8 +201,8 @@
         self.permit.record_activity();
         self.closes_after_response =
             has_connection_option(&head.headers, "close") || head.version < http::Version::HTTP_11;
-        if let Some(limit) = keep_alive_seconds(&head.headers) {
-            self.idle_timeout = Duration::from_secs(limit).mul_f64(IDLE_TIMEOUT_FRACTION);
+        if let Some(seconds) = keep_alive_seconds(&head.headers) {
+            self.idle_timeout = Duration::from_secs(seconds).mul_f64(IDLE_TIMEOUT_FRACTION);
         }
         let is_close_delimited = edge_answer::is_unframed(&head.headers);
         self.closes_after_response |= is_close_delimited;
@@ -212,7 +212,7 @@
 
 impl UpstreamResponse {
     /// Returns the next frame of the body.
-    pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
+    pub fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
         let mut frame = Pin::new(&mut self.body).poll_frame(cx);
         if frame.is_pending() {
             self.connection.poll_io(cx);
@@ -230,7 +230,7 @@
         let mut chunks = BodyChunks::default();
         poll_fn(|cx| {
             loop {
-                match self.poll_data(cx) {
+                match self.poll_frame(cx) {
                     Poll::Ready(Some(Ok(frame))) => {
                         chunks.push(frame.into_data().unwrap_or_default());
                         if chunks.length > max_bytes {
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/requests.rs
@@ -175,7 +175,7 @@
     });
 }
 
-/// Returns a configuration whose tenants have these priorities, and whose service runs a model if `engine` is set.
+/// Returns a configuration whose tenants have these priorities; its service runs a model if `engine` is set.
 fn configuration_with_priorities(version: u64, engine: bool, tenants: [u32; 2]) -> String {
     let tenants = [("acme", "k1", tenants[0]), ("blue", "k2", tenants[1])];
     let tenants = tenants.map(|(name, key, priority)| {
