--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -97,7 +97,8 @@
     }
 
     /// Returns a connection to the server: an idle one, or a new one if there is none or if an earlier
-    /// attempt may have been executed. A failure on an idle connection is likely to repeat on the next idle one.
+    /// attempt may have been executed. A failure on an idle connection is likely to repeat on the next idle
+    /// one.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -161,8 +161,8 @@
         self.permit.activity()
     }
 
-    /// Sends a request and waits for the head of its response until the timer fires. `min_wire_bytes` is the minimum
-    /// number of bytes that the request takes on the wire.
+    /// Sends a request and waits for the head of its response until the timer fires. `min_wire_bytes` is the
+    /// minimum number of bytes that the request takes on the wire.
     pub async fn send(
         mut self: Box<Self>,
         request: Request<Full<Bytes>>,
