--- a/crates/proxy/src/arguments.rs
+++ b/crates/proxy/src/arguments.rs
@@ -7,11 +7,11 @@
 pub const HELP: &str = "\
 dunelink-proxy: the data plane of a front machine
 
-The settings file is named by DUNELINK_BOOT (/etc/dunelink/local.toml).
+The settings file is DUNELINK_BOOT (default: /etc/dunelink/local.toml).
 
-    --check          read the settings and end: 0 if they are valid, 2 if not
-    --log FORMAT     text (default) or json
-    --help           this page
+    --check          validate the settings and exit: 0 if they are valid, 2 if not
+    --log FORMAT     log format: text (default) or json
+    --help           print this help
 ";
 
 /// The parsed command line.
