--- a/crates/cherryusher/benches/decide.rs
+++ b/crates/cherryusher/benches/decide.rs
@@ -1,5 +1,5 @@
-//! What a decision costs, by the size of the fleet: `cargo bench -p cherryusher`.
-#![allow(missing_docs)] // The macro makes a public function.
+//! The cost of decisions by the number of servers: `cargo bench -p cherryusher`.
+#![allow(missing_docs)] // The macro generates a public function.
 
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -9,8 +9,8 @@
 
 const S: Micros = 1_000_000;
 const FLEETS: [u64; 4] = [10, 100, 1_000, 10_000];
-/// Requests open at any time.
-const OPEN: usize = 64;
+/// The number of requests open at any time.
+const OPEN_REQUESTS: usize = 64;
 
 fn settings() -> Settings {
     Settings {
@@ -34,43 +34,43 @@
     ServerEntry { id, state: ServerState::Ready, weight: 1.0, ..ServerEntry::default() }
 }
 
-/// A node with requests open, each of which ends when another comes.
+/// A node with open requests, the oldest of which ends when another one arrives.
 struct Node {
     balancer: Balancer,
     now: Micros,
-    next: RequestId,
+    last_id: RequestId,
     open: VecDeque<RequestId>,
     actions: Vec<Action>,
 }
 
 impl Node {
     fn new(servers: u64) -> Node {
-        let balancer = Balancer::new(settings(), 7).expect("settings that fit");
+        let balancer = Balancer::new(settings(), 7).expect("valid settings");
         let (open, actions) = (VecDeque::new(), Vec::new());
-        let mut node = Node { balancer, now: 100 * S, next: 0, open, actions };
-        node.tell(Event::CachedServerList((1..=servers).map(entry).collect()));
-        while node.open.len() < OPEN {
+        let mut node = Node { balancer, now: 100 * S, last_id: 0, open, actions };
+        node.handle(Event::CachedServerList((1..=servers).map(entry).collect()));
+        while node.open.len() < OPEN_REQUESTS {
             node.arrive();
         }
         node
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.now += 10;
         self.balancer.handle(self.now, event, &mut self.actions);
         self.actions.clear();
     }
 
     fn arrive(&mut self) {
-        self.next += 1;
-        let (id, tenant) = (self.next, Some((self.next % 4) as u32));
+        self.last_id += 1;
+        let (id, tenant) = (self.last_id, Some((self.last_id % 4) as u32));
         let request = Request { id, class: 0, remaining: 9 * S, expected_work: None, key: Some(id), tenant };
-        self.tell(Event::RequestArrived(request));
+        self.handle(Event::RequestArrived(request));
         self.open.push_back(id);
     }
 
-    /// One request comes and one ends.
-    fn turn(&mut self) {
+    /// One request arrives and the oldest one ends.
+    fn replace_oldest(&mut self) {
         self.arrive();
         let Some(request) = self.open.pop_front() else { return };
         let ended = AttemptEnd {
@@ -80,7 +80,7 @@
             elapsed: 2_000,
             request_finished: true,
         };
-        self.tell(Event::AttemptEnded(ended));
+        self.handle(Event::AttemptEnded(ended));
     }
 }
 
@@ -88,30 +88,30 @@
     let mut group = c.benchmark_group("request");
     for servers in FLEETS {
         let mut node = Node::new(servers);
-        (0..10_000).for_each(|_| node.turn());
-        group.bench_function(BenchmarkId::from_parameter(servers), |b| b.iter(|| node.turn()));
+        (0..10_000).for_each(|_| node.replace_oldest());
+        group.bench_function(BenchmarkId::from_parameter(servers), |b| b.iter(|| node.replace_oldest()));
         black_box(node.balancer.tracked_requests());
     }
     group.finish();
 }
 
-fn changes(c: &mut Criterion) {
+fn list_changes(c: &mut Criterion) {
     let mut group = c.benchmark_group("list change");
     for servers in FLEETS {
         let mut node = Node::new(servers);
-        let mut turn = 0;
+        let mut step = 0;
         group.bench_function(BenchmarkId::from_parameter(servers), |b| {
             b.iter(|| {
-                turn += 1;
-                let state = if turn % 2 == 0 { ServerState::Ready } else { ServerState::Draining };
-                node.tell(Event::ServerChanges(vec![ServerEntry { state, ..entry(1) }]));
+                step += 1;
+                let state = if step % 2 == 0 { ServerState::Ready } else { ServerState::Draining };
+                node.handle(Event::ServerChanges(vec![ServerEntry { state, ..entry(1) }]));
             });
         });
     }
     group.finish();
 }
 
-fn half_drains(c: &mut Criterion) {
+fn half_of_the_servers_drain(c: &mut Criterion) {
     c.bench_function("half of 10000 drain, 5000 open", |b| {
         let set_up = || {
             let mut node = Node::new(10_000);
@@ -120,15 +120,15 @@
             }
             node
         };
-        let drain =
+        let draining_entries =
             || (1..=5_000).map(|id| ServerEntry { state: ServerState::Draining, ..entry(id) }).collect();
         b.iter_batched_ref(
-            || (set_up(), Some(Event::ServerChanges(drain()))),
-            |(node, event)| event.take().into_iter().for_each(|event| node.tell(event)),
+            || (set_up(), Some(Event::ServerChanges(draining_entries()))),
+            |(node, event)| event.take().into_iter().for_each(|event| node.handle(event)),
             BatchSize::LargeInput,
         );
     });
 }
 
-criterion_group!(benches, requests, changes, half_drains);
+criterion_group!(benches, requests, list_changes, half_of_the_servers_drain);
 criterion_main!(benches);
--- a/crates/cherryusher/src/api.rs
+++ b/crates/cherryusher/src/api.rs
@@ -1,35 +1,35 @@
-//! The interface of the decision module: what a node tells it and what it answers.
+//! The interface of the decision module: settings, events and actions.
 //!
-//! All times are whole microseconds on the node's own clock, which only moves forward.
+//! All times are whole microseconds of the node's own clock, which never runs backwards.
 
 use std::fmt;
 
-/// A point in time, or a span of it, in microseconds.
+/// A point in time, or a duration, in microseconds.
 pub type Micros = u64;
-/// Names a request; never used again for another one.
+/// Identifies a request; never reused for another one.
 pub type RequestId = u64;
-/// Names a server; the same at every node and after the server's restart.
+/// Identifies a server; the same at every node and after a restart of the server.
 pub type ServerId = u64;
-/// The number of an attempt within its request, from 0 in the order sent.
+/// The index of an attempt within its request, from 0, in the order of sending.
 pub type AttemptNo = u16;
 
-/// What may happen to a request that is sent more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// The request may run any number of times.
     Idempotent,
-    /// The servers of one group drop a repeat for `window` after the first attempt was sent.
+    /// The servers of one scope drop repeats for `window` after the first attempt was sent.
     Deduplicated {
-        /// Which servers share what they remember.
+        /// The servers that share their record of requests.
         scope: DedupScope,
-        /// For how long they remember it.
+        /// How long they keep that record.
         window: Micros,
     },
-    /// It must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// The servers that drop each other's repeats of a keyed request.
+/// The servers among which repeats of a request are recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All servers.
@@ -43,45 +43,45 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// A response within this time has the full value.
     pub target_latency: Micros,
-    /// The aim grows by this multiple of the request's expected work, up to the deadline.
+    /// The time that is added to the target latency per unit of expected work, up to the deadline.
     pub target_latency_per_work: f64,
-    /// The client's whole wait.
+    /// How long clients wait in total.
     pub deadline: Micros,
-    /// What an answer in time is worth.
+    /// The value of a response within the target latency, relative to other classes.
     pub value: f64,
-    /// The share of the worth that a late answer earns.
+    /// The part of the value that a later response has.
     pub late_value_fraction: f64,
-    /// Whether a request may run again.
+    /// Whether a request may be repeated.
     pub idempotency: Idempotency,
 }
 
-/// A tenant and its share.
+/// A tenant with its quota and its share of the servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second, over all nodes, that are within its share.
+    /// The quota in requests per second, over all nodes.
     pub quota_per_s: f64,
-    /// The part of the service it has a right to.
+    /// The part of all servers that is reserved for the tenant.
     pub share: f64,
 }
 
-/// How the list of servers reaches the node.
+/// How the server list reaches the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Changes arrive without a subscription.
     Pushed,
-    /// Changes come after [`Action::Subscribe`]; without a subscription the node has to ask this often.
+    /// Changes arrive after [`Action::Subscribe`].
     Subscribed {
-        /// The longest time without asking.
+        /// The longest time between two calls while there is no subscription.
         max_retry_interval: Micros,
     },
 }
 
-/// What a node is told once, at its start.
+/// The settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many nodes share the work.
+    /// The number of nodes that share the work.
     pub balancers: u32,
     /// This node's number among them, from 0.
     pub rank: u32,
@@ -91,39 +91,39 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What a request beyond its tenant's share is worth, as a part of its class's worth.
+    /// The factor on the value of requests beyond their tenant's quota.
     pub over_quota_value: f64,
-    /// The most attempts one request may have.
+    /// The maximum number of attempts per request.
     pub max_attempts: u16,
     /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Whether a second attempt may be sent while the first is out.
+    /// Whether a second attempt may be sent while the first is in flight.
     pub hedging: bool,
-    /// Whether related requests are cheaper on a server that met their key lately.
+    /// Whether a request is cheaper on a server that recently processed another one with the same key.
     pub key_affinity: bool,
-    /// What crossing zones costs, for every request once, as a part of all worth.
+    /// The cost of sending a request to another zone, as a part of the value of all requests.
     pub cross_zone_price: f64,
-    /// Whether weights shrink while a server holds requests, and so tell of load as well as of size.
+    /// Whether the weights in the server list shrink under load, instead of stating the size alone.
     pub live_weights: bool,
-    /// How the server list comes.
+    /// How the server list reaches the node.
     pub discovery: Discovery,
-    /// A starting server has at least this part of its capacity.
+    /// The part of its full capacity that a server has at least when it starts; above 0, at most 1.
     pub cold_capacity: f64,
-    /// A server is warm after this time at most.
+    /// The longest time that a server takes to reach its full capacity.
     pub warm_up: Micros,
-    /// A cold server falls over when it is sent this multiple of what it can do at that moment.
+    /// A cold server fails if it is sent this multiple of its current capacity.
     pub overload_factor: f64,
-    /// The longest time between two looks at the clock.
+    /// The longest time between two readings of the clock, and so the precision of timers.
     pub timer_resolution: Micros,
-    /// The longest stay away that a refused client honours.
+    /// The longest `retry_after` that refused clients respect; 0 if they respect none.
     pub max_retry_after: Micros,
-    /// How many labels tenants are hashed to; few, so that pools keep room. At least one.
+    /// The number of labels that tenants are hashed to, at least one. Fewer labels mean larger pools.
     pub labels: u16,
-    /// The least that a label's pool takes while servers last; four or more.
+    /// The minimum size of a label's pool while there are enough servers; at least 4.
     pub min_pool_size: u16,
 }
 
-/// Why settings were turned down.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub &'static str);
 
@@ -135,7 +135,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// One node that is told nothing: pushed changes, one attempt, no cancels or copies, and no class yet.
+/// A single node with pushed discovery, one attempt per request, neither cancelling nor hedging, and no class yet.
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
@@ -164,113 +164,119 @@
 }
 
 impl Settings {
-    /// Checks that the settings make sense together.
+    /// Checks each setting, and the settings against each other.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let positive = |x: f64| x.is_finite() && x >= 0.0;
+        let non_negative = |x: f64| x.is_finite() && x >= 0.0;
         let rules: [(bool, &'static str); 11] = [
             (self.labels > 0, "there are no labels"),
-            (self.min_pool_size >= 4, "a pool takes fewer than four servers"),
+            (self.min_pool_size >= 4, "a pool has fewer than four servers"),
             (!self.classes.is_empty(), "there are no request classes"),
             (self.balancers > 0, "there are no balancers"),
             (self.rank < self.balancers, "the rank is not below the number of balancers"),
             (self.max_attempts > 0, "no attempt is allowed"),
-            (self.cold_capacity > 0.0 && self.cold_capacity <= 1.0, "cold_from is not within 0 to 1"),
-            (positive(self.overload_factor), "the fall multiple is negative"),
-            (positive(self.over_quota_value) && positive(self.cross_zone_price), "a price is negative"),
             (
-                self.tenants.iter().all(|t| positive(t.quota_per_s) && positive(t.share)),
-                "a tenant's quota or share is negative",
+                self.cold_capacity > 0.0 && self.cold_capacity <= 1.0,
+                "the cold capacity is not above 0 and at most 1",
+            ),
+            (non_negative(self.overload_factor), "the overload factor is negative or not finite"),
+            (
+                non_negative(self.over_quota_value) && non_negative(self.cross_zone_price),
+                "the over-quota value or the cross-zone price is negative or not finite",
+            ),
+            (
+                self.tenants.iter().all(|t| non_negative(t.quota_per_s) && non_negative(t.share)),
+                "a tenant's quota or share is negative or not finite",
             ),
             (
                 self.classes.iter().all(|c| {
                     c.target_latency > 0
                         && c.deadline > 0
-                        && positive(c.value)
-                        && positive(c.late_value_fraction)
-                        && positive(c.target_latency_per_work)
+                        && non_negative(c.value)
+                        && non_negative(c.late_value_fraction)
+                        && non_negative(c.target_latency_per_work)
                 }),
-                "a class has no aim, no deadline or a negative worth",
+                "a class has no target latency, no deadline, or a value that is negative or not finite",
             ),
         ];
-        rules.iter().find(|(kept, _)| !kept).map_or(Ok(()), |(_, why)| Err(SettingsError(why)))
+        rules.iter().find(|(valid, _)| !valid).map_or(Ok(()), |(_, why)| Err(SettingsError(why)))
     }
 }
 
-/// What the list says about a server.
+/// The state of a server, by the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// It takes requests.
+    /// The server takes requests.
     Ready,
-    /// It finishes what it has; nothing new goes there.
+    /// The server finishes the requests it has; it gets no new ones.
     Draining,
-    /// It is no more.
+    /// The server does not exist any more.
     #[default]
     Gone,
 }
 
-/// One line of the server list.
+/// An entry of the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// The server's id.
     pub id: ServerId,
-    /// What it does.
+    /// The server's state.
     pub state: ServerState,
-    /// When it last started; 0 for long ago.
+    /// When the server last started; 0 if that is long ago.
     pub ready_at: Micros,
-    /// Its zone.
+    /// The server's zone.
     pub zone: u8,
-    /// Its cell: servers that know each other's keys.
+    /// The server's cell: the servers that recognize each other's repeats under [`DedupScope::Cell`].
     pub cell: u16,
-    /// Its size against other servers, a finite number; 0 if unknown.
+    /// The server's size relative to other servers, a finite number; 0 if unknown.
     pub weight: f64,
-    /// What kind of machine it is.
+    /// The kind of machine. Servers of one kind have the same size.
     pub kind: u8,
 }
 
 /// A request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Its name.
+    /// The request's id.
     pub id: RequestId,
-    /// Index of its class in [`Settings::classes`].
+    /// The index of the class in [`Settings::classes`].
     pub class: usize,
-    /// How long until the client gives up.
+    /// The time until the client gives up.
     pub remaining: Micros,
-    /// How much work to expect, if known.
+    /// The time that a server is expected to work on the request, if known.
     pub expected_work: Option<Micros>,
-    /// What it is about; related requests have the same key.
+    /// A key that related requests share, if any.
     pub key: Option<u64>,
-    /// Index of its tenant in [`Settings::tenants`], if it has one.
+    /// The index of the tenant in [`Settings::tenants`], if there is one.
     pub tenant: Option<u32>,
 }
 
-/// How long a request may take to come whole that is passed on as it comes.
+/// How long the body of a streamed request may take to arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Upload {
-    /// How long its last byte is expected to take.
+    /// The expected time until the last byte.
     pub expected_duration: Micros,
-    /// How long it may take at most.
+    /// The longest time until the last byte.
     pub max_duration: Micros,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server responded successfully.
     Served,
-    /// The server answered with an error; it may have run.
+    /// The server responded with an error; the attempt may have run.
     Error,
-    /// Turned away unseen; it did not run.
+    /// The server rejected the attempt before it ran.
     Rejected,
-    /// No answer in time; it may have run or may still be running.
+    /// There was no response in time; the attempt may have run, or may still be running.
     TimedOut,
-    /// No connection; it did not run.
+    /// No connection could be opened; the attempt did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent; it did not run.
+    /// The attempt was never sent, so that it did not run.
     NotSent,
 }
 
@@ -286,108 +292,109 @@
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
-    /// Which of its attempts.
+    /// The index of the attempt.
     pub attempt: AttemptNo,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long after it was sent.
+    /// The time since the attempt was sent, or since the last byte of a streamed request.
     pub elapsed: Micros,
-    /// Whether the request is finished.
+    /// Whether the client has its final answer, so that the request needs no further attempt.
     pub request_finished: bool,
 }
 
-/// What a node has seen of a server lately by its own requests, for others to be told.
+/// What a node's own recent requests have shown about a server; it is reported to other nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerObservation {
     /// The server.
     pub server: ServerId,
-    /// How surely it stalls, fails or is slow against what is usual, from 0 to 1.
+    /// How likely the server stalls, fails, or is unusually slow, from 0 to 1.
     pub suspicion: f64,
-    /// How many answers it gave lately; 0 if none came in the last second.
+    /// The number of recent responses; 0 if none arrived in the last second.
     pub recent_answers: u32,
-    /// How many requests the strength rests on.
+    /// The number of requests on which the suspicion is based.
     pub sample_count: u32,
 }
 
-/// What other nodes say of a server, weighed by how many say it and how far they are believed.
+/// How strongly other nodes suspect a server, weighted by their number and their credibility.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerSuspicion {
     /// The server.
     pub server: ServerId,
-    /// From 0 to 1.
+    /// The suspicion, from 0 to 1.
     pub level: f64,
 }
 
-/// What a node tells the module.
+/// What has happened at a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The whole list of servers; one that is missing is gone.
+    /// The complete server list; a server that it does not contain is gone.
     ServerList(Vec<ServerEntry>),
-    /// The whole list as held before the start; it may be old, and does not answer a call.
+    /// The complete server list from before the node's start. It may be outdated, and a node with
+    /// [`Discovery::Subscribed`] still has to subscribe.
     CachedServerList(Vec<ServerEntry>),
-    /// Changes to the list.
+    /// Changed entries of the server list.
     ServerChanges(Vec<ServerEntry>),
     /// A call to discovery failed, or the subscription broke.
     DiscoveryFailed,
-    /// A request has arrived; one final answer is owed from now on.
+    /// A request has arrived and needs one final answer.
     RequestArrived(Request),
-    /// A request has begun to arrive and is passed on as it comes. It has one attempt out at a time, and its client's
-    /// patience begins with its last byte: until [`Event::BodyReceived`] the times are a guess.
+    /// A request is arriving whose body is streamed to the server. It has at most one attempt in flight, and its
+    /// client's remaining time starts with the last byte: until [`Event::BodyReceived`] the times are estimates.
     StreamedRequestArrived(Request, Upload),
-    /// The last byte of such a request has come, and this is how long until its client gives up.
+    /// The last byte of a streamed request has arrived; the duration is the time until the client gives up.
     BodyReceived(RequestId, Micros),
-    /// Some of the body of such a request is gone: it can't be sent once more.
+    /// A part of a streamed body is no longer available, so that the request can't be sent again.
     BodyConsumed(RequestId),
-    /// The client has left; no answer is owed any more.
+    /// The client has left; the request needs no answer any more.
     ClientLeft(RequestId),
-    /// A streamed answer has begun; the attempt now belongs to the client.
+    /// A streamed response has started; its attempt is not cancelled from now on.
     ResponseStreamStarted(RequestId, AttemptNo),
-    /// An attempt has ended; each one sent does so once.
+    /// An attempt has ended. Each attempt that was sent ends once.
     AttemptEnded(AttemptEnd),
-    /// What other nodes say of servers: all of it. It has to be said again, else it is forgotten.
+    /// All current suspicions of other nodes. Unless they are repeated they expire.
     PeerSuspicions(Vec<PeerSuspicion>),
-    /// The number of nodes that share the work has changed, or this node's place among them.
+    /// The number of nodes that share the work, or this node's rank among them, has changed.
     FleetChanged {
-        /// How many nodes there are to reckon with.
+        /// The number of nodes.
         balancers: u32,
-        /// This node's place; it may lie beyond their number while some are away.
+        /// This node's rank; it may exceed the number of nodes while some are away.
         rank: u32,
     },
-    /// A wake-up asked for has come due.
+    /// A timer has fired, with the token of its [`Action::SetTimer`].
     TimerFired(u64),
 }
 
-/// What the module wants done.
+/// What the node has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start an attempt; it times out when the client gives up.
+    /// Send an attempt. It times out when the client gives up.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Until when its first byte may leave, by the clock of events: an earlier attempt may have run, and its
-        /// deduplication window closes then. One that could not begin by then ends as [`Outcome::NotSent`].
+        /// The time before which the first byte has to be sent, if any: an earlier attempt may have run, and its
+        /// deduplication window ends then. An attempt that can't start in time ends as [`Outcome::NotSent`].
         start_before: Option<Micros>,
     },
-    /// Final answer: turned away, and harmless to try again.
+    /// Final answer: the request is refused, and a repeat is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a repeat; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: the request has failed, and it may have run.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel(RequestId, AttemptNo),
-    /// Ask for [`Event::TimerFired`] with this token after this time.
+    /// Set a timer that leads to [`Event::TimerFired`].
     SetTimer {
-        /// How long from now.
+        /// The time from now.
         after: Micros,
-        /// What to be woken with.
+        /// The token of the event.
         token: u64,
     },
-    /// Ask discovery to send changes from now on.
+    /// Subscribe to changes at discovery.
     Subscribe,
 }
--- a/crates/cherryusher/src/lib.rs
+++ b/crates/cherryusher/src/lib.rs
@@ -1,9 +1,10 @@
 //! The decisions of a reverse proxy that spreads requests over HTTP servers.
 //!
-//! [`Balancer`] is built from [`Settings`] and a seed. A node tells it what happened as [`Event`]s,
-//! and carries out the [`Action`]s it answers with. It does no I/O and reads no clock.
+//! A [`Balancer`] makes the decisions of one node, that is, of one of the proxies that share the work. It is created
+//! from [`Settings`] and a random seed, receives [`Event`]s, and returns the [`Action`]s that the node has to carry
+//! out. It does no I/O and reads no clock.
 //!
-//! # A node of one's own
+//! # Example
 //!
 //! ```
 //! use cherryusher::*;
@@ -22,25 +23,31 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The list as last held; the clock is the node's own, in microseconds.
+//! // The server list that the node last had. Times are microseconds of the node's own clock.
 //! let servers = (1..=8).map(|id| ServerEntry { id, state: ServerState::Ready, ..ServerEntry::default() });
 //! balancer.handle(1_000, Event::CachedServerList(servers.collect()), &mut actions);
 //!
-//! // A request comes in; the node is told where to send it and when to wake the module again.
+//! // A request arrives. The actions say where to send it and which timers to set.
 //! let request = Request { id: 7, class: 0, remaining: 900_000, expected_work: None, key: None, tenant: None };
 //! balancer.handle(2_000, Event::RequestArrived(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 7, .. })));
 //! actions.clear();
 //!
-//! // The answer has gone to the client; nothing more is kept of the request.
-//! let ended = AttemptEnd { request: 7, attempt: 0, outcome: Outcome::Served, elapsed: 40_000, request_finished: true };
-//! balancer.handle(42_000, Event::AttemptEnded(ended), &mut actions);
+//! // The response has gone to the client, and the balancer drops the request.
+//! let end = AttemptEnd {
+//!     request: 7,
+//!     attempt: 0,
+//!     outcome: Outcome::Served,
+//!     elapsed: 40_000,
+//!     request_finished: true,
+//! };
+//! balancer.handle(42_000, Event::AttemptEnded(end), &mut actions);
 //! assert_eq!(balancer.tracked_requests(), 0);
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! What the node owes the module: each [`Action::Send`] is followed by one [`Event::AttemptEnded`]; the first
-//! answer goes to the client at once and finishes its request; time-outs are cut to the client's patience.
+//! The node has these duties: each [`Action::Send`] is followed by one [`Event::AttemptEnded`]; the first response
+//! goes to the client at once and finishes its request; timeouts of attempts end when the client gives up.
 
 pub mod api;
 pub mod labels;
@@ -53,34 +60,34 @@
 pub use policy::Balancer;
 
 impl Balancer {
-    /// How many requests it still keeps anything of: a gauge for the node that embeds it.
+    /// The number of requests about which any state is kept, as a gauge for the node.
     pub fn tracked_requests(&self) -> usize {
-        self.jobs.len()
+        self.requests.len()
     }
 
-    /// How many servers have been looked at to pick one, since the start: the cost of picks, told without a clock.
+    /// The number of servers examined to pick one, since the start: the cost of picks independent of a clock.
     pub fn servers_examined(&self) -> u64 {
-        self.steps
+        self.examined
     }
 
-    /// How many servers the list has, those that drain included.
+    /// The number of servers in the list, including those that drain.
     pub fn listed_servers(&self) -> usize {
         self.servers.iter().filter(|server| server.entry.state != ServerState::Gone).count()
     }
 
-    /// How many servers that take requests are avoided at this time: left alone after failures or refusals.
+    /// The number of ready servers that currently get no requests because of failures or refusals.
     pub fn ejected_servers(&self, now: Micros) -> usize {
         let ready = self.servers.iter().filter(|server| server.entry.state == ServerState::Ready);
-        ready.filter(|server| server.avoid_until.max(server.shut_until) > now).count()
+        ready.filter(|server| server.ejected_until.max(server.backoff_until) > now).count()
     }
 
-    /// What it has seen by itself, up to this time, of the servers that it sent to lately: for other nodes.
+    /// What this node's own requests have shown about the servers that it recently sent to, for other nodes.
     pub fn observations(&self, now: Micros) -> Vec<ServerObservation> {
-        self.seen(now)
+        self.observe(now)
     }
 
-    /// How many requests wait in the queue for a server with room: a gauge for the node that embeds it.
+    /// The number of requests queued until a server has capacity, as a gauge for the node.
     pub fn queued_requests(&self) -> usize {
-        self.jobs.values().filter(|job| job.held).count()
+        self.requests.values().filter(|req| req.queued).count()
     }
 }
--- a/crates/cherryusher/src/policy/attempts.rs
+++ b/crates/cherryusher/src/policy/attempts.rs
@@ -1,10 +1,11 @@
-//! Attempts: what may go again where (retries), second copies of what is overdue (hedging), giving up.
+//! Attempts: where a request may be retried, hedged requests for overdue attempts, and giving up.
 
 use super::*;
 
 impl Balancer {
-    pub(super) fn allowed(&self, job: &Job, to: &ServerEntry) -> bool {
-        let again = |a: &Attempt| match self.settings.classes[job.ask.class].idempotency {
+    /// Whether a further attempt of a request may be sent to a server, by the class's idempotency.
+    pub(super) fn allows(&self, req: &OpenRequest, to: &ServerEntry) -> bool {
+        let repeatable = |a: &Attempt| match self.settings.classes[req.info.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::Deduplicated { window, .. }
@@ -13,162 +14,168 @@
                 false
             }
             Idempotency::Deduplicated { scope: DedupScope::All, .. } => true,
-            Idempotency::Deduplicated { scope: DedupScope::Zone, .. } => a.to.zone == to.zone,
-            Idempotency::Deduplicated { scope: DedupScope::Cell, .. } => a.to.cell == to.cell,
+            Idempotency::Deduplicated { scope: DedupScope::Zone, .. } => a.server.zone == to.zone,
+            Idempotency::Deduplicated { scope: DedupScope::Cell, .. } => a.server.cell == to.cell,
         };
-        job.attempts.len() < usize::from(self.settings.max_attempts)
-            && (job.out() == 0 || self.settings.hedging && !job.in_part)
-            && !job.spent
-            && job.attempts.iter().all(|a| a.fate == Fate::NeverRan || again(a))
+        req.attempts.len() < usize::from(self.settings.max_attempts)
+            && (req.in_flight() == 0 || self.settings.hedging && !req.streamed)
+            && !req.body_consumed
+            && req.attempts.iter().all(|a| a.status == Status::NeverRan || repeatable(a))
     }
 
-    /// Whether any member of its pool may have the request.
-    fn anywhere(&self, job: &Job) -> bool {
-        let members = &self.pool(job.pool).members;
-        members.iter().any(|i| self.servers[*i].pool.is_some() && self.allowed(job, &self.servers[*i].entry))
+    /// Whether a further attempt may be sent to any member of the request's pool.
+    fn allowed_anywhere(&self, req: &OpenRequest) -> bool {
+        let members = &self.pool(req.pool).members;
+        members.iter().any(|i| self.servers[*i].pool.is_some() && self.allows(req, &self.servers[*i].entry))
     }
 
-    /// Until when it may go again: to the end of the first window of those attempts that may have run.
-    fn until(&self, job: &Job) -> Option<Micros> {
-        let Idempotency::Deduplicated { window, .. } = self.settings.classes[job.ask.class].idempotency
+    /// Until when a request may be sent again: the first end of its attempts' deduplication windows.
+    fn latest_start(&self, req: &OpenRequest) -> Option<Micros> {
+        let Idempotency::Deduplicated { window, .. } = self.settings.classes[req.info.class].idempotency
         else {
             return None;
         };
-        let ran = job.attempts.iter().filter(|a| a.fate != Fate::NeverRan);
+        let ran = req.attempts.iter().filter(|a| a.status != Status::NeverRan);
         ran.map(|a| a.sent_at.saturating_add(window).saturating_sub(self.settings.timer_resolution)).min()
     }
 
     pub(super) fn send(&mut self, id: RequestId, i: usize) {
-        let until = self.jobs.get(&id).and_then(|job| self.until(job));
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let start_before = self.requests.get(&id).and_then(|req| self.latest_start(req));
+        let Some(req) = self.requests.get_mut(&id) else { return };
         let server = &mut self.servers[i];
-        // One that was not tried for long goes by its own pace again.
-        let anew = server.pace != server.pace_at(self.now);
-        server.last_sent = self.now;
+        // The latency ratio of a server without recent attempts counts again from now on.
+        let ratio_changes = server.latency_ratio != server.latency_ratio_at(self.now);
+        server.last_sent_at = self.now;
         let entry = server.entry;
-        job.held = false;
-        let in_hand = !job.coming;
-        job.attempts.push(Attempt { to: entry, sent_at: self.now, fate: Fate::Out, in_hand });
-        self.actions.push(Action::Send { request: id, server: entry.id, start_before: until });
-        if in_hand {
-            self.in_hand(i);
+        req.queued = false;
+        let counted = !req.uploading;
+        req.attempts.push(Attempt { server: entry, sent_at: self.now, status: Status::InFlight, counted });
+        self.actions.push(Action::Send { request: id, server: entry.id, start_before });
+        if counted {
+            self.count_in_flight(i);
         }
-        if anew || self.servers[i].due <= self.now {
+        if ratio_changes || self.servers[i].next_update_at <= self.now {
             self.refresh(i);
         }
-        self.wake(id);
+        self.set_timer(id);
     }
 
-    /// A server has one more in hand.
-    pub(super) fn in_hand(&mut self, i: usize) {
+    pub(super) fn count_in_flight(&mut self, i: usize) {
         self.servers[i].in_flight += 1;
-        self.in_pools(i, |pool| pool.in_flight += 1);
+        self.update_pools(i, |pool| pool.in_flight += 1);
     }
 
-    /// When an attempt is overdue: a copy would just come within the aim, even at twice the usual time.
-    fn overdue_at(&self, job: &Job) -> Option<Micros> {
-        let usual = self.times[job.ask.class].usual;
-        let last = job.attempts.iter().rev().find(|a| a.fate == Fate::Out)?;
-        let age = (job.ask.aim_at.saturating_sub(last.sent_at) as f64 - 2.0 * usual).max(TIMELY * usual);
+    /// When an attempt is overdue: a hedge sent then is in time even if it takes twice the median latency.
+    fn overdue_at(&self, req: &OpenRequest) -> Option<Micros> {
+        let median = self.latencies[req.info.class].median;
+        let last = req.attempts.iter().rev().find(|a| a.status == Status::InFlight)?;
+        let age = (req.info.target_at.saturating_sub(last.sent_at) as f64 - 2.0 * median)
+            .max(LATENCY_MARGIN * median);
         Some(last.sent_at + age as Micros)
     }
 
-    /// Asks to be woken when the request next needs a look.
-    pub(super) fn wake(&mut self, id: RequestId) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        let hopeless = (job.ask.aim_at as f64 - TIMELY * self.times[job.ask.class].usual) as Micros;
-        let held = |at: Micros| job.held.then_some(at);
-        let times = [Some(job.give_up_at), self.overdue_at(job), held(hopeless), held(job.place_until)];
+    /// Sets a timer for when the request next needs a check.
+    pub(super) fn set_timer(&mut self, id: RequestId) {
+        let Some(req) = self.requests.get(&id) else { return };
+        let late_at =
+            (req.info.target_at as f64 - LATENCY_MARGIN * self.latencies[req.info.class].median) as Micros;
+        let queued = |at: Micros| req.queued.then_some(at);
+        let times = [Some(req.give_up_at), self.overdue_at(req), queued(late_at), queued(req.queue_until)];
         let next = times.into_iter().flatten().filter(|t| *t > self.now).min().unwrap_or(self.now);
-        if next > self.now && (job.wake_at <= self.now || next < job.wake_at) {
+        if next > self.now && (req.timer_at <= self.now || next < req.timer_at) {
             self.actions.push(Action::SetTimer { after: next - self.now, token: id });
-            self.change(id, |job| job.wake_at = next);
+            self.update_request(id, |req| req.timer_at = next);
         }
     }
 
-    pub(super) fn look_at(&mut self, id: RequestId) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        if job.done || job.wake_at > self.now {
+    /// Gives a request up if it can't be answered usefully any more, or hedges it if its attempt is overdue.
+    pub(super) fn check_request(&mut self, id: RequestId) {
+        let Some(req) = self.requests.get(&id) else { return };
+        if req.finished || req.timer_at > self.now {
             return;
         }
-        let worthless = !job.ask.in_share || self.settings.classes[job.ask.class].late_value_fraction == 0.0;
-        // To be told late that it was never sent costs a client more than a poor chance of a turn is worth.
-        let waited = self.now >= job.place_until && job.never_ran();
-        let late = self.too_late(&job.ask) && (worthless || waited);
-        let hopeless = self.everyone().members.is_empty() || late || waited && !job.ask.in_share;
-        if self.now >= job.give_up_at || job.held && hopeless {
+        let useless = !req.info.in_quota || self.settings.classes[req.info.class].late_value_fraction == 0.0;
+        // A late refusal of an unsent request costs its client more than a small chance to be sent is worth.
+        let waited = self.now >= req.queue_until && req.never_ran();
+        let late = self.would_be_late(&req.info) && (useless || waited);
+        let hopeless = self.ready_pool().members.is_empty() || late || waited && !req.info.in_quota;
+        if self.now >= req.give_up_at || req.queued && hopeless {
             return self.give_up(id);
         }
-        // A pausing server shows as an overdue attempt: a copy goes elsewhere if nothing waits. But copies of
-        // long requests lose the race and fill servers: unless a tenth win, half the pool has to be free.
-        let (pool, part) = (job.pool, if self.copies_win > 0.1 { 1.0 } else { LEND });
-        let overdue = !job.held && self.overdue_at(job).is_some_and(|t| t <= self.now);
-        if overdue && job.ask.in_share && self.held[pool].is_empty() && self.has_room(pool, part) {
+        // An overdue attempt may be at a pausing server: a hedge goes elsewhere if nothing is queued. Hedges
+        // of long requests lose and occupy servers: unless a tenth of them win, half of the pool has to be
+        // free.
+        let (pool, part) = (req.pool, if self.hedge_wins > 0.1 { 1.0 } else { LENDING_FILL });
+        let overdue = !req.queued && self.overdue_at(req).is_some_and(|t| t <= self.now);
+        if overdue && req.info.in_quota && self.queues[pool].is_empty() && self.has_capacity(pool, part) {
             self.pick(id, pool).into_iter().for_each(|server| self.send(id, server));
         }
-        self.wake(id);
+        self.set_timer(id);
     }
 
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
         let id = end.request;
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let out = |a: &&mut Attempt| a.fate == Fate::Out;
-        let Some(ended) = job.attempts.get_mut(usize::from(end.attempt)).filter(out) else { return };
-        ended.fate = if end.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-        job.done |= end.request_finished;
-        let (ask, to, in_hand) = (job.ask, ended.to, ended.in_hand);
-        if end.outcome == Outcome::Served && job.out() > 0 {
-            self.copies_win += STEP * (f64::from(u8::from(end.attempt > 0)) - self.copies_win);
+        let Some(req) = self.requests.get_mut(&id) else { return };
+        let in_flight = |a: &&mut Attempt| a.status == Status::InFlight;
+        let Some(ended) = req.attempts.get_mut(usize::from(end.attempt)).filter(in_flight) else {
+            return;
+        };
+        ended.status = if end.outcome.never_ran() { Status::NeverRan } else { Status::MayHaveRun };
+        req.finished |= end.request_finished;
+        let (info, to, counted) = (req.info, ended.server, ended.counted);
+        if end.outcome == Outcome::Served && req.in_flight() > 0 {
+            self.hedge_wins += STEP * (f64::from(u8::from(end.attempt > 0)) - self.hedge_wins);
         }
-        self.learn(ask, to.id, in_hand, end);
-        let job = &self.jobs[&id];
-        if job.done {
+        self.learn(info, to.id, counted, end);
+        let req = &self.requests[&id];
+        if req.finished {
             self.finish(id);
-        } else if job.out() == 0 && !job.held {
-            if !self.anywhere(job) || self.now >= job.give_up_at {
+        } else if req.in_flight() == 0 && !req.queued {
+            if !self.allowed_anywhere(req) || self.now >= req.give_up_at {
                 return self.give_up(id);
             }
-            self.held[job.pool].push(job.ask);
-            self.change(id, |job| job.held = true);
-            self.wake(id);
+            self.queues[req.pool].push(req.info);
+            self.update_request(id, |req| req.queued = true);
+            self.set_timer(id);
         }
         self.dispatch();
     }
 
-    pub(super) fn cancel_others(&mut self, id: RequestId, but: Option<AttemptNo>) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        for (n, attempt) in (0..).zip(&job.attempts) {
-            if self.settings.cancelling && attempt.fate == Fate::Out && but != Some(n) {
+    /// Cancels all attempts in flight except `keep`, if the settings allow that.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId, keep: Option<AttemptNo>) {
+        let Some(req) = self.requests.get(&id) else { return };
+        for (n, attempt) in (0..).zip(&req.attempts) {
+            if self.settings.cancelling && attempt.status == Status::InFlight && keep != Some(n) {
                 self.actions.push(Action::Cancel(id, n));
             }
         }
     }
 
-    /// The final answer: turned away where that is true and harmless, else failed.
+    /// Gives the final answer without a result: a refusal if a repeat is harmless, else a failure.
     pub(super) fn give_up(&mut self, id: RequestId) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        let harmless = match self.settings.classes[job.ask.class].idempotency {
+        let Some(req) = self.requests.get(&id) else { return };
+        let harmless = match self.settings.classes[req.info.class].idempotency {
             Idempotency::Idempotent | Idempotency::Deduplicated { scope: DedupScope::All, .. } => true,
-            _ => job.never_ran(),
+            _ => req.never_ran(),
         };
-        // What would come back into the same crowd, and too late, is asked to stay away.
-        let stay = !job.ask.in_share || job.never_ran() && self.too_late(&job.ask);
-        let retry_after = if stay { self.settings.max_retry_after } else { 0 };
+        // A repeat at once would come back into the same overload, and too late: the client is asked to wait.
+        let wait = !req.info.in_quota || req.never_ran() && self.would_be_late(&req.info);
+        let retry_after = if wait { self.settings.max_retry_after } else { 0 };
         let refusal = Action::Refuse { request: id, retry_after };
         self.actions.push(if harmless { refusal } else { Action::Fail(id) });
         self.finish(id);
     }
 
-    /// Nothing more is owed: lets go of the request once none of its attempts is out.
+    /// Marks a request as finished and cancels its attempts; it is dropped once none of them is in flight.
     pub(super) fn finish(&mut self, id: RequestId) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.done = true;
-        if std::mem::take(&mut job.held) {
-            self.held[job.pool].retain(|ask| ask.id != id);
+        let Some(req) = self.requests.get_mut(&id) else { return };
+        req.finished = true;
+        if std::mem::take(&mut req.queued) {
+            self.queues[req.pool].retain(|queued| queued.id != id);
         }
-        if job.out() == 0 {
-            self.jobs.remove(&id);
+        if req.in_flight() == 0 {
+            self.requests.remove(&id);
         }
-        self.cancel_others(id, None);
+        self.cancel_attempts(id, None);
     }
 }
--- a/crates/cherryusher/src/policy/mod.rs
+++ b/crates/cherryusher/src/policy/mod.rs
@@ -1,10 +1,10 @@
-//! Every decision of a node. Its types, events and actions are in `api.rs`.
-//! A tenant's label names a small pool of servers; of two random members the one with less of this node's
-//! own work gets the request. `docs/design.md` says what was added to that and why.
+//! The decisions of one node. Settings, events and actions are in `api.rs`.
+//! A tenant's label names a small pool of servers. Of two random members, the one with fewer of this node's
+//! own attempts in flight gets the request. The other modules refine that:
 //!
-//! `pools` says who is in which pool, `pick` draws two and takes one, `admission` keeps the queue and says
-//! what is let in, `attempts` sends, retries, hedges and gives up, `feedback` learns limits from outcomes,
-//! `peer_health` says what this node has seen and how far it goes by what others say.
+//! `pools` assigns servers to pools, `pick` selects a server, `admission` admits and queues requests,
+//! `attempts` sends, retries, hedges and gives up, `feedback` learns from outcomes and ejects servers,
+//! `peer_health` reports this node's view of servers and applies the suspicions of other nodes.
 
 mod admission;
 mod attempts;
@@ -19,31 +19,30 @@
 use crate::api::*;
 use crate::state::*;
 
-/// The token of wake-ups that are about discovery; no request has such a number.
-const ASK: u64 = u64::MAX;
-/// The token of wake-ups that look at held requests again.
-const LOOK: u64 = u64::MAX - 1;
-/// The token of wake-ups that build pools anew.
-const POOLS: u64 = u64::MAX - 2;
-/// The longest first wait before the list is asked for again, at least; it doubles with each failure.
-const ASK_AGAIN: Micros = 1_000_000;
-/// The longest wait at all where the service has time for it: a change counts as told 6 s after discovery
-/// had it and could be reached, whatever failed before, and a call may wait 2 s for its turn.
-const ASK_WITHIN: Micros = 4_000_000;
-/// What one call may take of a list service that answers one after the other: the first wait of all nodes is
-/// long enough for a call of each.
-const ASK_EACH: Micros = 50_000;
-/// The limit a server starts with, for the attempts of all nodes together; it never falls below this.
-const LIMIT_START: f64 = 2.0;
-/// What a tenant may send at once at a node that has seen none of its work: few nodes see it evenly.
-const DEPTH_LEAST: f64 = 4.0;
-/// How quick and how slow a server can be against the usual time.
-const PACES: (f64, f64) = (0.5, 4.0);
-/// A pool helps another one while less than this part of its room is filled.
-const LEND: f64 = 0.5;
-/// An answer is counted on within this multiple of the usual time; half of all take longer than usual.
-const TIMELY: f64 = 1.5;
-/// How far one outcome moves what is learned.
+/// The token of the timer that subscribes again. No request has one of these numbers as its id.
+const DISCOVERY_TIMER: u64 = u64::MAX;
+/// The token of the timer that looks at the queues again.
+const QUEUE_TIMER: u64 = u64::MAX - 1;
+/// The token of the timer that rebuilds the pools.
+const POOL_TIMER: u64 = u64::MAX - 2;
+/// The upper bound of the first wait after a failed call to discovery, for few nodes. It doubles each time.
+const DISCOVERY_BACKOFF: Micros = 1_000_000;
+/// The longest wait, for few nodes: a list change counts as delivered in time if it arrives within 6 s after
+/// discovery can be reached, and a call may wait 2 s for its turn.
+const MAX_DISCOVERY_BACKOFF: Micros = 4_000_000;
+/// The time per call of a discovery service; the first wait leaves enough for a call of each node in turn.
+const DISCOVERY_CALL_TIME: Micros = 50_000;
+/// A server's initial concurrency limit for the attempts of all nodes together; it never falls below this.
+const MIN_LIMIT: f64 = 2.0;
+/// The smallest burst of a tenant at one node: a tenant's requests are spread unevenly over the nodes.
+const MIN_BURST: f64 = 4.0;
+/// The lowest and the highest latency ratio of a server.
+const LATENCY_RATIOS: (f64, f64) = (0.5, 4.0);
+/// A pool accepts requests of other pools while less than this part of its capacity is in use.
+const LENDING_FILL: f64 = 0.5;
+/// An answer is expected within this multiple of the median latency, which half of all answers exceed.
+const LATENCY_MARGIN: f64 = 1.5;
+/// The relative step by which one outcome changes a learned value.
 const STEP: f64 = 0.05;
 
 /// The decision module of one node.
@@ -52,143 +51,148 @@
     now: Micros,
     actions: Vec<Action>,
     random: fastrand::Rng,
-    /// Spreads tenants over labels; what each label's tenants have a share in.
+    /// The salt with which tenants are hashed to labels, and the sum of the tenants' shares by label.
     salt: u64,
-    shares: Vec<f64>,
-    /// Servers by slot, the slots by id, and those that are free again.
+    label_shares: Vec<f64>,
+    /// Servers by slot, the slots by server id, and the free slots.
     pub(crate) servers: Vec<Server>,
     slots: HashMap<ServerId, usize>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     kind_sizes: BTreeMap<u8, f64>,
-    /// One a label, the unlabelled one, and one of all ready servers.
+    /// One pool per label, the unlabelled pool, and the pool of all ready servers.
     pools: Vec<Pool>,
-    /// When the pools were last built, and whether the list has changed since.
+    /// When the pools were last built, and whether the server list has changed since.
     built_at: Micros,
     stale: bool,
-    /// Whether a wake-up for building them was asked for.
-    build_asked: bool,
-    /// When a server's place in its pool's sums changes by itself.
-    dues: BinaryHeap<Reverse<(Micros, usize)>>,
-    pub(crate) jobs: BTreeMap<RequestId, Job>,
-    held: Vec<Vec<Ask>>,
-    buckets: Vec<Bucket>,
-    times: Vec<Times>,
-    waits: Waits,
+    rebuild_scheduled: bool,
+    /// When the contributions of servers change through time alone, and the servers' slots.
+    updates: BinaryHeap<Reverse<(Micros, usize)>>,
+    pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
+    queues: Vec<Vec<RequestInfo>>,
+    buckets: Vec<TokenBucket>,
+    latencies: Vec<LatencyEstimate>,
+    queueing_delay: QueueingDelay,
+    /// The concurrency limit of a server of mean size, for the attempts of all nodes together.
     limit: f64,
-    needed: Fading,
-    failed_asks: u32,
-    copies_win: f64,
-    /// Whether others said anything against a server when they were last heard, and when that was.
-    doubting: bool,
-    heard_at: Micros,
-    looking: bool,
-    /// How many servers were looked at for picks.
-    pub(crate) steps: u64,
+    /// The baseline latencies of answers within quotas; their rate is the concurrency needed.
+    needed: DecayingSum,
+    discovery_failures: u32,
+    /// The recent part of hedged requests whose first answer came from a later attempt.
+    hedge_wins: f64,
+    /// Whether the last report of other nodes named any suspicion, and when suspicions last changed.
+    any_suspicion: bool,
+    suspicions_at: Micros,
+    queue_timer_set: bool,
+    pub(crate) examined: u64,
 }
 
 impl Balancer {
-    /// Builds a node's module; its first event should be the list the node last held.
+    /// Creates a node's decision module. Its first event should be the server list that the node last had.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         settings.check()?;
-        let times = settings.classes.iter().map(|c| Times::guess(c.target_latency as f64 / 4.0)).collect();
-        let part = |t: &Tenant| t.quota_per_s / f64::from(settings.balancers);
+        let latencies =
+            settings.classes.iter().map(|c| LatencyEstimate::guess(c.target_latency as f64 / 4.0)).collect();
+        let rate = |t: &Tenant| t.quota_per_s / f64::from(settings.balancers);
         let buckets =
-            settings.tenants.iter().map(|t| Bucket::full(part(t), part(t).max(DEPTH_LEAST))).collect();
+            settings.tenants.iter().map(|t| TokenBucket::full(rate(t), rate(t).max(MIN_BURST))).collect();
         let labels = usize::from(settings.labels);
-        // Of a few salts, the one that spreads the tenants' shares most evenly over the labels.
-        let heaviest = |s: &u64| pools::shares(&settings, *s).into_iter().fold(0.0, f64::max);
-        let salt = (0..64).min_by(|a, b| heaviest(a).total_cmp(&heaviest(b))).unwrap_or(0);
+        // Of 64 salts, the one that spreads the tenants' shares most evenly over the labels.
+        let largest = |s: &u64| pools::label_shares(&settings, *s).into_iter().fold(0.0, f64::max);
+        let salt = (0..64).min_by(|a, b| largest(a).total_cmp(&largest(b))).unwrap_or(0);
         Ok(Balancer {
             now: 0,
             actions: Vec::new(),
             random: fastrand::Rng::with_seed(seed),
             salt,
-            shares: pools::shares(&settings, salt),
+            label_shares: pools::label_shares(&settings, salt),
             servers: Vec::new(),
             slots: HashMap::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             kind_sizes: BTreeMap::new(),
             pools: (0..labels + 2).map(|_| Pool::default()).collect(),
             built_at: 0,
             stale: false,
-            build_asked: false,
-            dues: BinaryHeap::new(),
-            jobs: BTreeMap::new(),
-            held: vec![Vec::new(); labels + 1],
+            rebuild_scheduled: false,
+            updates: BinaryHeap::new(),
+            requests: BTreeMap::new(),
+            queues: vec![Vec::new(); labels + 1],
             buckets,
-            times,
-            waits: Waits::default(),
-            limit: LIMIT_START,
-            needed: Fading::default(),
-            failed_asks: 0,
-            copies_win: 0.0,
-            doubting: false,
-            heard_at: 0,
-            looking: false,
-            steps: 0,
+            latencies,
+            queueing_delay: QueueingDelay::default(),
+            limit: MIN_LIMIT,
+            needed: DecayingSum::default(),
+            discovery_failures: 0,
+            hedge_wins: 0.0,
+            any_suspicion: false,
+            suspicions_at: 0,
+            queue_timer_set: false,
+            examined: 0,
             settings,
         })
     }
 
-    /// Takes in what happened and appends what is to be done about it.
+    /// Processes an event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        // A clock that runs backwards must not wrap differences around.
+        // If the clock runs backwards, time differences must not wrap around.
         self.now = self.now.max(now);
-        self.pass_time();
+        self.apply_updates();
         match event {
             Event::ServerList(list) => self.list_changed(list, true),
             Event::ServerChanges(list) => self.list_changed(list, false),
             Event::CachedServerList(list) => {
                 self.list_changed(list, true);
-                self.ask();
+                self.subscribe();
             }
-            Event::DiscoveryFailed => self.ask_later(),
-            Event::RequestArrived(request) => self.arrived(request, None),
-            Event::StreamedRequestArrived(request, upload) => self.arrived(request, Some(upload)),
-            Event::BodyReceived(id, remaining) => self.came_whole(id, remaining),
-            Event::BodyConsumed(id) => self.change(id, |job| job.spent = true),
+            Event::DiscoveryFailed => self.subscribe_later(),
+            Event::RequestArrived(request) => self.request_arrived(request, None),
+            Event::StreamedRequestArrived(request, upload) => self.request_arrived(request, Some(upload)),
+            Event::BodyReceived(id, remaining) => self.body_received(id, remaining),
+            Event::BodyConsumed(id) => self.update_request(id, |req| req.body_consumed = true),
             Event::ClientLeft(id) => self.finish(id),
             Event::ResponseStreamStarted(id, attempt) => {
-                self.change(id, |job| job.done = true);
-                self.cancel_others(id, Some(attempt));
+                self.update_request(id, |req| req.finished = true);
+                self.cancel_attempts(id, Some(attempt));
             }
-            Event::AttemptEnded(ended) => self.attempt_ended(ended),
-            Event::PeerSuspicions(doubts) => self.heard(&doubts),
+            Event::AttemptEnded(end) => self.attempt_ended(end),
+            Event::PeerSuspicions(suspicions) => self.set_suspicions(&suspicions),
             Event::FleetChanged { balancers, rank } => self.fleet_changed(balancers, rank),
-            Event::TimerFired(ASK) => self.ask(),
-            Event::TimerFired(LOOK) => {
-                self.looking = false;
+            Event::TimerFired(DISCOVERY_TIMER) => self.subscribe(),
+            Event::TimerFired(QUEUE_TIMER) => {
+                self.queue_timer_set = false;
                 self.dispatch();
             }
-            Event::TimerFired(POOLS) => {
-                self.build_asked = false;
-                self.build_if_due();
+            Event::TimerFired(POOL_TIMER) => {
+                self.rebuild_scheduled = false;
+                self.rebuild_if_due();
                 self.dispatch();
             }
-            Event::TimerFired(id) => self.look_at(id),
+            Event::TimerFired(id) => self.check_request(id),
         }
         actions.append(&mut self.actions);
     }
 
-    fn ask(&mut self) {
-        let asked = self.settings.discovery != Discovery::Pushed;
-        self.actions.extend(asked.then_some(Action::Subscribe));
+    fn subscribe(&mut self) {
+        let by_subscription = self.settings.discovery != Discovery::Pushed;
+        self.actions.extend(by_subscription.then_some(Action::Subscribe));
     }
 
-    /// Asks again after a wait that is drawn from a span which doubles: nodes that failed together come
-    /// back spread over the whole of it, so that a service which takes few at a time is neither idle nor
-    /// swamped. Never less often than the rules want.
-    fn ask_later(&mut self) {
+    /// Subscribes again after a random wait whose upper bound doubles with each failure: nodes that failed at
+    /// the same time come back spread over the range, so that a small service is neither idle nor overloaded.
+    /// The wait stays below the longest interval that the settings allow.
+    fn subscribe_later(&mut self) {
         let Discovery::Subscribed { max_retry_interval } = self.settings.discovery else { return };
-        let longest = ASK_AGAIN.max(ASK_EACH * u64::from(self.settings.balancers));
-        let most = ASK_WITHIN.max(longest / 2 * 3).min(max_retry_interval / 4 * 3);
-        let longest = (longest << self.failed_asks.min(3)).min(most).max(8);
-        self.failed_asks += 1;
+        let longest = DISCOVERY_BACKOFF.max(DISCOVERY_CALL_TIME * u64::from(self.settings.balancers));
+        let max = MAX_DISCOVERY_BACKOFF.max(longest / 2 * 3).min(max_retry_interval / 4 * 3);
+        let longest = (longest << self.discovery_failures.min(3)).min(max).max(8);
+        self.discovery_failures += 1;
         let least = longest / 8;
-        self.actions.push(Action::SetTimer { after: least + self.random.u64(..longest - least), token: ASK });
+        self.actions.push(Action::SetTimer {
+            after: least + self.random.u64(..longest - least),
+            token: DISCOVERY_TIMER,
+        });
     }
 
-    fn change(&mut self, id: RequestId, how: impl FnOnce(&mut Job)) {
-        self.jobs.get_mut(&id).map(how);
+    fn update_request(&mut self, id: RequestId, update: impl FnOnce(&mut OpenRequest)) {
+        self.requests.get_mut(&id).map(update);
     }
 }
--- a/crates/cherryusher/src/policy/peer_health.rs
+++ b/crates/cherryusher/src/policy/peer_health.rs
@@ -1,157 +1,158 @@
-//! What nodes tell each other: what this one has seen of servers, and what the word of others does here.
+//! Health reports between nodes: what this node observes, and how suspicions of other nodes count here.
 //!
-//! Hearsay alone never takes a server out of use: it lowers its part of the work, to a quarter at most, and
-//! makes own silent attempts count for more. Own answers that come as usual speak against it. Nothing of what
-//! is told on comes from hearsay, so that a rumour does not feed itself.
+//! Suspicions of other nodes alone never eject a server. They reduce its part of the work, at most to a
+//! quarter, and make own unanswered attempts count for more. Normal answers to this node count against them.
+//! Observations never include what other nodes reported, so that a false suspicion can't sustain itself.
 
 use super::*;
 
-/// The part of its work that a server loses to the most doubt.
-const DOUBT_MOST: f64 = 0.75;
-/// That much of the doubt counts against own answers that come as usual.
-const OWN_PROOF: f64 = 0.5;
-/// For how long a server is left alone after an own attempt there was silent, at the most doubt (outlier
-/// ejection).
-const STAY: f64 = 2_000_000.0;
-/// For how long hearsay counts that is not said again.
-const HEARSAY: Micros = 3_000_000;
-/// Answers are lately while the last one is younger than this; and so many of them prove something.
-const LATELY: Micros = 1_000_000;
-const PROOF: f64 = 4.0;
-/// From and to which multiple of the usual time an attempt is more and more silent, while nothing else comes
-/// from its server.
-const SILENT: (f64, f64) = (4.0, 8.0);
-/// From and to which pace a server is more and more suspect; how many failures beyond the usual make it
-/// wholly so.
-const SLOW: (f64, f64) = (1.5, 3.5);
-const FAILS: f64 = 4.0;
+/// The part of its work that a server loses at full suspicion.
+const MAX_WORK_LOSS: f64 = 0.75;
+/// The factor on the suspicion of a server that answers this node normally.
+const OWN_FACTOR: f64 = 0.5;
+/// How long a fully suspect server is ejected after an unanswered attempt, in microseconds.
+const SILENCE_EJECTION_US: f64 = 2_000_000.0;
+/// How long a suspicion counts that is not reported again.
+const SUSPICION_TTL: Micros = 3_000_000;
+/// Answers count as recent while the last one is younger than this.
+const RECENT_ANSWER: Micros = 1_000_000;
+/// The number of recent answers that show a server to be healthy.
+const MIN_ANSWERS: f64 = 4.0;
+/// The multiples of the median latency between which an attempt counts more and more as unanswered.
+const SILENCE_RANGE: (f64, f64) = (4.0, 8.0);
+/// The latency ratios between which a server becomes more and more suspect.
+const SLOW_RANGE: (f64, f64) = (1.5, 3.5);
+/// The number of excess failures that make a server fully suspect.
+const SUSPECT_FAILURES: f64 = 4.0;
 
 impl Balancer {
-    /// Takes in all that others say; of whom nothing is said there is no doubt.
-    pub(super) fn heard(&mut self, doubts: &[PeerSuspicion]) {
-        if doubts.is_empty() && !self.doubting {
+    /// Takes over the suspicions of all other nodes. A server that they do not name is not suspect.
+    pub(super) fn set_suspicions(&mut self, suspicions: &[PeerSuspicion]) {
+        if suspicions.is_empty() && !self.any_suspicion {
             return;
         }
-        self.doubting = !doubts.is_empty();
-        self.servers.iter_mut().for_each(|s| s.doubt = 0.0);
-        for told in doubts {
-            if let Some(i) = self.find(told.server) {
+        self.any_suspicion = !suspicions.is_empty();
+        self.servers.iter_mut().for_each(|s| s.suspicion = 0.0);
+        for reported in suspicions {
+            if let Some(i) = self.slot_of(reported.server) {
                 let server = &mut self.servers[i];
-                // What is no number is no doubt.
-                server.doubt = if told.level > 0.0 { told.level.min(1.0) } else { 0.0 };
-                server.doubted_at = self.now;
+                // NaN counts as no suspicion.
+                server.suspicion = if reported.level > 0.0 { reported.level.min(1.0) } else { 0.0 };
+                server.suspected_at = self.now;
             }
         }
-        self.heard_at = self.now;
+        self.suspicions_at = self.now;
         for p in 0..self.pools.len() {
             let members = &self.pools[p].members;
-            let sum: f64 = members.iter().map(|i| self.servers[*i].doubt).sum();
-            self.pools[p].doubt = sum / members.len().max(1) as f64;
+            let sum: f64 = members.iter().map(|i| self.servers[*i].suspicion).sum();
+            self.pools[p].suspicion = sum / members.len().max(1) as f64;
         }
     }
 
-    /// The part of its draws that a server keeps for what others say, from a quarter to all. Comparisons go
-    /// by own counts alone: there a little doubt would lose every tie.
+    /// The factor on a server's draw weight for suspicions, from a quarter to 1. Load comparisons use this
+    /// node's counts alone: there, a small suspicion would lose every tie.
     pub(super) fn trust(&self, i: usize) -> f64 {
-        1.0 - DOUBT_MOST * self.doubt(i).max(self.doubt_around(i))
+        1.0 - MAX_WORK_LOSS * self.suspicion(i).max(self.suspicion_of_others(i))
     }
 
-    /// A starting server gains nothing from doubts about the others: they would push it over.
-    fn doubt_around(&self, i: usize) -> f64 {
+    /// The mean suspicion around a server that warms up: work that it gains from others would overload it.
+    fn suspicion_of_others(&self, i: usize) -> f64 {
         let s = &self.servers[i];
-        if self.now.saturating_sub(self.heard_at) >= HEARSAY || self.ramp(&s.entry) >= 1.0 {
+        if self.now.saturating_sub(self.suspicions_at) >= SUSPICION_TTL || self.warm_part(&s.entry) >= 1.0 {
             return 0.0;
         }
-        s.pool.map_or(0.0, |p| self.pools[p].doubt).max(self.everyone().doubt)
+        s.pool.map_or(0.0, |p| self.pools[p].suspicion).max(self.ready_pool().suspicion)
     }
 
-    /// What is left of what others say, after its age and what own answers say against it.
-    fn doubt(&self, i: usize) -> f64 {
+    /// The suspicion of other nodes against a server, after its age and this node's own answers.
+    fn suspicion(&self, i: usize) -> f64 {
         let s = &self.servers[i];
-        if s.doubt == 0.0 || self.now.saturating_sub(s.doubted_at) >= HEARSAY {
+        if s.suspicion == 0.0 || self.now.saturating_sub(s.suspected_at) >= SUSPICION_TTL {
             return 0.0;
         }
-        let counts = if self.proves(i) && s.pace_at(self.now) < SLOW.0 { OWN_PROOF } else { 1.0 };
-        s.doubt * counts
+        let factor =
+            if self.answering(i) && s.latency_ratio_at(self.now) < SLOW_RANGE.0 { OWN_FACTOR } else { 1.0 };
+        s.suspicion * factor
     }
 
-    /// Whether its own answers tell of a server now.
-    fn proves(&self, i: usize) -> bool {
+    /// Whether a server has answered this node often enough lately to count as healthy.
+    fn answering(&self, i: usize) -> bool {
         let s = &self.servers[i];
-        self.now.saturating_sub(s.answered_at) < LATELY && s.answers.now(self.now) >= PROOF
+        self.now.saturating_sub(s.last_answer_at) < RECENT_ANSWER && s.answers.at(self.now) >= MIN_ANSWERS
     }
 
-    /// How silent a server is, by an attempt that was out from then until now, from 0 to 1.
-    fn quiet(&self, class: usize, to: ServerId, now: Micros, sent_at: Micros) -> f64 {
-        let usual = self.times[class].usual.max(1.0);
-        let since = self.find(to).map_or(sent_at, |i| self.servers[i].answered_at.max(sent_at));
-        let waited = now.saturating_sub(since) as f64 / usual;
-        if waited < SILENT.0 { 0.0 } else { (waited / SILENT.1).min(1.0) }
+    /// How clearly an attempt in flight from `sent_at` to `now` counts as unanswered, from 0 to 1.
+    fn silence(&self, class: usize, to: ServerId, now: Micros, sent_at: Micros) -> f64 {
+        let median = self.latencies[class].median.max(1.0);
+        let since = self.slot_of(to).map_or(sent_at, |i| self.servers[i].last_answer_at.max(sent_at));
+        let waited = now.saturating_sub(since) as f64 / median;
+        if waited < SILENCE_RANGE.0 { 0.0 } else { (waited / SILENCE_RANGE.1).min(1.0) }
     }
 
-    /// An attempt has ended: what was given up in silence is kept in mind, an answer ends that. Where others
-    /// say the same of a server, one own silence is enough to leave it alone for a while.
-    pub(super) fn hushed(&mut self, i: usize, class: usize, end: &AttemptEnd) {
+    /// Remembers an attempt that was given up unanswered until the next answer. If other nodes suspect the
+    /// server too, one such attempt is enough to eject it for a while.
+    pub(super) fn learn_silence(&mut self, i: usize, class: usize, end: &AttemptEnd) {
         let (now, id) = (self.now, self.servers[i].entry.id);
         match end.outcome {
-            Outcome::Served => self.servers[i].silences = Fading::default(),
+            Outcome::Served => self.servers[i].silences = DecayingSum::default(),
             Outcome::Cancelled | Outcome::TimedOut => {
-                let quiet = self.quiet(class, id, now, now.saturating_sub(end.elapsed));
-                let stay = quiet * self.doubt(i) * STAY;
+                let silence = self.silence(class, id, now, now.saturating_sub(end.elapsed));
+                let ejection = silence * self.suspicion(i) * SILENCE_EJECTION_US;
                 let server = &mut self.servers[i];
-                server.silences.add(now, quiet);
-                server.avoid_until = server.avoid_until.max(now + stay as Micros);
+                server.silences.add(now, silence);
+                server.ejected_until = server.ejected_until.max(now + ejection as Micros);
             }
             _ => {}
         }
     }
 
-    /// What this node has seen of the servers that it sent to lately.
-    pub(crate) fn seen(&self, now: Micros) -> Vec<ServerObservation> {
-        let mut silent: HashMap<ServerId, (u32, f64)> = HashMap::new();
-        for job in self.jobs.values() {
-            for a in job.attempts.iter().filter(|a| a.fate == Fate::Out && a.in_hand) {
-                let quiet = self.quiet(job.ask.class, a.to.id, now, a.sent_at);
-                let (count, sum) = silent.entry(a.to.id).or_default();
-                (*count, *sum) = (*count + u32::from(quiet > 0.0), *sum + quiet);
+    /// What this node has observed of the servers that it recently sent attempts to.
+    pub(crate) fn observe(&self, now: Micros) -> Vec<ServerObservation> {
+        let mut unanswered: HashMap<ServerId, (u32, f64)> = HashMap::new();
+        for req in self.requests.values() {
+            for a in req.attempts.iter().filter(|a| a.status == Status::InFlight && a.counted) {
+                let silence = self.silence(req.info.class, a.server.id, now, a.sent_at);
+                let (count, sum) = unanswered.entry(a.server.id).or_default();
+                (*count, *sum) = (*count + u32::from(silence > 0.0), *sum + silence);
             }
         }
-        let members = self.everyone().members.iter().filter(|i| self.servers[**i].pool.is_some());
-        let sight = |i: usize| {
+        let members = self.ready_pool().members.iter().filter(|i| self.servers[**i].pool.is_some());
+        let observation = |i: usize| {
             let s = &self.servers[i];
-            let (quiet, sum) = silent.get(&s.entry.id).copied().unwrap_or_default();
-            let silences = s.silences.now(now);
-            let (answers, excess) = (s.answers.now(now), self.excess(i));
-            // A starting server is slow for a reason that all know.
-            let slow = (s.pace_at(now) * self.ramp(&s.entry) - SLOW.0) / (SLOW.1 - SLOW.0);
-            let suspicion = slow.max(sum + silences).max(excess / FAILS).clamp(0.0, 1.0);
-            let lately = now.saturating_sub(s.answered_at) < LATELY;
+            let (count, sum) = unanswered.get(&s.entry.id).copied().unwrap_or_default();
+            let silences = s.silences.at(now);
+            let (answers, excess) = (s.answers.at(now), self.excess_failures(i));
+            // That a server is slow while it warms up is no cause for suspicion.
+            let slow = (s.latency_ratio_at(now) * self.warm_part(&s.entry) - SLOW_RANGE.0)
+                / (SLOW_RANGE.1 - SLOW_RANGE.0);
+            let suspicion = slow.max(sum + silences).max(excess / SUSPECT_FAILURES).clamp(0.0, 1.0);
+            let recent = now.saturating_sub(s.last_answer_at) < RECENT_ANSWER;
             ServerObservation {
                 server: s.entry.id,
                 suspicion,
-                recent_answers: if lately { answers as u32 } else { 0 },
-                sample_count: quiet + (answers + excess + silences) as u32,
+                recent_answers: if recent { answers as u32 } else { 0 },
+                sample_count: count + (answers + excess + silences) as u32,
             }
         };
-        let tried = |i: &usize| {
+        let recently_used = |i: &usize| {
             let s = &self.servers[*i];
-            s.in_flight > 0 || now.saturating_sub(s.last_sent) < MEMORY as Micros
+            s.in_flight > 0 || now.saturating_sub(s.last_sent_at) < DECAY_US as Micros
         };
-        members.copied().filter(tried).map(sight).collect()
+        members.copied().filter(recently_used).map(observation).collect()
     }
 
-    /// The work is shared by another number of nodes from now on.
+    /// Changes the number of nodes that share the work, and this node's rank among them.
     pub(super) fn fleet_changed(&mut self, balancers: u32, rank: u32) {
         if balancers == 0 || (balancers, rank) == (self.settings.balancers, self.settings.rank) {
             return;
         }
         (self.settings.balancers, self.settings.rank) = (balancers, rank);
         for (tenant, bucket) in self.settings.tenants.iter().zip(&mut self.buckets) {
-            let part = tenant.quota_per_s / f64::from(balancers);
-            bucket.change(self.now, part, part.max(DEPTH_LEAST));
+            let rate = tenant.quota_per_s / f64::from(balancers);
+            bucket.resize(self.now, rate, rate.max(MIN_BURST));
         }
         self.stale = true;
-        self.build_if_due();
+        self.rebuild_if_due();
         self.dispatch();
     }
 }
--- a/crates/cherryusher/src/policy/pick.rs
+++ b/crates/cherryusher/src/policy/pick.rs
@@ -1,54 +1,57 @@
-//! The power of two choices: two members of a pool, drawn by what they carry, and the less loaded of them.
+//! Power of two choices: two members of a pool are drawn by weight, and the less loaded one is picked.
 //!
-//! Small pools are looked through. Of large ones members are drawn from a table in constant time, and drawn
-//! again if they do not fit: that comes to the same distribution (sampling with rejection; successive draws
-//! without replacement are what ranking by exponential variables does). After a bounded number of draws the
-//! pool is looked through all the same, so that whoever fits is found.
+//! Small pools are scanned. From large pools members are drawn from a table in constant time, and drawn again
+//! if they are no candidates. Both ways give the same distribution: this is rejection sampling, and
+//! successive draws without replacement are equivalent to ranking by exponential variables. After a bounded
+//! number of draws a large pool is scanned too, so that any candidate is found.
 
 use super::*;
 
-/// A pool of up to this many members is looked through.
-const SCAN_MOST: usize = 32;
-/// The most draws for one pick.
-const DRAWS: u64 = 64;
+/// The largest pool that is scanned at once.
+const MAX_SCAN: usize = 32;
+/// The most draws from the table for one pick.
+const MAX_DRAWS: u64 = 64;
 
-/// Two members that fit, or one, and how many were looked at.
+/// Two candidates, only one, or none, and the number of servers examined.
 pub(crate) type Drawn = (Option<(usize, Option<usize>)>, u64);
 
 impl Balancer {
-    /// The less loaded of two random members that have room.
+    /// The less loaded of two random members of a pool that can take a request.
     pub(super) fn pick(&mut self, id: RequestId, pool: usize) -> Option<usize> {
-        let chance = self.random.u64(..);
-        let (drawn, steps) = self.draw(id, pool, chance, SCAN_MOST);
-        self.steps += steps;
+        let seed = self.random.u64(..);
+        let (drawn, examined) = self.draw(id, pool, seed, MAX_SCAN);
+        self.examined += examined;
         let (first, second) = drawn?;
-        let loads = |i: &usize, j: &usize| self.load(*i).total_cmp(&self.load(*j));
-        [Some(first), second].into_iter().flatten().min_by(loads)
+        let by_load = |i: &usize, j: &usize| self.load(*i).total_cmp(&self.load(*j));
+        [Some(first), second].into_iter().flatten().min_by(by_load)
     }
 
-    /// Draws two members of a pool that fit a request.
-    pub(crate) fn draw(&self, id: RequestId, pool: usize, chance: u64, scan_most: usize) -> Drawn {
-        let (job, own) = (&self.jobs[&id], pool == self.jobs[&id].pool);
+    /// Draws two members of a pool that can take a request. Pools of up to `max_scan` members are scanned.
+    pub(crate) fn draw(&self, id: RequestId, pool: usize, seed: u64, max_scan: usize) -> Drawn {
+        let (req, own) = (&self.requests[&id], pool == self.requests[&id].pool);
         let pool = self.pool(pool);
-        let lends = if own { 1.0 } else { self.lends(pool) };
-        let heed = pool.avoided * 2 <= pool.members.len();
-        let open = |i: usize| self.servers[i].shut_until <= self.now;
-        // Where all refuse, it may be the node's own way to them that is cut.
-        let none_open = !pool.members.iter().any(|i| open(*i));
-        let fits = |i: usize| (none_open || open(i)) && self.fits(job, i, (heed, lends));
-        // Where crossing zones has a price, work stays in the own zone while the node sees room there.
-        let stays = self.settings.cross_zone_price > 0.0 && self.blindness() == 0.0;
-        let home = |i: usize| !stays || self.servers[i].entry.zone == self.settings.zone;
-        let key = job.key.filter(|_| self.settings.key_affinity);
-        if pool.members.len() <= scan_most || key.is_some() {
-            return self.look_through(pool, key.unwrap_or(chance), &fits, &home);
+        let lent = if own { 1.0 } else { self.lending_part(pool) };
+        let skip_ejected = pool.ejected * 2 <= pool.members.len();
+        let accepts = |i: usize| self.servers[i].backoff_until <= self.now;
+        // If all members refuse, the cause may be this node's own network.
+        let all_refuse = !pool.members.iter().any(|i| accepts(*i));
+        let fits = |i: usize| (all_refuse || accepts(i)) && self.is_candidate(req, i, (skip_ejected, lent));
+        // If crossing zones has a price, requests stay in the node's zone while it sees capacity there.
+        let stay_in_zone = self.settings.cross_zone_price > 0.0 && self.uncertainty() == 0.0;
+        let in_zone = |i: usize| !stay_in_zone || self.servers[i].entry.zone == self.settings.zone;
+        let key = req.key.filter(|_| self.settings.key_affinity);
+        if pool.members.len() <= max_scan || key.is_some() {
+            return self.scan(pool, key.unwrap_or(seed), &fits, &in_zone);
         }
-        let mut random = fastrand::Rng::with_seed(chance);
+        let mut random = fastrand::Rng::with_seed(seed);
         let mut first = None;
-        for draws in 1..=DRAWS {
+        for draws in 1..=MAX_DRAWS {
             let i = pool.members[pool.table.draw(random.f64())];
-            let slower = self.servers[i].pace_at(self.now) / PACES.0 / self.warmth(i) / self.trust(i);
-            if first == Some(i) || random.f64() * slower >= 1.0 || !home(i) || !fits(i) {
+            let slower = self.servers[i].latency_ratio_at(self.now)
+                / LATENCY_RATIOS.0
+                / self.warm_up_weight(i)
+                / self.trust(i);
+            if first == Some(i) || random.f64() * slower >= 1.0 || !in_zone(i) || !fits(i) {
                 continue;
             }
             match first {
@@ -56,72 +59,75 @@
                 Some(first) => return (Some((first, Some(i))), draws),
             }
         }
-        let (drawn, steps) = self.look_through(pool, chance, &fits, &home);
-        (drawn, steps + DRAWS)
+        let (drawn, examined) = self.scan(pool, seed, &fits, &in_zone);
+        (drawn, examined + MAX_DRAWS)
     }
 
-    /// Ranks all members that fit.
-    fn look_through(
+    /// Ranks all candidates of a pool.
+    fn scan(
         &self,
         pool: &Pool,
-        by: u64,
+        hash_key: u64,
         fits: &impl Fn(usize) -> bool,
-        home: &impl Fn(usize) -> bool,
+        in_zone: &impl Fn(usize) -> bool,
     ) -> Drawn {
-        let mut fit: Vec<usize> = pool.members.iter().copied().filter(|i| fits(*i)).collect();
-        if fit.iter().any(|i| home(*i)) {
-            fit.retain(|i| home(*i));
+        let mut candidates: Vec<usize> = pool.members.iter().copied().filter(|i| fits(*i)).collect();
+        if candidates.iter().any(|i| in_zone(*i)) {
+            candidates.retain(|i| in_zone(*i));
         }
-        // Each is as likely as it has capacity: most nodes hold nothing at either of the two, and comparing
-        // sizes alone would send nearly all to the largest. Where servers are warm for keys they met, the
-        // key draws in place of chance.
-        let late = |i: usize| {
+        // Candidates are drawn in proportion to their capacity: most nodes have nothing in flight at either
+        // of the two, and comparing sizes alone would send nearly all requests to the largest. With key
+        // affinity, the request's key replaces the random seed.
+        let exponential = |i: usize| {
             let s = &self.servers[i];
-            -unit(hash(by, s.entry.id)).ln() * s.pace_at(self.now)
-                / (s.share * self.warmth(i) * self.trust(i))
+            -unit_interval(hash(hash_key, s.entry.id)).ln() * s.latency_ratio_at(self.now)
+                / (s.draw_weight * self.warm_up_weight(i) * self.trust(i))
         };
-        let mut ranked: Vec<(f64, usize)> = fit.into_iter().map(|i| (late(i), i)).collect();
+        let mut ranked: Vec<(f64, usize)> = candidates.into_iter().map(|i| (exponential(i), i)).collect();
         let Some(last) = ranked.len().checked_sub(1) else { return (None, pool.members.len() as u64) };
         ranked.select_nth_unstable_by(last.min(1), |a, b| a.0.total_cmp(&b.0));
         let second = ranked.get(1).map(|second| second.1);
         (Some((ranked[0].1, second)), pool.members.len() as u64)
     }
 
-    /// The part of all requests that a server is in reach of, from half of what a cold one bears to all.
-    fn reach(&self, i: usize) -> f64 {
-        self.ramp(&self.servers[i].entry) * (self.settings.overload_factor / 2.0).max(1.0)
+    /// The part of all requests that may go to a server: half of the load at which it fails, at least its
+    /// current capacity. A value of 1 or more means all requests.
+    fn exposure(&self, i: usize) -> f64 {
+        self.warm_part(&self.servers[i].entry) * (self.settings.overload_factor / 2.0).max(1.0)
     }
 
-    /// What its draws weigh beside its share, so that with its reach it gets the part that its capacity is
-    /// now: where two servers in three are starting, more than that would jam most of the fleet.
-    fn warmth(&self, i: usize) -> f64 {
-        self.ramp(&self.servers[i].entry) / self.reach(i).min(1.0)
+    /// The factor on a server's draw weight: with its exposure, its part of the work matches its current
+    /// capacity. With two of three servers starting, more would overload most of the fleet.
+    fn warm_up_weight(&self, i: usize) -> f64 {
+        self.warm_part(&self.servers[i].entry) / self.exposure(i).min(1.0)
     }
 
-    /// Whether a request may go to a server now: whether avoided servers are passed over, and how far
-    /// starting ones are lent, is told.
-    fn fits(&self, job: &Job, i: usize, (heed, lends): (bool, f64)) -> bool {
+    /// Whether a request may go to a server now: `skip_ejected` excludes ejected ones, and `lent` is the part
+    /// of other pools' requests that may go to servers that warm up.
+    fn is_candidate(&self, req: &OpenRequest, i: usize, (skip_ejected, lent): (bool, f64)) -> bool {
         let s = &self.servers[i];
-        let (reach, warm) = (self.reach(i), self.ramp(&s.entry) >= 1.0);
+        let (exposure, warm) = (self.exposure(i), self.warm_part(&s.entry) >= 1.0);
         s.pool.is_some()
-            // What is still coming is not in the server's hands for long yet.
-            && (job.coming || s.in_flight == 0 || f64::from(s.in_flight) < self.room(i).ceil())
-            // A cold server is in reach of few of all nodes' requests, half of what it bears: one attempt
-            // from each node, or all that its neighbours cannot take, would push it over.
-            && (warm || unit(hash(job.ask.id, s.entry.id)) <= reach.min(1.0) * lends)
-            && !(heed && s.avoid_until > self.now)
-            // What a starting server has turned away would count against it twice, at each of many nodes.
-            && !job.attempts.iter().any(|a| {
-                a.to.id == s.entry.id && (a.fate == Fate::Out || !warm && self.blindness() > 0.5)
+            // A request that is still uploading does not occupy the server yet.
+            && (req.uploading || s.in_flight == 0 || f64::from(s.in_flight) < self.server_limit(i).ceil())
+            // A cold server is exposed to a part of all nodes' requests only, half of what it can take: one
+            // attempt from each node, or all that its neighbours have no capacity for, would overload it.
+            && (warm || unit_interval(hash(req.info.id, s.entry.id)) <= exposure.min(1.0) * lent)
+            && !(skip_ejected && s.ejected_until > self.now)
+            // A rejected attempt is work for a server that warms up: one of many nodes does not send it the
+            // same request twice.
+            && !req.attempts.iter().any(|a| {
+                a.server.id == s.entry.id
+                    && (a.status == Status::InFlight || !warm && self.uncertainty() > 0.5)
             })
-            && self.allowed(job, &s.entry)
+            && self.allows(req, &s.entry)
     }
 
-    /// Own requests in flight against what the server carries. Recent failures count as load: a server
-    /// that errs quickly holds little and would win every comparison. The request to be sent counts where a
-    /// node sees its servers; where all counts are 0, it would send nearly all to the largest.
+    /// This node's attempts in flight at a server, relative to its limit. Recent failures count too: a server
+    /// that fails quickly has little in flight and would win every comparison. The request to be sent counts
+    /// only if own counts tell the load: where all are 0, nearly all requests would go to the largest server.
     fn load(&self, i: usize) -> f64 {
-        let (s, own) = (&self.servers[i], f64::from(u8::from(self.blindness() == 0.0)));
-        (f64::from(s.in_flight) + own + self.excess(i)) / self.room(i)
+        let (s, own) = (&self.servers[i], f64::from(u8::from(self.uncertainty() == 0.0)));
+        (f64::from(s.in_flight) + own + self.excess_failures(i)) / self.server_limit(i)
     }
 }
--- a/crates/cherryusher/tests/common/mod.rs
+++ b/crates/cherryusher/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small bench of hands for scenario tests: settings, servers and a node to talk to.
+//! Helpers for scenario tests: settings, servers, and a node with a clock of its own.
 #![allow(dead_code, unreachable_pub)]
 
 use cherryusher::*;
@@ -17,12 +17,12 @@
     }
 }
 
-pub const SAFE: usize = 0;
-pub const UNSAFE: usize = 1;
-pub const BY_CELL: usize = 2;
-pub const BY_ALL: usize = 3;
+pub const IDEMPOTENT: usize = 0;
+pub const NON_IDEMPOTENT: usize = 1;
+pub const DEDUP_CELL: usize = 2;
+pub const DEDUP_ALL: usize = 3;
 
-/// Four tenants with large quotas; one class of each kind.
+/// Settings with four tenants with large quotas and one class per kind of idempotency.
 pub fn settings() -> Settings {
     let keyed = |scope| Idempotency::Deduplicated { scope, window: 400 * MS };
     Settings {
@@ -70,34 +70,34 @@
     ids.map(server).collect()
 }
 
-/// A node with its own clock.
+/// A balancer with a simulated clock.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Micros,
-    pub next: RequestId,
+    pub last_id: RequestId,
 }
 
 impl Node {
     pub fn new(settings: Settings, list: Vec<ServerEntry>) -> Node {
-        let mut node = Node { balancer: Balancer::new(settings, 7).unwrap(), now: 10 * S, next: 0 };
-        node.tell(Event::CachedServerList(list));
+        let mut node = Node { balancer: Balancer::new(settings, 7).unwrap(), now: 10 * S, last_id: 0 };
+        node.handle(Event::CachedServerList(list));
         node
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
     pub fn arrive(&mut self, class: usize, tenant: Option<u32>) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = self.next;
+        self.last_id += 1;
+        let id = self.last_id;
         let request = Request { id, class, remaining: S, expected_work: None, key: None, tenant };
-        (id, self.tell(Event::RequestArrived(request)))
+        (id, self.handle(Event::RequestArrived(request)))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: AttemptNo,
@@ -105,29 +105,29 @@
         elapsed: Micros,
     ) -> Vec<Action> {
         let request_finished = outcome == Outcome::Served;
-        self.tell(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, elapsed, request_finished }))
+        self.handle(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, elapsed, request_finished }))
     }
 
-    /// Lets time pass and wakes the node for this request.
-    pub fn wake(&mut self, request: RequestId, after: Micros) -> Vec<Action> {
+    /// Advances the clock and fires the timer of a request.
+    pub fn fire_timer(&mut self, request: RequestId, after: Micros) -> Vec<Action> {
         self.now += after;
-        self.tell(Event::TimerFired(request))
+        self.handle(Event::TimerFired(request))
     }
 }
 
-/// Where the actions send the request, in order.
-pub fn sends(actions: &[Action], of: RequestId) -> Vec<ServerId> {
+/// The servers to which the actions send a request, in order.
+pub fn targets(actions: &[Action], id: RequestId) -> Vec<ServerId> {
     let to = |a: &Action| match a {
-        Action::Send { request, server, .. } if *request == of => Some(*server),
+        Action::Send { request, server, .. } if *request == id => Some(*server),
         _ => None,
     };
     actions.iter().filter_map(to).collect()
 }
 
-pub fn refused(actions: &[Action], of: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == of))
+pub fn is_refused(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], of: RequestId) -> bool {
-    actions.contains(&Action::Fail(of))
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
+    actions.contains(&Action::Fail(id))
 }
--- a/crates/cherryusher/tests/rules.rs
+++ b/crates/cherryusher/tests/rules.rs
@@ -1,4 +1,6 @@
-//! Random legal sequences against the four rules, judged without the module's own bookkeeping.
+//! Random valid event sequences against the safety rules, checked without the module's own bookkeeping:
+//! no attempt at a server that drains or is gone, no second run of a request that must not run twice, one final answer
+//! in time, and no overload of a cold server.
 
 mod common;
 
@@ -7,48 +9,48 @@
 use cherryusher::*;
 use common::*;
 
-/// What the world knows of one attempt.
-struct Sent {
-    to: ServerEntry,
-    at: Micros,
+/// One attempt, as the simulation saw it.
+struct SentAttempt {
+    server: ServerEntry,
+    sent_at: Micros,
     outcome: Option<Outcome>,
 }
 
-/// What the world knows of one request.
-struct Asked {
+/// One request, as the simulation saw it.
+struct SimulatedRequest {
     class: usize,
     give_up_at: Micros,
-    closed: bool,
-    /// Its patience, if it is passed on as it comes and its last byte has not come; whether some of it is gone.
-    coming: Option<Micros>,
-    in_part: bool,
-    spent: bool,
-    sent: Vec<Sent>,
+    finished: bool,
+    /// The time that its client waits after the last byte, while the body of a streamed request is still arriving.
+    uploading: Option<Micros>,
+    streamed: bool,
+    body_consumed: bool,
+    attempts: Vec<SentAttempt>,
 }
 
-/// A world that draws what happens next, and judges every action.
+/// A simulation that draws random events and checks every action.
 struct World {
     node: Node,
-    dice: fastrand::Rng,
-    told: BTreeMap<ServerId, ServerEntry>,
-    asked: BTreeMap<RequestId, Asked>,
-    wakes: BTreeSet<(Micros, u64)>,
-    answers: usize,
-    cold: BTreeMap<ServerId, Vec<Micros>>,
+    rng: fastrand::Rng,
+    servers_by_id: BTreeMap<ServerId, ServerEntry>,
+    requests: BTreeMap<RequestId, SimulatedRequest>,
+    timers: BTreeSet<(Micros, u64)>,
+    final_answers: usize,
+    cold_sends: BTreeMap<ServerId, Vec<Micros>>,
     warm_sends: usize,
-    log: Vec<Vec<Action>>,
+    action_log: Vec<Vec<Action>>,
 }
 
-fn drawn_settings(dice: &mut fastrand::Rng) -> Settings {
+fn random_settings(rng: &mut fastrand::Rng) -> Settings {
     let mut s = settings();
-    s.cancelling = dice.bool();
-    s.hedging = dice.bool();
-    s.max_attempts = dice.u16(1..5);
-    s.balancers = dice.u32(1..4);
-    s.tenants.truncate(dice.usize(..5));
+    s.cancelling = rng.bool();
+    s.hedging = rng.bool();
+    s.max_attempts = rng.u16(1..5);
+    s.balancers = rng.u32(1..4);
+    s.tenants.truncate(rng.usize(..5));
     s.tenants.iter_mut().for_each(|t| t.quota_per_s = 20.0);
-    s.cross_zone_price = if dice.bool() { 0.05 } else { 0.0 };
-    if dice.bool() {
+    s.cross_zone_price = if rng.bool() { 0.05 } else { 0.0 };
+    if rng.bool() {
         s.discovery = Discovery::Subscribed { max_retry_interval: 10 * S };
     }
     s
@@ -56,145 +58,159 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let mut dice = fastrand::Rng::with_seed(seed);
-        let settings = drawn_settings(&mut dice);
-        let list = servers(1..dice.u64(1..14));
-        let node = Node { balancer: Balancer::new(settings, seed).unwrap(), now: 50 * S, next: 0 };
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let settings = random_settings(&mut rng);
+        let list = servers(1..rng.u64(1..14));
+        let node = Node { balancer: Balancer::new(settings, seed).unwrap(), now: 50 * S, last_id: 0 };
         let mut world = World {
             node,
-            dice,
-            told: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            wakes: BTreeSet::new(),
-            answers: 0,
-            cold: BTreeMap::new(),
+            rng,
+            servers_by_id: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            final_answers: 0,
+            cold_sends: BTreeMap::new(),
             warm_sends: 0,
-            log: Vec::new(),
+            action_log: Vec::new(),
         };
-        world.told = list.iter().map(|s| (s.id, *s)).collect();
-        world.tell(Event::CachedServerList(list));
+        world.servers_by_id = list.iter().map(|s| (s.id, *s)).collect();
+        world.handle(Event::CachedServerList(list));
         world
     }
 
-    fn tell(&mut self, event: Event) {
-        let actions = self.node.tell(event);
+    fn handle(&mut self, event: Event) {
+        let actions = self.node.handle(event);
         for action in &actions {
-            self.judge(action);
+            self.check_action(action);
         }
-        self.log.push(actions);
+        self.action_log.push(actions);
     }
 
-    fn judge(&mut self, action: &Action) {
+    fn check_action(&mut self, action: &Action) {
         let now = self.node.now;
         match *action {
             Action::Send { request, server, .. } => {
-                let asked = self.asked.get_mut(&request).expect("a request that was asked");
-                assert!(!asked.closed, "sent after its end");
-                assert!(!asked.spent, "sent without a part of its body");
-                let out = asked.sent.iter().any(|a| a.outcome.is_none());
-                assert!(!(asked.in_part && out), "a body can't go two ways");
-                let to = self.told[&server];
-                assert_eq!(to.state, ServerState::Ready, "sent to a server that drains or is gone");
+                let simulated = self.requests.get_mut(&request).expect("a request that arrived");
+                assert!(!simulated.finished, "sent after its final answer");
+                assert!(!simulated.body_consumed, "sent without its complete body");
+                let in_flight = simulated.attempts.iter().any(|a| a.outcome.is_none());
+                assert!(
+                    !(simulated.streamed && in_flight),
+                    "a streamed body was sent in two attempts at once"
+                );
+                let entry = self.servers_by_id[&server];
+                assert_eq!(entry.state, ServerState::Ready, "sent to a server that is not ready");
                 let s = settings();
-                for earlier in &asked.sent {
+                for earlier in &simulated.attempts {
                     if earlier.outcome.is_some_and(Outcome::never_ran) {
                         continue;
                     }
-                    let harmless = match s.classes[asked.class].idempotency {
+                    let harmless = match s.classes[simulated.class].idempotency {
                         Idempotency::Idempotent => true,
                         Idempotency::NonIdempotent => false,
                         Idempotency::Deduplicated { scope, window } => {
-                            now < earlier.at + window
-                                && (scope == DedupScope::All || earlier.to.cell == to.cell)
+                            now < earlier.sent_at + window
+                                && (scope == DedupScope::All || earlier.server.cell == entry.cell)
                         }
                     };
-                    assert!(harmless, "an effect could happen twice");
+                    assert!(harmless, "a request could run twice");
                 }
-                asked.sent.push(Sent { to, at: now, outcome: None });
-                if to.ready_at == 0 || now - to.ready_at >= s.warm_up {
+                simulated.attempts.push(SentAttempt { server: entry, sent_at: now, outcome: None });
+                if entry.ready_at == 0 || now - entry.ready_at >= s.warm_up {
                     self.warm_sends += 1;
                 } else {
-                    self.cold.entry(server).or_default().push(now);
+                    self.cold_sends.entry(server).or_default().push(now);
                 }
             }
             Action::Refuse { request, .. } | Action::Fail(request) => {
-                let asked = self.asked.get_mut(&request).expect("a request that was asked");
-                assert!(!asked.closed, "answered twice");
-                assert!(now <= asked.give_up_at, "answered too late");
-                let unrun = asked.sent.iter().all(|a| a.outcome.is_some_and(Outcome::never_ran));
-                let class = asked.class;
+                let simulated = self.requests.get_mut(&request).expect("a request that arrived");
+                assert!(!simulated.finished, "answered twice");
+                assert!(now <= simulated.give_up_at, "answered too late");
+                let never_ran = simulated.attempts.iter().all(|a| a.outcome.is_some_and(Outcome::never_ran));
+                let class = simulated.class;
                 if matches!(action, Action::Refuse { .. }) {
-                    assert!(unrun || class == SAFE || class == BY_ALL, "called harmless what may have run");
+                    assert!(
+                        never_ran || class == IDEMPOTENT || class == DEDUP_ALL,
+                        "refused although it may have run and a repeat may run again"
+                    );
                 }
-                asked.closed = true;
-                self.answers += 1;
+                simulated.finished = true;
+                self.final_answers += 1;
             }
             Action::Cancel(request, attempt) => {
                 assert!(
-                    self.asked[&request].sent.len() > usize::from(attempt),
-                    "cancelled what was never sent"
+                    self.requests[&request].attempts.len() > usize::from(attempt),
+                    "cancelled an attempt that was never sent"
                 );
             }
             Action::SetTimer { after, token } => {
-                self.wakes.insert((now + after, token));
+                self.timers.insert((now + after, token));
             }
             Action::Subscribe => {}
         }
     }
 
-    /// Lets time pass up to `until`, with every wake-up at its time.
-    fn pass(&mut self, until: Micros) {
-        while let Some(&(at, token)) = self.wakes.first().filter(|(at, _)| *at <= until) {
-            self.wakes.remove(&(at, token));
+    /// Advances the clock to `until` and fires every timer at its time.
+    fn advance_to(&mut self, until: Micros) {
+        while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= until) {
+            self.timers.remove(&(at, token));
             self.node.now = self.node.now.max(at);
-            self.tell(Event::TimerFired(token));
+            self.handle(Event::TimerFired(token));
         }
         self.node.now = until;
-        let late = self.asked.values().find(|a| !a.closed && a.give_up_at < until);
-        assert!(late.is_none(), "a request was not answered before its client gave up");
+        let overdue = self.requests.values().find(|a| !a.finished && a.give_up_at < until);
+        assert!(overdue.is_none(), "a request was not answered before its client gave up");
     }
 
     fn arrive(&mut self) {
-        self.node.next += 1;
-        let id = self.node.next;
-        let (class, remaining) = (self.dice.usize(..4), self.dice.u64(20 * MS..S));
-        let tenant = self.dice.bool().then(|| self.dice.u32(..6));
-        let in_part = self.dice.u32(..4) == 0;
-        let upload = Upload { expected_duration: self.dice.u64(..S), max_duration: self.dice.u64(S..3 * S) };
-        let give_up_at = self.node.now + remaining + if in_part { upload.max_duration } else { 0 };
-        let coming = in_part.then_some(remaining);
-        let asked =
-            Asked { class, give_up_at, closed: false, coming, in_part, spent: false, sent: Vec::new() };
-        self.asked.insert(id, asked);
+        self.node.last_id += 1;
+        let id = self.node.last_id;
+        let (class, remaining) = (self.rng.usize(..4), self.rng.u64(20 * MS..S));
+        let tenant = self.rng.bool().then(|| self.rng.u32(..6));
+        let streamed = self.rng.u32(..4) == 0;
+        let upload = Upload { expected_duration: self.rng.u64(..S), max_duration: self.rng.u64(S..3 * S) };
+        let give_up_at = self.node.now + remaining + if streamed { upload.max_duration } else { 0 };
+        let uploading = streamed.then_some(remaining);
+        let simulated = SimulatedRequest {
+            class,
+            give_up_at,
+            finished: false,
+            uploading,
+            streamed,
+            body_consumed: false,
+            attempts: Vec::new(),
+        };
+        self.requests.insert(id, simulated);
         let request = Request { id, class, remaining, expected_work: None, key: Some(id % 7), tenant };
-        self.tell(if in_part {
+        self.handle(if streamed {
             Event::StreamedRequestArrived(request, upload)
         } else {
             Event::RequestArrived(request)
         });
     }
 
-    /// The last byte of a random request that is still coming.
-    fn come_whole(&mut self) {
-        let coming = self.asked.iter().filter_map(|(id, a)| Some((*id, a.coming.filter(|_| !a.closed)?)));
-        let coming: Vec<(RequestId, Micros)> = coming.collect();
-        let Some(&(id, patience)) = self.dice.choice(&coming) else { return };
-        if let Some(asked) = self.asked.get_mut(&id) {
-            (asked.coming, asked.give_up_at) = (None, self.node.now + patience);
+    /// Delivers the last byte of a random streamed request that is still arriving.
+    fn finish_upload(&mut self) {
+        let uploading =
+            self.requests.iter().filter_map(|(id, a)| Some((*id, a.uploading.filter(|_| !a.finished)?)));
+        let uploading: Vec<(RequestId, Micros)> = uploading.collect();
+        let Some(&(id, patience)) = self.rng.choice(&uploading) else { return };
+        if let Some(simulated) = self.requests.get_mut(&id) {
+            (simulated.uploading, simulated.give_up_at) = (None, self.node.now + patience);
         }
-        self.tell(Event::BodyReceived(id, patience));
+        self.handle(Event::BodyReceived(id, patience));
     }
 
-    /// Ends a random attempt that is out.
-    fn end_one(&mut self) -> bool {
-        let out: Vec<(RequestId, usize)> = self
-            .asked
+    /// Ends a random attempt in flight; returns whether there was one.
+    fn end_random_attempt(&mut self) -> bool {
+        let in_flight: Vec<(RequestId, usize)> = self
+            .requests
             .iter()
-            .flat_map(|(id, a)| a.sent.iter().enumerate().map(move |(n, s)| (*id, n, s)))
+            .flat_map(|(id, a)| a.attempts.iter().enumerate().map(move |(n, s)| (*id, n, s)))
             .filter(|(_, _, s)| s.outcome.is_none())
             .map(|(id, n, _)| (id, n))
             .collect();
-        let Some(&(request, n)) = self.dice.choice(&out) else { return false };
+        let Some(&(request, n)) = self.rng.choice(&in_flight) else { return false };
         let outcomes = [
             Outcome::Served,
             Outcome::Served,
@@ -207,148 +223,154 @@
             Outcome::Cancelled,
             Outcome::NotSent,
         ];
-        let outcome = *self.dice.choice(&outcomes).unwrap();
+        let outcome = *self.rng.choice(&outcomes).unwrap();
         let now = self.node.now;
-        let asked = self.asked.get_mut(&request).unwrap();
-        asked.sent[n].outcome = Some(outcome);
-        asked.closed |= outcome == Outcome::Served;
-        let (closed, spent) = (asked.closed, asked.in_part && (!outcome.never_ran() || n % 2 == 0));
-        asked.spent |= spent;
-        if spent {
-            self.tell(Event::BodyConsumed(request));
+        let simulated = self.requests.get_mut(&request).unwrap();
+        simulated.attempts[n].outcome = Some(outcome);
+        simulated.finished |= outcome == Outcome::Served;
+        let (finished, body_consumed) =
+            (simulated.finished, simulated.streamed && (!outcome.never_ran() || n % 2 == 0));
+        simulated.body_consumed |= body_consumed;
+        if body_consumed {
+            self.handle(Event::BodyConsumed(request));
         }
-        let (elapsed, request_finished) = (now - self.asked[&request].sent[n].at, closed);
+        let (elapsed, request_finished) = (now - self.requests[&request].attempts[n].sent_at, finished);
         let attempt = n as AttemptNo;
-        self.tell(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, elapsed, request_finished }));
+        self.handle(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, elapsed, request_finished }));
         true
     }
 
-    fn change_list(&mut self) {
-        let id = self.dice.u64(1..16);
+    fn change_server_list(&mut self) {
+        let id = self.rng.u64(1..16);
         let state = *self
-            .dice
+            .rng
             .choice(&[ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone])
             .unwrap();
-        let old = self.told.get(&id).map_or(0, |s| s.ready_at);
-        let ready_at = if self.dice.bool() { old } else { self.node.now };
+        let old = self.servers_by_id.get(&id).map_or(0, |s| s.ready_at);
+        let ready_at = if self.rng.bool() { old } else { self.node.now };
         let entry = ServerEntry { state, ready_at, ..server(id) };
-        self.told.insert(id, entry);
-        if self.dice.bool() {
-            self.tell(Event::ServerChanges(vec![entry]));
+        self.servers_by_id.insert(id, entry);
+        if self.rng.bool() {
+            self.handle(Event::ServerChanges(vec![entry]));
         } else {
-            let list = self.told.values().copied().filter(|s| s.state != ServerState::Gone).collect();
-            self.tell(Event::ServerList(list));
+            let list =
+                self.servers_by_id.values().copied().filter(|s| s.state != ServerState::Gone).collect();
+            self.handle(Event::ServerList(list));
         }
     }
 
-    /// Other nodes say something, or there are more or fewer of them.
-    fn hear(&mut self) {
-        if self.dice.bool() {
+    /// Other nodes report suspicions, or the number of nodes changes.
+    fn change_peers(&mut self) {
+        if self.rng.bool() {
             let doubt =
-                |dice: &mut fastrand::Rng| PeerSuspicion { server: dice.u64(1..16), level: dice.f64() * 1.2 };
-            let doubts = (0..self.dice.u64(..6)).map(|_| doubt(&mut self.dice)).collect();
-            self.tell(Event::PeerSuspicions(doubts));
+                |rng: &mut fastrand::Rng| PeerSuspicion { server: rng.u64(1..16), level: rng.f64() * 1.2 };
+            let doubts = (0..self.rng.u64(..6)).map(|_| doubt(&mut self.rng)).collect();
+            self.handle(Event::PeerSuspicions(doubts));
         } else {
-            let (balancers, rank) = (self.dice.u32(..12), self.dice.u32(..12));
-            self.tell(Event::FleetChanged { balancers, rank });
+            let (balancers, rank) = (self.rng.u32(..12), self.rng.u32(..12));
+            self.handle(Event::FleetChanged { balancers, rank });
         }
     }
 
     fn run(seed: u64, steps: usize) -> World {
         let mut world = World::new(seed);
         for _ in 0..steps {
-            match world.dice.u32(..100) {
+            match world.rng.u32(..100) {
                 0..45 => world.arrive(),
-                45..50 => world.come_whole(),
-                50..85 => drop(world.end_one()),
-                85..88 => world.change_list(),
-                88 => world.tell(Event::DiscoveryFailed),
+                45..50 => world.finish_upload(),
+                50..85 => drop(world.end_random_attempt()),
+                85..88 => world.change_server_list(),
+                88 => world.handle(Event::DiscoveryFailed),
                 89..91 => {
-                    let id = world.dice.u64(..world.node.next + 2);
-                    if let Some(asked) = world.asked.get_mut(&id) {
-                        asked.closed = true;
+                    let id = world.rng.u64(..world.node.last_id + 2);
+                    if let Some(simulated) = world.requests.get_mut(&id) {
+                        simulated.finished = true;
                     }
-                    world.tell(Event::ClientLeft(id));
+                    world.handle(Event::ClientLeft(id));
                 }
-                91 => world.hear(),
+                91 => world.change_peers(),
                 _ => {
-                    let until = world.node.now + world.dice.u64(..40 * MS);
-                    world.pass(until);
+                    let until = world.node.now + world.rng.u64(..40 * MS);
+                    world.advance_to(until);
                 }
             }
         }
-        world.pass(world.node.now + 5 * S);
-        while world.end_one() {}
+        world.advance_to(world.node.now + 5 * S);
+        while world.end_random_attempt() {}
         world
     }
 }
 
 #[test]
-fn the_rules_hold_on_random_days() {
-    let mut answers = 0;
+fn safety_rules_hold_on_random_sequences() {
+    let mut final_answers = 0;
     for seed in 0..150 {
         let world = World::run(seed, 600);
-        assert!(world.asked.values().all(|a| a.closed), "seed {seed}: a request got no answer");
-        answers += world.answers;
+        assert!(world.requests.values().all(|a| a.finished), "seed {seed}: a request got no answer");
+        final_answers += world.final_answers;
     }
-    assert!(answers > 1_000, "only {answers} final answers were put to the test");
+    assert!(final_answers > 1_000, "only {final_answers} final answers were checked");
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     for seed in 0..10 {
-        assert_eq!(World::run(seed, 400).log, World::run(seed, 400).log);
+        assert_eq!(World::run(seed, 400).action_log, World::run(seed, 400).action_log);
     }
 }
 
 #[test]
-fn nothing_is_kept_of_requests_that_have_ended() {
+fn ended_requests_leave_no_state() {
     for seed in 0..20 {
         let world = World::run(seed, 600);
         assert_eq!(world.node.balancer.tracked_requests(), 0, "seed {seed}");
     }
 }
 
-/// The budget of rule four: a cold server's part of what warm servers of the same node get, over any
-/// window, stays under the fall's multiple of the ramp at the window's end.
+/// A cold server must not be overloaded: in any window, its part of the requests that warm servers of the same node
+/// get stays below the overload factor times its current part of the full capacity.
 #[test]
-fn a_cold_server_is_never_pushed_over() {
+fn cold_server_is_never_overloaded() {
     const WINDOW: Micros = 2 * S;
-    const FALLS_AT: f64 = 3.0;
+    const OVERLOAD_FACTOR: f64 = 3.0;
     for seed in 0..10 {
         let s = settings();
-        let mut dice = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let mut node = Node::new(s.clone(), servers(1..11));
-        let mut sent: BTreeMap<ServerId, Vec<Micros>> = BTreeMap::new();
+        let mut attempts: BTreeMap<ServerId, Vec<Micros>> = BTreeMap::new();
         let mut due: BTreeSet<(Micros, RequestId)> = BTreeSet::new();
         let started = node.now + 5 * S;
         for step in 0..4_000 {
             node.now += 5 * MS;
             if step == 1_000 {
-                node.tell(Event::ServerChanges(vec![ServerEntry { ready_at: started, ..server(3) }]));
+                node.handle(Event::ServerChanges(vec![ServerEntry { ready_at: started, ..server(3) }]));
             }
-            let mut actions = node.arrive(SAFE, Some(dice.u32(..4))).1;
+            let mut actions = node.arrive(IDEMPOTENT, Some(rng.u32(..4))).1;
             while let Some(&(at, id)) = due.first().filter(|(at, _)| *at <= node.now) {
                 due.remove(&(at, id));
-                actions.extend(node.end(id, 0, Outcome::Served, 20 * MS));
+                actions.extend(node.end_attempt(id, 0, Outcome::Served, 20 * MS));
             }
             for action in actions {
                 if let Action::Send { request, server, .. } = action {
-                    sent.entry(server).or_default().push(node.now);
+                    attempts.entry(server).or_default().push(node.now);
                     due.insert((node.now + 20 * MS, request));
                 }
             }
         }
-        let all: usize = sent.values().map(|times| times.iter().filter(|t| **t >= started).count()).sum();
-        let spell = (node.now - started) as f64;
-        let warm_rate = all as f64 / spell / 10.0;
-        let cold: Vec<Micros> = sent[&3].iter().copied().filter(|t| *t >= started).collect();
-        assert!(!cold.is_empty(), "a cold server is tried");
-        for &from in &cold {
-            let within = cold.iter().filter(|t| (from..from + WINDOW).contains(t)).count() as f64;
+        let all: usize = attempts.values().map(|times| times.iter().filter(|t| **t >= started).count()).sum();
+        let duration = (node.now - started) as f64;
+        let warm_rate = all as f64 / duration / 10.0;
+        let cold_sends: Vec<Micros> = attempts[&3].iter().copied().filter(|t| *t >= started).collect();
+        assert!(!cold_sends.is_empty(), "the cold server got no request");
+        for &from in &cold_sends {
+            let in_window = cold_sends.iter().filter(|t| (from..from + WINDOW).contains(t)).count() as f64;
             let age = (from - started) as f64 / s.warm_up as f64;
-            let able = warm_rate * WINDOW as f64 * (s.cold_capacity + (1.0 - s.cold_capacity) * age.min(1.0));
-            assert!(within <= FALLS_AT * able + 2.0, "seed {seed}: {within} against {able}");
+            let capacity =
+                warm_rate * WINDOW as f64 * (s.cold_capacity + (1.0 - s.cold_capacity) * age.min(1.0));
+            assert!(
+                in_window <= OVERLOAD_FACTOR * capacity + 2.0,
+                "seed {seed}: {in_window} requests in a window, capacity for {capacity}"
+            );
         }
     }
 }
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts decision modules, one a node, on standard input and output.
+//! Runs decision modules, one per simulated node, on standard input and output.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -8,13 +8,13 @@
 use cherryusher::{Action, Balancer, Event};
 use cherryusher_drill::wire::{Decoder, Record, Reply, WireError};
 
-/// A node: its module, and whether its site has tenants.
+/// A simulated node: its decision module, and whether its settings name tenants.
 struct Node {
     balancer: Balancer,
-    tenants: bool,
+    has_tenants: bool,
 }
 
-/// Reads the next frame, or nothing at the end of input. Memory grows only with bytes that came.
+/// Reads the next frame; returns false at the end of input. Memory grows only with bytes that have arrived.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, Box<dyn Error>> {
     let mut length = Vec::with_capacity(4);
     if input.take(4).read_to_end(&mut length)? == 0 {
@@ -40,32 +40,32 @@
     while read_frame(&mut input, &mut frame)? {
         let batch = decoder.batch(&frame)?;
         reply.clear();
-        let mut at = 0;
+        let mut node_number = 0;
         for record in batch.records {
             let mut event = match record {
                 Record::Node(number) => {
-                    at = number;
+                    node_number = number;
                     continue;
                 }
                 Record::Launch(seed, settings) => {
-                    let tenants = !settings.tenants.is_empty();
+                    let has_tenants = !settings.tenants.is_empty();
                     let balancer = Balancer::new(*settings, seed)?;
-                    nodes.insert(at, Node { balancer, tenants });
+                    nodes.insert(node_number, Node { balancer, has_tenants });
                     continue;
                 }
                 Record::Crash => {
-                    nodes.remove(&at);
+                    nodes.remove(&node_number);
                     continue;
                 }
                 Record::Event(event) => event,
             };
-            let Some(node) = nodes.get_mut(&at) else { continue };
+            let Some(node) = nodes.get_mut(&node_number) else { continue };
             if let Event::RequestArrived(request) = &mut event {
-                request.tenant = request.tenant.filter(|_| node.tenants);
+                request.tenant = request.tenant.filter(|_| node.has_tenants);
             }
             node.balancer.handle(batch.now, event, &mut actions);
             for action in actions.drain(..) {
-                reply.action(at, action);
+                reply.action(node_number, action);
             }
         }
         output.write_all(&reply.frame(batch.number))?;
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -1,13 +1,13 @@
-//! The binary wire that the adapter speaks: frames of records in, frames of records out.
+//! The binary protocol of the simulator: frames of records in both directions.
 //!
-//! Nothing is decided here. Whatever does not fit the wire's tables is a [`WireError`].
+//! Nothing is decided here. Input that does not follow the protocol results in a [`WireError`].
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use cherryusher::*;
 
-/// What was wrong with a frame.
+/// A description of what is malformed in a frame.
 #[derive(Debug, PartialEq, Eq)]
 pub struct WireError(pub String);
 
@@ -19,45 +19,45 @@
 
 impl std::error::Error for WireError {}
 
-fn bad<T>(what: impl Into<String>) -> Result<T, WireError> {
+fn malformed<T>(what: impl Into<String>) -> Result<T, WireError> {
     Err(WireError(what.into()))
 }
 
-/// One record of a batch, with list numbers resolved.
+/// A record of a batch, with server list numbers replaced by the lists.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// The records that follow are for this node.
+    /// The following records are for this node.
     Node(u16),
-    /// The node starts, with nothing but these.
+    /// The node starts without any state, with this random seed and these settings.
     Launch(u64, Box<Settings>),
-    /// The node is killed.
+    /// The node crashes and loses its state.
     Crash,
-    /// Something for the node's decision module.
+    /// An event for the node's decision module.
     Event(Event),
 }
 
 /// A decoded batch.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// The batch's clock.
+    /// The time of all records of the batch.
     pub now: Micros,
-    /// The batch's number.
+    /// The number of the batch; its reply has the same number.
     pub number: u32,
-    /// Its records, in order.
+    /// The records in their order.
     pub records: Vec<Record>,
 }
 
-/// Reads fields off the front of a slice.
-struct Fields<'a>(&'a [u8]);
+/// Reads fields from the front of a slice.
+struct FieldReader<'a>(&'a [u8]);
 
-impl<'a> Fields<'a> {
+impl<'a> FieldReader<'a> {
     fn bytes(&mut self, n: usize) -> Result<&'a [u8], WireError> {
         match self.0.split_at_checked(n) {
             Some((head, rest)) => {
                 self.0 = rest;
                 Ok(head)
             }
-            None => bad(format!("{n} bytes announced, {} left in the frame", self.0.len())),
+            None => malformed(format!("{n} bytes announced, {} left in the frame", self.0.len())),
         }
     }
 
@@ -83,7 +83,7 @@
         Ok(u64::from_le_bytes(self.array()?))
     }
 
-    /// A server: four bytes of address, first byte first, and a port.
+    /// Reads a server id: an IPv4 address in network byte order, and a port.
     fn server(&mut self) -> Result<ServerId, WireError> {
         let address = u32::from_be_bytes(self.array()?);
         Ok(u64::from(address) << 16 | u64::from(self.u16()?))
@@ -95,16 +95,16 @@
     }
 }
 
-/// Decodes batches; remembers the numbered server lists between them.
+/// Decodes batches, and keeps the numbered server lists between them.
 #[derive(Default)]
 pub struct Decoder {
     lists: [Vec<ServerEntry>; 16],
 }
 
 impl Decoder {
-    /// Decodes a batch: all of a frame after its length.
+    /// Decodes a batch: the content of a frame without its length.
     pub fn batch(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
-        let mut f = Fields(frame);
+        let mut f = FieldReader(frame);
         let (now, number) = (f.u64()?, f.u32()?);
         let mut records = Vec::new();
         while !f.0.is_empty() {
@@ -113,8 +113,8 @@
         Ok(Batch { now, number, records })
     }
 
-    /// Decodes one record; some carry nothing that a node acts on.
-    fn record(&mut self, f: &mut Fields<'_>) -> Result<Option<Record>, WireError> {
+    /// Decodes one record; `None` for records that nodes ignore and for server lists, which are kept.
+    fn record(&mut self, f: &mut FieldReader<'_>) -> Result<Option<Record>, WireError> {
         let event = match f.u16()? {
             1 => {
                 let seed = f.u64()?;
@@ -164,51 +164,51 @@
                 let number = usize::from(f.u8()?);
                 let list = self.list(f)?;
                 let Some(slot) = self.lists.get_mut(number) else {
-                    return bad(format!("server list number {number}"));
+                    return malformed(format!("server list number {number}"));
                 };
                 *slot = list;
                 return Ok(None);
             }
             12 => return Ok(Some(Record::Node(f.u16()?))),
-            code => return bad(format!("unknown record code {code}")),
+            code => return malformed(format!("unknown record code {code}")),
         };
         Ok(Some(Record::Event(event)))
     }
 
-    fn discovery(&self, f: &mut Fields<'_>) -> Result<Event, WireError> {
-        let (how, _version, number) = (f.u8()?, f.u64()?, usize::from(f.u8()?));
-        if how == 3 {
+    fn discovery(&self, f: &mut FieldReader<'_>) -> Result<Event, WireError> {
+        let (kind, _version, number) = (f.u8()?, f.u64()?, usize::from(f.u8()?));
+        if kind == 3 {
             return Ok(Event::DiscoveryFailed);
         }
         let Some(list) = self.lists.get(number).cloned() else {
-            return bad(format!("server list number {number}"));
+            return malformed(format!("server list number {number}"));
         };
-        match how {
+        match kind {
             0 => Ok(Event::ServerChanges(list)),
             1 => Ok(Event::ServerList(list)),
             2 => Ok(Event::CachedServerList(list)),
-            _ => bad(format!("unknown kind of list {how}")),
+            _ => malformed(format!("unknown kind of list {kind}")),
         }
     }
 
-    fn list(&self, f: &mut Fields<'_>) -> Result<Vec<ServerEntry>, WireError> {
-        const ENTRY: usize = 23;
+    fn list(&self, f: &mut FieldReader<'_>) -> Result<Vec<ServerEntry>, WireError> {
+        const ENTRY_BYTES: usize = 23;
         let count = f.u32()? as usize;
-        let Some(size) = count.checked_mul(ENTRY) else {
-            return bad("server list too long");
+        let Some(size) = count.checked_mul(ENTRY_BYTES) else {
+            return malformed("server list too long");
         };
-        let mut entries = Fields(f.bytes(size)?);
+        let mut entries = FieldReader(f.bytes(size)?);
         let mut list = Vec::with_capacity(count);
         while !entries.0.is_empty() {
             let state = match entries.u8()? {
                 0 => ServerState::Gone,
                 1 => ServerState::Draining,
                 2 => ServerState::Ready,
-                other => return bad(format!("unknown server state {other}")),
+                other => return malformed(format!("unknown server state {other}")),
             };
             let (ready_at, zone, id, cell) =
                 (entries.u64()?, entries.u8()?, entries.server()?, entries.u16()?);
-            // A weight that is no number says nothing of the size, and must not spoil the mean.
+            // A weight that is not finite counts as unknown, as it would make the mean of all weights useless.
             let weight = f32::from_le_bytes(entries.array()?);
             let weight = if weight.is_finite() { f64::from(weight.max(0.0)) } else { 0.0 };
             let kind = entries.u8()?;
@@ -228,135 +228,135 @@
         111 => Outcome::ConnectFailed,
         114 => Outcome::NotSent,
         125 => Outcome::Cancelled,
-        other => return bad(format!("unknown outcome {other}")),
+        other => return malformed(format!("unknown outcome {other}")),
     })
 }
 
-/// The settings as path=value lines.
-struct Lines<'a>(BTreeMap<&'a str, &'a str>);
+/// The settings as `path=value` lines, by path.
+struct SettingLines<'a>(BTreeMap<&'a str, &'a str>);
 
-impl<'a> Lines<'a> {
-    fn get<T: std::str::FromStr>(&self, path: &str, absent: T) -> Result<T, WireError> {
+impl<'a> SettingLines<'a> {
+    fn get<T: std::str::FromStr>(&self, path: &str, default: T) -> Result<T, WireError> {
         match self.0.get(path) {
-            None => Ok(absent),
+            None => Ok(default),
             Some(text) => match text.parse() {
                 Ok(value) => Ok(value),
-                Err(_) => bad(format!("setting {path} is '{text}'")),
+                Err(_) => malformed(format!("setting {path} is '{text}'")),
             },
         }
     }
 
-    /// A boolean that may also be written as a number.
-    fn flag(&self, path: &str, absent: bool) -> Result<bool, WireError> {
+    /// A boolean that may also be written as 0 or 1.
+    fn flag(&self, path: &str, default: bool) -> Result<bool, WireError> {
         match self.0.get(path).copied() {
             Some("1") => Ok(true),
             Some("0") => Ok(false),
-            _ => self.get(path, absent),
+            _ => self.get(path, default),
         }
     }
 
-    /// Time spans are whole numbers, but a fraction does no harm.
-    fn micros(&self, path: &str, absent: Micros) -> Result<Micros, WireError> {
-        self.get::<f64>(path, absent as f64).map(|us| us as Micros)
+    /// A duration in microseconds; a fraction is cut off.
+    fn micros(&self, path: &str, default: Micros) -> Result<Micros, WireError> {
+        self.get::<f64>(path, default as f64).map(|us| us as Micros)
     }
 
-    /// How many objects a list holds; each has at least one line of its own.
+    /// The number of objects in a list. Each has at least one line, so that a larger number is malformed.
     fn count(&self, list: &str) -> Result<usize, WireError> {
         let count = self.get(&format!("{list}.count"), 0)?;
         if count > self.0.len() {
-            return bad(format!("setting {list}.count is {count}"));
+            return malformed(format!("setting {list}.count is {count}"));
         }
         Ok(count)
     }
 }
 
-/// Reads a node's settings. Unknown keys are skipped; an absent one gets its value in [`Settings::default`].
+/// Parses a node's settings. Unknown keys are skipped; absent ones get their values from [`Settings::default`].
 pub fn parse_settings(text: &[u8]) -> Result<Settings, WireError> {
     let Ok(text) = std::str::from_utf8(text) else {
-        return bad("settings are not UTF-8");
+        return malformed("settings are not UTF-8");
     };
-    let s = Lines(text.lines().filter_map(|line| line.split_once('=')).collect());
+    let lines = SettingLines(text.lines().filter_map(|line| line.split_once('=')).collect());
     let mut classes = Vec::new();
-    for i in 0..s.count("services")? {
+    for i in 0..lines.count("services")? {
         let key = |name: &str| format!("services.{i}.{name}");
-        let scope = match s.get(&key("dedup_scope"), "all".to_string())?.as_str() {
+        let scope = match lines.get(&key("dedup_scope"), "all".to_string())?.as_str() {
             "all" => DedupScope::All,
             "zone" => DedupScope::Zone,
             "cell" => DedupScope::Cell,
-            other => return bad(format!("setting {} is '{other}'", key("dedup_scope"))),
+            other => return malformed(format!("setting {} is '{other}'", key("dedup_scope"))),
         };
-        let idempotency = match s.get(&key("idempotency"), "side_effect".to_string())?.as_str() {
+        let idempotency = match lines.get(&key("idempotency"), "side_effect".to_string())?.as_str() {
             "pure" => Idempotency::Idempotent,
-            "token" => Idempotency::Deduplicated { scope, window: s.micros(&key("window_us"), 0)? },
+            "token" => Idempotency::Deduplicated { scope, window: lines.micros(&key("window_us"), 0)? },
             "side_effect" => Idempotency::NonIdempotent,
-            other => return bad(format!("setting {} is '{other}'", key("idempotency"))),
+            other => return malformed(format!("setting {} is '{other}'", key("idempotency"))),
         };
-        let deadline = s.micros(&key("deadline_us"), 1_000_000)?;
+        let deadline = lines.micros(&key("deadline_us"), 1_000_000)?;
         classes.push(Class {
-            target_latency: s.micros(&key("goal_time_us"), deadline)?,
-            target_latency_per_work: s.get(&key("aim_stretch"), 0.0)?,
+            target_latency: lines.micros(&key("goal_time_us"), deadline)?,
+            target_latency_per_work: lines.get(&key("aim_stretch"), 0.0)?,
             deadline,
-            value: s.get(&key("points"), 1.0)?,
-            late_value_fraction: s.get(&key("late_value"), 0.0)?,
+            value: lines.get(&key("points"), 1.0)?,
+            late_value_fraction: lines.get(&key("late_value"), 0.0)?,
             idempotency,
         });
     }
     let mut tenants = Vec::new();
-    for i in 0..s.count("parties")? {
+    for i in 0..lines.count("parties")? {
         tenants.push(Tenant {
-            quota_per_s: s.get(&format!("parties.{i}.quota_rps"), 0.0)?,
-            share: s.get(&format!("parties.{i}.share"), 0.0)?,
+            quota_per_s: lines.get(&format!("parties.{i}.quota_rps"), 0.0)?,
+            share: lines.get(&format!("parties.{i}.share"), 0.0)?,
         });
     }
-    let discovery = match s.get("discovery", "automatic".to_string())?.as_str() {
+    let discovery = match lines.get("discovery", "automatic".to_string())?.as_str() {
         "automatic" => Discovery::Pushed,
-        "subscribe" => {
-            Discovery::Subscribed { max_retry_interval: s.micros("obligations.ask_every_us", 10_000_000)? }
-        }
-        other => return bad(format!("setting discovery is '{other}'")),
+        "subscribe" => Discovery::Subscribed {
+            max_retry_interval: lines.micros("obligations.ask_every_us", 10_000_000)?,
+        },
+        other => return malformed(format!("setting discovery is '{other}'")),
     };
-    let d = Settings::default();
+    let defaults = Settings::default();
     Ok(Settings {
-        balancers: s.get("balancers", d.balancers)?,
-        rank: s.get("rank", d.rank)?,
-        zone: s.get("zone", d.zone)?,
+        balancers: lines.get("balancers", defaults.balancers)?,
+        rank: lines.get("rank", defaults.rank)?,
+        zone: lines.get("zone", defaults.zone)?,
         classes,
         tenants,
-        over_quota_value: s.get("over_share_worth", d.over_quota_value)?,
-        max_attempts: s.get("allowed.max_attempts", d.max_attempts)?,
-        cancelling: s.flag("allowed.cancelling", d.cancelling)?,
-        hedging: s.flag("allowed.second_copies", d.hedging)?,
-        key_affinity: s.flag("domain.warm_keys", d.key_affinity)?,
-        cross_zone_price: s.get("prices.cross_zone", d.cross_zone_price)?,
-        live_weights: s.get("weights", String::new())? == "live",
+        over_quota_value: lines.get("over_share_worth", defaults.over_quota_value)?,
+        max_attempts: lines.get("allowed.max_attempts", defaults.max_attempts)?,
+        cancelling: lines.flag("allowed.cancelling", defaults.cancelling)?,
+        hedging: lines.flag("allowed.second_copies", defaults.hedging)?,
+        key_affinity: lines.flag("domain.warm_keys", defaults.key_affinity)?,
+        cross_zone_price: lines.get("prices.cross_zone", defaults.cross_zone_price)?,
+        live_weights: lines.get("weights", String::new())? == "live",
         discovery,
-        cold_capacity: s.get("obligations.cold_from", d.cold_capacity)?,
-        warm_up: s.micros("obligations.warm_up_us", d.warm_up)?,
-        overload_factor: s.get("obligations.fall_multiple", d.overload_factor)?,
-        timer_resolution: s.micros("step_us", d.timer_resolution)?,
-        max_retry_after: match s.flag("allowed.retry_after", false)? {
-            true => s.micros("allowed.max_retry_after_us", d.max_retry_after)?,
+        cold_capacity: lines.get("obligations.cold_from", defaults.cold_capacity)?,
+        warm_up: lines.micros("obligations.warm_up_us", defaults.warm_up)?,
+        overload_factor: lines.get("obligations.fall_multiple", defaults.overload_factor)?,
+        timer_resolution: lines.micros("step_us", defaults.timer_resolution)?,
+        max_retry_after: match lines.flag("allowed.retry_after", false)? {
+            true => lines.micros("allowed.max_retry_after_us", defaults.max_retry_after)?,
             false => 0,
         },
-        labels: d.labels,
-        min_pool_size: d.min_pool_size,
+        labels: defaults.labels,
+        min_pool_size: defaults.min_pool_size,
     })
 }
 
-/// Collects the actions of a reply.
+/// Encodes the actions of a reply.
 #[derive(Default)]
 pub struct Reply {
     count: u32,
     body: Vec<u8>,
-    from: Option<u16>,
+    current_node: Option<u16>,
 }
 
 impl Reply {
-    /// Empties it for the next batch.
+    /// Clears the reply for the next batch.
     pub fn clear(&mut self) {
         self.count = 0;
         self.body.clear();
-        self.from = None;
+        self.current_node = None;
     }
 
     fn record(&mut self, code: u16) -> &mut Vec<u8> {
@@ -365,13 +365,13 @@
         &mut self.body
     }
 
-    /// Adds an action of a node.
+    /// Appends an action of a node.
     pub fn action(&mut self, node: u16, action: Action) {
-        if self.from != Some(node) {
-            self.from = Some(node);
+        if self.current_node != Some(node) {
+            self.current_node = Some(node);
             self.record(13).extend(node.to_le_bytes());
         }
-        let short = |us: Micros| u32::try_from(us).unwrap_or(u32::MAX).to_le_bytes();
+        let as_u32 = |us: Micros| u32::try_from(us).unwrap_or(u32::MAX).to_le_bytes();
         match action {
             Action::Send { request, server, .. } => {
                 let out = self.record(1);
@@ -383,7 +383,7 @@
             Action::Refuse { request, retry_after } => {
                 let out = self.record(2);
                 out.extend(request.to_le_bytes());
-                out.extend(short(retry_after));
+                out.extend(as_u32(retry_after));
             }
             Action::Fail(request) => self.record(3).extend(request.to_le_bytes()),
             Action::Cancel(request, attempt) => {
@@ -393,14 +393,14 @@
             }
             Action::SetTimer { after, token } => {
                 let out = self.record(5);
-                out.extend(short(after));
+                out.extend(as_u32(after));
                 out.extend(token.to_le_bytes());
             }
             Action::Subscribe => self.record(11).push(1),
         }
     }
 
-    /// The whole reply to the batch of this number.
+    /// The complete frame of the reply to the batch with this number.
     pub fn frame(&self, number: u32) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.body.len() + 12);
         out.extend(self.count.to_le_bytes());
--- a/crates/drill/tests/settings.rs
+++ b/crates/drill/tests/settings.rs
@@ -1,18 +1,18 @@
-//! The platform tells its settings in two forms: as nested JSON to a real node, as lines to the simulator's.
-//! Both must come to the same.
+//! The platform provides settings in two forms: as nested JSON to a real node, and as lines to a simulated one.
+//! Both must have the same result.
 
 use cherryusher::Settings;
 use cherryusher_drill::wire::parse_settings;
 use serde_json::{Value, json};
 
-/// Nested settings as the `path=value` lines of the simulator's wire.
-fn lines(value: &Value, path: &str, out: &mut String) {
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+/// Writes nested settings as the `path=value` lines of the simulator's protocol.
+fn write_lines(value: &Value, path: &str, out: &mut String) {
+    let child = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(key, v)| lines(v, &below(key), out)),
+        Value::Object(fields) => fields.iter().for_each(|(key, v)| write_lines(v, &child(key), out)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            out.push_str(&format!("{}={}\n", below("count"), items.len()));
-            items.iter().enumerate().for_each(|(i, v)| lines(v, &below(&i.to_string()), out));
+            out.push_str(&format!("{}={}\n", child("count"), items.len()));
+            items.iter().enumerate().for_each(|(i, v)| write_lines(v, &child(&i.to_string()), out));
         }
         Value::Array(items) => {
             let names: Vec<&str> = items.iter().filter_map(Value::as_str).collect();
@@ -24,10 +24,10 @@
     }
 }
 
-/// The module's settings by way of each form.
-fn both(settings: &Value) -> (Settings, Settings) {
+/// The settings of the decision module, parsed from each of the two forms.
+fn parse_both(settings: &Value) -> (Settings, Settings) {
     let mut text = String::new();
-    lines(settings, "", &mut text);
+    write_lines(settings, "", &mut text);
     let mut config = testkit::peers::config(([127, 0, 0, 1], 1).into(), &[], 1024);
     config["settings"] = settings.clone();
     let config = dunelink::Config::from_platform(&config.to_string()).unwrap();
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn full_settings_mean_the_same_in_both_forms() {
-    let (simulated, real) = both(&testkit::peers::settings());
+fn full_settings_are_equal_in_both_forms() {
+    let (simulated, real) = parse_both(&testkit::peers::settings());
     assert_eq!(simulated, real);
 }
 
 #[test]
-fn settings_of_every_other_kind_mean_the_same_in_both_forms() {
+fn other_variants_are_equal_in_both_forms() {
     let settings = json!({"balancers": 7, "rank": 3, "zone": 2, "zones": ["a", "b"], "skus": "one",
         "discovery": "subscribe", "weights": "live", "step_us": 2500.5,
         "allowed": {"max_attempts": 4, "cancelling": 1, "second_copies": 0, "retry_after": false,
@@ -52,12 +52,12 @@
             {"name": "a", "idempotency": "token", "dedup_scope": "zone", "window_us": 5},
             {"name": "b", "idempotency": "token", "dedup_scope": "all", "deadline_us": 7000, "aim_stretch": 2.0},
             {"name": "c"}]});
-    let (simulated, real) = both(&settings);
+    let (simulated, real) = parse_both(&settings);
     assert_eq!(simulated, real);
 }
 
 #[test]
-fn absent_settings_have_the_same_defaults_in_both_forms() {
-    let (simulated, real) = both(&json!({"services": [{"name": "a", "idempotency": "pure"}]}));
+fn defaults_are_equal_in_both_forms() {
+    let (simulated, real) = parse_both(&json!({"services": [{"name": "a", "idempotency": "pure"}]}));
     assert_eq!(simulated, real);
 }
--- a/crates/drill/tests/wire.rs
+++ b/crates/drill/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Whole frames, written out byte by byte from the wire's tables.
+//! Complete frames, written byte by byte as the protocol specifies them.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,14 +6,14 @@
 use cherryusher::*;
 use cherryusher_drill::wire::{Batch, Decoder, Record, Reply, parse_settings};
 
-/// Bytes from hex text; spaces and line ends are for the eye.
+/// Bytes from hex text; whitespace is ignored.
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
     digits.chunks(2).map(byte).collect()
 }
 
-/// Decodes records behind a header of clock 7 and number 9.
+/// Decodes records after a batch header with time 7 and number 9.
 fn records(decoder: &mut Decoder, text: &str) -> Vec<Record> {
     let frame = [hex("0700000000000000 09000000"), hex(text)].concat();
     decoder.batch(&frame).unwrap().records
@@ -22,13 +22,13 @@
 const SERVER: ServerId = 0x0a12_4a07_138b;
 
 #[test]
-fn an_empty_batch() {
+fn decodes_an_empty_batch() {
     let batch = Decoder::default().batch(&hex("5a5c800000000000 01000000")).unwrap();
     assert_eq!(batch, Batch { now: 0x80_5c5a, number: 1, records: vec![] });
 }
 
 #[test]
-fn a_request() {
+fn decodes_a_request() {
     let text = "0c00 0300  0300 c4913a5de1dd0700 00 80a90300 e02e0000 640ad2557c3bf091 01 02000000";
     let request = Request {
         id: 0x0007_dde1_5d3a_91c4,
@@ -43,15 +43,15 @@
 }
 
 #[test]
-fn absent_values_of_a_request() {
+fn absent_values_become_none() {
     let text = "0300 0100000000000000 02 01000000 e02e0000 0000000000000000 02 00000000";
-    let got = records(&mut Decoder::default(), text);
-    let [Record::Event(Event::RequestArrived(request))] = got[..] else { panic!("{got:?}") };
+    let decoded = records(&mut Decoder::default(), text);
+    let [Record::Event(Event::RequestArrived(request))] = decoded[..] else { panic!("{decoded:?}") };
     assert_eq!((request.expected_work, request.key, request.class), (None, None, 2));
 }
 
 #[test]
-fn every_other_event() {
+fn decodes_every_other_event() {
     let ended = "0500 0100000000000000 0200 01 68 44480000 0a124a07 8b13 02 0000803f 00000040";
     let ended_event = AttemptEnd {
         request: 1,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn every_outcome() {
+fn decodes_every_outcome() {
     let known = [
         ("00", Outcome::Served),
         ("05", Outcome::Error),
@@ -90,19 +90,19 @@
     ];
     for (code, outcome) in known {
         let text = format!("0500 0100000000000000 0000 00 {code} 44480000 0a124a07 8b13 00");
-        let got = records(&mut Decoder::default(), &text);
-        let [Record::Event(Event::AttemptEnded(ended))] = &got[..] else { panic!("{got:?}") };
+        let decoded = records(&mut Decoder::default(), &text);
+        let [Record::Event(Event::AttemptEnded(ended))] = &decoded[..] else { panic!("{decoded:?}") };
         assert_eq!((ended.outcome, ended.request_finished), (outcome, false));
     }
 }
 
 #[test]
-fn a_list_number_means_the_newest_list_so_far() {
+fn list_number_refers_to_the_newest_list() {
     let mut decoder = Decoder::default();
     let one = "0b00 00 01000000 02 0000000000000000 00 0a124a07 8b13 0000 0000803f 00";
     let two = "0b00 00 01000000 01 20145d0000000000 01 0a124a07 8b13 0500 0000c03f 03";
-    let use_it = "0200 00 2900000000000000 00";
-    let got = records(&mut decoder, &format!("{one} 0200 02 2900000000000000 00 {two} {use_it}"));
+    let send_changes = "0200 00 2900000000000000 00";
+    let decoded = records(&mut decoder, &format!("{one} 0200 02 2900000000000000 00 {two} {send_changes}"));
     let ready = ServerEntry {
         id: SERVER,
         state: ServerState::Ready,
@@ -125,23 +125,23 @@
         Record::Event(Event::CachedServerList(vec![ready])),
         Record::Event(Event::ServerChanges(vec![draining])),
     ];
-    assert_eq!(got, expected);
+    assert_eq!(decoded, expected);
     let later = records(&mut decoder, "0200 01 2900000000000000 00");
     assert_eq!(later, [Record::Event(Event::ServerList(vec![draining]))]);
 }
 
 #[test]
-fn a_weight_that_is_no_number_counts_as_unknown() {
+fn invalid_weight_counts_as_unknown() {
     for weight in ["0000c07f", "0000807f", "000080bf"] {
         let list = format!("0b00 00 01000000 02 0000000000000000 00 0a124a07 8b13 0000 {weight} 00");
-        let got = records(&mut Decoder::default(), &format!("{list} 0200 02 2900000000000000 00"));
-        let [Record::Event(Event::CachedServerList(entries))] = &got[..] else { panic!("{got:?}") };
+        let decoded = records(&mut Decoder::default(), &format!("{list} 0200 02 2900000000000000 00"));
+        let [Record::Event(Event::CachedServerList(entries))] = &decoded[..] else { panic!("{decoded:?}") };
         assert_eq!(entries[0].weight, 0.0, "{weight}");
     }
 }
 
 #[test]
-fn settings_known_unknown_and_absent() {
+fn parses_known_unknown_and_absent_settings() {
     let text = "balancers=2\nrank=1\nnew.key=1\nservices.count=1\nservices.0.idempotency=token\n\
                 services.0.dedup_scope=cell\nservices.0.window_us=4000000\nparties.count=1\n\
                 parties.0.quota_rps=52.0\ndiscovery=subscribe\nobligations.ask_every_us=10000000\n";
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_reply() {
+fn encodes_a_reply() {
     let mut reply = Reply::default();
     reply.action(3, Action::Send { request: 0x0007_dde1_5d3a_91c4, server: SERVER, start_before: None });
     reply.action(3, Action::SetTimer { after: 500_000, token: 0x4d });
@@ -176,27 +176,27 @@
     assert_eq!(reply.frame(12), frame);
 }
 
-fn adapter(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cherryusher-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may end before it has read all of a bad input.
+    // The adapter may exit before it has read all of a malformed input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
 #[test]
-fn the_adapter_answers_and_ends_with_its_input() {
-    let out = adapter(&hex("0c000000 5a5c800000000000 01000000"));
+fn adapter_replies_and_ends_with_its_input() {
+    let out = run_adapter(&hex("0c000000 5a5c800000000000 01000000"));
     assert!(out.status.success());
     assert_eq!(out.stdout, hex("00000000 04000000 01000000"));
 }
 
 #[test]
-fn the_adapter_says_plainly_what_is_malformed() {
+fn adapter_reports_malformed_input() {
     let header = "5a5c800000000000 01000000";
     let cases = [
         ("0c0000", "within a frame's length"),
@@ -208,25 +208,25 @@
         (&format!("1a000000 {header} 0100 0000000000000000 00000000"), "no request classes"),
     ];
     for (input, message) in cases {
-        let out = adapter(&hex(input));
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && said.contains(message), "{input}: {said}");
-        assert!(said.lines().count() == 1 && !said.contains("panicked"), "{said}");
+        let out = run_adapter(&hex(input));
+        let stderr = String::from_utf8(out.stderr).unwrap();
+        assert!(!out.status.success() && stderr.contains(message), "{input}: {stderr}");
+        assert!(stderr.lines().count() == 1 && !stderr.contains("panicked"), "{stderr}");
     }
 }
 
 #[test]
-fn what_is_stated_of_weights_and_cold_servers_is_read() {
-    let read = |text: &str| cherryusher_drill::wire::parse_settings(text.as_bytes()).unwrap();
-    let stated = read("weights=live\nobligations.fall_multiple=2.5\n");
-    assert!(stated.live_weights && stated.overload_factor == 2.5);
-    let silent = read("weights=nominal\n");
-    assert!(!silent.live_weights && silent.overload_factor == Settings::default().overload_factor);
+fn parses_weights_and_overload_factor() {
+    let parse = |text: &str| cherryusher_drill::wire::parse_settings(text.as_bytes()).unwrap();
+    let live = parse("weights=live\nobligations.fall_multiple=2.5\n");
+    assert!(live.live_weights && live.overload_factor == 2.5);
+    let nominal = parse("weights=nominal\n");
+    assert!(!nominal.live_weights && nominal.overload_factor == Settings::default().overload_factor);
 }
 
 #[test]
-fn what_fuzzing_met_does_no_harm() {
+fn fuzz_corpus_does_not_panic() {
     let frames = testkit::corpus("wire_batch");
-    let good = frames.iter().filter(|frame| Decoder::default().batch(frame).is_ok()).count();
-    assert!(good > 0);
+    let valid = frames.iter().filter(|frame| Decoder::default().batch(frame).is_ok()).count();
+    assert!(valid > 0);
 }
