--- a/crates/cherryusher/src/api.rs
+++ b/crates/cherryusher/src/api.rs
@@ -135,7 +135,8 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A single node with pushed discovery, one attempt per request, neither cancelling nor hedging, and no class yet.
+/// A single node with pushed discovery, one attempt per request, neither cancelling nor hedging, and no class
+/// yet.
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
@@ -338,8 +339,9 @@
     DiscoveryFailed,
     /// A request has arrived and needs one final answer.
     RequestArrived(Request),
-    /// A request is arriving whose body is streamed to the server. It has at most one attempt in flight, and its
-    /// client's remaining time starts with the last byte: until [`Event::BodyReceived`] the times are estimates.
+    /// A request is arriving whose body is streamed to the server. It has at most one attempt in flight, and
+    /// its client's remaining time starts with the last byte: until [`Event::BodyReceived`] the times are
+    /// estimates.
     StreamedRequestArrived(Request, Upload),
     /// The last byte of a streamed request has arrived; the duration is the time until the client gives up.
     BodyReceived(RequestId, Micros),
@@ -373,8 +375,9 @@
         request: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// The time before which the first byte has to be sent, if any: an earlier attempt may have run, and its
-        /// deduplication window ends then. An attempt that can't start in time ends as [`Outcome::NotSent`].
+        /// The time before which the first byte has to be sent, if any: an earlier attempt may have run, and
+        /// its deduplication window ends then. An attempt that can't start in time ends as
+        /// [`Outcome::NotSent`].
         start_before: Option<Micros>,
     },
     /// Final answer: the request is refused, and a repeat is harmless.
--- a/crates/cherryusher/src/lib.rs
+++ b/crates/cherryusher/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of a reverse proxy that spreads requests over HTTP servers.
 //!
-//! A [`Balancer`] makes the decisions of one node, that is, of one of the proxies that share the work. It is created
-//! from [`Settings`] and a random seed, receives [`Event`]s, and returns the [`Action`]s that the node has to carry
-//! out. It does no I/O and reads no clock.
+//! A [`Balancer`] makes the decisions of one node, that is, of one of the proxies that share the work. It is
+//! created from [`Settings`] and a random seed, receives [`Event`]s, and returns the [`Action`]s that the node
+//! has to carry out. It does no I/O and reads no clock.
 //!
 //! # Example
 //!
@@ -28,7 +28,8 @@
 //! balancer.handle(1_000, Event::CachedServerList(servers.collect()), &mut actions);
 //!
 //! // A request arrives. The actions say where to send it and which timers to set.
-//! let request = Request { id: 7, class: 0, remaining: 900_000, expected_work: None, key: None, tenant: None };
+//! let request =
+//!     Request { id: 7, class: 0, remaining: 900_000, expected_work: None, key: None, tenant: None };
 //! balancer.handle(2_000, Event::RequestArrived(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 7, .. })));
 //! actions.clear();
@@ -46,8 +47,8 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! The node has these duties: each [`Action::Send`] is followed by one [`Event::AttemptEnded`]; the first response
-//! goes to the client at once and finishes its request; timeouts of attempts end when the client gives up.
+//! The node has these duties: each [`Action::Send`] is followed by one [`Event::AttemptEnded`]; the first
+//! response goes to the client at once and finishes its request; attempts time out when the client gives up.
 
 pub mod api;
 pub mod labels;
--- a/crates/cherryusher/src/policy/admission.rs
+++ b/crates/cherryusher/src/policy/admission.rs
@@ -74,8 +74,7 @@
 
     /// The part of such requests to admit. One of many nodes sees an overload only in the queueing delay of
     /// its few attempts. Once that uses up the target latency, more work would make all answers late. It says
-    /// too little, too late, about what requests beyond quotas take from others: it admits few or none of
-    /// them.
+    /// too little, too late, about what requests beyond quotas take from others: few or none are admitted.
     fn admission_probability(&self, info: &RequestInfo) -> f64 {
         let uncertainty = self.uncertainty();
         if !info.in_quota {
@@ -131,8 +130,8 @@
         }
     }
 
-    /// The part of other pools' requests that a pool accepts. Every node may have one attempt in flight
-    /// there, and hundreds would overload a small pool: the part follows its size relative to all ready
+    /// The part of other pools' requests that a pool accepts. Every node may have one attempt there, and
+    /// those of hundreds would overload a small pool: the part follows its size relative to all ready
     /// servers.
     pub(super) fn lending_part(&self, pool: &Pool) -> f64 {
         let size = pool.members.len() as f64 / self.ready_pool().members.len().max(1) as f64;
--- a/crates/cherryusher/src/policy/attempts.rs
+++ b/crates/cherryusher/src/policy/attempts.rs
@@ -29,7 +29,8 @@
         members.iter().any(|i| self.servers[*i].pool.is_some() && self.allows(req, &self.servers[*i].entry))
     }
 
-    /// Until when a request may be sent again: the first end of its attempts' deduplication windows.
+    /// Until when a request may be sent again: the first end of a deduplication window of its attempts that
+    /// may have run; `None` without such a limit.
     fn latest_start(&self, req: &OpenRequest) -> Option<Micros> {
         let Idempotency::Deduplicated { window, .. } = self.settings.classes[req.info.class].idempotency
         else {
@@ -103,8 +104,7 @@
             return self.give_up(id);
         }
         // An overdue attempt may be at a pausing server: a hedge goes elsewhere if nothing is queued. Hedges
-        // of long requests lose and occupy servers: unless a tenth of them win, half of the pool has to be
-        // free.
+        // of long requests lose and occupy servers: unless a tenth win, half of the pool has to be free.
         let (pool, part) = (req.pool, if self.hedge_wins > 0.1 { 1.0 } else { LENDING_FILL });
         let overdue = !req.queued && self.overdue_at(req).is_some_and(|t| t <= self.now);
         if overdue && req.info.in_quota && self.queues[pool].is_empty() && self.has_capacity(pool, part) {
--- a/crates/cherryusher/src/state.rs
+++ b/crates/cherryusher/src/state.rs
@@ -39,8 +39,8 @@
         *self = DecayingSum { value: self.at(now) + amount, updated_at: now, started_at };
     }
 
-    /// The amount added per microsecond. A sum younger than its time constant has not reached its steady value
-    /// yet, which the last factor corrects.
+    /// The amount added per microsecond. A sum younger than its time constant has not reached its steady
+    /// value yet, which the last factor corrects.
     pub(crate) fn rate(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started_at).max(MIN_RATE_WINDOW) as f64;
         self.at(now) / DECAY_US / (1.0 - (-age / DECAY_US).exp())
@@ -86,7 +86,8 @@
 }
 
 impl Server {
-    /// The latency ratio; a server without recent attempts counts as an average one, so that it is tried again.
+    /// The latency ratio; a server without recent attempts counts as an average one, so that it is tried
+    /// again.
     pub(crate) fn latency_ratio_at(&self, now: Micros) -> f64 {
         let recent = (now.saturating_sub(self.last_sent_at) as f64) < DECAY_US;
         if recent { self.latency_ratio } else { 1.0 }
@@ -198,8 +199,8 @@
     pub(crate) server: ServerEntry,
     pub(crate) sent_at: Micros,
     pub(crate) status: Status,
-    /// Whether the attempt counts among the server's attempts in flight. A streamed request does so only after
-    /// its last byte.
+    /// Whether the attempt counts among the server's attempts in flight. A streamed request does so only
+    /// after its last byte.
     pub(crate) counted: bool,
 }
 
@@ -305,8 +306,8 @@
         LatencyEstimate { median, baseline: median, samples: 1.0 }
     }
 
-    /// Adds an answer. The first ones move the estimate by large steps: the lowest median has to be found before
-    /// servers fill up.
+    /// Adds an answer. The first ones move the estimate by large steps: the lowest median has to be found
+    /// before servers fill up.
     pub(crate) fn add(&mut self, latency: f64) {
         self.samples += 1.0;
         let step = (1.0 / self.samples).max(MEDIAN_STEP);
@@ -325,7 +326,8 @@
 /// The step by which an answer moves the typical latency.
 const TYPICAL_STEP: f64 = 0.05;
 
-/// The queueing delay of attempts at servers over all classes, in microseconds. It decays while no attempt ends.
+/// The queueing delay of attempts at servers over all classes, in microseconds. It decays while no attempt
+/// ends.
 #[derive(Default)]
 pub(crate) struct QueueingDelay {
     /// The mean delay as of the last attempt that ended.
--- a/crates/cherryusher/src/tests.rs
+++ b/crates/cherryusher/src/tests.rs
@@ -1,4 +1,5 @@
-//! Draws from the table of a large pool have the same distribution as a scan of all members, at a bounded cost.
+//! Draws from the table of a large pool have the same distribution as a scan of all members, at a bounded
+//! cost.
 
 use std::collections::BTreeMap;
 
@@ -249,8 +250,8 @@
     assert_eq!(sum.at(50), 2.0);
 }
 
-/// One of many nodes sends a server one or two requests per second. A server that has become slow has to lose its
-/// work within a few answers, before it is overloaded.
+/// One of many nodes sends a server one or two requests per second. A server that has become slow has to lose
+/// its work within a few answers, before it is overloaded.
 #[test]
 fn few_answers_reveal_a_slow_server_at_many_nodes() {
     for (balancers, slow) in [(100, true), (2, false)] {
--- a/crates/cherryusher/tests/common/mod.rs
+++ b/crates/cherryusher/tests/common/mod.rs
@@ -24,7 +24,7 @@
 
 /// Settings with four tenants with large quotas and one class per kind of idempotency.
 pub fn settings() -> Settings {
-    let keyed = |scope| Idempotency::Deduplicated { scope, window: 400 * MS };
+    let deduplicated = |scope| Idempotency::Deduplicated { scope, window: 400 * MS };
     Settings {
         balancers: 2,
         rank: 0,
@@ -32,8 +32,8 @@
         classes: vec![
             class(Idempotency::Idempotent),
             class(Idempotency::NonIdempotent),
-            class(keyed(DedupScope::Cell)),
-            class(keyed(DedupScope::All)),
+            class(deduplicated(DedupScope::Cell)),
+            class(deduplicated(DedupScope::All)),
         ],
         tenants: vec![Tenant { quota_per_s: 1_000.0, share: 0.25 }; 4],
         over_quota_value: 0.05,
--- a/crates/cherryusher/tests/peer_health.rs
+++ b/crates/cherryusher/tests/peer_health.rs
@@ -16,8 +16,8 @@
     targets(&actions, id)[0]
 }
 
-/// The requests that a server gets relative to an even share, while other nodes suspect it at this level. With
-/// `repeated`, they report that again every 100 requests.
+/// The requests that a server gets relative to an even share, while other nodes suspect it at this level.
+/// With `repeated`, they report that again every 100 requests.
 fn relative_share(level: f64, list: u64, repeated: bool) -> f64 {
     let mut node = Node::new(settings_with_one_label(), servers(0..list));
     let server = pick_unlabelled_server(&mut node);
--- a/crates/cherryusher/tests/rules.rs
+++ b/crates/cherryusher/tests/rules.rs
@@ -1,6 +1,6 @@
-//! Random valid event sequences against the safety rules, checked without the module's own bookkeeping:
-//! no attempt at a server that drains or is gone, no second run of a request that must not run twice, one final answer
-//! in time, and no overload of a cold server.
+//! Random valid event sequences against the safety rules, checked without the module's own bookkeeping: no
+//! attempt at a server that drains or is gone, no second run of a request that must not run twice, one final
+//! answer in time, and no overload of a cold server.
 
 mod common;
 
@@ -21,7 +21,8 @@
     class: usize,
     give_up_at: Micros,
     finished: bool,
-    /// The time that its client waits after the last byte, while the body of a streamed request is still arriving.
+    /// The time that its client waits after the last byte, while the body of a streamed request is still
+    /// arriving.
     uploading: Option<Micros>,
     streamed: bool,
     body_consumed: bool,
@@ -327,8 +328,8 @@
     }
 }
 
-/// A cold server must not be overloaded: in any window, its part of the requests that warm servers of the same node
-/// get stays below the overload factor times its current part of the full capacity.
+/// A cold server must not be overloaded: in any window, its part of the requests that warm servers of the
+/// same node get stays below the overload factor times its current part of the full capacity.
 #[test]
 fn cold_server_is_never_overloaded() {
     const WINDOW: Micros = 2 * S;
--- a/crates/cherryusher/tests/scenarios.rs
+++ b/crates/cherryusher/tests/scenarios.rs
@@ -180,8 +180,8 @@
     let mut node = Node::new(settings(), servers(1..11));
     let (id, first) = node.arrive(IDEMPOTENT, Some(0));
     let pausing = targets(&first, id)[0];
-    let copy = node.fire_timer(id, 250 * MS);
-    assert!(targets(&copy, id).len() == 1 && targets(&copy, id)[0] != pausing);
+    let hedge = node.fire_timer(id, 250 * MS);
+    assert!(targets(&hedge, id).len() == 1 && targets(&hedge, id)[0] != pausing);
 }
 
 /// Hedges of long requests lose the race and fill servers; hedges of requests at pausing servers win.
@@ -209,29 +209,29 @@
 #[test]
 fn quickly_failing_server_gets_little() {
     let mut node = Node::new(settings(), servers(1..9));
-    let (mut bad, mut all) = (0, 0);
+    let (mut failing_count, mut all) = (0, 0);
     for _ in 0..400 {
         node.now += 5 * MS;
         let (id, actions) = node.arrive(NON_IDEMPOTENT, Some(0));
         let to = targets(&actions, id)[0];
         all += 1;
-        bad += u32::from(to % 4 == 1);
+        failing_count += u32::from(to % 4 == 1);
         node.end_attempt(id, 0, if to % 4 == 1 { Outcome::Error } else { Outcome::Served }, 5 * MS);
     }
-    assert!(bad * 10 < all, "{bad} of {all} went to servers that fail");
+    assert!(failing_count * 10 < all, "{failing_count} of {all} went to servers that fail");
 }
 
 /// If most servers of a pool fail, ejecting them would overload the others: then none is ejected.
 #[test]
 fn at_most_half_of_a_pool_is_ejected() {
-    for (bad, avoided) in [(1, true), (3, false)] {
+    for (failing_count, ejected) in [(1, true), (3, false)] {
         let mut small_share = settings();
         small_share.tenants.iter_mut().for_each(|t| t.share = 0.1);
         let mut node = Node::new(small_share, servers(1..13));
         let pool: Vec<_> =
             servers_reached(&mut node, &[Some(0)]).remove(&Some(0)).unwrap().into_iter().collect();
         assert_eq!(pool.len(), 4);
-        let failing = &pool[..bad];
+        let failing = &pool[..failing_count];
         for _ in 0..100 {
             let (id, actions) = node.arrive(NON_IDEMPOTENT, Some(0));
             let fails = failing.contains(&targets(&actions, id)[0]);
@@ -244,7 +244,11 @@
             node.end_attempt(id, 0, if failing.contains(&to) { Outcome::Error } else { Outcome::Served }, MS);
             failing.contains(&to)
         });
-        assert_eq!(reached_failing.filter(|failing| *failing).count() == 0, avoided, "{bad} of 4 fail");
+        assert_eq!(
+            reached_failing.filter(|failing| *failing).count() == 0,
+            ejected,
+            "{failing_count} of 4 fail"
+        );
     }
 }
 
@@ -270,13 +274,13 @@
         let actions = node.end_attempt(sent[at], 0, Outcome::Served, 20 * MS);
         record_sends(&actions, &mut sent);
     }
-    let place = |id| sent.iter().position(|s| *s == id);
+    let position_of = |id| sent.iter().position(|s| *s == id);
     let beyond = sent.iter().position(|id| (11..=30).contains(id));
     assert!(
-        place(late).is_some() && beyond.is_some(),
+        position_of(late).is_some() && beyond.is_some(),
         "spare capacity is not used for requests beyond the quota"
     );
-    assert!(place(late) < beyond, "{sent:?}");
+    assert!(position_of(late) < beyond, "{sent:?}");
 }
 
 #[test]
@@ -293,8 +297,8 @@
     }
 }
 
-/// A change counts as delivered in time within 6 s after discovery can be reached, however long it was unreachable
-/// before. A call may wait 2 s for its turn.
+/// A change counts as delivered in time within 6 s after discovery can be reached, however long it was
+/// unreachable before. A call may wait 2 s for its turn.
 #[test]
 fn discovery_backoff_is_bounded() {
     for (nodes, seed) in [(2, 1), (6, 2), (20, 3), (50, 4)] {
@@ -311,7 +315,8 @@
     }
 }
 
-/// A hundred nodes whose calls failed at the same time retry evenly over a second, and then over a longer time.
+/// A hundred nodes whose calls failed at the same time retry evenly over a second, and then over a longer
+/// time.
 #[test]
 fn discovery_retries_are_spread() {
     let mut subscribed = settings();
@@ -338,8 +343,8 @@
     }
 }
 
-/// A service that takes 50 ms per call can answer 20 calls per second. If a hundred nodes retry faster, it only ever
-/// works on calls that have already timed out. Yet each node has to call every 10 s.
+/// A service that takes 50 ms per call can answer 20 calls per second. If a hundred nodes retry faster, it
+/// only ever works on calls that have already timed out. Yet each node has to call every 10 s.
 #[test]
 fn hundred_nodes_do_not_overload_discovery() {
     let mut subscribed = settings_at_many_nodes(100, 0);
@@ -394,8 +399,8 @@
 fn started_response_stream_has_no_deadline() {
     let mut node = Node::new(settings(), servers(1..11));
     let (id, _) = node.arrive(IDEMPOTENT, Some(0));
-    let copy = node.fire_timer(id, 250 * MS);
-    assert_eq!(targets(&copy, id).len(), 1);
+    let hedge = node.fire_timer(id, 250 * MS);
+    assert_eq!(targets(&hedge, id).len(), 1);
     assert_eq!(
         node.handle(Event::ResponseStreamStarted(id, 0)),
         [Action::Cancel(id, 1)],
@@ -429,14 +434,14 @@
 #[test]
 fn limit_survives_a_slowdown_of_all_servers() {
     let mut node = Node::new(settings(), servers(1..9));
-    let mut out: Vec<(Micros, RequestId)> = Vec::new();
+    let mut in_flight: Vec<(Micros, RequestId)> = Vec::new();
     let mut sent = [0, 0];
     for step in 0..4_000 {
         let slow = usize::from(step >= 2_000);
         node.now += 5 * MS;
         let mut actions = node.arrive(IDEMPOTENT, Some((step % 4) as u32)).1;
-        let due: Vec<_> = out.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
-        out.retain(|(at, _)| *at > node.now);
+        let due: Vec<_> = in_flight.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
+        in_flight.retain(|(at, _)| *at > node.now);
         for id in due {
             actions.extend(node.end_attempt(
                 id,
@@ -447,7 +452,7 @@
         }
         for action in actions {
             if let Action::Send { request, .. } = action {
-                out.push((node.now + if slow == 1 { 400 * MS } else { 100 * MS }, request));
+                in_flight.push((node.now + if slow == 1 { 400 * MS } else { 100 * MS }, request));
                 sent[slow] += 1;
             }
         }
@@ -484,18 +489,22 @@
         let list: Vec<_> =
             servers(1..11).into_iter().map(|s| ServerEntry { zone: (s.id % 2) as u8, ..s }).collect();
         let mut node = Node::new(Settings { cross_zone_price: price, balancers: 1, ..settings() }, list);
-        let mut own = 0;
-        let mut out = std::collections::VecDeque::new();
+        let mut in_zone = 0;
+        let mut in_flight = std::collections::VecDeque::new();
         for _ in 0..200 {
             let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
-            own += usize::from(targets(&actions, id)[0].is_multiple_of(2));
-            out.push_back(id);
-            if out.len() > 1 {
+            in_zone += usize::from(targets(&actions, id)[0].is_multiple_of(2));
+            in_flight.push_back(id);
+            if in_flight.len() > 1 {
                 node.now += 10 * MS;
-                node.end_attempt(out.pop_front().unwrap(), 0, Outcome::Served, 10 * MS);
+                node.end_attempt(in_flight.pop_front().unwrap(), 0, Outcome::Served, 10 * MS);
             }
         }
-        assert_eq!(own == 200, stay_in_zone, "{own} of 200 requests stayed in the zone at price {price}");
+        assert_eq!(
+            in_zone == 200,
+            stay_in_zone,
+            "{in_zone} of 200 requests stayed in the zone at price {price}"
+        );
         let picked = (0..200).flat_map(|_| {
             let (id, actions) = node.arrive(IDEMPOTENT, Some(0));
             targets(&actions, id)
@@ -541,8 +550,8 @@
     }
 }
 
-/// Repeats of refused requests beyond the quota come back into the same overload; requests within it may be repeated
-/// at once.
+/// Repeats of refused requests beyond the quota come back into the same overload; requests within it may be
+/// repeated at once.
 #[test]
 fn retry_after_only_beyond_the_quota() {
     let mut tight = Settings { max_retry_after: 2 * S, ..settings() };
@@ -561,25 +570,25 @@
     assert_eq!(retry_after_of(&node.handle(Event::TimerFired(1)), 1), Some(0));
 }
 
-/// Answers take five times as long as usual, but are in time, while more requests wait than fit: more attempts in
-/// flight would overload the servers.
+/// Answers take five times as long as usual, but are in time, while more requests wait than fit: more
+/// attempts in flight would overload the servers.
 #[test]
 fn limit_does_not_grow_while_servers_are_slow() {
     let mut node = Node::new(settings(), servers(1..9));
     servers_reached(&mut node, &[Some(0), Some(1), Some(2), Some(3)]);
-    let (mut out, mut most) = (Vec::<(Micros, RequestId)>::new(), [0, 0]);
+    let (mut in_flight, mut max_in_flight) = (Vec::<(Micros, RequestId)>::new(), [0, 0]);
     for step in 0..600 {
         node.now += 5 * MS;
         let mut actions = node.arrive(IDEMPOTENT, Some(step % 4)).1;
         actions.extend(node.arrive(IDEMPOTENT, Some(step % 4)).1);
-        let due: Vec<_> = out.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
-        out.retain(|(at, _)| *at > node.now);
+        let due: Vec<_> = in_flight.iter().filter(|(at, _)| *at <= node.now).map(|(_, id)| *id).collect();
+        in_flight.retain(|(at, _)| *at > node.now);
         for id in due {
             actions.extend(node.end_attempt(id, 0, Outcome::Served, 50 * MS));
         }
         for action in actions {
             match action {
-                Action::Send { request, .. } => out.push((node.now + 50 * MS, request)),
+                Action::Send { request, .. } => in_flight.push((node.now + 50 * MS, request)),
                 Action::SetTimer { token, .. } if token > node.last_id => {
                     drop(node.handle(Event::TimerFired(token)))
                 }
@@ -587,16 +596,21 @@
             }
         }
         let part = usize::from(step >= 100);
-        most[part] = out.len().max(most[part]);
+        max_in_flight[part] = in_flight.len().max(max_in_flight[part]);
     }
-    assert!(most[1] <= most[0] * 2, "at most {} in flight at first, then {}", most[0], most[1]);
+    assert!(
+        max_in_flight[1] <= max_in_flight[0] * 2,
+        "at most {} in flight at first, then {}",
+        max_in_flight[0],
+        max_in_flight[1]
+    );
 }
 
-/// Sends `each` requests every 2 ms for 2 s to eight servers that process one request at a time, and returns how many
-/// are in flight at the end. With `stops`, no server answers in the last 0.6 s.
+/// Sends `each` requests every 2 ms for 2 s to eight servers that process one request at a time, and returns
+/// how many are in flight at the end. With `stops`, no server answers in the last 0.6 s.
 fn in_flight_at_the_end(each: usize, work: Micros, stops: bool) -> usize {
     let mut node = Node::new(Settings { balancers: 1, ..settings() }, servers(1..9));
-    let mut out: Vec<(Micros, Micros, RequestId)> = Vec::new();
+    let mut in_flight: Vec<(Micros, Micros, RequestId)> = Vec::new();
     let mut idle_at = [0; 9];
     for step in 0..1_000 {
         node.now += 2 * MS;
@@ -605,8 +619,8 @@
             actions.extend(node.arrive(IDEMPOTENT, Some(step % 4)).1);
         }
         let due = |o: &(Micros, Micros, RequestId)| o.0 <= node.now && !(stops && step >= 700);
-        let (back, rest): (Vec<_>, Vec<_>) = out.into_iter().partition(due);
-        out = rest;
+        let (back, rest): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(due);
+        in_flight = rest;
         for (_, sent_at, id) in back {
             actions.extend(node.end_attempt(id, 0, Outcome::Served, node.now - sent_at));
         }
@@ -614,22 +628,23 @@
             if let Action::Send { request, server, .. } = action {
                 let idle = &mut idle_at[server as usize];
                 *idle = node.now.max(*idle) + work;
-                out.push((*idle, node.now, request));
+                in_flight.push((*idle, node.now, request));
             }
         }
     }
-    out.len()
+    in_flight.len()
 }
 
-/// A node that has just started has seen few requests, but takes their rate at once: it does not queue the requests
-/// of its first seconds.
+/// A node that has just started has seen few requests, but takes their rate at once: it does not queue the
+/// requests of its first seconds.
 #[test]
 fn limit_adapts_soon_after_the_start() {
-    let out = in_flight_at_the_end(1, 14 * MS, true);
-    assert!(out > 20, "{out} in flight although the arriving requests need 7");
+    let in_flight = in_flight_at_the_end(1, 14 * MS, true);
+    assert!(in_flight > 20, "{in_flight} in flight although the arriving requests need 7");
 }
 
-/// The latency of a class without answers is a guess. Counting it for the first answers would raise the limit tenfold.
+/// The latency of a class without answers is a guess. Counting it for the first answers would raise the limit
+/// tenfold.
 #[test]
 fn latency_guess_does_not_raise_the_limit() {
     let classes = vec![Class { target_latency: 40 * S, deadline: 50 * S, ..class(Idempotency::Idempotent) }];
@@ -647,20 +662,21 @@
 /// More requests arrive within quotas than servers can process: the limit follows the served requests.
 #[test]
 fn burst_does_not_overload_servers() {
-    let out = in_flight_at_the_end(4, 10 * MS, false);
-    assert!(out <= 80, "{out} in flight at eight servers that take one at a time");
+    let in_flight = in_flight_at_the_end(4, 10 * MS, false);
+    assert!(in_flight <= 80, "{in_flight} in flight at eight servers that take one at a time");
 }
 
-/// A queued request is refused before the last moment at which half of the answers would be in time. Otherwise the
-/// other half is late and takes capacity from requests that could be in time: under overload a fifth of all answers.
+/// A queued request is refused before the last moment at which half of the answers would be in time.
+/// Otherwise the other half is late and takes capacity from requests that could be in time: under overload a
+/// fifth of all answers.
 #[test]
 fn queued_request_is_refused_once_probably_late() {
     let classes = vec![Class { late_value_fraction: 0.0, ..class(Idempotency::Idempotent) }];
     let mut node = Node::new(Settings { classes, ..settings() }, servers(1..9));
     let arrivals = (0..100).map(|_| node.arrive(IDEMPOTENT, Some(0)));
     let id = arrivals.collect::<Vec<_>>().iter().find(|(id, a)| targets(a, *id).is_empty()).unwrap().0;
-    // A quarter of the target latency is the first guess of the median: half of the answers to requests sent at 225 ms
-    // are in time.
+    // A quarter of the target latency is the first guess of the median: half of the answers to requests sent
+    // at 225 ms are in time.
     assert!(!is_refused(&node.fire_timer(id, 180 * MS), id));
     assert!(is_refused(&node.fire_timer(id, 10 * MS), id));
 }
@@ -717,32 +733,33 @@
 
 /// Serves requests of one tenant one after the other, and counts them by server.
 fn requests_by_server(node: &mut Node, requests: usize) -> BTreeMap<ServerId, usize> {
-    let mut got = BTreeMap::new();
+    let mut received = BTreeMap::new();
     for _ in 0..requests {
         let (id, actions) = node.arrive(NON_IDEMPOTENT, Some(0));
-        targets(&actions, id).iter().for_each(|to| *got.entry(*to).or_default() += 1);
+        targets(&actions, id).iter().for_each(|to| *received.entry(*to).or_default() += 1);
         node.now += 200 * MS;
         node.end_attempt(id, 0, Outcome::Served, 20 * MS);
     }
-    got
+    received
 }
 
-/// If one of hundreds of nodes spread its requests over a whole pool, it would send one per minute to each server: its
-/// own counts would not tell their load, and each request would open a connection.
+/// If one of hundreds of nodes spread its requests over a whole pool, it would send one per minute to each
+/// server: its own counts would not tell their load, and each request would open a connection.
 #[test]
 fn each_of_many_nodes_prefers_few_servers() {
     let mut all: BTreeMap<ServerId, usize> = BTreeMap::new();
     for rank in 0..200 {
-        let got = requests_by_server(&mut Node::new(settings_at_many_nodes(200, rank), servers(1..41)), 20);
-        assert!(got.len() <= 3, "node {rank} used {} servers", got.len());
-        got.into_iter().for_each(|(to, n)| *all.entry(to).or_default() += n);
+        let received =
+            requests_by_server(&mut Node::new(settings_at_many_nodes(200, rank), servers(1..41)), 20);
+        assert!(received.len() <= 3, "node {rank} used {} servers", received.len());
+        received.into_iter().for_each(|(to, n)| *all.entry(to).or_default() += n);
     }
-    let (least, most) = (all.values().min().unwrap(), all.values().max().unwrap());
-    assert!(all.len() >= 16 && most < &(least * 3), "{all:?}");
+    let (fewest, most) = (all.values().min().unwrap(), all.values().max().unwrap());
+    assert!(all.len() >= 16 && most < &(fewest * 3), "{all:?}");
 }
 
-/// If the larger of two idle servers won every comparison, the largest machines would be full while small ones are
-/// idle.
+/// If the larger of two idle servers won every comparison, the largest machines would be full while small
+/// ones are idle.
 #[test]
 fn idle_servers_are_drawn_by_size_at_many_nodes() {
     let sized = |s: ServerEntry| ServerEntry { weight: if s.id.is_multiple_of(2) { 3.0 } else { 1.0 }, ..s };
@@ -776,8 +793,8 @@
     }
 }
 
-/// A live weight is a second old and the same at all nodes: if they drew by it, all would overload the servers that
-/// were idle a second ago.
+/// A live weight is a second old and the same at all nodes: if they drew by it, all would overload the
+/// servers that were idle a second ago.
 #[test]
 fn live_weight_does_not_change_the_size() {
     let live = Settings { live_weights: true, ..settings_at_many_nodes(200, 5) };
@@ -797,8 +814,8 @@
     for rank in 0..200 {
         let mut list = servers(1..41);
         list.iter_mut().filter(|s| s.id % 4 == 0).for_each(|s| s.ready_at = 10 * S);
-        let got = requests_by_server(&mut Node::new(settings_at_many_nodes(200, rank), list), 5);
-        cold += got.iter().filter(|(to, _)| *to % 4 == 0).map(|(_, n)| n).sum::<usize>();
+        let received = requests_by_server(&mut Node::new(settings_at_many_nodes(200, rank), list), 5);
+        cold += received.iter().filter(|(to, _)| *to % 4 == 0).map(|(_, n)| n).sum::<usize>();
     }
     assert!(
         cold > 0 && cold < 1_000 / 4 / 2,
@@ -806,8 +823,8 @@
     );
 }
 
-/// Answers come so late that more requests would make all answers late: requests beyond a quota are not admitted any
-/// more, and fewer within it. One of few nodes queues requests instead.
+/// Answers come so late that more requests would make all answers late: requests beyond a quota are not
+/// admitted any more, and fewer within it. One of few nodes queues requests instead.
 #[test]
 fn one_of_many_nodes_sheds_when_attempts_wait() {
     for (nodes, sheds) in [(200, true), (2, false)] {
@@ -827,17 +844,17 @@
     }
 }
 
-/// One in five answers takes long because work varies: at idle servers that is no overload, and no request within a
-/// quota may be refused for it, nor for what another tenant sends beyond its quota.
+/// One in five answers takes long because work varies: at idle servers that is no overload, and no request
+/// within a quota may be refused for it, nor for what another tenant sends beyond its quota.
 #[test]
 fn one_of_many_nodes_admits_requests_within_quota() {
     let mut settings = settings_at_many_nodes(100, 0);
     (settings.tenants[0].quota_per_s, settings.tenants[1].quota_per_s) = (100.0, 4_000.0);
     let mut node = Node::new(settings, servers(1..61));
-    let mut let_in = [0; 2];
+    let mut admitted = [0; 2];
     for n in 0..400_usize {
         node.now += 50 * MS;
-        for (tenant, count) in [0, 1].into_iter().zip(&mut let_in) {
+        for (tenant, count) in [0, 1].into_iter().zip(&mut admitted) {
             let (id, actions) = node.arrive(IDEMPOTENT, Some(tenant));
             if !targets(&actions, id).is_empty() {
                 *count += 1;
@@ -846,12 +863,12 @@
         }
     }
     // Tenant 0 sends twenty times its quota at this node; the first four requests are the burst.
-    assert!((20..60).contains(&let_in[0]), "{} of 400 beyond the quota were admitted", let_in[0]);
-    assert!(let_in[1] > 390, "{} of 400 within the quota were admitted", let_in[1]);
+    assert!((20..60).contains(&admitted[0]), "{} of 400 beyond the quota were admitted", admitted[0]);
+    assert!(admitted[1] > 390, "{} of 400 within the quota were admitted", admitted[1]);
 }
 
-/// Arrivals at one of many nodes vary: two requests at once in the node's own pool are within its part of the capacity
-/// on average, and are not queued. The third one uses capacity that another pool lends.
+/// Arrivals at one of many nodes vary: two requests at once in the node's own pool are within its part of the
+/// capacity on average, and are not queued. The third one uses capacity that another pool lends.
 #[test]
 fn one_of_many_nodes_admits_small_bursts() {
     let mut node = Node::new(settings_at_many_nodes(100, 0), servers(1..61));
@@ -888,8 +905,9 @@
     assert!((0.22..0.35).contains(&part), "a part of {part:.2} went to starting servers");
 }
 
-/// After the loss of a zone, or a release that the list does not show yet, most servers refuse connections from all
-/// nodes. Each is tried rarely, no request uses up its attempts at them, and a server that is back is used again.
+/// After the loss of a zone, or a release that the list does not show yet, most servers refuse connections
+/// from all nodes. Each is tried rarely, no request uses up its attempts at them, and a server that is back
+/// is used again.
 #[test]
 fn refusing_servers_back_off_even_as_a_majority() {
     let mut nodes: Vec<Node> =
@@ -933,7 +951,8 @@
     assert!(back.2 > 50, "only {} servers of 60 are used", back.2);
 }
 
-/// Queueing delays decay: a node that sheds all requests would otherwise never learn that the overload is over.
+/// Queueing delays decay: a node that sheds all requests would otherwise never learn that the overload is
+/// over.
 #[test]
 fn shedding_ends_without_attempts() {
     let mut node = Node::new(settings_at_many_nodes(200, 0), servers(1..41));
@@ -985,8 +1004,8 @@
     assert!(is_refused(&actions, 1), "a request before any server list is refused");
 }
 
-/// A request that a starting server rejects is work for it too. Without a rule against it, the server would get each
-/// request again from each of many nodes once they have waited.
+/// A request that a starting server rejects is work for it too. Without a rule against it, the server would
+/// get each request again from each of many nodes once they have waited.
 #[test]
 fn starting_server_gets_no_request_twice() {
     let list = servers(1..3).into_iter().map(|s| ServerEntry { ready_at: 10 * S, ..s }).collect();
@@ -999,32 +1018,32 @@
         let request =
             Request { id, class: 0, remaining: 30 * S, expected_work: None, key: None, tenant: Some(0) };
         let actions = node.handle(Event::RequestArrived(request));
-        let mut got = targets(&actions, id);
+        let mut received = targets(&actions, id);
         for attempt in 0..2 {
             let mut actions = node.end_attempt(id, attempt, Outcome::Rejected, MS);
             // The wait is longer than the backoff after any refusal.
             for _ in 0..20 {
-                got.extend(targets(&actions, id));
+                received.extend(targets(&actions, id));
                 node.now += 300 * MS;
                 actions = node.handle(Event::TimerFired(u64::MAX - 1));
             }
         }
-        let met: BTreeSet<ServerId> = got.iter().copied().collect();
-        assert_eq!(met.len(), got.len(), "{got:?}");
+        let distinct: BTreeSet<ServerId> = received.iter().copied().collect();
+        assert_eq!(distinct.len(), received.len(), "{received:?}");
         node.now += 10 * S;
     }
 }
 
-/// The settings of one of many nodes whose tenants have hardly any share, so that each label's pool has the minimum
-/// size.
+/// The settings of one of many nodes whose tenants have hardly any share, so that each label's pool has the
+/// minimum size.
 fn settings_with_small_pools(nodes: u32, rank: u32) -> Settings {
     let mut settings = Settings { overload_factor: 3.0, ..settings_at_many_nodes(nodes, rank) };
     settings.tenants.iter_mut().for_each(|t| t.share = 0.01);
     settings
 }
 
-/// If hundreds of nodes whose own pool is full sent all excess requests to the first small pool, its four servers of
-/// 160 would get the excess of the whole fleet, and reject most of it.
+/// If hundreds of nodes whose own pool is full sent all excess requests to the first small pool, its four
+/// servers of 160 would get the excess of the whole fleet, and reject most of it.
 #[test]
 fn small_pool_lends_by_its_size() {
     let tenants = [Some(0), Some(1), Some(2), Some(3)];
@@ -1033,7 +1052,8 @@
     for rank in 0..200 {
         let mut node = Node::new(settings_with_small_pools(200, rank), servers(1..161));
         node.last_id = 1000 * RequestId::from(rank);
-        // These requests are not answered, and fill the unlabelled pool; the following ones are answered at once.
+        // These requests are not answered, and fill the unlabelled pool; the following ones are answered at
+        // once.
         (0..3).for_each(|_| drop(node.arrive(NON_IDEMPOTENT, None)));
         for _ in 0..4 {
             let (id, actions) = node.arrive(NON_IDEMPOTENT, None);
@@ -1049,8 +1069,8 @@
     assert!(most < 800 / 4, "{most} of 800 requests were lent to four servers of 160: {lent:?}");
 }
 
-/// If hundreds of nodes whose own pool is full each sent one attempt to a small pool that lends, its member that warms
-/// up would be overloaded, whether it has just started or is nearly warm.
+/// If hundreds of nodes whose own pool is full each sent one attempt to a small pool that lends, its member
+/// that warms up would be overloaded, whether it has just started or is nearly warm.
 #[test]
 fn small_pool_lends_little_of_a_starting_server() {
     let pool = servers_reached(&mut Node::new(settings_with_small_pools(1, 0), servers(1..161)), &[Some(0)])
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -208,7 +208,8 @@
             };
             let (ready_at, zone, id, cell) =
                 (entries.u64()?, entries.u8()?, entries.server()?, entries.u16()?);
-            // A weight that is not finite counts as unknown, as it would make the mean of all weights useless.
+            // A weight that is not finite counts as unknown, as it would make the mean of all weights
+            // useless.
             let weight = f32::from_le_bytes(entries.array()?);
             let weight = if weight.is_finite() { f64::from(weight.max(0.0)) } else { 0.0 };
             let kind = entries.u8()?;
@@ -270,7 +271,8 @@
     }
 }
 
-/// Parses a node's settings. Unknown keys are skipped; absent ones get their values from [`Settings::default`].
+/// Parses a node's settings. Unknown keys are skipped; absent ones get their values from
+/// [`Settings::default`].
 pub fn parse_settings(text: &[u8]) -> Result<Settings, WireError> {
     let Ok(text) = std::str::from_utf8(text) else {
         return malformed("settings are not UTF-8");
--- a/crates/drill/tests/settings.rs
+++ b/crates/drill/tests/settings.rs
@@ -1,5 +1,5 @@
-//! The platform provides settings in two forms: as nested JSON to a real node, and as lines to a simulated one.
-//! Both must have the same result.
+//! The platform provides settings in two forms: as nested JSON to a real node, and as lines to a simulated
+//! one. Both must have the same result.
 
 use cherryusher::Settings;
 use cherryusher_drill::wire::parse_settings;
