--- a/crates/cherryusher/src/policy/admission.rs
+++ b/crates/cherryusher/src/policy/admission.rs
@@ -5,7 +5,7 @@
 /// The part of a pool's capacity that requests beyond their tenant's quota may use.
 const OVER_QUOTA_FILL: f64 = 0.8;
 /// A request that was never sent is refused after this part of its time; clients expect that within half.
-const QUEUE_PART: f64 = 0.45;
+const QUEUE_TIME_FRACTION: f64 = 0.45;
 /// A pool with at least one in this many of all ready servers accepts any request of other pools: only those
 /// that find no capacity in their own pool are offered to it.
 const LENDING_FACTOR: f64 = 5.0;
@@ -28,7 +28,7 @@
         let give_up_at = self.now
             + upload.max_duration
             + request.remaining.saturating_sub(2 * self.settings.timer_resolution);
-        let queue_until = self.now + (request.remaining as f64 * QUEUE_PART) as Micros;
+        let queue_until = self.now + (request.remaining as f64 * QUEUE_TIME_FRACTION) as Micros;
         self.queues[pool].push(info);
         let req = OpenRequest { info, pool, give_up_at, queue_until, queued: true, ..OpenRequest::default() };
         self.requests
@@ -55,7 +55,7 @@
         let Some(req) = self.requests.get_mut(&id).filter(|req| req.uploading) else { return };
         req.uploading = false;
         req.give_up_at = now + remaining.saturating_sub(2 * step);
-        req.queue_until = now + (remaining as f64 * QUEUE_PART) as Micros;
+        req.queue_until = now + (remaining as f64 * QUEUE_TIME_FRACTION) as Micros;
         req.info.target_at = now + self.settings.classes[req.info.class].target_latency;
         let (info, pool) = (req.info, req.pool);
         // The server starts to work on the request now.
--- a/crates/cherryusher/src/policy/feedback.rs
+++ b/crates/cherryusher/src/policy/feedback.rs
@@ -11,7 +11,7 @@
 /// The limit stays above this multiple of the concurrency that requests within quotas need on idle servers.
 const LIMIT_PER_NEED: f64 = 3.5;
 /// Limits shrink only while the median latency is above this multiple of its baseline.
-const SLOWED: f64 = 1.1;
+const SLOWDOWN_RATIO: f64 = 1.1;
 /// How many additional answers an answer counts for in the latency ratio where a node rarely meets a server:
 /// with one or two answers per second, small steps would detect a slow server only after it is overloaded.
 const RARE_ANSWER_WEIGHT: f64 = 6.0;
@@ -47,7 +47,7 @@
             latency.add(elapsed);
             let late = end.elapsed > self.settings.classes[class].target_latency;
             // Late answers may be due to pauses. While the median is high, more work only overloads servers.
-            let slowed = latency.median > latency.baseline * SLOWED;
+            let slowed = latency.median > latency.baseline * SLOWDOWN_RATIO;
             let growth = if waiting && !late && !slowed { 1.0 + STEP / 10.0 } else { 1.0 };
             let factor = if late && slowed { 1.0 - STEP / 2.0 } else { growth };
             // Counting arrivals instead of served requests, or a mere guess, would overload servers.
--- a/crates/cherryusher/src/policy/peer_health.rs
+++ b/crates/cherryusher/src/policy/peer_health.rs
@@ -15,7 +15,7 @@
 /// How long a suspicion counts that is not reported again.
 const SUSPICION_TTL: Micros = 3_000_000;
 /// Answers count as recent while the last one is younger than this.
-const RECENT_ANSWER: Micros = 1_000_000;
+const MAX_ANSWER_AGE: Micros = 1_000_000;
 /// The number of recent answers that show a server to be healthy.
 const MIN_ANSWERS: f64 = 4.0;
 /// The multiples of the median latency between which an attempt counts more and more as unanswered.
@@ -78,10 +78,10 @@
     /// Whether a server has answered this node often enough lately to count as healthy.
     fn answering(&self, i: usize) -> bool {
         let s = &self.servers[i];
-        self.now.saturating_sub(s.last_answer_at) < RECENT_ANSWER && s.answers.at(self.now) >= MIN_ANSWERS
+        self.now.saturating_sub(s.last_answer_at) < MAX_ANSWER_AGE && s.answers.at(self.now) >= MIN_ANSWERS
     }
 
-    /// How clearly an attempt in flight from `sent_at` to `now` counts as unanswered, from 0 to 1.
+    /// How clearly an attempt sent at `sent_at` is unanswered, from 0 to 1; any answer of its server resets it.
     fn silence(&self, class: usize, to: ServerId, now: Micros, sent_at: Micros) -> f64 {
         let median = self.latencies[class].median.max(1.0);
         let since = self.slot_of(to).map_or(sent_at, |i| self.servers[i].last_answer_at.max(sent_at));
@@ -126,7 +126,7 @@
             let slow = (s.latency_ratio_at(now) * self.warm_part(&s.entry) - SLOW_RANGE.0)
                 / (SLOW_RANGE.1 - SLOW_RANGE.0);
             let suspicion = slow.max(sum + silences).max(excess / SUSPECT_FAILURES).clamp(0.0, 1.0);
-            let recent = now.saturating_sub(s.last_answer_at) < RECENT_ANSWER;
+            let recent = now.saturating_sub(s.last_answer_at) < MAX_ANSWER_AGE;
             ServerObservation {
                 server: s.entry.id,
                 suspicion,
