--- a/crates/cherryusher/src/policy/peer_health.rs
+++ b/crates/cherryusher/src/policy/peer_health.rs
@@ -81,7 +81,7 @@
         self.now.saturating_sub(s.last_answer_at) < MAX_ANSWER_AGE && s.answers.at(self.now) >= MIN_ANSWERS
     }
 
-    /// How clearly an attempt sent at `sent_at` is unanswered, from 0 to 1; any answer of its server resets it.
+    /// How clearly an attempt sent at `sent_at` is unanswered, from 0 to 1; its server's answers reset it.
     fn silence(&self, class: usize, to: ServerId, now: Micros, sent_at: Micros) -> f64 {
         let median = self.latencies[class].median.max(1.0);
         let since = self.slot_of(to).map_or(sent_at, |i| self.servers[i].last_answer_at.max(sent_at));
