--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at a server, up to an answer that was read whole or a stream's head.
+//! One attempt of a request at one server, up to a completely read response or the head of a stream.
 
 use std::future::poll_fn;
 use std::sync::Arc;
@@ -6,246 +6,270 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunelink_edge::answer as reading;
+use dunelink_edge::answer as edge_answer;
 use dunelink_routing::{Outcome, ServerHandle};
 use http::header::HeaderValue;
 use http::{Request, Response, StatusCode};
 use http_body::Body;
 use http_body_util::Full;
 
-use crate::answer::{
-    AnswerBody, DEADLINE, EXPECT_INSTANCE, NOT_EXECUTED, PRIORITY, REQUEST_ID, SEAL, SERVER_LOAD, TENANT,
+use crate::attempt_guard::AttemptGuard;
+use crate::exchange::{Exchange, MIN_REMAINING_TIME};
+use crate::request_failure::RequestFailure;
+use crate::response::{
+    DEADLINE_MS, EXPECT_INSTANCE, NOT_EXECUTED, PRIORITY, REQUEST_ID, RESPONSE_SEAL, ResponseBody,
+    SERVER_LOAD, TENANT,
 };
-use crate::exchange::{Exchange, TIME_LEAST};
-use crate::table::Unanswered;
-use crate::tracked::Tracked;
-use crate::upstream::{Answered, Link, Sent};
-
-/// How long a connection to a server may take to open.
-const CONNECT_WITHIN: Duration = Duration::from_millis(400);
-/// Answers of up to this many bytes are read whole before they are passed on, so that a server that breaks off can
-/// be replaced.
-const WHOLE_MOST: usize = 256 * 1024;
-
-/// What became of one attempt.
-pub(crate) enum Attempted {
-    /// This answer stands, if nothing better can be had.
-    Answer(Box<Response<AnswerBody>>),
-    /// A stream begins.
-    Stream(Box<Answered>, Tracked),
-    /// A server's own failure, after it ran.
-    Failed(Box<Response<AnswerBody>>),
-    /// The server said that it did not run it.
+use crate::upstream::{SendResult, UpstreamConnection, UpstreamResponse};
+
+/// Timeout for opening a connection to a server.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Responses of up to this many bytes are read completely before they are forwarded, so that the request can
+/// be retried at another server if the first one breaks off.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 * 1024;
+
+/// The result of one attempt.
+pub(crate) enum AttemptResult {
+    /// A complete response that is forwarded to the client.
+    Response(Box<Response<ResponseBody>>),
+    /// The head of a response whose body is relayed as it arrives.
+    Stream(Box<UpstreamResponse>, AttemptGuard),
+    /// A complete 5xx response: the server executed the request and failed.
+    ServerError(Box<Response<ResponseBody>>),
+    /// The server declared that it did not execute the request.
     Rejected,
-    /// Nothing was sent.
-    Unreached,
-    /// It may have run.
-    Lost(Unanswered),
+    /// Nothing was sent to the server.
+    NotSent,
+    /// The server may have executed the request, but there is no usable response.
+    MaybeExecuted(RequestFailure),
 }
 
 impl Exchange {
-    /// One attempt at a server, up to an answer that was read whole or a stream's head.
-    pub(crate) async fn attempt(&mut self, tracked: Tracked) -> Attempted {
-        let server = tracked.server();
+    /// Makes one attempt at a server, up to a completely read response or the head of a stream.
+    pub(crate) async fn attempt(&mut self, attempt: AttemptGuard) -> AttemptResult {
+        let server = attempt.server();
         loop {
-            let mut link = match self.connect(server).await {
-                Ok(link) => link,
-                Err(outcome) => return self.unreached(tracked, outcome),
+            let mut connection = match self.connect(server).await {
+                Ok(connection) => connection,
+                Err(outcome) => return self.finish_unsent(attempt, outcome),
             };
-            // What has changed while the connection came up.
-            if !self.node.router.borrow().is_usable(server) || self.outlasted().is_some() {
-                return self.unreached(tracked, Outcome::Cancelled);
+            // The server's state or the shutdown may have changed while the connection was opened.
+            if !self.node.router.borrow().is_usable(server) || self.shutdown_before_deadline().is_some() {
+                return self.finish_unsent(attempt, Outcome::Cancelled);
             }
-            if !poll_fn(|cx| Poll::Ready(link.is_quiet(cx))).await {
+            if !poll_fn(|cx| Poll::Ready(connection.is_reusable(cx))).await {
                 continue;
             }
-            let fresh = link.is_fresh();
-            let (request, length) = self.outgoing(link.server_id());
-            self.alarm.watch(self.silence(), link.heard());
-            tracked.sent();
-            match link.send(request, length, &mut self.alarm).await {
-                Sent::Answered(answered) => return self.answered(answered, tracked).await,
-                // An idle connection that was closing.
-                Sent::NotSent if !fresh => {}
-                Sent::NotSent => return self.unreached(tracked, Outcome::ConnectFailed),
-                Sent::Broken => return self.lost(tracked, Unanswered::Broken),
-                Sent::TimedOut(_) => return self.lost(tracked, Unanswered::TimedOut),
+            let is_new = connection.is_new();
+            let (request, min_wire_bytes) = self.upstream_request(connection.server_id());
+            self.timer.set_silence_timeout(self.silence_timeout(), connection.activity());
+            attempt.record_sent();
+            match connection.send(request, min_wire_bytes, &mut self.timer).await {
+                SendResult::Response(upstream) => return self.handle_response(upstream, attempt).await,
+                // The server closed the idle connection; the next one is tried.
+                SendResult::NotSent if !is_new => {}
+                SendResult::NotSent => return self.finish_unsent(attempt, Outcome::ConnectFailed),
+                SendResult::Broken => return self.finish_lost(attempt, RequestFailure::Broken),
+                SendResult::TimedOut(_) => return self.finish_lost(attempt, RequestFailure::TimedOut),
             }
         }
     }
 
-    /// The server may have run it.
-    fn note_run(&mut self, tracked: &Tracked) {
-        self.tried.push(tracked.server());
-        self.sent += 1;
-        self.ran += 1;
+    /// Counts an attempt that the server may have executed.
+    fn record_possible_execution(&mut self, attempt: &AttemptGuard) {
+        self.tried_servers.push(attempt.server());
+        self.servers_sent_to += 1;
+        self.possible_executions += 1;
     }
 
-    fn unreached(&mut self, tracked: Tracked, outcome: Outcome) -> Attempted {
-        self.tried.push(tracked.server());
-        self.unreached += 1;
-        tracked.end(outcome);
-        Attempted::Unreached
+    fn finish_unsent(&mut self, attempt: AttemptGuard, outcome: Outcome) -> AttemptResult {
+        self.tried_servers.push(attempt.server());
+        self.unsent_attempts += 1;
+        attempt.finish(outcome);
+        AttemptResult::NotSent
     }
 
-    fn lost(&mut self, tracked: Tracked, how: Unanswered) -> Attempted {
-        self.node.pool.forget(tracked.server());
-        self.note_run(&tracked);
-        tracked.end(if how == Unanswered::TimedOut { Outcome::TimedOut } else { Outcome::Broken });
-        Attempted::Lost(how)
+    fn finish_lost(&mut self, attempt: AttemptGuard, failure: RequestFailure) -> AttemptResult {
+        self.node.pool.close_idle(attempt.server());
+        self.record_possible_execution(&attempt);
+        attempt.finish(if failure == RequestFailure::TimedOut { Outcome::TimedOut } else { Outcome::Broken });
+        AttemptResult::MaybeExecuted(failure)
     }
 
-    /// A connection to the server: an idle one for a first try, else a new one. What went wrong on an idle connection
-    /// may well go wrong on the next.
+    /// Returns a connection to the server: an idle one, or a new one if there is none or if an earlier
+    /// attempt may have been executed. A failure on an idle connection is likely to repeat on the next idle
+    /// one.
     ///
     /// # Errors
     ///
-    /// What the attempt ends as.
-    async fn connect(&self, server: ServerHandle) -> Result<Box<Link>, Outcome> {
-        if self.ran == 0
-            && let Some(link) = self.node.pool.take(server)
+    /// The outcome to record for the attempt.
+    async fn connect(&self, server: ServerHandle) -> Result<Box<UpstreamConnection>, Outcome> {
+        if self.possible_executions == 0
+            && let Some(connection) = self.node.pool.take_idle(server)
         {
-            return Ok(link);
+            return Ok(connection);
         }
-        let known =
+        let server_info =
             self.node.router.borrow().server(server).map(|info| (info.address, info.id.as_str().into()));
-        let (address, id): (_, Arc<str>) = known.ok_or(Outcome::Cancelled)?;
-        let place = self.node.pool.place(server).ok_or(Outcome::Cancelled)?;
-        let patience = CONNECT_WITHIN.min(self.left());
-        Link::open(address, server, id, place, patience).await.ok_or(Outcome::ConnectFailed)
+        let (address, id): (_, Arc<str>) = server_info.ok_or(Outcome::Cancelled)?;
+        let permit = self.node.pool.reserve(server).ok_or(Outcome::Cancelled)?;
+        let timeout = CONNECT_TIMEOUT.min(self.remaining());
+        UpstreamConnection::open(address, server, id, permit, timeout).await.ok_or(Outcome::ConnectFailed)
     }
 
-    /// The request as a server gets it, and how many bytes it has on the wire at least.
-    fn outgoing(&self, server_id: &str) -> (Request<Full<Bytes>>, u64) {
+    /// Builds the request for a server. Also returns the minimum number of bytes that it takes on the wire.
+    fn upstream_request(&self, server_id: &str) -> (Request<Full<Bytes>>, u64) {
         let mut request = Request::new(Full::new(self.request.body.clone()));
         *request.method_mut() = self.request.method.clone();
         *request.uri_mut() = self.request.target.clone();
         let mut headers = self.request.headers.clone();
-        let left = self.left().as_millis().max(1) as u64;
-        headers.insert(DEADLINE, HeaderValue::from(left));
+        let remaining_ms = self.remaining().as_millis().max(1) as u64;
+        headers.insert(DEADLINE_MS, HeaderValue::from(remaining_ms));
         if let Ok(id) = HeaderValue::from_str(server_id) {
             headers.insert(EXPECT_INSTANCE, id);
         }
-        if let Some(tenant) = self.admitted.tenant {
-            headers.insert(TENANT, self.configuration.tenant_value(tenant).clone());
+        if let Some(tenant) = self.admission.tenant {
+            headers.insert(TENANT, self.configuration.tenant_header(tenant).clone());
         }
-        let admitted = &self.admitted;
-        if let Some(priority) = self.configuration.priority_value(admitted.service, admitted.priority) {
+        let admission = &self.admission;
+        if let Some(priority) = self.configuration.priority_header(admission.service, admission.priority) {
             headers.insert(PRIORITY, priority);
         }
         *request.headers_mut() = headers;
-        let length = head_length(&request) + self.request.body.len() as u64;
-        (request, length)
+        let min_wire_bytes = head_wire_bytes(&request) + self.request.body.len() as u64;
+        (request, min_wire_bytes)
     }
 
-    /// Reads what a server answered.
-    async fn answered(&mut self, mut answered: Box<Answered>, tracked: Tracked) -> Attempted {
-        if !self.is_answer(&answered) {
-            self.node.pool.stop_reuse(tracked.server());
-            return self.lost(tracked, Unanswered::Broken);
+    /// Evaluates the head of a response and reads its body if it is not relayed.
+    async fn handle_response(
+        &mut self,
+        mut upstream: Box<UpstreamResponse>,
+        attempt: AttemptGuard,
+    ) -> AttemptResult {
+        if !self.is_valid_response(&upstream) {
+            self.node.pool.suspend_reuse(attempt.server());
+            return self.finish_lost(attempt, RequestFailure::Broken);
         }
-        self.observe_load(&answered, tracked.server());
-        let status = answered.head.status;
-        let declined = answered.head.headers.contains_key(&NOT_EXECUTED);
-        if declined || status == StatusCode::MISDIRECTED_REQUEST {
-            return self.rejected(answered, tracked).await;
+        self.observe_load(&upstream, attempt.server());
+        let status = upstream.head.status;
+        let not_executed = upstream.head.headers.contains_key(&NOT_EXECUTED);
+        if not_executed || status == StatusCode::MISDIRECTED_REQUEST {
+            return self.handle_rejection(upstream, attempt).await;
         }
-        // Without that word it may have run, whatever the status promises to a client.
-        if is_promise(status) && !self.admitted.policy.idempotent {
-            return self.lost(tracked, Unanswered::Broken);
+        // Without a `NOT_EXECUTED` header the server may have executed the request, whatever its status means
+        // to clients.
+        if promises_no_execution(status) && !self.admission.policy.idempotent {
+            return self.finish_lost(attempt, RequestFailure::Broken);
         }
-        let length = answered.body.size_hint().exact();
-        // One that ends with its connection may be reset at its end: it is passed on only when that has come.
-        let passes = length.map_or(!answered.is_unframed, |length| length > WHOLE_MOST as u64);
-        if status.is_success() && (self.admitted.policy.streaming || passes) {
-            self.note_run(&tracked);
-            return Attempted::Stream(answered, tracked);
+        let length = upstream.body.size_hint().exact();
+        // A response that ends with its connection may still be reset, so it is forwarded only once its end
+        // has arrived.
+        let is_streamed =
+            length.map_or(!upstream.is_close_delimited, |length| length > MAX_BUFFERED_RESPONSE_BYTES as u64);
+        if status.is_success() && (self.admission.policy.streaming || is_streamed) {
+            self.record_possible_execution(&attempt);
+            return AttemptResult::Stream(upstream, attempt);
         }
-        tracked.first_event();
-        let Some(body) = answered.whole(WHOLE_MOST, &mut self.alarm).await else {
-            let late = self.left() < TIME_LEAST;
-            return self.lost(tracked, if late { Unanswered::TimedOut } else { Unanswered::Broken });
+        attempt.record_first_event();
+        let Some(body) = upstream.read_to_end(MAX_BUFFERED_RESPONSE_BYTES, &mut self.timer).await else {
+            let timed_out = self.remaining() < MIN_REMAINING_TIME;
+            return self.finish_lost(
+                attempt,
+                if timed_out { RequestFailure::TimedOut } else { RequestFailure::Broken },
+            );
         };
-        self.note_run(&tracked);
-        let response = Box::new(passed_on(&mut answered.head, AnswerBody::whole(body)));
-        self.keep_now(answered.link).await;
+        self.record_possible_execution(&attempt);
+        let response = Box::new(forwarded_response(&mut upstream.head, ResponseBody::full(body)));
+        self.return_to_pool_now(upstream.connection).await;
         if status.is_server_error() {
-            tracked.end(Outcome::ServerError);
-            return Attempted::Failed(response);
+            attempt.finish(Outcome::ServerError);
+            return AttemptResult::ServerError(response);
         }
-        tracked.end(Outcome::Served);
-        Attempted::Answer(response)
+        attempt.finish(Outcome::Served);
+        AttemptResult::Response(response)
     }
 
-    /// Whether what came is a server's answer to this request, with an end that can be told.
-    fn is_answer(&self, answered: &Answered) -> bool {
-        let head = &answered.head;
+    /// Whether this is the server's response to this request, with unambiguous framing and, if successful, a
+    /// response seal.
+    fn is_valid_response(&self, upstream: &UpstreamResponse) -> bool {
+        let head = &upstream.head;
         let ids = head.headers.get_all(&REQUEST_ID);
-        let own = ids.iter().count() == 1 && ids.iter().all(|id| *id == self.request.id);
-        let framed = reading::states_its_end(&head.headers, head.version)
-            || reading::has_no_body(head.status)
-            || answered.is_unframed;
-        let stamped = !head.status.is_success() || head.headers.contains_key(&SEAL);
-        own && framed && stamped
+        let matches_request = ids.iter().count() == 1 && ids.iter().all(|id| *id == self.request.id);
+        let framed = edge_answer::states_its_end(&head.headers, head.version)
+            || edge_answer::has_no_body(head.status)
+            || upstream.is_close_delimited;
+        let sealed = !head.status.is_success() || head.headers.contains_key(&RESPONSE_SEAL);
+        matches_request && framed && sealed
     }
 
-    fn observe_load(&self, answered: &Answered, server: ServerHandle) {
-        let Some(load) = answered.head.headers.get(&SERVER_LOAD).and_then(|load| load.to_str().ok()) else {
+    fn observe_load(&self, upstream: &UpstreamResponse, server: ServerHandle) {
+        let Some(load) = upstream.head.headers.get(&SERVER_LOAD).and_then(|load| load.to_str().ok()) else {
             return;
         };
-        let mut figures = load.split(',').map_while(|figure| figure.trim().parse::<u32>().ok());
-        let (Some(running), Some(waiting), Some(slots)) = (figures.next(), figures.next(), figures.next())
+        let mut values = load.split(',').map_while(|value| value.trim().parse::<u32>().ok());
+        let (Some(running), Some(waiting), Some(slots)) = (values.next(), values.next(), values.next())
         else {
             return;
         };
         self.node.router.borrow_mut().observe_load(self.node.clock.now(), server, running, waiting, slots);
     }
 
-    async fn rejected(&mut self, mut answered: Box<Answered>, tracked: Tracked) -> Attempted {
-        let wrong = answered.head.status == StatusCode::MISDIRECTED_REQUEST;
-        self.tried.push(tracked.server());
-        self.sent += 1;
-        tracked.end(if wrong { Outcome::WrongInstance } else { Outcome::Rejected });
-        // Where another server listens now, the connection is of no use.
-        if !wrong && answered.whole(WHOLE_MOST, &mut self.alarm).await.is_some() {
-            self.keep_now(answered.link).await;
+    async fn handle_rejection(
+        &mut self,
+        mut upstream: Box<UpstreamResponse>,
+        attempt: AttemptGuard,
+    ) -> AttemptResult {
+        let misdirected = upstream.head.status == StatusCode::MISDIRECTED_REQUEST;
+        self.tried_servers.push(attempt.server());
+        self.servers_sent_to += 1;
+        attempt.finish(if misdirected { Outcome::WrongInstance } else { Outcome::Rejected });
+        // After a misdirected request another server listens at the address, so the connection is closed.
+        if !misdirected && upstream.read_to_end(MAX_BUFFERED_RESPONSE_BYTES, &mut self.timer).await.is_some()
+        {
+            self.return_to_pool_now(upstream.connection).await;
         }
-        Attempted::Rejected
+        AttemptResult::Rejected
     }
 
-    async fn keep_now(&self, link: Box<Link>) {
-        let mut link = Some(link);
-        poll_fn(|cx| Poll::Ready(link.take().map(|link| self.keep(link, cx)))).await;
+    async fn return_to_pool_now(&self, connection: Box<UpstreamConnection>) {
+        let mut connection = Some(connection);
+        poll_fn(|cx| Poll::Ready(connection.take().map(|connection| self.return_to_pool(connection, cx))))
+            .await;
     }
 
-    /// Keeps a connection whose answer has come whole.
-    pub(crate) fn keep(&self, mut link: Box<Link>, cx: &mut Context<'_>) {
-        let usable = self.node.router.borrow().is_usable(link.server());
-        if usable && link.is_quiet(cx) {
-            self.node.pool.keep(link, &self.configuration.fleet.services[self.admitted.service].name);
+    /// Returns a connection to the pool once its response is complete.
+    pub(crate) fn return_to_pool(&self, mut connection: Box<UpstreamConnection>, cx: &mut Context<'_>) {
+        let usable = self.node.router.borrow().is_usable(connection.server());
+        if usable && connection.is_reusable(cx) {
+            self.node
+                .pool
+                .put_idle(connection, &self.configuration.fleet.services[self.admission.service].name);
         }
     }
 }
 
-/// Whether a status tells clients that the request has not run and never will.
-fn is_promise(status: StatusCode) -> bool {
+/// Whether clients understand the status as a promise that the request was not and will not be executed.
+fn promises_no_execution(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE | StatusCode::REQUEST_TIMEOUT
     )
 }
 
-/// A server's answer as its client gets it.
-pub(crate) fn passed_on(head: &mut http::response::Parts, body: AnswerBody) -> Response<AnswerBody> {
-    reading::onward(head);
+/// Builds the client's response from the server's head, without hop-by-hop headers.
+pub(crate) fn forwarded_response(
+    head: &mut http::response::Parts,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
+    edge_answer::onward(head);
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = std::mem::take(&mut head.headers);
     response
 }
 
-/// How many bytes a request's head has on the wire at least.
-fn head_length<B>(request: &Request<B>) -> u64 {
+/// Returns the minimum number of bytes that the head of a request takes on the wire.
+fn head_wire_bytes<B>(request: &Request<B>) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     let line = request.method().as_str().len() + target + "  HTTP/1.1\r\n".len();
     let fields =
--- a/crates/proxy/src/open_requests.rs
+++ b/crates/proxy/src/open_requests.rs
@@ -1,5 +1,5 @@
-//! The requests that are open: something of them was read, and their answers are not written yet. Those that the end
-//! of the process cuts are named in its log.
+//! Tracks open requests: those whose head was read and whose response is not fully written. Requests that are
+//! cut off when the process exits are logged.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,21 +9,21 @@
 use slog::{Logger, warn};
 use tokio::time::Instant;
 
-/// Most requests that are named in the log at the end.
-const NAMED_MOST: usize = 32;
+/// Maximum number of open requests that are logged at exit.
+const MAX_LOGGED_REQUESTS: usize = 32;
 
-/// How far a request has come.
+/// Processing stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
-    /// Its head was read; its body may still be coming.
+pub enum RequestStage {
+    /// The head was read; the body may still be arriving.
     Reading,
-    /// It was read whole and let pass; no answer has begun.
+    /// The request was read completely and admitted; no response has started.
     Admitted,
-    /// Its answer is being written.
+    /// The response is being written.
     Answering,
 }
 
-impl Stage {
+impl RequestStage {
     fn name(self) -> &'static str {
         match self {
             Self::Reading => "reading",
@@ -33,102 +33,107 @@
     }
 }
 
-/// One request.
+/// State of one open request.
 #[derive(Debug, Clone)]
 pub struct OpenRequest {
-    /// When its head was read.
-    pub since: Instant,
-    /// How far it has come.
-    pub stage: Stage,
-    /// Names the client's try, once it was read whole.
+    /// When the head was read.
+    pub started_at: Instant,
+    /// Processing stage.
+    pub stage: RequestStage,
+    /// Client-chosen request id; `None` until the request is admitted.
     pub id: Option<HeaderValue>,
-    /// When its client's time or its route's is over, once it was let pass.
-    pub ends_at: Option<Instant>,
+    /// Deadline from the client's and the route's timeout; `None` until the request is admitted.
+    pub deadline: Option<Instant>,
 }
 
 /// All open requests of the process.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
-    next: Cell<u64>,
+    next_key: Cell<u64>,
     requests: RefCell<HashMap<u64, OpenRequest>>,
 }
 
 impl OpenRequests {
-    /// None yet.
+    /// Creates an empty set.
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
-    /// How many there are.
+    /// Returns the number of open requests.
     pub fn count(&self) -> usize {
         self.requests.borrow().len()
     }
 
     /// Counts a request as open until the guard is dropped.
-    pub fn open(self: &Rc<Self>) -> InHand {
-        let number = self.next.replace(self.next.get() + 1);
-        let request = OpenRequest { since: Instant::now(), stage: Stage::Reading, id: None, ends_at: None };
-        self.requests.borrow_mut().insert(number, request);
-        InHand { requests: self.clone(), number }
+    pub fn track(self: &Rc<Self>) -> OpenRequestGuard {
+        let key = self.next_key.replace(self.next_key.get() + 1);
+        let request = OpenRequest {
+            started_at: Instant::now(),
+            stage: RequestStage::Reading,
+            id: None,
+            deadline: None,
+        };
+        self.requests.borrow_mut().insert(key, request);
+        OpenRequestGuard { requests: self.clone(), key }
     }
 
-    /// Names in the log what the end of the process cuts: when each request came, seen from `told`, when the process
-    /// was told to end, and what was left of its time.
-    pub fn log_cut(&self, log: &Logger, told: Instant) {
+    /// Logs the requests that are cut off when the process exits: when each arrived relative to
+    /// `signaled_at`, the time of the shutdown signal, and how much of its time was left.
+    pub fn log_unfinished(&self, log: &Logger, signaled_at: Instant) {
         let now = Instant::now();
         let requests = self.requests.borrow();
-        let mut oldest: Vec<&OpenRequest> = requests.values().collect();
-        oldest.sort_unstable_by_key(|request| request.since);
-        for request in oldest.iter().take(NAMED_MOST) {
+        let mut oldest_first: Vec<&OpenRequest> = requests.values().collect();
+        oldest_first.sort_unstable_by_key(|request| request.started_at);
+        for request in oldest_first.iter().take(MAX_LOGGED_REQUESTS) {
             let id = request.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
             warn!(log, "request cut by the end of the process";
                 "id" => id,
                 "stage" => request.stage.name(),
-                "age_ms" => milliseconds(now, request.since),
-                "came_after_signal_ms" => milliseconds(request.since, told),
-                "left_ms" => request.ends_at.map(|ends_at| milliseconds(ends_at, now)));
+                "age_ms" => signed_millis(now, request.started_at),
+                "came_after_signal_ms" => signed_millis(request.started_at, signaled_at),
+                "left_ms" => request.deadline.map(|deadline| signed_millis(deadline, now)));
         }
     }
 }
 
-/// Time from `earlier` to `later` in milliseconds, below zero if it is the other way round.
-fn milliseconds(later: Instant, earlier: Instant) -> i64 {
+/// Returns the time from `earlier` to `later` in milliseconds; negative if `later` is before `earlier`.
+fn signed_millis(later: Instant, earlier: Instant) -> i64 {
     let forward = later.saturating_duration_since(earlier).as_millis() as i64;
     let backward = earlier.saturating_duration_since(later).as_millis() as i64;
     forward - backward
 }
 
-/// A request in hand.
+/// Counts a request as open until it is dropped.
 #[derive(Debug)]
-pub struct InHand {
+pub struct OpenRequestGuard {
     requests: Rc<OpenRequests>,
-    number: u64,
+    key: u64,
 }
 
-impl InHand {
-    /// The request of this id was read whole and let pass; its time is over at `ends_at`.
-    pub fn admitted(&self, id: &HeaderValue, ends_at: Instant) {
-        self.change(|request| {
-            request.stage = Stage::Admitted;
+impl OpenRequestGuard {
+    /// Records that the request with this id was read completely and admitted.
+    pub fn set_admitted(&self, id: &HeaderValue, deadline: Instant) {
+        self.update(|request| {
+            request.stage = RequestStage::Admitted;
             request.id = Some(id.clone());
-            request.ends_at = Some(ends_at);
+            request.deadline = Some(deadline);
         });
     }
 
-    /// Its answer begins.
-    pub fn answering(&self) {
-        self.change(|request| request.stage = Stage::Answering);
+    /// Records that the response has started.
+    pub fn set_answering(&self) {
+        self.update(|request| request.stage = RequestStage::Answering);
     }
 
-    fn change(&self, change: impl FnOnce(&mut OpenRequest)) {
-        if let Some(request) = self.requests.requests.borrow_mut().get_mut(&self.number) {
-            change(request);
+    fn update(&self, update: impl FnOnce(&mut OpenRequest)) {
+        if let Some(request) = self.requests.requests.borrow_mut().get_mut(&self.key) {
+            update(request);
         }
     }
 }
 
-impl Drop for InHand {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.requests.requests.borrow_mut().remove(&self.number);
+        self.requests.requests.borrow_mut().remove(&self.key);
     }
 }
