--- a/crates/control/src/arguments.rs
+++ b/crates/control/src/arguments.rs
@@ -1,11 +1,11 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::ffi::OsString;
 
 use dunelink_runtime::log::Format;
 use pico_args::Arguments;
 
-/// What `--help` prints.
+/// Text that `--help` prints.
 pub const HELP: &str = "\
 dunelink-control: the control program of a dunelink fleet
 
@@ -18,22 +18,22 @@
 The settings file is the one that the variable DUNELINK_BOOT names.
 ";
 
-/// What the program was asked to do.
+/// A parsed command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Print the help text.
     Help,
-    /// Check the settings file.
+    /// Check the settings file and exit.
     Check,
-    /// Serve until SIGTERM.
+    /// Run the control program until SIGTERM and log in this format.
     Serve(Format),
 }
 
-/// Reads the arguments, the program's name left out.
+/// Parses the arguments, without the program's name.
 ///
 /// # Errors
 ///
-/// A text that names the argument that can't be used.
+/// Names the argument that is unknown or has an invalid value.
 pub fn parse(arguments: Vec<OsString>) -> Result<Command, String> {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
--- a/crates/control/src/change_queue.rs
+++ b/crates/control/src/change_queue.rs
@@ -1,6 +1,6 @@
-//! Orders of the operator that wait to be decided.
+//! Configuration changes of the operator that wait for a decision.
 //!
-//! One order is decided at a time: the next one is compared with the version that the one before it left in force.
+//! Changes are decided one at a time: each is compared with the version that the previous one left current.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,62 +9,64 @@
 
 use crate::state::Digest;
 
-/// Orders that may wait; the operator has at most eight under way.
-const WAITING_ORDERS: usize = 32;
-/// Bytes of bodies that may wait.
-const WAITING_BYTES: usize = 48 * 1024 * 1024;
+/// Most queued changes; the operator has at most eight in flight.
+const MAX_QUEUED: usize = 32;
+/// Most bytes of the bodies of queued changes.
+const MAX_QUEUED_BYTES: usize = 48 * 1024 * 1024;
 
-/// Number that the caller gave to a call, for its answer.
+/// Number of a call, by which its reply finds the caller.
 pub type CallId = u64;
 
-/// What the operator is answered.
+/// Reply to a call of the operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// The configuration is in force or was taken before.
+    /// The change was applied, now or earlier.
     Accepted,
-    /// It builds on a version that is not the current one.
+    /// The base is not the current version.
     Conflict {
         /// The current version.
         current: u64,
     },
-    /// It can't be used.
+    /// The request or the configuration is invalid, for this reason.
     Invalid(String),
-    /// The leader answers such calls; its control address.
+    /// Only the leader can answer; its control address.
     Redirect(SocketAddr),
-    /// The outcome is not known, or nobody can decide now; the same call may be sent again.
+    /// The outcome is unknown or there is no leader, with a text for the caller; the same call may be sent
+    /// again.
     Unavailable(&'static str),
-    /// The configuration in force.
+    /// The current configuration: the operator's JSON.
     Configuration(Bytes),
     /// There is no configuration yet.
     NoConfiguration,
 }
 
-/// A configuration to put in force.
+/// A change that replaces the configuration.
 #[derive(Debug, Clone)]
 pub struct ConfigurationChange {
-    /// Version that it builds on.
+    /// Version that it replaces; 0 for the first configuration.
     pub base: u64,
-    /// Its version.
+    /// Version of the new configuration.
     pub version: u64,
-    /// Identity of the order.
+    /// Digest of the base version and the body, which identifies the change.
     pub digest: Digest,
-    /// The operator's JSON.
+    /// The new configuration: the operator's JSON.
     pub body: Bytes,
-    /// Calls that wait for its outcome.
+    /// Calls that wait for the outcome.
     pub calls: Vec<CallId>,
 }
 
-/// The orders under way.
+/// The changes that are proposed or queued.
 #[derive(Debug, Default)]
 pub struct ChangeQueue {
-    /// The order that is being decided, with its ticket. Its body is in the log.
+    /// The proposed change: its ticket, its digest and the calls that wait for it. Its body is in the log.
     proposed: Option<(u64, Digest, Vec<CallId>)>,
-    waiting: VecDeque<ConfigurationChange>,
-    tickets: u64,
+    queue: VecDeque<ConfigurationChange>,
+    /// Ticket of the last proposal.
+    last_ticket: u64,
 }
 
 impl ChangeQueue {
-    /// Lets a call wait for the same order if that is under way; false if it is not.
+    /// Adds a call to the same change if that is proposed or queued; false if it is not.
     pub fn attach(&mut self, digest: &Digest, call: CallId) -> bool {
         if let Some((_, proposed, calls)) = &mut self.proposed
             && proposed == digest
@@ -72,58 +74,58 @@
             calls.push(call);
             return true;
         }
-        let same = self.waiting.iter_mut().find(|order| order.digest == *digest);
-        same.map(|order| order.calls.push(call)).is_some()
+        let same = self.queue.iter_mut().find(|change| change.digest == *digest);
+        same.map(|change| change.calls.push(call)).is_some()
     }
 
-    /// Adds an order; false if too much is waiting.
+    /// Queues a change; false if the queue is full.
     #[must_use]
-    pub fn push(&mut self, order: ConfigurationChange) -> bool {
-        let bytes: usize = self.waiting.iter().map(|order| order.body.len()).sum();
-        let room = self.waiting.len() < WAITING_ORDERS && bytes + order.body.len() <= WAITING_BYTES;
-        if room {
-            self.waiting.push_back(order);
+    pub fn push(&mut self, change: ConfigurationChange) -> bool {
+        let bytes: usize = self.queue.iter().map(|change| change.body.len()).sum();
+        let fits = self.queue.len() < MAX_QUEUED && bytes + change.body.len() <= MAX_QUEUED_BYTES;
+        if fits {
+            self.queue.push_back(change);
         }
-        room
+        fits
     }
 
-    /// The next order, if none is being decided.
+    /// Takes the next change; `None` while a proposal is undecided.
     pub fn take_next(&mut self) -> Option<ConfigurationChange> {
         if self.proposed.is_some() {
             return None;
         }
-        self.waiting.pop_front()
+        self.queue.pop_front()
     }
 
-    /// Notes that an order is being decided; its ticket.
+    /// Records a change as proposed and returns its ticket.
     pub fn begin_proposal(&mut self, digest: Digest, calls: Vec<CallId>) -> u64 {
-        self.tickets += 1;
-        self.proposed = Some((self.tickets, digest, calls));
-        self.tickets
+        self.last_ticket += 1;
+        self.proposed = Some((self.last_ticket, digest, calls));
+        self.last_ticket
     }
 
-    /// The order with this ticket is decided; who waits for it.
+    /// Removes the proposal with this ticket; returns its digest and the calls that wait for it.
     pub fn finish_proposal(&mut self, ticket: u64) -> Option<(Digest, Vec<CallId>)> {
         let (_, digest, calls) = self.proposed.take_if(|(proposed, _, _)| *proposed == ticket)?;
         Some((digest, calls))
     }
 
-    /// Whether this order is being decided.
+    /// Whether the change with this digest is proposed.
     pub fn is_proposed(&self, digest: &Digest) -> bool {
         self.proposed.as_ref().is_some_and(|(_, proposed, _)| proposed == digest)
     }
 
-    /// Gives up everything; the calls that waited.
+    /// Drops the proposal and all queued changes; returns the calls that wait for them.
     pub fn abandon_all(&mut self) -> Vec<CallId> {
-        let mut calls: Vec<CallId> = self.waiting.drain(..).flat_map(|order| order.calls).collect();
+        let mut calls: Vec<CallId> = self.queue.drain(..).flat_map(|change| change.calls).collect();
         if let Some((_, _, waiting)) = self.proposed.take() {
             calls.extend(waiting);
         }
         calls
     }
 
-    /// Whether nothing is under way.
+    /// Whether no change is proposed or queued.
     pub fn is_empty(&self) -> bool {
-        self.proposed.is_none() && self.waiting.is_empty()
+        self.proposed.is_none() && self.queue.is_empty()
     }
 }
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk thread: owns the store, makes the replica's writes durable.
+//! The disk thread, which owns the store and makes the replica's writes durable.
 
 use std::path::Path;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -10,105 +10,105 @@
 
 use crate::identity::StoreMetadata;
 
-/// Pause before the store is opened or wiped again after a failure.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Entries of a group of writes are made durable together up to this many bytes.
-const GROUP_BYTES: usize = 8 * 1024 * 1024;
+/// Interval between attempts to open or wipe the store after a failure.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Writes are grouped up to this many bytes and made durable with one sync.
+const MAX_GROUP_BYTES: usize = 8 * 1024 * 1024;
 
-/// What the disk thread is asked to do.
+/// A command to the disk thread.
 #[derive(Debug, Clone)]
 pub enum DiskCommand {
-    /// Make records durable for the replica of a generation.
+    /// Make records durable for a generation of the replica.
     Write {
-        /// Number of the identity that the records belong to.
+        /// Generation of the identity that writes the records.
         generation: u64,
         /// Number of the write.
         sequence: u64,
         /// The records.
         records: Vec<Record>,
     },
-    /// The store's contents belong to the replica that begins now.
+    /// Assign the store and its contents to an identity.
     Adopt {
-        /// Number of the identity.
+        /// Generation of the identity.
         generation: u64,
-        /// Where its store stands.
+        /// Translator that starts from the contents of the store.
         translator: RecordTranslator,
     },
-    /// Forget everything; from now on the store belongs to this identity.
+    /// Erase the store and assign it to a new identity.
     Wipe {
-        /// Number of the new identity.
+        /// Generation of the new identity.
         generation: u64,
         /// The new identity.
         id: ReplicaId,
     },
 }
 
-/// What the disk thread tells.
+/// An event of the disk thread.
 #[derive(Debug)]
 pub enum DiskEvent {
-    /// The store is open; sent once, first.
+    /// The store is open. Sent once; always the first event apart from [`DiskEvent::HealthChanged`].
     Opened(OpenedStore),
     /// A write is durable.
     Written {
-        /// Number of the identity that wrote.
+        /// Generation of the identity that wrote.
         generation: u64,
         /// Number of the write.
         sequence: u64,
-        /// Bytes of all files.
+        /// Bytes of all files of the store.
         used_bytes: u64,
     },
     /// A write failed.
     WriteFailed {
-        /// Number of the identity that wrote.
+        /// Generation of the identity that wrote.
         generation: u64,
         /// Number of the write.
         sequence: u64,
     },
-    /// The disk refuses; told when the reason changes.
+    /// The disk fails, with the reason, or works again. Sent when that changes.
     HealthChanged(String),
 }
 
-/// What the store held.
+/// Contents of the store as it was opened.
 #[derive(Debug)]
 pub struct OpenedStore {
-    /// Identity of the store's contents; none on an empty disk.
+    /// Identity, term and vote in the store; `None` on an empty disk.
     pub metadata: Option<StoreMetadata>,
-    /// What the replica goes on from.
+    /// Persistent state from which the replica resumes.
     pub recovered: Recovered,
-    /// Something durable is lost: the contents are of no use any more.
+    /// Whether durable data is lost; the contents must then not be used.
     pub damaged: bool,
-    /// What was put right at opening.
+    /// Repairs made while the store was opened.
     pub notes: Vec<String>,
 }
 
-/// Starts the disk thread on a folder.
+/// Starts the disk thread on a folder; returns the sender of its commands and the receiver of its events.
 ///
 /// # Errors
 ///
-/// The thread can't be started.
+/// The thread cannot be started.
 pub fn start(
     folder: &Path,
     limits: Limits,
 ) -> std::io::Result<(Sender<DiskCommand>, UnboundedReceiver<DiskEvent>)> {
-    let (orders, inbox) = channel();
-    let (events, outbox) = unbounded_channel();
+    let (commands, command_receiver) = channel();
+    let (events, event_receiver) = unbounded_channel();
     let folder = folder.to_owned();
     std::thread::Builder::new().name("disk".to_owned()).spawn(move || {
         let Some((store, opened)) = open(&folder, limits, &events) else { return };
         if events.send(DiskEvent::Opened(opened)).is_ok() {
-            DiskWorker::new(store, events).run(&inbox);
+            DiskWorker::new(store, events).run(&command_receiver);
         }
     })?;
-    Ok((orders, outbox))
+    Ok((commands, event_receiver))
 }
 
-/// Opens the store; tries until it succeeds, since a disk in trouble refuses that too. Nothing if the program ends.
+/// Opens the store, and retries on failure since a failing disk may recover. `None` if the program ends.
 fn open(
     folder: &Path,
     limits: Limits,
     events: &UnboundedSender<DiskEvent>,
 ) -> Option<(LogStore<FolderDisk>, OpenedStore)> {
-    let mut told = String::new();
+    let mut last_reason = String::new();
     loop {
         let disk = FolderDisk::new(folder);
         let opened = match disk {
@@ -117,96 +117,103 @@
         };
         match opened {
             Ok((store, recovered)) => return Some((store, decode_recovered(recovered))),
-            Err(reason) if reason == told => {}
+            Err(reason) if reason == last_reason => {}
             Err(reason) => {
-                told.clone_from(&reason);
+                last_reason.clone_from(&reason);
                 events.send(DiskEvent::HealthChanged(reason)).ok()?;
             }
         }
-        std::thread::sleep(RETRY_PAUSE);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
 
-/// Decodes what the store held. Contents that don't decode count as damaged.
+/// Decodes the contents of the store. Contents that do not decode count as damaged.
 pub fn decode_recovered(stored: dunelink_storage::Recovered) -> OpenedStore {
     let mut damaged = stored.damaged;
-    let mut keep = |readable: bool| damaged |= !readable;
-    let identity: Option<StoreMetadata> = stored.metadata.as_deref().and_then(|bytes| {
-        let identity = decode(bytes).ok();
-        keep(identity.is_some());
-        identity
+    let mut require = |readable: bool| damaged |= !readable;
+    let metadata: Option<StoreMetadata> = stored.metadata.as_deref().and_then(|bytes| {
+        let metadata = decode(bytes).ok();
+        require(metadata.is_some());
+        metadata
     });
     let snapshot = stored.snapshot.as_ref().and_then(|snapshot| {
         let snapshot = decode(&snapshot.bytes).ok();
-        keep(snapshot.is_some());
+        require(snapshot.is_some());
         snapshot
     });
     let entries: Vec<_> = stored.entries.iter().map_while(|entry| decode(&entry.bytes).ok()).collect();
-    keep(entries.len() == stored.entries.len());
-    let nothing = snapshot.is_none() && entries.is_empty();
-    keep(identity.is_some() || nothing);
-    let hard_state = identity.map(|identity| identity.hard_state);
+    require(entries.len() == stored.entries.len());
+    let is_blank = snapshot.is_none() && entries.is_empty();
+    require(metadata.is_some() || is_blank);
+    let hard_state = metadata.map(|metadata| metadata.hard_state);
     let notes = stored.notes.iter().map(|note| format!("{note:?}")).collect();
-    OpenedStore { metadata: identity, recovered: Recovered { hard_state, snapshot, entries }, damaged, notes }
+    OpenedStore { metadata, recovered: Recovered { hard_state, snapshot, entries }, damaged, notes }
 }
 
-/// Turns the replica's records into operations of the store.
+/// Translates the replica's records into operations of the store.
 #[derive(Debug, Clone)]
 pub struct RecordTranslator {
     id: ReplicaId,
     hard_state: HardState,
-    /// Last entry that was released.
-    released: u64,
-    /// Last entry.
-    last: u64,
-    /// Whether the identity is on the disk.
-    named: bool,
+    /// Index of the last entry that a snapshot has replaced; 0 for none.
+    released_index: u64,
+    /// Index of the last entry; 0 for none.
+    last_index: u64,
+    /// Whether the identity, term and vote are in the store.
+    has_metadata: bool,
 }
 
 impl RecordTranslator {
-    /// For a store that belongs to `id`, whose last entry is `last`, with none released. The first operations put
-    /// the identity on the disk if `named` is false.
-    pub fn new(id: ReplicaId, hard_state: HardState, last: u64, named: bool) -> Self {
-        Self { id, hard_state, released: 0, last, named }
+    /// For a store of `id` whose last entry is `last_index`, without a snapshot. If `has_metadata` is false,
+    /// the first operations write the identity, term and vote.
+    pub fn new(id: ReplicaId, hard_state: HardState, last_index: u64, has_metadata: bool) -> Self {
+        Self { id, hard_state, released_index: 0, last_index, has_metadata }
     }
 
     /// For a store with these contents.
     pub fn for_store(metadata: StoreMetadata, recovered: &Recovered) -> Self {
-        let released = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let last = recovered.entries.last().map_or(released, |entry| entry.index.max(released));
-        Self { id: metadata.id, hard_state: metadata.hard_state, released, last, named: true }
+        let released_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let last_index =
+            recovered.entries.last().map_or(released_index, |entry| entry.index.max(released_index));
+        Self {
+            id: metadata.id,
+            hard_state: metadata.hard_state,
+            released_index,
+            last_index,
+            has_metadata: true,
+        }
     }
 
-    /// Appends the operations for some records.
+    /// Appends the operations for these records.
     pub fn translate(&mut self, records: Vec<Record>, operations: &mut Vec<Operation>) {
-        if !self.named {
-            self.named = true;
-            operations.push(self.metadata());
+        if !self.has_metadata {
+            self.has_metadata = true;
+            operations.push(self.metadata_operation());
         }
         for record in records {
-            self.record(record, operations);
+            self.translate_record(record, operations);
         }
     }
 
-    fn record(&mut self, record: Record, operations: &mut Vec<Operation>) {
+    fn translate_record(&mut self, record: Record, operations: &mut Vec<Operation>) {
         match record {
             Record::HardState(hard_state) => {
                 self.hard_state = hard_state;
-                operations.push(self.metadata());
+                operations.push(self.metadata_operation());
             }
             Record::Append(entry) => {
-                if entry.index <= self.last {
+                if entry.index <= self.last_index {
                     operations.push(Operation::Truncate { from: entry.index });
                 }
-                self.last = entry.index;
+                self.last_index = entry.index;
                 operations.push(Operation::Append { index: entry.index, bytes: encode(&entry) });
             }
             Record::Truncate { from } => {
-                // What was released is committed and stays; a replica without entries truncates from 0.
-                let from = from.max(self.released + 1);
-                if from <= self.last {
+                // Released entries are committed and stay; a replica without entries truncates from index 0.
+                let from = from.max(self.released_index + 1);
+                if from <= self.last_index {
                     operations.push(Operation::Truncate { from });
-                    self.last = from - 1;
+                    self.last_index = from - 1;
                 }
             }
             Record::Snapshot(snapshot) => {
@@ -215,71 +222,74 @@
                 if index > 0 {
                     operations.push(Operation::Release { through: index });
                 }
-                self.released = self.released.max(index);
-                self.last = self.last.max(index);
+                self.released_index = self.released_index.max(index);
+                self.last_index = self.last_index.max(index);
             }
         }
     }
 
-    fn metadata(&self) -> Operation {
+    fn metadata_operation(&self) -> Operation {
         Operation::Metadata(encode(&StoreMetadata { id: self.id, hard_state: self.hard_state }))
     }
 }
 
-/// The store and what is written to it.
+/// The worker of the disk thread: the store and the identity that writes to it.
 #[derive(Debug)]
 pub struct DiskWorker<D> {
     store: LogStore<D>,
     events: UnboundedSender<DiskEvent>,
+    /// Generation of the identity that owns the store.
     generation: u64,
+    /// `None` until the store is assigned to an identity.
     translator: Option<RecordTranslator>,
     gate: WriteGate,
-    trouble: Option<String>,
+    /// Error of the last operation; `None` if it succeeded.
+    last_error: Option<String>,
 }
 
-/// What follows an order.
+/// What the disk thread does after a command.
 #[derive(Debug)]
 pub enum NextStep {
-    /// Whatever is ordered next.
+    /// Wait for a command.
     Idle,
-    /// This order, which was taken from the inbox already.
+    /// Carry out this command, which has already been received.
     Next(DiskCommand),
-    /// The same order again after a pause, before any other: the disk refused it.
+    /// Carry out the same command again after a pause and before any other: the disk has refused it.
     Retry(DiskCommand),
 }
 
-/// A write that waits: its sequence and records.
-type Waiting = (u64, Vec<Record>);
+/// A write: its sequence number and records.
+type PendingWrite = (u64, Vec<Record>);
 
 impl<D: Disk> DiskWorker<D> {
-    /// Works on an open store. Writes fail until an order has said whose the store is.
+    /// A worker on an open store. Writes are refused until a command has assigned the store to an identity.
     pub fn new(store: LogStore<D>, events: UnboundedSender<DiskEvent>) -> Self {
-        Self { store, events, generation: 0, translator: None, gate: WriteGate::default(), trouble: None }
+        Self { store, events, generation: 0, translator: None, gate: WriteGate::default(), last_error: None }
     }
 
-    /// Carries out orders until the sender is gone.
-    pub fn run(mut self, inbox: &Receiver<DiskCommand>) {
+    /// Carries out commands until the sender is dropped.
+    pub fn run(mut self, commands: &Receiver<DiskCommand>) {
         let mut next = None;
-        while let Some(order) = next.take().or_else(|| inbox.recv().ok()) {
-            next = match self.carry_out(order, inbox) {
+        while let Some(command) = next.take().or_else(|| commands.recv().ok()) {
+            next = match self.carry_out(command, commands) {
                 NextStep::Idle => None,
-                NextStep::Next(order) => Some(order),
-                NextStep::Retry(order) => {
-                    std::thread::sleep(RETRY_PAUSE);
-                    Some(order)
+                NextStep::Next(command) => Some(command),
+                NextStep::Retry(command) => {
+                    std::thread::sleep(RETRY_INTERVAL);
+                    Some(command)
                 }
             };
         }
     }
 
-    /// Carries out one order, and the writes that wait behind it if it is a write.
-    pub fn carry_out(&mut self, order: DiskCommand, inbox: &Receiver<DiskCommand>) -> NextStep {
-        match order {
-            DiskCommand::Adopt { generation, translator } => self.begin(generation, translator),
+    /// Carries out one command; a write together with the writes that are queued behind it.
+    pub fn carry_out(&mut self, command: DiskCommand, commands: &Receiver<DiskCommand>) -> NextStep {
+        match command {
+            DiskCommand::Adopt { generation, translator } => self.adopt(generation, translator),
             DiskCommand::Wipe { generation, id } => return self.wipe(generation, id),
             DiskCommand::Write { generation, sequence, records } => {
                 let mut group = vec![(sequence, records)];
-                let next = gather(generation, &mut group, inbox);
+                let next = collect_queued_writes(generation, &mut group, commands);
                 self.write(generation, group);
                 return next.map_or(NextStep::Idle, NextStep::Next);
             }
@@ -287,24 +297,25 @@
         NextStep::Idle
     }
 
-    fn begin(&mut self, generation: u64, translator: RecordTranslator) {
+    fn adopt(&mut self, generation: u64, translator: RecordTranslator) {
         self.generation = generation;
         self.translator = Some(translator);
         self.gate = WriteGate::default();
     }
 
-    /// An identity that was given up must not come back: the order stays the next one until the disk allows it.
+    /// Erases the store for a new identity. The old identity must not come back, so the command is retried
+    /// before any other until the disk allows it.
     fn wipe(&mut self, generation: u64, id: ReplicaId) -> NextStep {
         if let Err(error) = self.store.wipe() {
-            self.note(Some(&error));
+            self.report_health(Some(&error));
             return NextStep::Retry(DiskCommand::Wipe { generation, id });
         }
-        self.begin(generation, RecordTranslator::new(id, HardState::default(), 0, false));
+        self.adopt(generation, RecordTranslator::new(id, HardState::default(), 0, false));
         NextStep::Idle
     }
 
-    fn write(&mut self, generation: u64, group: Vec<Waiting>) {
-        let accepted: Vec<Waiting> =
+    fn write(&mut self, generation: u64, group: Vec<PendingWrite>) {
+        let accepted: Vec<PendingWrite> =
             group.into_iter().filter(|(sequence, _)| self.accepts(generation, *sequence)).collect();
         let Some(translator) = &mut self.translator else { return };
         let before = translator.clone();
@@ -317,56 +328,60 @@
         let Some(last) = sequences.last().copied() else { return };
         match self.store.apply(&operations) {
             Ok(()) => {
-                self.note(None);
+                self.report_health(None);
                 let used_bytes = self.store.used_bytes();
-                self.tell(DiskEvent::Written { generation, sequence: last, used_bytes });
+                self.send_event(DiskEvent::Written { generation, sequence: last, used_bytes });
             }
             Err(error) => {
                 *translator = before;
                 self.gate.failed(last);
-                self.note(Some(&error));
+                self.report_health(Some(&error));
                 for sequence in sequences {
-                    self.tell(DiskEvent::WriteFailed { generation, sequence });
+                    self.send_event(DiskEvent::WriteFailed { generation, sequence });
                 }
             }
         }
     }
 
-    /// Whether a write may be carried out; one that may not is answered here.
+    /// Whether a write may be carried out; one that may not is reported as failed.
     fn accepts(&mut self, generation: u64, sequence: u64) -> bool {
         let accepted = generation == self.generation && self.gate.accepts(sequence);
         if !accepted {
-            self.tell(DiskEvent::WriteFailed { generation, sequence });
+            self.send_event(DiskEvent::WriteFailed { generation, sequence });
         }
         accepted
     }
 
-    /// Tells of trouble when its kind changes.
-    fn note(&mut self, error: Option<&StorageError>) {
+    /// Records the result of an operation and reports it when the disk begins to fail or works again.
+    fn report_health(&mut self, error: Option<&StorageError>) {
         let reason = error.map(ToString::to_string);
-        let changed = reason.is_some() != self.trouble.is_some();
-        self.trouble.clone_from(&reason);
+        let changed = reason.is_some() != self.last_error.is_some();
+        self.last_error.clone_from(&reason);
         if changed {
-            self.tell(DiskEvent::HealthChanged(
-                reason.unwrap_or_else(|| "the disk takes writes again".to_owned()),
+            self.send_event(DiskEvent::HealthChanged(
+                reason.unwrap_or_else(|| "the disk accepts writes again".to_owned()),
             ));
         }
     }
 
-    fn tell(&self, event: DiskEvent) {
-        // Without a receiver the program is about to end.
+    fn send_event(&self, event: DiskEvent) {
+        // Without a receiver, the program is about to end.
         let _ = self.events.send(event);
     }
 }
 
-/// Adds the writes that wait already, so that one sync serves all of them. Gives back an order that is not one of
-/// them.
-fn gather(generation: u64, group: &mut Vec<Waiting>, inbox: &Receiver<DiskCommand>) -> Option<DiskCommand> {
-    let mut bytes = group.iter().map(|(_, records)| size_of_records(records)).sum::<usize>();
-    while bytes < GROUP_BYTES {
-        match inbox.try_recv().ok()? {
+/// Adds the queued writes to a group, so that one sync serves all of them. Returns a command that ends the
+/// group because it is not such a write.
+fn collect_queued_writes(
+    generation: u64,
+    group: &mut Vec<PendingWrite>,
+    commands: &Receiver<DiskCommand>,
+) -> Option<DiskCommand> {
+    let mut bytes = group.iter().map(|(_, records)| records_size(records)).sum::<usize>();
+    while bytes < MAX_GROUP_BYTES {
+        match commands.try_recv().ok()? {
             DiskCommand::Write { generation: same, sequence, records } if same == generation => {
-                bytes += size_of_records(&records);
+                bytes += records_size(&records);
                 group.push((sequence, records));
             }
             other => return Some(other),
@@ -375,7 +390,7 @@
     None
 }
 
-fn size_of_records(records: &[Record]) -> usize {
+fn records_size(records: &[Record]) -> usize {
     let size = |record: &Record| match record {
         Record::Append(entry) => entry.size(),
         Record::Snapshot(snapshot) => snapshot.state.len(),
--- a/crates/control/src/engine.rs
+++ b/crates/control/src/engine.rs
@@ -1,6 +1,7 @@
-//! Carries out what the node's state machine asks for.
+//! Carries out the effects that the node's state machine asks for.
 //!
-//! All tasks share one [`Engine`]. They call it without waiting, so the node is never in use by two of them.
+//! All tasks share one [`Engine`] on one thread. No call on it holds the node across an `await`, so the node
+//! is never borrowed twice.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -26,16 +27,16 @@
 use crate::node::{Effect, Node};
 use crate::peer_links::PeerLinks;
 
-/// Longest time without a tick.
-const LONGEST_SLEEP: u64 = 60_000_000;
-/// Shortest time between two ticks, in microseconds.
-const SHORTEST_SLEEP: u64 = 500;
-/// Time between two beats of the node.
-const BEAT: Duration = Duration::from_millis(100);
-/// Agents that left which are remembered for the status page.
-const MAX_LEFT_READERS: usize = 1_024;
+/// Longest time between two ticks of the node, in microseconds.
+const MAX_TICK_INTERVAL_US: u64 = 60_000_000;
+/// Shortest time between two ticks of the node, in microseconds.
+const MIN_TICK_INTERVAL_US: u64 = 500;
+/// Interval of the messages that the node sends periodically.
+const PERIODIC_SEND_INTERVAL: Duration = Duration::from_millis(100);
+/// Most disconnected agents that are kept for the status page.
+const MAX_DISCONNECTED_AGENTS: usize = 1_024;
 
-/// Handle on the node and on everything that serves it.
+/// Shared handle of the node and of the channels and connections that serve it.
 #[derive(Debug, Clone)]
 pub struct Engine(Rc<Shared>);
 
@@ -45,44 +46,50 @@
     log: Logger,
     node: RefCell<Node>,
     disk: Sender<DiskCommand>,
+    /// Generation of the identity that owns the store.
     generation: Cell<u64>,
+    /// Bytes of all files of the store as of the last write.
     disk_bytes: Cell<u64>,
     links: PeerLinks,
-    calls: RefCell<HashMap<CallId, oneshot::Sender<Reply>>>,
-    last_call: Cell<CallId>,
-    readers: RefCell<HashMap<u64, Rc<AgentMailbox>>>,
-    last_reader: Cell<u64>,
-    /// When agents that are not connected here any more left.
-    left_readers: RefCell<BTreeMap<String, u64>>,
-    /// When the deadline task will wake up by itself.
-    armed: Cell<u64>,
-    rearm: Notify,
-    leadership: Notify,
+    pending_calls: RefCell<HashMap<CallId, oneshot::Sender<Reply>>>,
+    last_call_id: Cell<CallId>,
+    /// Connected agents by registration number; one node may have several connections.
+    agents: RefCell<HashMap<u64, Rc<AgentMailbox>>>,
+    last_agent_id: Cell<u64>,
+    /// Names of nodes whose agents have no connection here any more, with the time of the disconnect in
+    /// microseconds.
+    disconnected_agents_since: RefCell<BTreeMap<String, u64>>,
+    /// Time at which the deadline task wakes up unless it is notified earlier, in microseconds.
+    next_tick_at: Cell<u64>,
+    /// Wakes the deadline task when the next deadline has moved to an earlier time.
+    deadline_moved: Notify,
+    lease_change: Notify,
+    /// Requests of the leader to read the list: request number and leader, oldest first.
     list_requests: RefCell<Vec<(u64, Member)>>,
-    list_requested: Notify,
+    list_request_added: Notify,
 }
 
-/// Where an agent's connection is told of news.
+/// Pending updates for one agent connection.
 #[derive(Debug)]
 pub struct AgentMailbox {
-    /// Name of the agent's node.
+    /// Name of the node that the agent runs on.
     pub node: String,
-    /// Told when there may be something to send.
+    /// Notified when there may be something to send.
     pub wakeup: Notify,
     grants: RefCell<Option<GrantUpdate>>,
-    /// Where the agent stands: version of the configuration and position in the roster, as sent.
+    /// Last position sent: version of the configuration, then epoch and sequence of the roster.
     pub sent_position: Cell<(u64, u64, u64)>,
 }
 
 impl AgentMailbox {
-    /// Grants that have come since the last call.
+    /// Takes the newest grants that have not been sent; older ones are replaced.
     pub fn take_grants(&self) -> Option<GrantUpdate> {
         self.grants.borrow_mut().take()
     }
 }
 
 impl Engine {
-    /// An engine around a node whose store the disk thread holds, as generation 1.
+    /// Creates an engine for a node whose identity owns the store as generation 1.
     pub fn new(clock: Clock, log: Logger, node: Node, disk: Sender<DiskCommand>, links: PeerLinks) -> Self {
         Self(Rc::new(Shared {
             clock,
@@ -92,74 +99,75 @@
             generation: Cell::new(1),
             disk_bytes: Cell::new(0),
             links,
-            calls: RefCell::default(),
-            last_call: Cell::new(0),
-            readers: RefCell::default(),
-            last_reader: Cell::new(0),
-            left_readers: RefCell::default(),
-            armed: Cell::new(0),
-            rearm: Notify::new(),
-            leadership: Notify::new(),
+            pending_calls: RefCell::default(),
+            last_call_id: Cell::new(0),
+            agents: RefCell::default(),
+            last_agent_id: Cell::new(0),
+            disconnected_agents_since: RefCell::default(),
+            next_tick_at: Cell::new(0),
+            deadline_moved: Notify::new(),
+            lease_change: Notify::new(),
             list_requests: RefCell::default(),
-            list_requested: Notify::new(),
+            list_request_added: Notify::new(),
         }))
     }
 
-    /// The time now, in microseconds.
+    /// Current time of the steady clock, in microseconds.
     pub fn now(&self) -> u64 {
         self.0.clock.now()
     }
 
-    /// The log.
+    /// The logger.
     pub fn log(&self) -> &Logger {
         &self.0.log
     }
 
-    /// Looks at the node.
-    pub fn inspect<R>(&self, look: impl FnOnce(&Node, u64) -> R) -> R {
-        look(&self.0.node.borrow(), self.now())
+    /// Reads from the node at the current time.
+    pub fn inspect<R>(&self, read: impl FnOnce(&Node, u64) -> R) -> R {
+        read(&self.0.node.borrow(), self.now())
     }
 
-    /// Hands something to the node and carries out what follows from it.
-    pub fn update<R>(&self, act: impl FnOnce(&mut Node, u64, &mut Vec<Effect>) -> R) -> R {
+    /// Calls the node with the current time and carries out the effects that it returns.
+    pub fn update<R>(&self, change: impl FnOnce(&mut Node, u64, &mut Vec<Effect>) -> R) -> R {
         let mut effects = Vec::new();
-        let result = act(&mut self.0.node.borrow_mut(), self.now(), &mut effects);
+        let result = change(&mut self.0.node.borrow_mut(), self.now(), &mut effects);
         self.carry_out(effects);
-        if self.0.node.borrow().next_deadline() < self.0.armed.get() {
-            self.0.rearm.notify_one();
+        if self.0.node.borrow().next_deadline() < self.0.next_tick_at.get() {
+            self.0.deadline_moved.notify_one();
         }
         result
     }
 
     fn carry_out(&self, effects: Vec<Effect>) {
         let mut feed_changed = false;
-        // An identity that is given up on the way does not write into the store of the next one.
+        // If the identity is replaced while the effects are carried out, its remaining writes keep the old
+        // generation and do not reach the new store.
         let generation = self.0.generation.get();
         for effect in effects {
             match effect {
                 Effect::Send { to, envelope } => self.0.links.send(to, envelope),
                 Effect::Write { sequence, records } => {
-                    self.order(DiskCommand::Write { generation, sequence, records });
+                    self.send_disk_command(DiskCommand::Write { generation, sequence, records });
                 }
                 Effect::Reply { call, reply } => self.reply(call, reply),
                 Effect::FeedChanged => feed_changed = true,
-                Effect::Grants { node, update } => self.grant(&update, |door| door.node == node),
-                Effect::RequestHistory(question) => self.grant(&question, |_| true),
-                Effect::LeaseChanged => self.0.leadership.notify_one(),
+                Effect::Grants { node, update } => self.deliver_grants(&update, |agent| agent.node == node),
+                Effect::RequestHistory(request) => self.deliver_grants(&request, |_| true),
+                Effect::LeaseChanged => self.0.lease_change.notify_one(),
                 Effect::ReadList { request, to } => {
                     self.0.list_requests.borrow_mut().push((request, to));
-                    self.0.list_requested.notify_one();
+                    self.0.list_request_added.notify_one();
                 }
-                Effect::ParseQuotas { version, body } => self.read_quotas(version, body),
+                Effect::ParseQuotas { version, body } => self.parse_quotas(version, body),
                 Effect::Rejoin => self.rejoin(),
             }
         }
         if feed_changed {
-            self.0.readers.borrow().values().for_each(|door| door.wakeup.notify_one());
+            self.0.agents.borrow().values().for_each(|agent| agent.wakeup.notify_one());
         }
     }
 
-    fn read_quotas(&self, version: u64, body: Bytes) {
+    fn parse_quotas(&self, version: u64, body: Bytes) {
         let engine = self.clone();
         spawn_local(async move {
             let quotas = parse_quotas_off_thread(body).await;
@@ -167,108 +175,112 @@
         });
     }
 
-    fn order(&self, order: DiskCommand) {
-        if self.0.disk.send(order).is_err() {
-            warn!(self.0.log, "the disk thread has ended");
+    fn send_disk_command(&self, command: DiskCommand) {
+        if self.0.disk.send(command).is_err() {
+            warn!(self.0.log, "the disk thread has stopped");
         }
     }
 
     fn reply(&self, call: CallId, reply: Reply) {
-        let waiting = self.0.calls.borrow_mut().remove(&call);
-        // A caller that is gone needs no answer.
-        let _ = waiting.map(|waiting| waiting.send(reply));
+        let caller = self.0.pending_calls.borrow_mut().remove(&call);
+        // A caller that has given up needs no reply.
+        let _ = caller.map(|caller| caller.send(reply));
     }
 
-    fn grant(&self, update: &GrantUpdate, is_meant: impl Fn(&AgentMailbox) -> bool) {
-        let readers = self.0.readers.borrow();
-        for door in readers.values().filter(|door| is_meant(door)) {
-            *door.grants.borrow_mut() = Some(update.clone());
-            door.wakeup.notify_one();
+    fn deliver_grants(&self, update: &GrantUpdate, is_receiver: impl Fn(&AgentMailbox) -> bool) {
+        let agents = self.0.agents.borrow();
+        for agent in agents.values().filter(|agent| is_receiver(agent)) {
+            *agent.grants.borrow_mut() = Some(update.clone());
+            agent.wakeup.notify_one();
         }
     }
 
-    /// The identity was removed from the group: the store is wiped and the machine joins anew.
+    /// Wipes the store and joins under a new identity after the group has removed the old one.
     fn rejoin(&self) {
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
         self.update(|node, now, effects| {
             let id = random_id(node.me().control);
-            self.order(DiskCommand::Wipe { generation, id });
+            self.send_disk_command(DiskCommand::Wipe { generation, id });
             node.rejoin_as(id, seed(), now, effects);
         });
     }
 
-    /// Waits for the answer to a call that `act` hands to the node under the given number; nothing if none came
-    /// within `patience`.
+    /// Passes a new call number to `submit`, which hands the call to the node, and waits for the reply;
+    /// `None` if none comes within `reply_timeout`.
     pub async fn call(
         &self,
-        patience: Duration,
-        act: impl FnOnce(&mut Node, u64, CallId, &mut Vec<Effect>),
+        reply_timeout: Duration,
+        submit: impl FnOnce(&mut Node, u64, CallId, &mut Vec<Effect>),
     ) -> Option<Reply> {
-        let call = self.0.last_call.get() + 1;
-        self.0.last_call.set(call);
+        let call = self.0.last_call_id.get() + 1;
+        self.0.last_call_id.set(call);
         let (sender, receiver) = oneshot::channel();
-        self.0.calls.borrow_mut().insert(call, sender);
-        self.update(|node, now, effects| act(node, now, call, effects));
-        let waiting = Waiting { engine: self, call };
-        let reply = timeout(patience, receiver).await;
-        drop(waiting);
+        self.0.pending_calls.borrow_mut().insert(call, sender);
+        self.update(|node, now, effects| submit(node, now, call, effects));
+        let pending = PendingCall { engine: self, call };
+        let reply = timeout(reply_timeout, receiver).await;
+        drop(pending);
         reply.ok()?.ok()
     }
 
     /// Registers an agent's connection until the guard is dropped.
     pub fn register(&self, node: String) -> Registration {
-        let id = self.0.last_reader.get() + 1;
-        self.0.last_reader.set(id);
-        self.0.left_readers.borrow_mut().remove(&node);
-        let door = AgentMailbox {
+        let id = self.0.last_agent_id.get() + 1;
+        self.0.last_agent_id.set(id);
+        self.0.disconnected_agents_since.borrow_mut().remove(&node);
+        let agent = AgentMailbox {
             node,
             wakeup: Notify::new(),
             grants: RefCell::default(),
             sent_position: Cell::default(),
         };
-        let door = Rc::new(door);
-        self.0.readers.borrow_mut().insert(id, door.clone());
-        Registration { engine: self.clone(), id, mailbox: door }
+        let agent = Rc::new(agent);
+        self.0.agents.borrow_mut().insert(id, agent.clone());
+        Registration { engine: self.clone(), id, mailbox: agent }
     }
 
-    /// Number of agents connected here.
+    /// Number of agent connections to this machine.
     pub fn agent_count(&self) -> usize {
-        self.0.readers.borrow().len()
+        self.0.agents.borrow().len()
     }
 
-    /// Node, version and position in the roster of each agent connected here, as sent.
+    /// Node name and last position sent of each connected agent: version of the configuration, then epoch and
+    /// sequence of the roster.
     pub fn connected_agents(&self) -> Vec<(String, (u64, u64, u64))> {
-        self.0.readers.borrow().values().map(|door| (door.node.clone(), door.sent_position.get())).collect()
+        self.0.agents.borrow().values().map(|agent| (agent.node.clone(), agent.sent_position.get())).collect()
     }
 
-    /// Agents that were connected here and are not any more, with the time since they left in microseconds.
+    /// Nodes whose agents were connected here and are not any more, with the time since the disconnect in
+    /// microseconds.
     pub fn disconnected_agents(&self) -> Vec<(String, u64)> {
         let now = self.now();
-        let left = self.0.left_readers.borrow();
-        left.iter().map(|(node, at)| (node.clone(), now.saturating_sub(*at))).collect()
-    }
-
-    /// Remembers when an agent left, unless it has another connection here.
-    fn note_left(&self, node: &str) {
-        let stays = self.0.readers.borrow().values().any(|door| door.node == node);
-        let mut left = self.0.left_readers.borrow_mut();
-        if !stays && (left.len() < MAX_LEFT_READERS || left.contains_key(node)) {
-            left.insert(node.to_owned(), self.now());
+        let disconnected = self.0.disconnected_agents_since.borrow();
+        disconnected.iter().map(|(node, at)| (node.clone(), now.saturating_sub(*at))).collect()
+    }
+
+    /// Records the time of a disconnect, unless the node has another connection here.
+    fn record_disconnect(&self, node: &str) {
+        let still_connected = self.0.agents.borrow().values().any(|agent| agent.node == node);
+        let mut disconnected = self.0.disconnected_agents_since.borrow_mut();
+        if !still_connected
+            && (disconnected.len() < MAX_DISCONNECTED_AGENTS || disconnected.contains_key(node))
+        {
+            disconnected.insert(node.to_owned(), self.now());
         }
     }
 
-    /// Bytes of all files of the store, as of the last write.
+    /// Bytes of all files of the store as of the last write.
     pub fn disk_bytes(&self) -> u64 {
         self.0.disk_bytes.get()
     }
 
-    /// Number of connections opened to other control machines.
+    /// Number of connections that this machine has opened to other control machines.
     pub fn link_count(&self) -> usize {
         self.0.links.count()
     }
 
-    /// The next message for an agent, from the state as it is now.
+    /// Next message for an agent, built from the current state; `None` if it is up to date.
     pub fn next_message(&self, session: &mut FeedSession) -> Option<FeedMessage> {
         let mut node = self.0.node.borrow_mut();
         let now = self.now();
@@ -281,58 +293,60 @@
         Instant::from_std(self.0.clock.instant(micros))
     }
 
-    /// Returns when the lease was won or lost since the last call.
+    /// Waits until the lease has been won or lost since the last call.
     pub async fn lease_changed(&self) {
-        self.0.leadership.notified().await;
+        self.0.lease_change.notified().await;
     }
 
-    /// A reading of the list that the leader asks of this machine.
+    /// Waits for the leader to ask this machine to read the list: request number and leader.
     pub async fn next_list_request(&self) -> (u64, Member) {
         loop {
-            // The newest counts: the leader has given up the older ones.
+            // Only the newest request counts: the leader no longer waits for older ones.
             let newest = std::mem::take(&mut *self.0.list_requests.borrow_mut()).pop();
             if let Some(request) = newest {
                 return request;
             }
-            self.0.list_requested.notified().await;
+            self.0.list_request_added.notified().await;
         }
     }
 
-    /// Sends the leader the list that it asked for.
+    /// Sends the leader the list that it asked for; `None` if it could not be read.
     pub fn answer_list_request(&self, to: &Member, request: u64, servers: Option<Vec<ServerEntry>>) {
         self.update(|node, _, effects| node.answer_list_request(to, request, servers, effects));
     }
 
-    /// Ticks the node at its deadlines, for ever.
+    /// Ticks the node at its deadlines, forever.
     pub async fn run_deadlines(self) {
         loop {
             let now = self.now();
             let due = self.0.node.borrow().next_deadline();
-            let wake = due.clamp(now + SHORTEST_SLEEP, now + LONGEST_SLEEP);
-            self.0.armed.set(wake);
+            let wake = due.clamp(now + MIN_TICK_INTERVAL_US, now + MAX_TICK_INTERVAL_US);
+            self.0.next_tick_at.set(wake);
             tokio::select! {
-                () = sleep_until(self.instant(wake)) => self.update(|node, now, effects| node.tick(now, effects)),
-                () = self.0.rearm.notified() => {}
+                () = sleep_until(self.instant(wake)) => {
+                    self.update(|node, now, effects| node.tick(now, effects))
+                }
+                () = self.0.deadline_moved.notified() => {}
             }
         }
     }
 
-    /// Beats, for ever.
+    /// Sends the periodic messages of the node, forever.
     pub async fn run_periodic_sends(self) {
         loop {
-            tokio::time::sleep(BEAT).await;
+            tokio::time::sleep(PERIODIC_SEND_INTERVAL).await;
             self.update(|node, now, effects| node.send_periodic(now, effects));
         }
     }
 
-    /// Takes in what the disk thread tells, for ever.
+    /// Handles the events of the disk thread, forever.
     pub async fn run_disk(self, mut events: UnboundedReceiver<DiskEvent>) {
         while let Some(event) = events.recv().await {
-            self.disk_event(event);
+            self.handle_disk_event(event);
         }
     }
 
-    fn disk_event(&self, event: DiskEvent) {
+    fn handle_disk_event(&self, event: DiskEvent) {
         let current = self.0.generation.get();
         match event {
             DiskEvent::Opened(_) => {}
@@ -347,40 +361,40 @@
                     self.update(|node, now, effects| node.write_failed(now, sequence, effects));
                 }
             }
-            DiskEvent::HealthChanged(reason) => warn!(self.0.log, "disk"; "reason" => reason),
+            DiskEvent::HealthChanged(reason) => warn!(self.0.log, "disk health changed"; "reason" => reason),
         }
     }
 }
 
-/// Forgets a call that nobody waits for any more.
-struct Waiting<'a> {
+/// Removes a pending call when its caller stops waiting.
+struct PendingCall<'a> {
     engine: &'a Engine,
     call: CallId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.engine.0.calls.borrow_mut().remove(&self.call);
+        self.engine.0.pending_calls.borrow_mut().remove(&self.call);
     }
 }
 
-/// Keeps an agent's connection registered.
+/// Keeps an agent connection registered until it is dropped.
 #[derive(Debug)]
 pub struct Registration {
     engine: Engine,
     id: u64,
-    /// Where news are told.
+    /// Pending updates for this connection.
     pub mailbox: Rc<AgentMailbox>,
 }
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.engine.0.readers.borrow_mut().remove(&self.id);
-        self.engine.note_left(&self.mailbox.node);
+        self.engine.0.agents.borrow_mut().remove(&self.id);
+        self.engine.record_disconnect(&self.mailbox.node);
     }
 }
 
-/// A seed for a random generator.
+/// Random seed from the system; from a user-space generator if that fails.
 pub fn seed() -> u64 {
     let mut bytes = [0_u8; 8];
     match getrandom::fill(&mut bytes) {
--- a/crates/control/src/feed_server.rs
+++ b/crates/control/src/feed_server.rs
@@ -1,4 +1,4 @@
-//! The internal port: agents that read the feed, and other control machines.
+//! The internal port: connections of agents, which receive the feed, and of other control machines.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,59 +15,60 @@
 use crate::feed_session::FeedSession;
 use crate::message::Envelope;
 
-/// Connections accepted at once.
+/// Most connections open at a time.
 const MAX_CONNECTIONS: usize = 1_536;
-/// How long a new connection may take to say what it is for.
-const HELLO_PATIENCE: Duration = Duration::from_secs(2);
-/// Data that stays unacknowledged for this long ends a connection.
-const SILENCE: Duration = Duration::from_millis(3_000);
-/// How long an agent may take to read a message.
-const WRITE_PATIENCE: Duration = Duration::from_secs(5);
-/// A control machine that sends nothing for this long has closed its connection, though this was not told.
-const PEER_IDLE: Duration = Duration::from_secs(40);
+/// Time within which a new connection must send its hello, and an agent its subscription.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection ends when sent data stays unacknowledged for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Time within which an agent must read what is sent to it.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connection on which a control machine sends nothing for this long counts as closed, even if the close
+/// was not received.
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(40);
 /// Pause after an error of the listener, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Serves the internal port, for ever.
+/// Serves the internal port, forever.
 pub async fn serve(listener: TcpListener, engine: Engine) {
-    let open = Rc::new(Cell::new(0));
+    let open_connections = Rc::new(Cell::new(0));
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        if open.get() < MAX_CONNECTIONS {
-            let counted = Counted::new(open.clone());
+        if open_connections.get() < MAX_CONNECTIONS {
+            let guard = ConnectionGuard::new(open_connections.clone());
             let engine = engine.clone();
             spawn_local(async move {
-                let _counted = counted;
-                // A connection that ends is opened anew by its opener.
-                let _ = connection(socket, engine).await;
+                let _guard = guard;
+                // After a failure, the peer opens a new connection.
+                let _ = serve_connection(socket, engine).await;
             });
         }
     }
 }
 
-/// Counts an open connection while it lives.
-struct Counted(Rc<Cell<usize>>);
+/// Counts a connection as open until it is dropped.
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Counted {
-    fn new(open: Rc<Cell<usize>>) -> Self {
-        open.set(open.get() + 1);
-        Self(open)
+impl ConnectionGuard {
+    fn new(open_connections: Rc<Cell<usize>>) -> Self {
+        open_connections.set(open_connections.get() + 1);
+        Self(open_connections)
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-async fn connection(socket: TcpStream, engine: Engine) -> Result<(), LinkError> {
+async fn serve_connection(socket: TcpStream, engine: Engine) -> Result<(), LinkError> {
     let peer = socket.peer_addr()?.ip();
-    let (mut reader, writer) = accept(socket, SILENCE)?;
-    let hello: Hello = reader.read_within(HELLO_PATIENCE).await?;
+    let (mut reader, writer) = accept(socket, UNACKNOWLEDGED_TIMEOUT)?;
+    let hello: Hello = reader.read_within(HELLO_TIMEOUT).await?;
     if hello.protocol != PROTOCOL_VERSION {
         return Ok(());
     }
@@ -75,52 +76,52 @@
         LinkKind::Replica | LinkKind::ReplicaBulk => {
             let ip = hello.ip.parse().unwrap_or(peer);
             engine.update(|node, _, effects| node.learn_zone(ip, &hello.zone, effects));
-            replica(reader, engine).await
+            receive_from_replica(reader, engine).await
         }
-        LinkKind::Agent => Agent::new(reader, writer, engine, hello.node).serve().await,
+        LinkKind::Agent => AgentConnection::new(reader, writer, engine, hello.node).serve().await,
         LinkKind::Proxy => Ok(()),
     }
 }
 
-/// Takes in what another control machine sends.
-async fn replica(mut reader: LinkReader, engine: Engine) -> Result<(), LinkError> {
+/// Handles the messages of another control machine.
+async fn receive_from_replica(mut reader: LinkReader, engine: Engine) -> Result<(), LinkError> {
     loop {
-        let envelope: Envelope = reader.read_within(PEER_IDLE).await?;
+        let envelope: Envelope = reader.read_within(PEER_IDLE_TIMEOUT).await?;
         engine.update(|node, now, effects| node.handle_message(now, envelope, effects));
     }
 }
 
-/// One agent's connection.
-struct Agent {
+/// Connection of one agent.
+struct AgentConnection {
     reader: LinkReader,
     writer: LinkWriter,
     engine: Engine,
     node: String,
 }
 
-impl Agent {
+impl AgentConnection {
     fn new(reader: LinkReader, writer: LinkWriter, engine: Engine, node: String) -> Self {
         Self { reader, writer, engine, node }
     }
 
     async fn serve(mut self) -> Result<(), LinkError> {
         let registration = self.engine.register(self.node.clone());
-        let mut session = self.subscribed().await?;
+        let mut session = self.wait_for_subscription().await?;
         loop {
-            self.send_news(&mut session, &registration.mailbox).await?;
+            self.send_updates(&mut session, &registration.mailbox).await?;
             let due = self.engine.instant(session.next_tick_due());
             tokio::select! {
                 () = registration.mailbox.wakeup.notified() => {}
                 () = sleep_until(due) => {}
-                read = self.reader.read::<AgentMessage>() => self.take(read?, &mut session),
+                message = self.reader.read::<AgentMessage>() => self.handle_message(message?, &mut session),
             }
         }
     }
 
-    /// Waits for the agent to say where it stands.
-    async fn subscribed(&mut self) -> Result<FeedSession, LinkError> {
+    /// Waits for the agent's subscription; reports may come before it.
+    async fn wait_for_subscription(&mut self) -> Result<FeedSession, LinkError> {
         loop {
-            match self.reader.read_within(HELLO_PATIENCE).await? {
+            match self.reader.read_within(HELLO_TIMEOUT).await? {
                 AgentMessage::Subscribe(subscribe) => return Ok(FeedSession::new(&subscribe)),
                 AgentMessage::Report(report) => {
                     self.engine.update(|node, now, effects| {
@@ -131,7 +132,7 @@
         }
     }
 
-    fn take(&self, message: AgentMessage, session: &mut FeedSession) {
+    fn handle_message(&self, message: AgentMessage, session: &mut FeedSession) {
         match message {
             AgentMessage::Subscribe(subscribe) => *session = FeedSession::new(&subscribe),
             AgentMessage::Report(report) => {
@@ -141,18 +142,24 @@
         }
     }
 
-    /// Sends all that the agent lacks. Each message is made when the one before it is on its way.
-    async fn send_news(&mut self, session: &mut FeedSession, door: &AgentMailbox) -> Result<(), LinkError> {
-        if let Some(grants) = door.take_grants() {
+    /// Sends everything that the agent does not have yet. Each message is built when the previous one has
+    /// been queued.
+    async fn send_updates(
+        &mut self,
+        session: &mut FeedSession,
+        mailbox: &AgentMailbox,
+    ) -> Result<(), LinkError> {
+        if let Some(grants) = mailbox.take_grants() {
             session.set_grants(grants);
         }
         while let Some(message) = self.engine.next_message(session) {
-            let large = matches!(message, FeedMessage::Configuration(_) | FeedMessage::Roster(_));
-            note_sent(door, &message);
+            let is_large = matches!(message, FeedMessage::Configuration(_) | FeedMessage::Roster(_));
+            record_sent(mailbox, &message);
             self.writer.queue(&message);
-            // A reader that is slow costs the bytes only, not the whole roster beside them.
+            // Frees the message before the flush: a slow agent then costs only the encoded bytes and not the
+            // roster beside them.
             drop(message);
-            if large {
+            if is_large {
                 self.flush().await?;
             }
         }
@@ -160,20 +167,20 @@
     }
 
     async fn flush(&mut self) -> Result<(), LinkError> {
-        match timeout(WRITE_PATIENCE, self.writer.flush()).await {
+        match timeout(WRITE_TIMEOUT, self.writer.flush()).await {
             Ok(flushed) => flushed,
-            Err(_) => Err(LinkError::Silent(WRITE_PATIENCE)),
+            Err(_) => Err(LinkError::Silent(WRITE_TIMEOUT)),
         }
     }
 }
 
-/// Remembers for the status page where the agent stands.
-fn note_sent(door: &AgentMailbox, message: &FeedMessage) {
-    let (version, epoch, sequence) = door.sent_position.get();
+/// Records the position sent to the agent, for the status page.
+fn record_sent(mailbox: &AgentMailbox, message: &FeedMessage) {
+    let (version, epoch, sequence) = mailbox.sent_position.get();
     match message {
-        FeedMessage::Configuration(chunk) => door.sent_position.set((chunk.version, epoch, sequence)),
+        FeedMessage::Configuration(chunk) => mailbox.sent_position.set((chunk.version, epoch, sequence)),
         FeedMessage::Roster(update) => {
-            door.sent_position.set((version, update.offset.epoch, update.offset.sequence))
+            mailbox.sent_position.set((version, update.offset.epoch, update.offset.sequence))
         }
         _ => {}
     }
--- a/crates/control/src/feed_session.rs
+++ b/crates/control/src/feed_session.rs
@@ -1,38 +1,41 @@
-//! What one agent is sent next.
+//! The messages that one agent is sent, in their order.
 
 use dunelink_feed::{FeedSource, FeedState};
 use dunelink_protocol::{ControlMember, FeedMessage, GrantUpdate, Subscribe};
 
-/// Time between two signs of life, in microseconds.
+/// Interval of the ticks, in microseconds. A tick is a heartbeat with the age of the fed state.
 pub const TICK_PERIOD_US: u64 = 250_000;
-/// A sign of life may be this much early when something else is sent anyway, in microseconds.
-const TICK_EARLY: u64 = 60_000;
+/// A tick that is due within this time is sent early if the session is asked for a message, in microseconds.
+const TICK_EARLY_US: u64 = 60_000;
 
-/// The serving end of one agent's connection. It holds where the agent stands and nothing that waits to be sent, so
-/// an agent that does not read costs no more than one that does.
+/// The sender's state of one agent connection. It holds the position of the agent and no messages that wait
+/// to be sent, so an agent that does not read costs no more memory than one that does.
 #[derive(Debug)]
 pub struct FeedSession {
     source: FeedSource,
+    /// Control machines as last sent.
     members: Vec<ControlMember>,
+    /// Grants that have not been sent.
     grants: Option<GrantUpdate>,
-    ticked_at: Option<u64>,
+    /// Time of the last tick in microseconds; `None` before the first.
+    last_tick_at: Option<u64>,
 }
 
 impl FeedSession {
-    /// Serves an agent that stands where `subscribe` tells.
+    /// Starts from the position in the agent's subscription.
     pub fn new(subscribe: &Subscribe) -> Self {
-        Self { source: FeedSource::new(subscribe), members: Vec::new(), grants: None, ticked_at: None }
+        Self { source: FeedSource::new(subscribe), members: Vec::new(), grants: None, last_tick_at: None }
     }
 
-    /// New grants for the agent; they replace older ones that were not sent.
+    /// Sets the grants to send; they replace older ones that have not been sent.
     pub fn set_grants(&mut self, update: GrantUpdate) {
         self.grants = Some(update);
     }
 
-    /// The next message to send at `now`; nothing if the agent has everything.
+    /// Next message to send at `now`; `None` if the agent has everything.
     pub fn next_message(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
-        if self.ticked_at.is_none_or(|at| now + TICK_EARLY >= at + TICK_PERIOD_US) {
-            self.ticked_at = Some(now);
+        if self.last_tick_at.is_none_or(|at| now + TICK_EARLY_US >= at + TICK_PERIOD_US) {
+            self.last_tick_at = Some(now);
             return Some(FeedMessage::Tick(state.tick(now)));
         }
         if state.members != self.members && !state.members.is_empty() {
@@ -42,16 +45,17 @@
         if let Some(grants) = self.grants.take() {
             return Some(FeedMessage::Grants(grants));
         }
-        // Its own ticks tell of changes only: the regular ones are sent above, also between parts of a configuration.
+        // The source ticks only on changes: the periodic ticks are sent above, also between the chunks of a
+        // configuration.
         let message = self.source.next(state, u64::MAX, now);
         if let Some(FeedMessage::Tick(_)) = message {
-            self.ticked_at = Some(now);
+            self.last_tick_at = Some(now);
         }
         message
     }
 
-    /// When the next sign of life is due, in microseconds.
+    /// Time at which the next tick is due, in microseconds.
     pub fn next_tick_due(&self) -> u64 {
-        self.ticked_at.map_or(0, |at| at + TICK_PERIOD_US)
+        self.last_tick_at.map_or(0, |at| at + TICK_PERIOD_US)
     }
 }
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who this replica is: the identity of its disk's contents.
+//! Identities of replicas: each belongs to the contents of one store.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -6,10 +6,10 @@
 use minicbor::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The metadata record of the store: identity, term and vote.
+/// The metadata record of the store: identity, term and vote of its replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct StoreMetadata {
-    /// Identity of this generation of the disk.
+    /// Identity of the replica whose data the store holds; a wiped store gets a new one.
     #[n(0)]
     pub id: ReplicaId,
     /// Term and vote.
@@ -17,14 +17,14 @@
     pub hard_state: HardState,
 }
 
-/// Identity of a founding replica: XXH3 (64 bits) of its control address written as `ip:port`. Every founder works
-/// out the same ones from the same seeds.
+/// Identity of a founding replica: XXH3 (64 bits) of its control address written as `ip:port`. All founders
+/// derive the same identities from the same seeds.
 pub fn founding_id(control: SocketAddr) -> ReplicaId {
     ReplicaId(xxh3_64(control.to_string().as_bytes()))
 }
 
-/// Identity of a disk that begins empty after the founding: random, mixed with the control address, so that two
-/// machines differ even if the system gives both the same random bytes.
+/// Identity for a store that starts empty after the founding: random and mixed with the control address, so
+/// that two machines differ even if the system gives both the same random bytes.
 pub fn random_id(control: SocketAddr) -> ReplicaId {
     let mut bytes = [0_u8; 16];
     if getrandom::fill(&mut bytes).is_err() {
@@ -36,8 +36,9 @@
     ReplicaId(xxh3_64(&text))
 }
 
-/// The founding members, if a start on an empty disk founds the group: the group is founded once, by the machines
-/// whose control addresses are the seeds. Zones of other machines are not known yet and left empty.
+/// Members that found the group, or `None` if this start does not found it. The group is founded once, by the
+/// machines whose control addresses are the seeds, on empty disks. The zones of other machines are unknown
+/// and left empty.
 pub fn founding_members(bootstrap: bool, seeds: &[SocketAddr], me: &Member) -> Option<Vec<Member>> {
     if !bootstrap || !seeds.contains(&me.control) {
         return None;
@@ -46,15 +47,15 @@
     seeds.sort_unstable();
     seeds.dedup();
     let internal_port = me.internal.port();
-    Some(seeds.into_iter().map(|control| founder(control, internal_port)).collect())
+    Some(seeds.into_iter().map(|control| founding_member(control, internal_port)).collect())
 }
 
-fn founder(control: SocketAddr, internal_port: u16) -> Member {
+fn founding_member(control: SocketAddr, internal_port: u16) -> Member {
     let internal = internal_address(control.ip(), internal_port);
     Member { id: founding_id(control), internal, control, zone: String::new() }
 }
 
-/// Internal address of a machine: the internal ports are alike on all machines.
+/// Internal address of a machine. All machines use the same internal port.
 pub fn internal_address(ip: IpAddr, internal_port: u16) -> SocketAddr {
     SocketAddr::new(ip, internal_port)
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,10 @@
-//! The control program: replicated state, change feed, operator's interface, reader of the platform's list.
+//! The control program: replicated configuration, change feed for agents, operator API and reader of the
+//! platform's server list.
 //!
-//! [`node::Node`] is the state machine that ties the parts together: it takes in messages, orders and results and
-//! gives back [`node::Effect`]s. [`engine::Engine`] carries them out on sockets and the disk thread. All tasks run
-//! on one thread; the disk has a thread of its own, and so have checks of large configurations.
+//! [`node::Node`] is the state machine that ties the parts together: it takes messages, operator requests and
+//! I/O results, and returns [`node::Effect`]s. [`engine::Engine`] carries them out on sockets and the disk
+//! thread. All tasks run on one thread; disk I/O and the checks of large configurations run on threads of
+//! their own.
 
 #![forbid(unsafe_code)]
 
--- a/crates/control/src/list_reader.rs
+++ b/crates/control/src/list_reader.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's list of servers: at the leader, or once for a leader that can't reach the platform.
+//! Reader of the platform's list of servers: the leader reads it regularly, and a member once when a leader
+//! that cannot reach the platform asks for it.
 
 use std::time::Duration;
 
@@ -19,96 +20,99 @@
 use crate::engine::Engine;
 use crate::list::{ListError, ListPage, parse_page};
 
-/// Time between the beginnings of two readings.
-const PERIOD: Duration = Duration::from_millis(500);
-/// How long one page may take.
-const CALL_PATIENCE: Duration = Duration::from_millis(700);
-/// Pause after a failed reading; doubled with each further one up to [`PERIOD`].
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// After this long without a reading, another member is asked to read, in microseconds.
-const DELEGATE_AFTER: u64 = 1_500_000;
-/// Largest page, in bytes.
+/// Shortest interval between the starts of two readings.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
+/// Time within which one page must be read.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Pause after a failed reading; doubled with each further failure up to [`READ_INTERVAL`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// After failing for this long, the leader asks another member to read the list, in microseconds.
+const DELEGATE_AFTER_US: u64 = 1_500_000;
+/// Largest size of a page.
 const MAX_PAGE_BYTES: usize = 8 * 1024 * 1024;
-/// Most pages of one reading.
+/// Most pages of a list.
 const MAX_PAGES: usize = 2_048;
-/// Part of the platform's rate that the regular readings use. The rest is for the first calls of a new leader.
-const RATE_PART: f64 = 0.8;
-/// Part of the platform's rate at which calls may follow each other.
-const PACE_PART: f64 = 0.9;
-/// How often a page is asked for again before the pages before it are dropped with it.
+/// Share of the platform's rate limit that the regular readings use. The rest is left for the first calls of
+/// a new leader.
+const READ_RATE_SHARE: f64 = 0.8;
+/// Share of the platform's rate limit at which calls are paced.
+const PACING_RATE_SHARE: f64 = 0.9;
+/// Retries of a page before the whole reading fails.
 const PAGE_RETRIES: u32 = 2;
-/// Pause before a page is asked for again.
-const PAGE_PAUSE: Duration = Duration::from_millis(150);
-/// Calls that may follow each other at once, in seconds of the platform's rate.
+/// Pause before a retry of a page.
+const PAGE_RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Size of the token bucket for calls, in seconds of the platform's rate limit.
 const BURST_S: f64 = 0.25;
 
 /// Why the list could not be read.
 #[derive(Debug, Error)]
 pub enum ListReadError {
-    /// The platform can't be reached.
-    #[error("the platform can't be reached: {0}; the list is read again soon")]
+    /// The connection to the platform failed.
+    #[error("cannot connect to the platform: {0}; the list is read again soon")]
     Unreachable(#[from] std::io::Error),
-    /// The call broke off.
-    #[error("a call to the platform broke off: {0}; the list is read again soon")]
+    /// The connection broke during a call.
+    #[error("a call to the platform failed: {0}; the list is read again soon")]
     Connection(#[from] hyper::Error),
-    /// No answer came in time.
-    #[error("the platform did not answer within {CALL_PATIENCE:?}; the list is read again soon")]
+    /// A call timed out.
+    #[error("the platform did not answer within {CALL_TIMEOUT:?}; the list is read again soon")]
     Timeout,
-    /// The platform refused.
-    #[error("the platform answered {0}; the list is read again soon")]
+    /// The platform answered with another status than 200.
+    #[error("the platform answered with status {0}; the list is read again soon")]
     Status(StatusCode),
-    /// The answer is too large or broke off.
-    #[error("a page could not be read whole; the list is read again soon")]
+    /// A page is larger than the limit, or its body broke off.
+    #[error("a page is too large or incomplete; the list is read again soon")]
     Body,
-    /// The page can't be used.
+    /// A page is invalid.
     #[error(transparent)]
     Page(#[from] ListError),
-    /// The lease ended during the reading.
-    #[error("the lease ended; the new leader reads the list")]
+    /// The lease ended while the list was read.
+    #[error("the lease was lost while the list was read; the new leader reads the list")]
     LeaseLost,
-    /// There are more pages than a list can have, or a page leads to itself.
-    #[error("the list has no last page within {MAX_PAGES}; check the platform")]
+    /// The list has too many pages, or a page refers to itself as the next one.
+    #[error("the list does not end within {MAX_PAGES} pages; check the platform")]
     TooManyPages,
 }
 
-/// Reads the list, page after page, over a connection that it keeps.
+/// Reads the list page by page over a persistent connection.
 #[derive(Debug)]
 pub struct ListReader {
     api: CloudApi,
+    /// Idle connection for the next call.
     connection: Option<SendRequest<Empty<Bytes>>>,
-    /// Pages of the last whole reading.
-    pages: usize,
-    /// Calls that may be made at once, and when that was so.
-    allowed: (f64, Instant),
+    /// Number of pages of the last complete list.
+    page_count: usize,
+    /// Token bucket for calls: tokens, and when they were counted. Negative while a call waits for its token.
+    tokens: (f64, Instant),
 }
 
 impl ListReader {
-    /// A reader without a connection.
+    /// Creates a reader without a connection.
     pub fn new(api: CloudApi) -> Self {
-        let allowed = (burst(&api), Instant::now());
-        Self { api, connection: None, pages: 1, allowed }
+        let tokens = (bucket_size(&api), Instant::now());
+        Self { api, connection: None, page_count: 1, tokens }
     }
 
-    /// Reads the whole list. `may_go_on` is asked before each call, and `on_page` is given each page that others follow.
+    /// Reads the complete list. `may_continue` is checked before each page, and `on_page` is given each page
+    /// except the last.
     ///
     /// # Errors
     ///
-    /// A page could not be read; the pages before it are dropped.
+    /// A page could not be read; the pages before it are discarded.
     pub async fn read(
         &mut self,
-        may_go_on: impl Fn() -> bool,
+        may_continue: impl Fn() -> bool,
         on_page: impl Fn(&[ServerEntry]),
     ) -> Result<Vec<ServerEntry>, ListReadError> {
         let mut servers = Vec::new();
         let mut token = None;
         for page_number in 1..=MAX_PAGES {
-            if !may_go_on() {
+            if !may_continue() {
                 return Err(ListReadError::LeaseLost);
             }
-            let page = self.page_or_again(token.as_deref()).await?;
+            let page = self.page_with_retries(token.as_deref()).await?;
             if page.next_token.is_none() {
                 servers.extend(page.servers);
-                self.pages = page_number;
+                self.page_count = page_number;
                 return Ok(servers);
             }
             on_page(&page.servers);
@@ -121,57 +125,58 @@
         Err(ListReadError::TooManyPages)
     }
 
-    /// A page. Those that follow the first are asked for again, as many pages would be dropped with one.
-    async fn page_or_again(&mut self, token: Option<&str>) -> Result<ListPage, ListReadError> {
+    /// Reads a page. All pages but the first are retried, since a failure discards the pages before it.
+    async fn page_with_retries(&mut self, token: Option<&str>) -> Result<ListPage, ListReadError> {
         let mut retries = if token.is_some() { PAGE_RETRIES } else { 0 };
         loop {
-            match self.page(token).await {
+            match self.read_page(token).await {
                 Err(_) if retries > 0 => retries -= 1,
-                read => return read,
+                result => return result,
             }
-            sleep(PAGE_PAUSE).await;
+            sleep(PAGE_RETRY_PAUSE).await;
         }
     }
 
-    /// Time between two readings, so that all calls stay below the platform's rate.
-    fn period(&self) -> Duration {
-        let rate = (self.api.rate_per_s * RATE_PART).max(0.01);
-        PERIOD.max(Duration::from_secs_f64(self.pages as f64 / rate))
+    /// Interval between the starts of two readings, such that the calls stay below the platform's rate limit.
+    fn read_interval(&self) -> Duration {
+        let rate = (self.api.rate_per_s * READ_RATE_SHARE).max(0.01);
+        READ_INTERVAL.max(Duration::from_secs_f64(self.page_count as f64 / rate))
     }
 
-    /// Waits until the platform's rate allows a call.
-    async fn pace(&mut self) {
-        let rate = (self.api.rate_per_s * PACE_PART).max(0.01);
-        let (allowed, at) = self.allowed;
-        let allowed = (allowed + at.elapsed().as_secs_f64() * rate).min(burst(&self.api)) - 1.0;
-        self.allowed = (allowed, Instant::now());
-        if allowed < 0.0 {
-            sleep(Duration::from_secs_f64(-allowed / rate)).await;
+    /// Waits for a token of the rate limit.
+    async fn wait_for_token(&mut self) {
+        let rate = (self.api.rate_per_s * PACING_RATE_SHARE).max(0.01);
+        let (tokens, at) = self.tokens;
+        let tokens = (tokens + at.elapsed().as_secs_f64() * rate).min(bucket_size(&self.api)) - 1.0;
+        self.tokens = (tokens, Instant::now());
+        if tokens < 0.0 {
+            sleep(Duration::from_secs_f64(-tokens / rate)).await;
         }
     }
 
-    async fn page(&mut self, token: Option<&str>) -> Result<ListPage, ListReadError> {
-        self.pace().await;
-        // A kept connection may have been closed meanwhile: then one new one is tried at once.
-        let kept = self.connection.take().filter(|connection| !connection.is_closed());
-        let read = timeout(CALL_PATIENCE, self.call(kept, token)).await;
-        read.unwrap_or(Err(ListReadError::Timeout))
+    async fn read_page(&mut self, token: Option<&str>) -> Result<ListPage, ListReadError> {
+        self.wait_for_token().await;
+        // An idle connection may have been closed by the platform; the call then tries one new connection at
+        // once.
+        let idle_connection = self.connection.take().filter(|connection| !connection.is_closed());
+        let result = timeout(CALL_TIMEOUT, self.request_with_reconnect(idle_connection, token)).await;
+        result.unwrap_or(Err(ListReadError::Timeout))
     }
 
-    async fn call(
+    async fn request_with_reconnect(
         &mut self,
-        kept: Option<SendRequest<Empty<Bytes>>>,
+        idle_connection: Option<SendRequest<Empty<Bytes>>>,
         token: Option<&str>,
     ) -> Result<ListPage, ListReadError> {
-        let was_kept = kept.is_some();
-        let connection = match kept {
+        let was_idle = idle_connection.is_some();
+        let connection = match idle_connection {
             Some(connection) => connection,
             None => self.connect().await?,
         };
-        match self.ask(connection, token).await {
-            Err(ListReadError::Connection(_)) if was_kept => {
+        match self.request_page(connection, token).await {
+            Err(ListReadError::Connection(_)) if was_idle => {
                 let connection = self.connect().await?;
-                self.ask(connection, token).await
+                self.request_page(connection, token).await
             }
             other => other,
         }
@@ -182,13 +187,13 @@
         let _ = socket.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(socket)).await?;
         spawn_local(async move {
-            // Its error is also that of the call.
+            // Errors of the connection also reach the call that uses it.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    async fn ask(
+    async fn request_page(
         &mut self,
         mut connection: SendRequest<Empty<Bytes>>,
         token: Option<&str>,
@@ -196,13 +201,13 @@
         connection.ready().await?;
         let uri = token.map_or_else(
             || "/instances".to_owned(),
-            |token| format!("/instances?pageToken={}", escaped(token)),
+            |token| format!("/instances?pageToken={}", percent_encoded(token)),
         );
         let request = Request::get(uri).header(HOST, self.api.address.to_string()).body(Empty::new());
         let Ok(request) = request else { return Err(ListReadError::Body) };
-        let answer = connection.send_request(request).await?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES).collect().await;
+        let response = connection.send_request(request).await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_PAGE_BYTES).collect().await;
         let body = body.map_err(|_| ListReadError::Body)?.to_bytes();
         self.connection = Some(connection);
         if status != StatusCode::OK {
@@ -212,91 +217,93 @@
     }
 }
 
-/// Calls that may be made at once.
-fn burst(api: &CloudApi) -> f64 {
+/// Size of the token bucket for calls.
+fn bucket_size(api: &CloudApi) -> f64 {
     (api.rate_per_s * BURST_S).max(1.0)
 }
 
-/// Percent-encodes what is not unreserved in a query.
-fn escaped(token: &str) -> String {
-    let mut escaped = String::with_capacity(token.len());
+/// Percent-encodes all characters that are reserved in a query.
+fn percent_encoded(token: &str) -> String {
+    let mut encoded = String::with_capacity(token.len());
     for byte in token.bytes() {
         match byte {
             b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => {
-                escaped.push(char::from(byte))
+                encoded.push(char::from(byte))
             }
-            other => escaped.push_str(&format!("%{other:02X}")),
+            other => encoded.push_str(&format!("%{other:02X}")),
         }
     }
-    escaped
+    encoded
 }
 
-/// Reads the list while this machine holds the lease, for ever.
+/// Reads the list while this machine holds the lease, forever.
 pub async fn run(api: CloudApi, engine: Engine) {
     let mut reader = ListReader::new(api);
-    let mut health = Health::default();
+    let mut health = ReadHealth::default();
     loop {
         if !engine.inspect(|node, now| node.holds_lease(now)) {
-            health = Health::default();
+            health = ReadHealth::default();
             reader.connection = None;
-            // A leader that lost its lease for a moment gets it back without a change of leadership.
-            let leads = engine.inspect(|node, _| node.replica().is_leader());
-            if leads {
-                sleep(FIRST_PAUSE).await;
+            // A leader that loses its lease for a moment gets it back without a notification, so its state is
+            // polled.
+            let is_leader = engine.inspect(|node, _| node.replica().is_leader());
+            if is_leader {
+                sleep(INITIAL_BACKOFF).await;
             } else {
                 engine.lease_changed().await;
             }
             continue;
         }
-        let began = engine.now();
-        let holds = || engine.inspect(|node, now| node.holds_lease(now));
+        let started_at = engine.now();
+        let holds_lease = || engine.inspect(|node, now| node.holds_lease(now));
         let on_page = |page: &[ServerEntry]| {
             engine.update(|node, now, effects| node.handle_list_page(now, page, effects));
         };
-        let pause = match reader.read(holds, on_page).await {
+        let pause = match reader.read(holds_lease, on_page).await {
             Ok(servers) => {
-                health.succeeded(&engine);
-                engine.update(|node, now, effects| node.handle_list(now, began, servers, effects));
-                let spent = Duration::from_micros(engine.now().saturating_sub(began));
-                reader.period().saturating_sub(spent)
+                health.record_success(&engine);
+                engine.update(|node, now, effects| node.handle_list(now, started_at, servers, effects));
+                let elapsed = Duration::from_micros(engine.now().saturating_sub(started_at));
+                reader.read_interval().saturating_sub(elapsed)
             }
-            Err(error) => health.failed(&engine, began, &error),
+            Err(error) => health.record_failure(&engine, started_at, &error),
         };
         sleep(pause).await;
     }
 }
 
-/// Whether the platform answers.
+/// Consecutive failures to read the list.
 #[derive(Debug, Default)]
-struct Health {
+struct ReadHealth {
+    /// Start of the first failed reading in microseconds; `None` after a success.
     failing_since: Option<u64>,
     failures: u32,
 }
 
-impl Health {
-    fn succeeded(&mut self, engine: &Engine) {
+impl ReadHealth {
+    fn record_success(&mut self, engine: &Engine) {
         if self.failing_since.take().is_some() {
-            info!(engine.log(), "the list is read again"; "failures" => self.failures);
+            info!(engine.log(), "reading the server list works again"; "failures" => self.failures);
         }
         self.failures = 0;
     }
 
-    /// Notes a failure; how long to wait before the next reading.
-    fn failed(&mut self, engine: &Engine, began: u64, error: &ListReadError) -> Duration {
+    /// Records a failure and returns the pause before the next reading.
+    fn record_failure(&mut self, engine: &Engine, started_at: u64, error: &ListReadError) -> Duration {
         if self.failing_since.is_none() {
-            warn!(engine.log(), "the list can't be read"; "reason" => %error);
+            warn!(engine.log(), "cannot read the server list"; "reason" => %error);
         }
-        let since = *self.failing_since.get_or_insert(began);
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.failures.min(4)).min(PERIOD);
+        let since = *self.failing_since.get_or_insert(started_at);
+        let pause = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(4)).min(READ_INTERVAL);
         self.failures = self.failures.saturating_add(1);
-        if engine.now() > since + DELEGATE_AFTER {
+        if engine.now() > since + DELEGATE_AFTER_US {
             engine.update(|node, now, effects| node.delegate_list_read(now, effects));
         }
         pause
     }
 }
 
-/// Reads the list once each time that the leader asks for it, for ever.
+/// Reads the list once for each request of the leader, forever.
 pub async fn serve_leader_requests(api: CloudApi, engine: Engine) {
     let mut reader = ListReader::new(api);
     loop {
--- a/crates/control/src/loads.rs
+++ b/crates/control/src/loads.rs
@@ -1,38 +1,46 @@
-//! Requests of all nodes at each server, as the leader sums them up and tells them.
+//! Requests in flight of all nodes at each server, as the leader sums and broadcasts them.
 
 use std::collections::{BTreeMap, HashMap};
 
 use dunelink_feed::Roster;
 use dunelink_protocol::{FleetLoads, NodeLoads, ServerLoad, server_key};
 
-/// Time between two messages to all nodes, in microseconds. Shorter than a request runs at a model server.
-const TELL_PERIOD: u64 = 200_000;
-/// Servers told of in one message. With [`TELL_PERIOD`] it bounds what a node is sent to 1.5 KB/s; of a longer roster
-/// each message tells of the next part.
-const MOST_TOLD: usize = 150;
-/// A node that has not reported for so long counts for nothing any more, in microseconds.
-const FORGET_AFTER: u64 = 3_000_000;
-/// A leader tells nothing before all nodes must have told it of all their servers, in microseconds.
-const COMPLETE_AFTER: u64 = 2_500_000;
+/// Interval between two messages to all nodes, in microseconds. It is shorter than a request runs at a model
+/// server.
+const BROADCAST_INTERVAL_US: u64 = 200_000;
+/// Most servers in one message. Together with [`BROADCAST_INTERVAL_US`] it bounds the traffic to each node to
+/// 1.5 KB/s. A longer roster is sent in parts, one with each message.
+const MAX_SERVERS_PER_MESSAGE: usize = 150;
+/// The counts of a node that has not reported for this long are dropped, in microseconds.
+const REPORT_EXPIRY_US: u64 = 3_000_000;
+/// A new leader sends nothing for this long, in microseconds: by then all nodes have reported all their
+/// servers to it.
+const WARM_UP_US: u64 = 2_500_000;
 
-/// What all nodes have at the servers.
+/// Counts of all nodes and their totals by server.
 #[derive(Debug)]
 pub struct LoadSums {
-    nodes: HashMap<String, NodeCounts>,
-    sums: HashMap<u32, Sum>,
-    complete_at: u64,
-    told_at: u64,
-    next_first: usize,
+    /// Counts by node name.
+    nodes: HashMap<String, NodeEntry>,
+    /// Totals by [`server_key`].
+    sums: HashMap<u32, ServerTotal>,
+    /// Time of the first message, in microseconds.
+    warmed_up_at: u64,
+    /// Time of the last message, in microseconds.
+    sent_at: u64,
+    /// Position in the roster of the first server of the next message.
+    next_position: usize,
 }
 
-/// What is at one server.
+/// Total of all nodes at one server.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sum {
+struct ServerTotal {
     requests: u32,
+    /// Prompt tokens not yet read, in units of the protocol.
     unread: u32,
 }
 
-impl Sum {
+impl ServerTotal {
     fn add(&mut self, load: &ServerLoad) {
         self.requests = self.requests.saturating_add(load.requests);
         self.unread = self.unread.saturating_add(load.unread);
@@ -44,39 +52,42 @@
     }
 }
 
+/// Counts of one node.
 #[derive(Debug, Default)]
-struct NodeCounts {
+struct NodeEntry {
+    /// Counts by [`server_key`].
     servers: BTreeMap<u32, ServerLoad>,
+    /// Time of the last report, in microseconds.
     reported_at: u64,
 }
 
 impl LoadSums {
-    /// Sums of a leader whose term begins at `now`.
+    /// Empty sums of a leader whose term begins at `now`.
     pub fn new(now: u64) -> Self {
         Self {
             nodes: HashMap::new(),
             sums: HashMap::new(),
-            complete_at: now + COMPLETE_AFTER,
-            told_at: now,
-            next_first: 0,
+            warmed_up_at: now + WARM_UP_US,
+            sent_at: now,
+            next_position: 0,
         }
     }
 
-    /// Takes in what a node told.
+    /// Handles a report of a node: all its servers, or those that changed.
     pub fn report(&mut self, now: u64, node: &str, loads: NodeLoads) {
         if !self.nodes.contains_key(node) {
-            self.nodes.insert(node.to_owned(), NodeCounts::default());
+            self.nodes.insert(node.to_owned(), NodeEntry::default());
         }
-        let Some(counts) = self.nodes.get_mut(node) else { return };
-        counts.reported_at = now;
+        let Some(entry) = self.nodes.get_mut(node) else { return };
+        entry.reported_at = now;
         if loads.is_whole {
-            subtract(&mut self.sums, std::mem::take(&mut counts.servers));
+            subtract(&mut self.sums, std::mem::take(&mut entry.servers));
         }
         for load in loads.servers {
             let is_empty = load.requests == 0 && load.unread == 0;
             let before = match is_empty {
-                true => counts.servers.remove(&load.server),
-                false => counts.servers.insert(load.server, load),
+                true => entry.servers.remove(&load.server),
+                false => entry.servers.insert(load.server, load),
             };
             let sum = self.sums.entry(load.server).or_default();
             sum.add(&load);
@@ -86,38 +97,38 @@
         }
     }
 
-    /// The message that is due, about servers of that roster.
+    /// The next message if it is due, about servers of this roster.
     pub fn next_message(&mut self, now: u64, roster: &Roster) -> Option<FleetLoads> {
-        if now < self.complete_at.max(self.told_at + TELL_PERIOD) {
+        if now < self.warmed_up_at.max(self.sent_at + BROADCAST_INTERVAL_US) {
             return None;
         }
-        self.told_at = now;
-        self.forget(now);
+        self.sent_at = now;
+        self.drop_expired(now);
         let offset = roster.offset()?;
-        let first = if self.next_first < roster.len() { self.next_first } else { 0 };
-        let told = roster.servers().skip(first).take(MOST_TOLD);
+        let first = if self.next_position < roster.len() { self.next_position } else { 0 };
+        let part = roster.servers().skip(first).take(MAX_SERVERS_PER_MESSAGE);
         let sums =
-            told.map(|listed| self.sums.get(&server_key(&listed.entry.id)).copied().unwrap_or_default());
+            part.map(|listed| self.sums.get(&server_key(&listed.entry.id)).copied().unwrap_or_default());
         let (requests, unread): (Vec<u8>, Vec<u8>) =
-            sums.map(|sum| (in_a_byte(sum.requests), in_a_byte(sum.unread))).unzip();
-        self.next_first = first + requests.len();
+            sums.map(|sum| (saturating_u8(sum.requests), saturating_u8(sum.unread))).unzip();
+        self.next_position = first + requests.len();
         Some(FleetLoads { roster: offset, first: first as u32, requests, unread })
     }
 
-    fn forget(&mut self, now: u64) {
+    fn drop_expired(&mut self, now: u64) {
         let sums = &mut self.sums;
-        self.nodes.retain(|_, counts| {
-            let is_heard = now < counts.reported_at + FORGET_AFTER;
-            if !is_heard {
-                subtract(sums, std::mem::take(&mut counts.servers));
+        self.nodes.retain(|_, entry| {
+            let is_current = now < entry.reported_at + REPORT_EXPIRY_US;
+            if !is_current {
+                subtract(sums, std::mem::take(&mut entry.servers));
             }
-            is_heard
+            is_current
         });
         self.sums.retain(|_, sum| sum.requests > 0 || sum.unread > 0);
     }
 }
 
-fn subtract(sums: &mut HashMap<u32, Sum>, servers: BTreeMap<u32, ServerLoad>) {
+fn subtract(sums: &mut HashMap<u32, ServerTotal>, servers: BTreeMap<u32, ServerLoad>) {
     for load in servers.into_values() {
         if let Some(sum) = sums.get_mut(&load.server) {
             sum.subtract(&load);
@@ -125,6 +136,6 @@
     }
 }
 
-fn in_a_byte(figure: u32) -> u8 {
-    figure.try_into().unwrap_or(u8::MAX)
+fn saturating_u8(value: u32) -> u8 {
+    value.try_into().unwrap_or(u8::MAX)
 }
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -13,7 +13,7 @@
     /// Identity of the sender.
     #[n(0)]
     pub from: ReplicaId,
-    /// Identity that the message is for; absent where the sender knows only an address.
+    /// Identity of the receiver; `None` if the sender knows only an address.
     #[n(1)]
     pub to: Option<ReplicaId>,
     /// The message.
@@ -24,45 +24,47 @@
 /// A message between control machines.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
-    /// Of the replicated log.
+    /// A message of the replication protocol.
     #[n(0)]
     Replication(#[n(0)] Message),
-    /// A machine wants to become a member.
+    /// A machine asks to become a member.
     #[n(1)]
     JoinRequest(#[n(0)] Member),
-    /// Answer to [`PeerMessage::JoinRequest`]: whom to ask.
+    /// Reply to [`PeerMessage::JoinRequest`]: the members and the leader as the sender knows them.
     #[n(2)]
     Members(#[n(0)] KnownMembers),
-    /// What the agents at the sender have reported since the last message; to the leader.
+    /// Reports of the agents connected to the sender since its last message; sent to the leader.
     #[n(3)]
     Reports(#[n(0)] Vec<NodeReport>),
-    /// Grants for the agents at the receiver; from the leader.
+    /// Grants for agents connected to the receiver; sent by the leader.
     #[n(4)]
     Grants(#[n(0)] Vec<NodeGrants>),
-    /// The roster of servers, from the leader.
+    /// Position of the leader's roster of servers and its changes; sent by the leader.
     #[n(5)]
     Roster(#[n(0)] RosterAnnouncement),
-    /// Where the sender's roster stands; the leader sends what it lacks.
+    /// Position of the sender's roster; the leader replies with the changes since then.
     #[n(6)]
     RosterRequest(#[n(0)] RosterOffset),
-    /// Servers that fail, from the leader.
+    /// Servers that several nodes find failing; sent by the leader.
     #[n(7)]
     Suspicions(#[n(0)] Vec<ServerSuspicion>),
-    /// The leader can't reach the platform: read the list once, now.
+    /// Asks the receiver to read the platform's list once, with a request number; sent by a leader that
+    /// cannot reach the platform.
     #[n(8)]
     ListRequest(#[n(0)] u64),
-    /// Answer to [`PeerMessage::ListRequest`].
+    /// Reply to [`PeerMessage::ListRequest`].
     #[n(9)]
     ListResponse(#[n(0)] ListResponse),
-    /// Requests of the fleet at servers, from the leader.
+    /// Requests of the whole fleet in flight at each server; sent by the leader.
     #[n(10)]
     Loads(#[n(0)] FleetLoads),
-    /// A new leader asks all proxies what passed in the window, through the agents at the receiver.
+    /// A new leader's request for the requests that each proxy admitted in the quota window; passed on to the
+    /// agents connected to the receiver.
     #[n(11)]
     HistoryRequest(#[n(0)] GrantUpdate),
 }
 
-/// The members that a control machine knows.
+/// The members of the group as one control machine knows them.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct KnownMembers {
     /// All members.
@@ -73,19 +75,19 @@
     pub leader: Option<Member>,
 }
 
-/// What one node reported.
+/// Report of one node.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct NodeReport {
     /// Name of the node.
     #[n(0)]
     pub node: String,
-    /// Its newest demand.
+    /// Newest demand of the node.
     #[n(1)]
     pub demand: NodeDemand,
-    /// What it saw of servers, summed up since the last message.
+    /// Request outcomes by server, added up since the last message.
     #[n(2)]
     pub observations: Vec<ServerObservation>,
-    /// Its requests at servers.
+    /// Requests of the node in flight at each server.
     #[n(3)]
     pub loads: NodeLoads,
 }
@@ -96,51 +98,52 @@
     /// Name of the node.
     #[n(0)]
     pub node: String,
-    /// Its grants.
+    /// Grants of the node.
     #[n(1)]
     pub update: GrantUpdate,
 }
 
-/// How the leader's roster stands, with changes if the receiver lacks some.
+/// Position of the leader's roster, with changes for a receiver that lags.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct RosterAnnouncement {
-    /// Where the leader's roster stands.
+    /// Position of the leader's roster.
     #[n(0)]
     pub offset: RosterOffset,
-    /// Age of the roster in milliseconds.
+    /// Time since the platform's list was read, in milliseconds.
     #[n(1)]
     pub age_ms: u64,
-    /// Changes, or the whole roster.
+    /// Changes up to `offset`, or the complete roster; `None` if there is no change.
     #[n(2)]
     pub update: Option<RosterUpdate>,
 }
 
-/// Outcome of a reading of the list on behalf of the leader.
+/// List that a member has read for the leader.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct ListResponse {
-    /// Number of the request.
+    /// Number of the request, as in [`PeerMessage::ListRequest`].
     #[n(0)]
     pub request: u64,
-    /// The list; absent if it could not be read.
+    /// The list; `None` if it could not be read.
     #[n(1)]
     pub servers: Option<Vec<ServerEntry>>,
 }
 
-/// Sends larger than this go over the bulk connection, in bytes.
-const URGENT_ITEMS: usize = 32;
+/// Messages with more items than this go over the bulk connection.
+const MAX_URGENT_ITEMS: usize = 32;
 
 impl PeerMessage {
-    /// Whether the message goes over the bulk connection, so that urgent ones never wait behind it. Messages of one
-    /// kind keep to one connection, which keeps them in order.
+    /// Whether the message goes over the bulk connection, so that urgent messages never wait behind it.
+    /// Messages of one kind keep to one connection, which keeps them in order; for reports, grants and
+    /// suspicions their number decides.
     pub fn is_bulk(&self) -> bool {
         match self {
             Self::Replication(Message::Append { .. } | Message::Chunk { .. }) => true,
             Self::Replication(_) | Self::JoinRequest(_) | Self::Members(_) | Self::ListRequest(_) => false,
             Self::Loads(_) | Self::HistoryRequest(_) => false,
             Self::Roster(_) | Self::RosterRequest(_) | Self::ListResponse(_) => true,
-            Self::Reports(reports) => reports.len() > URGENT_ITEMS,
-            Self::Grants(grants) => grants.len() > URGENT_ITEMS,
-            Self::Suspicions(suspicions) => suspicions.len() > URGENT_ITEMS,
+            Self::Reports(reports) => reports.len() > MAX_URGENT_ITEMS,
+            Self::Grants(grants) => grants.len() > MAX_URGENT_ITEMS,
+            Self::Suspicions(suspicions) => suspicions.len() > MAX_URGENT_ITEMS,
         }
     }
 }
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -1,4 +1,5 @@
-//! The replica group: inputs, outputs, members, and proof that the state here is current.
+//! The replica group: inputs and outputs of the replica, membership, and confirmation that the local state is
+//! current.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -12,45 +13,49 @@
 use crate::message::{Envelope, KnownMembers, PeerMessage};
 use crate::state::{ApplyOutcome, ConfigurationState};
 
-/// Without a leader for this long, the machine asks everyone it knows, in microseconds.
-const LEADERLESS: u64 = 3_000 * MILLISECOND;
-/// A process that saw no event for longer had been stopped, in microseconds.
-const STOPPED: u64 = 600 * MILLISECOND;
-/// After a stop, messages may be as old as the stop; they confirm nothing for this long, in microseconds.
-const DISTRUST: u64 = 300 * MILLISECOND;
-/// Addresses of control machines that are remembered.
-const KNOWN_ADDRESSES: usize = 256;
-/// Names of zones that are remembered.
-const KNOWN_ZONES: usize = 1_024;
+/// After this long without a leader, the machine asks all known machines to let it join, in microseconds.
+const JOIN_AFTER_LEADERLESS_US: u64 = 3_000 * MILLISECOND;
+/// A process without any event for longer than this counts as paused, in microseconds.
+const PAUSE_THRESHOLD_US: u64 = 600 * MILLISECOND;
+/// Messages received within this time after a pause may be as old as the pause and confirm nothing, in
+/// microseconds.
+const DISTRUST_AFTER_PAUSE_US: u64 = 300 * MILLISECOND;
+/// Most addresses of control machines that are kept.
+const MAX_KNOWN_ADDRESSES: usize = 256;
+/// Most zones of control machines that are kept.
+const MAX_ZONES: usize = 1_024;
 
-/// When the state here was last known to be current.
+/// When the local state was last confirmed to be current.
 #[derive(Debug, Default)]
-pub(super) struct Proof {
-    /// Such a message was received at this time, and all that was committed then is applied.
+pub(super) struct Confirmation {
+    /// Receipt of the newest heartbeat of a lease holder whose commit index has been applied here, in
+    /// microseconds; `None` before the first.
     pub(super) confirmed_at: Option<u64>,
-    /// A message that tells of more than is applied: its committed index and when it was received.
+    /// A heartbeat that is ahead of the local state: its commit index and its receipt in microseconds.
     pending: Option<(u64, u64)>,
-    /// Messages received before this time confirm nothing.
-    distrust_until: u64,
-    last_event: u64,
+    /// Heartbeats received before this time confirm nothing, in microseconds.
+    distrusted_until: u64,
+    /// Time of the last event of any kind, in microseconds.
+    last_event_at: u64,
 }
 
-impl Proof {
+impl Confirmation {
     pub(super) fn begin(now: u64) -> Self {
-        Self { last_event: now, ..Self::default() }
+        Self { last_event_at: now, ..Self::default() }
     }
 
-    /// Notes that the process runs. After a stop, what waited in buffers may be old.
-    fn event(&mut self, now: u64) {
-        if now > self.last_event + STOPPED {
-            self.distrust_until = now + DISTRUST;
+    /// Records that the process runs. After a pause, messages in the buffers may be old.
+    fn record_event(&mut self, now: u64) {
+        if now > self.last_event_at + PAUSE_THRESHOLD_US {
+            self.distrusted_until = now + DISTRUST_AFTER_PAUSE_US;
         }
-        self.last_event = now;
+        self.last_event_at = now;
     }
 
-    /// A leader that held its lease told at `now` that `commit` is committed; `applied` is what is applied here.
-    fn told(&mut self, now: u64, commit: u64, applied: u64) {
-        if now < self.distrust_until {
+    /// Handles a heartbeat, received at `now` from a leader that held its lease, with its commit index;
+    /// `applied` is the last index applied here.
+    fn record_heartbeat(&mut self, now: u64, commit: u64, applied: u64) {
+        if now < self.distrusted_until {
             return;
         }
         if applied >= commit {
@@ -61,7 +66,7 @@
         }
     }
 
-    fn applied(&mut self, applied: u64) {
+    fn record_applied(&mut self, applied: u64) {
         if let Some((_, at)) = self.pending.take_if(|(commit, _)| applied >= *commit) {
             self.confirmed_at = self.confirmed_at.max(Some(at));
         }
@@ -69,55 +74,62 @@
 }
 
 impl Node {
-    /// Hands an input to the replica and carries out what it returns.
-    pub(super) fn input(&mut self, now: u64, input: Input, effects: &mut Vec<Effect>) {
-        self.proof.event(now);
-        let led = self.leading.is_some();
+    /// Passes an input to the replica and handles its outputs.
+    pub(super) fn step_replica(&mut self, now: u64, input: Input, effects: &mut Vec<Effect>) {
+        self.confirmation.record_event(now);
+        let was_leading = self.leader_state.is_some();
         let mut outputs = Vec::new();
-        let mut states = Vec::new();
+        let mut snapshots = Vec::new();
         self.replica.handle(now, input, &mut outputs);
         for output in outputs {
-            self.output(now, output, &mut states, effects);
+            self.handle_output(now, output, &mut snapshots, effects);
         }
-        for state in states {
-            self.input(now, state, effects);
+        for snapshot in snapshots {
+            self.step_replica(now, snapshot, effects);
         }
-        self.proof.applied(self.replica.commit_index());
-        self.watch_lease(now, led, effects);
-        self.decide_next(now, effects);
+        self.confirmation.record_applied(self.replica.commit_index());
+        self.update_leader_state(now, was_leading, effects);
+        self.process_queue(now, effects);
     }
 
-    pub(super) fn replication(
+    pub(super) fn handle_replication(
         &mut self,
         now: u64,
         from: ReplicaId,
         message: Message,
         effects: &mut Vec<Effect>,
     ) {
-        let told = match &message {
+        let lease_heartbeat = match &message {
             Message::Heartbeat { term, commit, lease: true, .. } => Some((*term, *commit)),
             _ => None,
         };
-        self.input(now, Input::Received { from, message }, effects);
-        if let Some((term, commit)) = told
+        self.step_replica(now, Input::Received { from, message }, effects);
+        if let Some((term, commit)) = lease_heartbeat
             && term == self.replica.term()
             && self.is_leader(from)
         {
-            self.proof.told(now, commit, self.replica.commit_index());
+            self.confirmation.record_heartbeat(now, commit, self.replica.commit_index());
         }
     }
 
-    /// Carries out an output. Snapshots are handed in after all outputs, so that writes stay in order.
-    fn output(&mut self, now: u64, output: Output, states: &mut Vec<Input>, effects: &mut Vec<Effect>) {
+    /// Handles an output. Snapshots are passed back to the replica after all outputs, so that writes stay in
+    /// order.
+    fn handle_output(
+        &mut self,
+        now: u64,
+        output: Output,
+        snapshots: &mut Vec<Input>,
+        effects: &mut Vec<Effect>,
+    ) {
         match output {
             Output::Send { to, message } => self.send(&to, PeerMessage::Replication(message), effects),
             Output::Write { sequence, records } => effects.push(Effect::Write { sequence, records }),
             Output::Apply { index, command } => self.apply(index, &command, effects),
             Output::Restore { index, state } => self.restore(index, &state, effects),
-            Output::Answer { ticket, result } => self.decided(now, ticket, result, effects),
+            Output::Answer { ticket, result } => self.handle_proposal_result(now, ticket, result, effects),
             Output::TakeSnapshot { index } => {
                 let bytes = self.state.snapshot();
-                states.push(Input::State { index, bytes });
+                snapshots.push(Input::State { index, bytes });
             }
             Output::LeaderChanged { leader, term, is_self } => {
                 let leader = leader.map_or_else(|| "none".to_owned(), |leader| leader.control.to_string());
@@ -133,29 +145,34 @@
 
     fn apply(&mut self, index: u64, command: &[u8], effects: &mut Vec<Effect>) {
         match self.state.apply(command) {
-            Ok((digest, verdict)) => {
+            Ok((digest, outcome)) => {
                 if self.changes.is_proposed(&digest) {
-                    self.verdicts.insert(digest, verdict);
+                    self.outcomes.insert(digest, outcome);
                 }
-                if verdict == ApplyOutcome::Applied {
-                    info!(self.log, "configuration in force"; "version" => self.state.version(), "index" => index);
+                if outcome == ApplyOutcome::Applied {
+                    info!(self.log, "configuration applied";
+                        "version" => self.state.version(), "index" => index);
                     self.feed_configuration(effects);
                 }
             }
-            Err(reason) => error!(self.log, "a command is skipped"; "index" => index, "reason" => %reason),
+            Err(reason) => {
+                error!(self.log, "skipping an unreadable command"; "index" => index, "reason" => %reason)
+            }
         }
     }
 
     fn restore(&mut self, index: u64, bytes: &[u8], effects: &mut Vec<Effect>) {
         match ConfigurationState::restore(bytes) {
             Ok(state) => self.state = state,
-            Err(reason) => error!(self.log, "a snapshot is skipped"; "index" => index, "reason" => %reason),
+            Err(reason) => {
+                error!(self.log, "ignoring an unreadable snapshot"; "index" => index, "reason" => %reason)
+            }
         }
         info!(self.log, "state restored"; "version" => self.state.version(), "index" => index);
         self.feed_configuration(effects);
     }
 
-    /// Feeds the configuration in force, unless a newer one was fed.
+    /// Feeds the current configuration to agents, unless a newer one is fed already.
     fn feed_configuration(&mut self, effects: &mut Vec<Effect>) {
         if self.state.version() > self.feed.version() {
             let bytes = self.state.body().clone();
@@ -173,15 +190,15 @@
             "incoming" => names(&mut membership.incoming.iter().flatten()),
             "learners" => names(&mut membership.learners.iter()));
         let controls: Vec<SocketAddr> = membership.all().map(|member| member.control).collect();
-        self.know(controls.into_iter());
+        self.add_known_addresses(controls.into_iter());
         self.update_members(effects);
     }
 
-    /// Brings the list of control machines that agents are told up to date.
+    /// Updates the list of control machines that agents receive.
     pub(super) fn update_members(&mut self, effects: &mut Vec<Effect>) {
         let zone_of = |member: &Member| -> String {
-            let told = self.zones.get(&member.internal.ip()).cloned();
-            told.unwrap_or_else(|| member.zone.clone())
+            let reported = self.zones.get(&member.internal.ip()).cloned();
+            reported.unwrap_or_else(|| member.zone.clone())
         };
         let members: Vec<ControlMember> = self
             .replica
@@ -195,44 +212,44 @@
         }
     }
 
-    /// The zone of a machine, as it tells.
+    /// Records the zone that a control machine reports for itself.
     pub fn learn_zone(&mut self, ip: IpAddr, zone: &str, effects: &mut Vec<Effect>) {
-        let known = self.zones.get(&ip).is_some_and(|known| known == zone);
-        if zone.is_empty() || known || self.zones.len() >= KNOWN_ZONES {
+        let is_unchanged = self.zones.get(&ip).is_some_and(|current| current == zone);
+        if zone.is_empty() || is_unchanged || self.zones.len() >= MAX_ZONES {
             return;
         }
         self.zones.insert(ip, zone.to_owned());
         self.update_members(effects);
     }
 
-    /// Remembers control addresses. Seeds come and go, so that there is a bound; members are added again as they
-    /// change.
-    pub(super) fn know(&mut self, controls: impl Iterator<Item = SocketAddr>) {
+    /// Adds control addresses to the known ones. Seeds change over time, so their number is bounded; when it
+    /// is reached, the set starts again from the seeds, and members are added as the membership changes.
+    pub(super) fn add_known_addresses(&mut self, controls: impl Iterator<Item = SocketAddr>) {
         for control in controls {
-            if self.known.len() >= KNOWN_ADDRESSES {
-                self.known = self.settings.seeds.iter().copied().collect();
+            if self.known_addresses.len() >= MAX_KNOWN_ADDRESSES {
+                self.known_addresses = self.settings.seeds.iter().copied().collect();
             }
-            self.known.insert(control);
+            self.known_addresses.insert(control);
         }
     }
 
-    /// Asks to become a member: with no membership, or after some time without a leader.
-    pub(super) fn ask_to_join(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    /// Asks known machines for membership: without one, or after some time without a leader.
+    pub(super) fn send_join_requests(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let is_member = self.replica.membership().contains(self.me.id);
-        let silent = self.replica.leader_contact(now).is_none_or(|age| age > LEADERLESS);
-        let old_enough = now > self.began_at + LEADERLESS;
-        if self.ending || (is_member && !(silent && old_enough)) {
+        let is_leaderless = self.replica.leader_contact(now).is_none_or(|age| age > JOIN_AFTER_LEADERLESS_US);
+        let is_past_start = now > self.identity_since + JOIN_AFTER_LEADERLESS_US;
+        if self.shutting_down || (is_member && !(is_leaderless && is_past_start)) {
             return;
         }
         let port = self.me.internal.port();
-        for control in self.known.iter().filter(|control| **control != self.me.control) {
+        for control in self.known_addresses.iter().filter(|control| **control != self.me.control) {
             let to = internal_address(control.ip(), port);
             let message = PeerMessage::JoinRequest(self.me.clone());
             effects.push(Effect::Send { to, envelope: Envelope { from: self.me.id, to: None, message } });
         }
     }
 
-    pub(super) fn join_request(&mut self, now: u64, member: Member, effects: &mut Vec<Effect>) {
+    pub(super) fn handle_join_request(&mut self, now: u64, member: Member, effects: &mut Vec<Effect>) {
         if member.id == self.me.id || member.internal == self.me.internal {
             return;
         }
@@ -242,14 +259,14 @@
             self.send(&member, PeerMessage::Members(KnownMembers { members, leader }), effects);
         }
         if self.replica.is_leader() {
-            self.input(now, Input::Join(member), effects);
+            self.step_replica(now, Input::Join(member), effects);
         }
     }
 
-    pub(super) fn members_told(&mut self, told: KnownMembers) {
-        let members = told.members.iter().chain(&told.leader);
+    pub(super) fn learn_members(&mut self, known: KnownMembers) {
+        let members = known.members.iter().chain(&known.leader);
         let controls: Vec<SocketAddr> = members.map(|member| member.control).collect();
-        self.know(controls.into_iter());
+        self.add_known_addresses(controls.into_iter());
     }
 
     pub(super) fn is_leader(&self, id: ReplicaId) -> bool {
@@ -266,7 +283,7 @@
         effects.push(Effect::Send { to: to.internal, envelope });
     }
 
-    pub(super) fn tell_all(&self, message: &PeerMessage, effects: &mut Vec<Effect>) {
+    pub(super) fn broadcast(&self, message: &PeerMessage, effects: &mut Vec<Effect>) {
         for member in self.others() {
             self.send(member, message.clone(), effects);
         }
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -1,7 +1,8 @@
 //! The state machine of one control machine.
 //!
-//! It owns the replica, the replicated state and what is fed to agents. It takes in messages, orders, reports and
-//! results with the time, and appends [`Effect`]s. It opens no socket or file and reads no clock.
+//! It owns the replica, the replicated state and the feed for agents. Messages, operator requests, reports
+//! and I/O results are passed in with the current time, and [`Effect`]s are appended to a list. It opens no
+//! socket or file and reads no clock.
 
 mod group;
 mod leader;
@@ -21,82 +22,83 @@
 use crate::message::{Envelope, ListResponse, PeerMessage};
 use crate::reports::ReportBuffer;
 use crate::state::{ApplyOutcome, ConfigurationState, Digest};
-use group::Proof;
-use leader::Leading;
+use group::Confirmation;
+use leader::LeaderState;
 
 /// Microseconds in a millisecond.
 const MILLISECOND: u64 = 1_000;
-/// A leader that was not heard for longer is not named to callers, in microseconds.
-const LEADER_HEARD: u64 = 1_500 * MILLISECOND;
-/// After this long without a leader another one is usually elected and heard, in microseconds.
-const ELECTED_WITHIN: u64 = 600 * MILLISECOND;
-/// What the adapter carries out.
+/// After this long without contact to the leader, callers are not redirected to it, in microseconds.
+const LEADER_CONTACT_TIMEOUT_US: u64 = 1_500 * MILLISECOND;
+/// Within this time after the loss of a leader, a new one is usually elected and in contact, in microseconds.
+const ELECTION_DURATION_US: u64 = 600 * MILLISECOND;
+
+/// What the host of the state machine carries out.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a message to the machine at an internal address; it may be lost.
     Send {
-        /// The receiver's address.
+        /// Internal address of the receiver.
         to: SocketAddr,
         /// The message.
         envelope: Envelope,
     },
     /// Make records durable for the current identity.
     Write {
-        /// Number of the write.
+        /// Number of the write; writes are numbered in their order.
         sequence: u64,
         /// The records.
         records: Vec<Record>,
     },
-    /// Answer a call.
+    /// Reply to a call.
     Reply {
-        /// The call.
+        /// Number of the call.
         call: CallId,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// Read the quotas of a configuration, for [`Node::set_quotas`].
+    /// Parse the quotas of a configuration and pass them to [`Node::set_quotas`].
     ParseQuotas {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
         /// The operator's JSON.
         body: Bytes,
     },
-    /// Agents may lack something.
+    /// There may be something to send to the agents.
     FeedChanged,
-    /// Grants for an agent that may be connected here.
+    /// Deliver grants to an agent if it is connected here.
     Grants {
-        /// Name of its node.
+        /// Name of the agent's node.
         node: String,
         /// The grants.
         update: GrantUpdate,
     },
-    /// A question for all agents connected here.
+    /// Ask all agents connected here for what their proxies admitted in the quota window.
     RequestHistory(GrantUpdate),
     /// The lease was won or lost.
     LeaseChanged,
-    /// Read the platform's list once, for the leader at an address.
+    /// Read the platform's list once for the leader.
     ReadList {
         /// Number of the request.
         request: u64,
-        /// Who gets the list.
+        /// The leader, which receives the list.
         to: Member,
     },
-    /// This identity is gone: wipe the store and call [`Node::rejoin_as`].
+    /// The group has removed this identity: wipe the store and call [`Node::rejoin_as`].
     Rejoin,
 }
 
-/// What a node is told at its start.
+/// Settings of a node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
     /// Timing of the replica group.
     pub replication: Settings,
-    /// Bounds of the quotas.
+    /// Bounds of the quota allocation.
     pub quota: QuotaBounds,
-    /// Control addresses to begin with.
+    /// Control addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// One control machine.
+/// State machine of one control machine.
 #[derive(Debug)]
 pub struct Node {
     settings: NodeSettings,
@@ -104,23 +106,26 @@
     me: Member,
     replica: Replica,
     state: ConfigurationState,
-    /// Outcomes of commands applied and not yet answered.
-    verdicts: HashMap<Digest, ApplyOutcome>,
+    /// Outcomes of applied commands whose callers have not been replied to yet.
+    outcomes: HashMap<Digest, ApplyOutcome>,
     changes: ChangeQueue,
     feed: FeedState,
-    collected: ReportBuffer,
-    leading: Option<Leading>,
-    /// Control addresses of machines that may know the group.
-    known: BTreeSet<SocketAddr>,
+    report_buffer: ReportBuffer,
+    /// `None` unless this machine leads and has held the lease.
+    leader_state: Option<LeaderState>,
+    /// Control addresses of machines that may know the group: seeds and members.
+    known_addresses: BTreeSet<SocketAddr>,
+    /// Zones of control machines, as they report them when they connect.
     zones: BTreeMap<IpAddr, String>,
-    proof: Proof,
-    /// When this identity began.
-    began_at: u64,
-    ending: bool,
+    confirmation: Confirmation,
+    /// Time at which this identity was taken on, in microseconds.
+    identity_since: u64,
+    /// Whether the process is about to end: it takes no requests and does not rejoin.
+    shutting_down: bool,
 }
 
 impl Node {
-    /// A node at its start. `founding` names the voters if this start founds the group.
+    /// Creates a node. `founding` names the voters if this start founds the group.
     pub fn new(
         settings: NodeSettings,
         me: Member,
@@ -131,43 +136,44 @@
         log: Logger,
     ) -> Self {
         let replica = Replica::new(settings.replication.clone(), me.clone(), founding, recovered, seed, now);
-        let known = settings.seeds.iter().copied().collect();
+        let known_addresses = settings.seeds.iter().copied().collect();
         Self {
             settings,
             log,
             me,
             replica,
             state: ConfigurationState::default(),
-            verdicts: HashMap::new(),
+            outcomes: HashMap::new(),
             changes: ChangeQueue::default(),
             feed: FeedState::default(),
-            collected: ReportBuffer::default(),
-            leading: None,
-            known,
+            report_buffer: ReportBuffer::default(),
+            leader_state: None,
+            known_addresses,
             zones: BTreeMap::new(),
-            proof: Proof::begin(now),
-            began_at: now,
-            ending: false,
+            confirmation: Confirmation::begin(now),
+            identity_since: now,
+            shutting_down: false,
         }
     }
 
-    /// Goes on under a new identity with an empty store. What was fed to agents stays: it was committed.
+    /// Continues under a new identity with an empty store. The feed for agents is kept: its content was
+    /// committed.
     pub fn rejoin_as(&mut self, id: ReplicaId, seed: u64, now: u64, effects: &mut Vec<Effect>) {
         for call in self.changes.abandon_all() {
-            effects.push(Effect::Reply { call, reply: proposals::UNCERTAIN });
+            effects.push(Effect::Reply { call, reply: proposals::OUTCOME_UNKNOWN });
         }
         self.me.id = id;
         let settings = self.settings.replication.clone();
         self.replica = Replica::new(settings, self.me.clone(), None, Recovered::default(), seed, now);
         self.state = ConfigurationState::default();
-        self.verdicts.clear();
-        self.leading = None;
-        self.proof = Proof::begin(now);
-        self.began_at = now;
+        self.outcomes.clear();
+        self.leader_state = None;
+        self.confirmation = Confirmation::begin(now);
+        self.identity_since = now;
         info!(self.log, "joining under a new identity"; "id" => %id);
     }
 
-    /// This replica.
+    /// This replica as a member of the group.
     pub fn me(&self) -> &Member {
         &self.me
     }
@@ -182,72 +188,72 @@
         &self.state
     }
 
-    /// What is fed to agents. Call [`Self::update_freshness`] before it is used.
+    /// The feed for agents. Call [`Self::update_freshness`] before it is read.
     pub fn feed(&self) -> &FeedState {
         &self.feed
     }
 
-    /// When [`Self::tick`] has to be called at the latest, in microseconds.
+    /// Latest time at which [`Self::tick`] must be called, in microseconds.
     pub fn next_deadline(&self) -> u64 {
         self.replica.next_deadline()
     }
 
-    /// Whether this machine leads and no other can.
+    /// Whether this machine holds the leader lease, so that no other machine can lead.
     pub fn holds_lease(&self, now: u64) -> bool {
         self.replica.holds_lease(now)
     }
 
-    /// The time has come that [`Self::next_deadline`] named.
+    /// Call when the time of [`Self::next_deadline`] has come.
     pub fn tick(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        self.input(now, Input::Tick, effects);
+        self.step_replica(now, Input::Tick, effects);
     }
 
-    /// A write is durable, and all before it.
+    /// A write and all writes before it are durable.
     pub fn write_completed(&mut self, now: u64, sequence: u64, effects: &mut Vec<Effect>) {
-        self.input(now, Input::Written { sequence }, effects);
+        self.step_replica(now, Input::Written { sequence }, effects);
     }
 
     /// A write failed.
     pub fn write_failed(&mut self, now: u64, sequence: u64, effects: &mut Vec<Effect>) {
-        self.input(now, Input::WriteFailed { sequence }, effects);
+        self.step_replica(now, Input::WriteFailed { sequence }, effects);
     }
 
-    /// The process is about to end: the leadership goes to another member.
+    /// Prepares for the end of the process: the leadership is transferred to another member.
     pub fn transfer_leadership(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        self.ending = true;
-        self.input(now, Input::HandOver, effects);
+        self.shutting_down = true;
+        self.step_replica(now, Input::HandOver, effects);
     }
 
-    /// Whether a process that is about to end has nothing left to wait for.
+    /// Whether a shutdown has nothing left to wait for.
     pub fn can_shut_down(&self) -> bool {
         !self.replica.is_leader() && !self.replica.awaits_replacement() && self.changes.is_empty()
     }
 
-    /// The settings file names other seeds.
+    /// Replaces the seeds after a change of the settings file.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.settings.seeds = seeds.to_vec();
-        self.know(seeds.iter().copied());
+        self.add_known_addresses(seeds.iter().copied());
     }
 
-    /// A message of another control machine.
+    /// Handles a message from another control machine.
     pub fn handle_message(&mut self, now: u64, envelope: Envelope, effects: &mut Vec<Effect>) {
         let Envelope { from, to, message } = envelope;
         if to.is_some_and(|to| to != self.me.id) {
             return;
         }
         match message {
-            PeerMessage::Replication(message) => self.replication(now, from, message, effects),
-            PeerMessage::JoinRequest(member) => self.join_request(now, member, effects),
-            PeerMessage::Members(known) => self.members_told(known),
-            PeerMessage::Reports(reports) => self.reported(now, from, reports),
-            PeerMessage::Grants(grants) => self.granted(from, grants, effects),
-            PeerMessage::HistoryRequest(question) => {
+            PeerMessage::Replication(message) => self.handle_replication(now, from, message, effects),
+            PeerMessage::JoinRequest(member) => self.handle_join_request(now, member, effects),
+            PeerMessage::Members(members) => self.learn_members(members),
+            PeerMessage::Reports(reports) => self.handle_reports(now, from, reports),
+            PeerMessage::Grants(grants) => self.handle_grants(from, grants, effects),
+            PeerMessage::HistoryRequest(request) => {
                 if self.is_leader(from) {
-                    effects.push(Effect::RequestHistory(question));
+                    effects.push(Effect::RequestHistory(request));
                 }
             }
-            PeerMessage::Roster(news) => self.roster_told(now, from, news, effects),
-            PeerMessage::RosterRequest(offset) => self.roster_wanted(now, from, offset, effects),
+            PeerMessage::Roster(announcement) => self.handle_roster(now, from, announcement, effects),
+            PeerMessage::RosterRequest(offset) => self.handle_roster_request(now, from, offset, effects),
             PeerMessage::Suspicions(suspicions) => {
                 if self.is_leader(from) {
                     self.feed.suspicions.set(suspicions, now);
@@ -265,22 +271,23 @@
                     effects.push(Effect::ReadList { request, to: leader.clone() });
                 }
             }
-            PeerMessage::ListResponse(read) => self.delegated(now, from, read, effects),
+            PeerMessage::ListResponse(response) => self.handle_list_response(now, from, response, effects),
         }
     }
 
-    /// Sends what is due regularly; called a few times a second.
+    /// Sends the messages that are due periodically; called several times a second.
     pub fn send_periodic(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        self.ask_to_join(now, effects);
-        self.pass_reports(now, effects);
+        self.send_join_requests(now, effects);
+        self.forward_reports(now, effects);
         if self.holds_lease(now) {
-            self.allocate(now, effects);
-            self.suspect(now, effects);
-            self.tell_loads(now, effects);
+            self.send_grants(now, effects);
+            self.broadcast_suspicions(now, effects);
+            self.broadcast_loads(now, effects);
         }
     }
 
-    /// An agent reports what its proxy wants and has seen. What answers a new leader doesn't wait for a beat.
+    /// Handles a report of an agent. A report that a new leader has requested is forwarded at once; others
+    /// wait for the next [`Self::send_periodic`].
     pub fn handle_agent_report(
         &mut self,
         now: u64,
@@ -288,37 +295,38 @@
         report: ProxyReport,
         effects: &mut Vec<Effect>,
     ) {
-        let is_answer = report.demand.has_history;
-        self.collected.add(node, report);
-        if is_answer {
-            self.pass_reports(now, effects);
+        let is_requested = report.demand.has_history;
+        self.report_buffer.add(node, report);
+        if is_requested {
+            self.forward_reports(now, effects);
         }
     }
 
-    /// Passes what was collected to the leader, which may be this machine.
-    fn pass_reports(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        let reports = self.collected.take();
+    /// Forwards the buffered reports to the leader, which may be this machine.
+    fn forward_reports(&mut self, now: u64, effects: &mut Vec<Effect>) {
+        let reports = self.report_buffer.take();
         if reports.is_empty() {
             return;
         }
         if self.holds_lease(now) {
-            self.reported(now, self.me.id, reports);
+            self.handle_reports(now, self.me.id, reports);
         } else if let Some(leader) = self.replica.leader().cloned() {
             self.send(&leader, PeerMessage::Reports(reports), effects);
         }
     }
 
-    /// Whether no leader was heard for longer than an election takes: agents had better try another machine.
-    fn is_cut_off(&self, now: u64) -> bool {
-        self.replica.leader_contact(now).is_none_or(|age| age > ELECTED_WITHIN)
+    /// Whether there was no contact to a leader for longer than an election takes: agents should then try
+    /// another machine.
+    fn is_isolated(&self, now: u64) -> bool {
+        self.replica.leader_contact(now).is_none_or(|age| age > ELECTION_DURATION_US)
     }
 
-    /// Brings the signs of freshness in what is fed up to date.
+    /// Updates the age that the feed states for its content.
     pub fn update_freshness(&mut self, now: u64) {
         let confirmed_age_ms = if self.holds_lease(now) {
             0
         } else {
-            self.proof.confirmed_at.map_or(NEVER_MS, |at| now.saturating_sub(at) / MILLISECOND)
+            self.confirmation.confirmed_at.map_or(NEVER_MS, |at| now.saturating_sub(at) / MILLISECOND)
         };
         let tick = Tick {
             confirmed_age_ms,
@@ -327,17 +335,18 @@
             roster_age_ms: NEVER_MS,
         };
         self.feed.freshness.take(&tick, false, now);
-        if self.is_cut_off(now) {
+        if self.is_isolated(now) {
             self.feed.freshness.lose_proof();
         }
     }
 
-    /// Whether the group has a leader that this machine hears.
+    /// Whether this machine is in contact with a leader of the group and not shutting down.
     pub fn is_ready(&self, now: u64) -> bool {
-        !self.ending && self.replica.leader_contact(now).is_some_and(|age| age < LEADER_HEARD)
+        !self.shutting_down
+            && self.replica.leader_contact(now).is_some_and(|age| age < LEADER_CONTACT_TIMEOUT_US)
     }
 
-    /// The list that the leader asked for, or that it could not be read.
+    /// Sends the leader the list that it asked for; `None` if it could not be read.
     pub fn answer_list_request(
         &self,
         to: &Member,
--- a/crates/control/src/peer_links.rs
+++ b/crates/control/src/peer_links.rs
@@ -1,7 +1,8 @@
 //! Connections to other control machines.
 //!
-//! Each machine sends on connections that it opened: one for urgent messages and one for large ones, so that a
-//! heartbeat never waits behind a snapshot. Messages may be lost; replication sends again.
+//! Each machine sends on connections that it opens itself: one for urgent messages and one for bulk messages,
+//! so that a heartbeat never waits behind a snapshot. Messages may be lost; the replication protocol sends
+//! again.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -17,73 +18,76 @@
 
 use crate::message::Envelope;
 
-/// How long a connection may take to come up.
-const DIAL_PATIENCE: Duration = Duration::from_millis(500);
-/// Data that stays unacknowledged for this long ends the connection.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// Pause before a new attempt, with as much again at random at most four times.
-const PAUSE_MIN_MS: u64 = 100;
-/// Longest pause before a new attempt, in milliseconds.
-const PAUSE_MAX_MS: u64 = 500;
+/// Time within which a connection must be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A connection ends when sent data stays unacknowledged for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Shortest pause before a reconnect, in milliseconds; the pause is drawn at random.
+const RECONNECT_PAUSE_MIN_MS: u64 = 100;
+/// Longest pause before a reconnect, in milliseconds.
+const RECONNECT_PAUSE_MAX_MS: u64 = 500;
 /// A connection without messages is closed after this time.
-const IDLE: Duration = Duration::from_secs(15);
-/// Connections that are kept; members, and machines that ask to join.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Most connections: to members and to machines that ask to join.
 const MAX_LINKS: usize = 128;
 
-/// How a kind of connection is used.
+/// Limits of one kind of connection.
 #[derive(Debug, Clone, Copy)]
-struct Lane {
+struct LinkProfile {
+    /// Kind of connection, for the hello.
     link: LinkKind,
-    /// Messages that wait at most; the oldest go first.
-    waiting: usize,
-    /// A message that waited longer is not sent: what follows it says more.
-    stale: Duration,
-    /// How long a message may take to be written.
-    write_patience: Duration,
+    /// Most queued messages; the oldest is dropped first.
+    max_queued: usize,
+    /// Messages queued for longer than this are dropped: later ones supersede them.
+    max_age: Duration,
+    /// Time within which a message must be written.
+    write_timeout: Duration,
 }
 
-const URGENT: Lane = Lane {
+const URGENT: LinkProfile = LinkProfile {
     link: LinkKind::Replica,
-    waiting: 256,
-    stale: Duration::from_millis(400),
-    write_patience: Duration::from_secs(1),
+    max_queued: 256,
+    max_age: Duration::from_millis(400),
+    write_timeout: Duration::from_secs(1),
 };
-const BULK: Lane = Lane {
+const BULK: LinkProfile = LinkProfile {
     link: LinkKind::ReplicaBulk,
-    waiting: 64,
-    stale: Duration::from_secs(2),
-    write_patience: Duration::from_secs(3),
+    max_queued: 64,
+    max_age: Duration::from_secs(2),
+    write_timeout: Duration::from_secs(3),
 };
 
-type Key = (SocketAddr, bool);
+/// The peer's internal address, and whether the connection is for bulk messages.
+type LinkKey = (SocketAddr, bool);
 
-/// All connections opened here to other control machines.
+/// All connections that this machine opens to other control machines.
 #[derive(Debug)]
 pub struct PeerLinks {
     hello: Hello,
-    outboxes: Rc<RefCell<HashMap<Key, Rc<Outbox>>>>,
+    outboxes: Rc<RefCell<HashMap<LinkKey, Rc<Outbox>>>>,
 }
 
-/// Messages that wait for a connection.
+/// Queue of the messages for one connection.
 #[derive(Debug, Default)]
 struct Outbox {
+    /// Messages with the time at which they were queued, oldest first.
     queue: RefCell<VecDeque<(Instant, Envelope)>>,
-    filled: Notify,
+    message_queued: Notify,
 }
 
 impl PeerLinks {
-    /// No connections yet; `hello` introduces this machine.
+    /// Creates an empty set; `hello` introduces this machine on each connection.
     pub fn new(hello: Hello) -> Self {
         Self { hello, outboxes: Rc::default() }
     }
 
-    /// Sends a message over a connection that is opened if there is none.
+    /// Queues a message for its connection, which is opened if there is none.
     pub fn send(&self, to: SocketAddr, envelope: Envelope) {
         let bulk = envelope.message.is_bulk();
-        let lane = if bulk { BULK } else { URGENT };
-        let known = self.outboxes.borrow().get(&(to, bulk)).cloned();
-        if let Some(outbox) = known.or_else(|| self.open((to, bulk), lane)) {
-            outbox.push(envelope, lane.waiting);
+        let profile = if bulk { BULK } else { URGENT };
+        let existing = self.outboxes.borrow().get(&(to, bulk)).cloned();
+        if let Some(outbox) = existing.or_else(|| self.open((to, bulk), profile)) {
+            outbox.push(envelope, profile.max_queued);
         }
     }
 
@@ -92,15 +96,15 @@
         self.outboxes.borrow().len()
     }
 
-    fn open(&self, key: Key, lane: Lane) -> Option<Rc<Outbox>> {
+    fn open(&self, key: LinkKey, profile: LinkProfile) -> Option<Rc<Outbox>> {
         let mut outboxes = self.outboxes.borrow_mut();
         if outboxes.len() >= MAX_LINKS {
             return None;
         }
         let outbox = Rc::new(Outbox::default());
         outboxes.insert(key, outbox.clone());
-        let hello = Hello { link: lane.link, ..self.hello.clone() };
-        spawn_local(carry(key, lane, hello, outbox.clone(), self.outboxes.clone()));
+        let hello = Hello { link: profile.link, ..self.hello.clone() };
+        spawn_local(run_link(key, profile, hello, outbox.clone(), self.outboxes.clone()));
         Some(outbox)
     }
 }
@@ -113,15 +117,15 @@
         }
         queue.push_back((Instant::now(), envelope));
         drop(queue);
-        self.filled.notify_one();
+        self.message_queued.notify_one();
     }
 
-    /// The next message that is not too old.
-    fn pop(&self, stale: Duration) -> Option<Envelope> {
+    /// Takes the next message that is not older than `max_age`.
+    fn pop(&self, max_age: Duration) -> Option<Envelope> {
         let mut queue = self.queue.borrow_mut();
         loop {
             let (queued_at, envelope) = queue.pop_front()?;
-            if queued_at.elapsed() <= stale {
+            if queued_at.elapsed() <= max_age {
                 return Some(envelope);
             }
         }
@@ -132,31 +136,31 @@
     }
 }
 
-/// Carries the messages of one outbox until none has come for a while.
-async fn carry(
-    key: Key,
-    lane: Lane,
+/// Sends the messages of one outbox, reconnecting as needed, until none has come for [`IDLE_TIMEOUT`].
+async fn run_link(
+    key: LinkKey,
+    profile: LinkProfile,
     hello: Hello,
     outbox: Rc<Outbox>,
-    outboxes: Rc<RefCell<HashMap<Key, Rc<Outbox>>>>,
+    outboxes: Rc<RefCell<HashMap<LinkKey, Rc<Outbox>>>>,
 ) {
     loop {
-        let Err(end) = connect_and_send(key.0, lane, &hello, &outbox).await;
-        if matches!(end, End::Idle) && outbox.is_empty() {
+        let Err(end) = connect_and_send(key.0, profile, &hello, &outbox).await;
+        if matches!(end, LinkEnd::Idle) && outbox.is_empty() {
             outboxes.borrow_mut().remove(&key);
             return;
         }
-        sleep(Duration::from_millis(fastrand::u64(PAUSE_MIN_MS..=PAUSE_MAX_MS))).await;
+        sleep(Duration::from_millis(fastrand::u64(RECONNECT_PAUSE_MIN_MS..=RECONNECT_PAUSE_MAX_MS))).await;
     }
 }
 
-/// Why a connection ended.
-enum End {
+/// Why a connection ended: no messages for a while, or a failure.
+enum LinkEnd {
     Idle,
     Broken,
 }
 
-impl From<LinkError> for End {
+impl From<LinkError> for LinkEnd {
     fn from(_: LinkError) -> Self {
         Self::Broken
     }
@@ -164,37 +168,41 @@
 
 async fn connect_and_send(
     address: SocketAddr,
-    lane: Lane,
+    profile: LinkProfile,
     hello: &Hello,
     outbox: &Outbox,
-) -> Result<std::convert::Infallible, End> {
-    if outbox.is_empty() && timeout(IDLE, outbox.filled.notified()).await.is_err() {
-        return Err(End::Idle);
+) -> Result<std::convert::Infallible, LinkEnd> {
+    if outbox.is_empty() && timeout(IDLE_TIMEOUT, outbox.message_queued.notified()).await.is_err() {
+        return Err(LinkEnd::Idle);
     }
-    let (mut reader, mut writer) = dial(address, DIAL_PATIENCE, SILENCE).await?;
+    let (mut reader, mut writer) = dial(address, CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT).await?;
     writer.queue(hello);
     loop {
-        while let Some(envelope) = outbox.pop(lane.stale) {
-            write(&mut writer, &envelope, lane.write_patience).await?;
+        while let Some(envelope) = outbox.pop(profile.max_age) {
+            write_message(&mut writer, &envelope, profile.write_timeout).await?;
         }
-        wait(&mut reader, outbox).await?;
+        wait_for_message(&mut reader, outbox).await?;
     }
 }
 
-async fn write(writer: &mut LinkWriter, envelope: &Envelope, patience: Duration) -> Result<(), End> {
+async fn write_message(
+    writer: &mut LinkWriter,
+    envelope: &Envelope,
+    write_timeout: Duration,
+) -> Result<(), LinkEnd> {
     writer.queue(envelope);
-    match timeout(patience, writer.flush()).await {
+    match timeout(write_timeout, writer.flush()).await {
         Ok(flushed) => Ok(flushed?),
-        Err(_) => Err(End::Broken),
+        Err(_) => Err(LinkEnd::Broken),
     }
 }
 
-/// Waits for a message to send; ends if the peer closes the connection or nothing is sent for a while.
-async fn wait(reader: &mut LinkReader, outbox: &Outbox) -> Result<(), End> {
+/// Waits for a message to send; fails if the peer closes the connection or no message comes for a while.
+async fn wait_for_message(reader: &mut LinkReader, outbox: &Outbox) -> Result<(), LinkEnd> {
     tokio::select! {
-        () = outbox.filled.notified() => Ok(()),
-        // The peer sends nothing on this connection.
-        _ = reader.read::<Envelope>() => Err(End::Broken),
-        () = sleep(IDLE) => Err(End::Idle),
+        () = outbox.message_queued.notified() => Ok(()),
+        // The peer sends nothing on this connection, so a read ends only with it.
+        _ = reader.read::<Envelope>() => Err(LinkEnd::Broken),
+        () = sleep(IDLE_TIMEOUT) => Err(LinkEnd::Idle),
     }
 }
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -1,4 +1,4 @@
-//! The program: command line, settings, start and end.
+//! Start, settings and shutdown of the control program.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -31,124 +31,127 @@
 use crate::start::{InitialState, replication_settings};
 use crate::{feed_server, list_reader, operator_api};
 
-/// Exit code when the arguments or the settings are wrong.
-const WRONG_SETTINGS: u8 = 2;
-/// Pause before an address in use is tried again.
-const BIND_PAUSE: Duration = Duration::from_millis(200);
-/// Time between two looks at the settings file.
-const SETTINGS_PERIOD: Duration = Duration::from_secs(1);
-/// How long the handing over may take at the end.
-const LAST_PATIENCE: Duration = Duration::from_secs(1);
-/// How long answers under way may take to leave after the handing over.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
-/// Part of the disk that the store may use, as a fraction.
-const DISK_PART: (u64, u64) = (7, 8);
-/// Bytes in a megabyte.
-const MEGABYTE: u64 = 1_000_000;
+/// Exit code for invalid arguments or settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Interval between attempts to bind an address that is in use.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between checks of the settings file for changes.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest time that a shutdown waits for the leadership transfer and [`REPLY_GRACE`].
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after the leadership transfer for replies in flight to reach their callers.
+const REPLY_GRACE: Duration = Duration::from_millis(150);
+/// Share of the configured disk space that the store may use, as numerator and denominator.
+const DISK_SHARE: (u64, u64) = (7, 8);
+const BYTES_PER_MEGABYTE: u64 = 1_000_000;
 
 /// Runs the program with its arguments.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     let command = match arguments::parse(arguments) {
         Ok(command) => command,
-        Err(reason) => return wrong(&reason),
+        Err(reason) => return exit_invalid_settings(&reason),
     };
     let format = match command {
         Command::Help => {
             print!("{HELP}");
             return ExitCode::SUCCESS;
         }
-        Command::Check => return check(),
+        Command::Check => return check_settings(),
         Command::Serve(format) => format,
     };
-    let boot = match settings() {
+    let boot = match load_settings() {
         Ok(boot) => boot,
-        Err(error) => return wrong(&format!("{error:#}")),
+        Err(error) => return exit_invalid_settings(&format!("{error:#}")),
     };
     let log = logger(format, Level::Info, &boot.node_name);
-    match start(boot, &log) {
+    match run_until_shutdown(boot, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error!(log, "the program ends"; "reason" => format!("{error:#}"));
+            error!(log, "exiting with an error"; "reason" => format!("{error:#}"));
             ExitCode::FAILURE
         }
     }
 }
 
-fn wrong(reason: &str) -> ExitCode {
+fn exit_invalid_settings(reason: &str) -> ExitCode {
     eprintln!("dunelink-control: {reason}");
-    ExitCode::from(WRONG_SETTINGS)
+    ExitCode::from(EXIT_INVALID_SETTINGS)
 }
 
-fn check() -> ExitCode {
-    match settings() {
+fn check_settings() -> ExitCode {
+    match load_settings() {
         Ok(boot) => {
-            println!("{}: {} can run with it", Boot::path().display(), boot.node_name);
+            println!("{}: valid settings for {}", Boot::path().display(), boot.node_name);
             ExitCode::SUCCESS
         }
-        Err(error) => wrong(&format!("{error:#}")),
+        Err(error) => exit_invalid_settings(&format!("{error:#}")),
     }
 }
 
-/// The settings, with what this program needs beyond the others.
-fn settings() -> anyhow::Result<Boot> {
+/// Loads the settings and checks the keys that this program requires beyond the common ones.
+fn load_settings() -> anyhow::Result<Boot> {
     let boot = Boot::load()?;
     let path = Boot::path();
     if boot.data_dir.is_none() {
-        bail!("{}: key `dataDir` is missing; this program needs a folder on a disk", path.display());
+        bail!("{}: key `dataDir` is missing; set it to the folder for the replicated log", path.display());
     }
     if boot.listen.control.is_none() {
-        bail!("{}: key `listen.control` is missing; add the address for the operator", path.display());
+        bail!(
+            "{}: key `listen.control` is missing; set it to the address of the operator API",
+            path.display()
+        );
     }
     Ok(boot)
 }
 
-fn start(boot: Boot, log: &Logger) -> anyhow::Result<()> {
+fn run_until_shutdown(boot: Boot, log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let outcome = LocalSet::new().block_on(&runtime, serve(boot, log.clone()));
-    // The disk thread may hang in a call: the process does not wait for it.
+    // The disk thread may hang in a system call: the process does not wait for it.
     runtime.shutdown_background();
     outcome
 }
 
 async fn serve(boot: Boot, log: Logger) -> anyhow::Result<()> {
-    // Both before the store is opened, which may take long: a signal that nobody listens for ends the program.
-    let mut ending = signal(SignalKind::terminate()).context("SIGTERM can't be listened for")?;
-    let hangup = signal(SignalKind::hangup()).context("SIGHUP can't be listened for")?;
+    // Both handlers are installed before the store is opened, which may take long: a signal without a handler
+    // would kill the process.
+    let mut terminate = signal(SignalKind::terminate()).context("cannot install the SIGTERM handler")?;
+    let hangup = signal(SignalKind::hangup()).context("cannot install the SIGHUP handler")?;
     tokio::select! {
-        engine = begin(&boot, &log) => {
+        engine = start_tasks(&boot, &log) => {
             let engine = engine?;
             spawn_local(watch_settings(boot, engine.clone(), hangup));
-            ending.recv().await;
-            end(&engine).await;
+            terminate.recv().await;
+            shut_down(&engine).await;
         }
-        _ = ending.recv() => {}
+        _ = terminate.recv() => {}
     }
-    info!(log, "ended");
+    info!(log, "stopped");
     Ok(())
 }
 
 /// Opens the store and starts all tasks.
-async fn begin(boot: &Boot, log: &Logger) -> anyhow::Result<Engine> {
+async fn start_tasks(boot: &Boot, log: &Logger) -> anyhow::Result<Engine> {
     let folder = boot.data_dir.clone().ok_or_else(|| anyhow!("`dataDir` is missing"))?;
     let control = boot.listen.control.ok_or_else(|| anyhow!("`listen.control` is missing"))?;
     let internal = internal_address(boot.ip, boot.internal_port());
     let clock = Clock::start();
-    let (orders, mut events) =
-        disk::start(&folder, disk_limits(boot)).context("the disk thread can't start")?;
-    let opened = opened(&mut events, log).await?;
+    let (disk_commands, mut events) =
+        disk::start(&folder, disk_limits(boot)).context("cannot start the disk thread")?;
+    let opened = wait_for_store(&mut events, log).await?;
     let me = Member { id: founding_id(control), internal, control, zone: boot.zone.clone() };
-    let start = identify(boot, me, opened, &orders, log);
+    let initial = initial_state(boot, me, opened, &disk_commands, log);
     let node = Node::new(
         node_settings(boot),
-        start.me,
-        start.founding,
-        start.recovered,
+        initial.me,
+        initial.founding,
+        initial.recovered,
         seed(),
         clock.now(),
         log.clone(),
     );
     let links = PeerLinks::new(hello(boot));
-    let engine = Engine::new(clock, log.clone(), node, orders, links);
+    let engine = Engine::new(clock, log.clone(), node, disk_commands, links);
     spawn_local(engine.clone().run_disk(events));
     spawn_local(engine.clone().run_deadlines());
     spawn_local(engine.clone().run_periodic_sends());
@@ -161,46 +164,50 @@
     Ok(engine)
 }
 
-/// Waits until the store is open. A disk in trouble delays the start and does not end it.
-async fn opened(events: &mut UnboundedReceiver<DiskEvent>, log: &Logger) -> anyhow::Result<OpenedStore> {
+/// Waits until the store is open. A failing disk delays the start but does not abort it.
+async fn wait_for_store(
+    events: &mut UnboundedReceiver<DiskEvent>,
+    log: &Logger,
+) -> anyhow::Result<OpenedStore> {
     loop {
         match events.recv().await {
             Some(DiskEvent::Opened(opened)) => return Ok(opened),
             Some(DiskEvent::HealthChanged(reason)) => {
-                warn!(log, "the store can't be opened yet"; "reason" => reason)
+                warn!(log, "cannot open the store yet, retrying"; "reason" => reason)
             }
             Some(_) => {}
-            None => bail!("the disk thread has ended"),
+            None => bail!("the disk thread has stopped"),
         }
     }
 }
 
-/// Decides who this replica is, and tells the disk thread whose the store is.
-fn identify(
+/// Determines the identity of this replica and assigns the store to it on the disk thread.
+fn initial_state(
     boot: &Boot,
     me: Member,
     opened: OpenedStore,
-    orders: &Sender<DiskCommand>,
+    disk_commands: &Sender<DiskCommand>,
     log: &Logger,
 ) -> InitialState {
     for note in &opened.notes {
-        warn!(log, "the store was put right"; "note" => note);
+        warn!(log, "the store was repaired while opening"; "note" => note);
     }
     let damaged = opened.damaged;
-    let start = InitialState::determine(boot.bootstrap, &boot.seeds, me, opened, random_id);
-    if let Some(state) = start.recovered.hard_state {
-        info!(log, "going on"; "id" => %start.me.id, "term" => state.term);
+    let initial = InitialState::determine(boot.bootstrap, &boot.seeds, me, opened, random_id);
+    if let Some(state) = initial.recovered.hard_state {
+        info!(log, "resuming from the store"; "id" => %initial.me.id, "term" => state.term);
     } else {
-        let founds = start.founding.is_some();
-        info!(log, "starting empty"; "id" => %start.me.id, "founds" => founds, "damaged" => damaged);
+        let founds = initial.founding.is_some();
+        info!(log, "starting with an empty store";
+            "id" => %initial.me.id, "founds" => founds, "damaged" => damaged);
     }
-    order(orders, start.disk_command.clone());
-    start
+    send_disk_command(disk_commands, initial.disk_command.clone());
+    initial
 }
 
-fn order(orders: &Sender<DiskCommand>, order: DiskCommand) {
-    // The thread ends only with the program.
-    let _ = orders.send(order);
+fn send_disk_command(disk_commands: &Sender<DiskCommand>, command: DiskCommand) {
+    // The disk thread ends only with the process.
+    let _ = disk_commands.send(command);
 }
 
 fn node_settings(boot: &Boot) -> NodeSettings {
@@ -220,7 +227,7 @@
 fn disk_limits(boot: &Boot) -> Limits {
     let disk_bytes = match boot.limits.disk_mb {
         0 => Limits::default().disk_bytes,
-        megabytes => megabytes * MEGABYTE / DISK_PART.1 * DISK_PART.0,
+        megabytes => megabytes * BYTES_PER_MEGABYTE / DISK_SHARE.1 * DISK_SHARE.0,
     };
     Limits { disk_bytes, ..Limits::default() }
 }
@@ -235,60 +242,63 @@
     }
 }
 
-/// Listens at an address; tries until it is free.
+/// Binds an address; retries until it is free.
 async fn bind(address: SocketAddr, log: &Logger) -> TcpListener {
-    let mut told = false;
+    let mut warned = false;
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(reason) if !told => {
-                told = true;
-                warn!(log, "an address can't be listened at yet"; "address" => %address, "reason" => %reason);
+            Err(reason) if !warned => {
+                warned = true;
+                warn!(log, "cannot listen on the address yet, retrying";
+                    "address" => %address, "reason" => %reason);
             }
             Err(_) => {}
         }
-        sleep(BIND_PAUSE).await;
+        sleep(BIND_RETRY_INTERVAL).await;
     }
 }
 
-/// Takes in changes of the settings file, with a signal or without.
+/// Applies changed seeds when the settings file changes or on SIGHUP.
 async fn watch_settings(boot: Boot, engine: Engine, mut hangup: Signal) {
-    let mut seen = modified();
+    let mut loaded_version = settings_file_version();
     let mut seeds = boot.seeds;
     loop {
-        let signalled = timeout(SETTINGS_PERIOD, hangup.recv()).await.is_ok();
-        let found = modified();
-        if !signalled && found == seen {
+        let hangup_received = timeout(SETTINGS_POLL_INTERVAL, hangup.recv()).await.is_ok();
+        let current_version = settings_file_version();
+        if !hangup_received && current_version == loaded_version {
             continue;
         }
-        seen = found;
+        loaded_version = current_version;
         match Boot::load() {
             Ok(boot) if boot.seeds != seeds => {
-                info!(engine.log(), "other seeds"; "seeds" => format!("{:?}", boot.seeds));
+                info!(engine.log(), "seeds changed"; "seeds" => format!("{:?}", boot.seeds));
                 engine.update(|node, _, _| node.set_seeds(&boot.seeds));
                 seeds = boot.seeds;
             }
             Ok(_) => {}
-            Err(reason) => warn!(engine.log(), "the changed settings are not used"; "reason" => %reason),
+            Err(reason) => {
+                warn!(engine.log(), "ignoring invalid changes of the settings file"; "reason" => %reason)
+            }
         }
     }
 }
 
-fn modified() -> Option<(SystemTime, u64)> {
-    let about = std::fs::metadata(Boot::path()).ok()?;
-    Some((about.modified().ok()?, about.len()))
+fn settings_file_version() -> Option<(SystemTime, u64)> {
+    let metadata = std::fs::metadata(Boot::path()).ok()?;
+    Some((metadata.modified().ok()?, metadata.len()))
 }
 
-/// Hands the leadership over and lets answers under way leave.
-async fn end(engine: &Engine) {
-    info!(engine.log(), "ending");
+/// Transfers the leadership to another member and lets replies in flight reach their callers.
+async fn shut_down(engine: &Engine) {
+    info!(engine.log(), "shutting down");
     engine.update(|node, now, effects| node.transfer_leadership(now, effects));
-    let handed_over = async {
+    let drained = async {
         while !engine.inspect(|node, _| node.can_shut_down()) {
             sleep(Duration::from_millis(20)).await;
         }
-        sleep(LAST_ANSWERS).await;
+        sleep(REPLY_GRACE).await;
     };
-    // The others elect a leader also without it.
-    let _ = timeout(LAST_PATIENCE, handed_over).await;
+    // If the transfer does not finish in time, the other members elect a leader after the election timeout.
+    let _ = timeout(SHUTDOWN_TIMEOUT, drained).await;
 }
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -1,4 +1,4 @@
-//! What agents report: collected for the leader, and pooled over nodes there.
+//! Reports of agents: buffered until they are sent to the leader, and there pooled over all nodes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,29 +6,29 @@
 
 use crate::message::NodeReport;
 
-/// Nodes whose reports are collected at once.
+/// Most nodes whose reports are buffered.
 const MAX_NODES: usize = 4_096;
-/// Servers whose outcomes are collected for one node.
+/// Most servers with outcomes in the buffered report of one node.
 const MAX_SERVERS: usize = 8_192;
-/// Length of the window of pooled outcomes, in microseconds.
-const WINDOW: u64 = 5_000_000;
-/// Time after which the same servers are named again, in microseconds.
-const REPEAT_EVERY: u64 = 1_000_000;
-/// Nodes that have to report failures before a server is named.
+/// Length of the sliding window of pooled outcomes, in microseconds.
+const WINDOW_US: u64 = 5_000_000;
+/// Interval at which unchanged suspicions are repeated, in microseconds.
+const REPEAT_INTERVAL_US: u64 = 1_000_000;
+/// Nodes that must report failures before a server is suspected.
 const MIN_REPORTERS: usize = 2;
-/// Failed part of the requests from which a server is named.
+/// Share of failed requests from which a server is suspected.
 const MIN_FAILED_SHARE: f32 = 0.1;
-/// Steps in which the failed part is told, so that small changes are not sent.
+/// Steps per unit to which the failed share is rounded, so that small changes are not sent.
 const SHARE_STEPS: f32 = 20.0;
 
-/// Reports of the agents at this machine that the leader has not been told yet.
+/// Reports of the agents connected here that have not been sent to the leader yet.
 #[derive(Debug, Default)]
 pub struct ReportBuffer {
     nodes: BTreeMap<String, NodeReport>,
 }
 
 impl ReportBuffer {
-    /// Adds a node's report: its newest demand counts, its outcomes are summed up.
+    /// Adds a report of a node: its demand replaces the earlier one, its outcomes are added up.
     pub fn add(&mut self, node: &str, report: ProxyReport) {
         if self.nodes.len() >= MAX_NODES && !self.nodes.contains_key(node) {
             return;
@@ -41,18 +41,18 @@
         });
         entry.demand = report.demand;
         entry.loads.add(report.loads);
-        for seen in report.observations {
-            sum_up(&mut entry.observations, seen);
+        for observation in report.observations {
+            add_observation(&mut entry.observations, observation);
         }
     }
 
-    /// Takes all that was collected.
+    /// Takes all buffered reports.
     pub fn take(&mut self) -> Vec<NodeReport> {
         std::mem::take(&mut self.nodes).into_values().collect()
     }
 }
 
-fn sum_up(all: &mut Vec<ServerObservation>, new: ServerObservation) {
+fn add_observation(all: &mut Vec<ServerObservation>, new: ServerObservation) {
     if let Some(same) = all.iter_mut().find(|observation| observation.server == new.server) {
         same.add(&new);
     } else if all.len() < MAX_SERVERS {
@@ -60,23 +60,27 @@
     }
 }
 
-/// Outcomes of the last seconds by server and node; at the leader.
+/// Request outcomes in the sliding window, at the leader.
 #[derive(Debug, Default)]
 pub struct OutcomePool {
+    /// Samples by server id and node name, oldest first.
     servers: BTreeMap<String, BTreeMap<String, VecDeque<Sample>>>,
-    told: Vec<ServerSuspicion>,
-    told_at: u64,
+    last_sent: Vec<ServerSuspicion>,
+    /// Time at which the suspicions were last returned to be sent, in microseconds.
+    last_sent_at: u64,
 }
 
+/// Requests of one node at one server in one report.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
+    /// Receipt of the report, in microseconds.
     at: u64,
     served: u32,
     failed: u32,
 }
 
 impl OutcomePool {
-    /// Adds what a node saw, received at `now`.
+    /// Adds the outcomes in a node's report, received at `now`.
     pub fn add(&mut self, now: u64, node: &str, observations: Vec<ServerObservation>) {
         for ServerObservation { server, served, failed } in observations {
             let nodes = self.servers.entry(server).or_default();
@@ -84,22 +88,22 @@
         }
     }
 
-    /// The servers that several nodes find failing, if they are others than last time or were told a while ago: those
-    /// that hear of them forget them when they aren't repeated.
+    /// The suspected servers if they have changed or are due to be repeated: receivers drop suspicions that
+    /// are not repeated.
     pub fn changed_suspicions(&mut self, now: u64) -> Option<Vec<ServerSuspicion>> {
-        self.forget(now.saturating_sub(WINDOW));
+        self.drop_before(now.saturating_sub(WINDOW_US));
         let suspicions: Vec<_> =
             self.servers.iter().filter_map(|(server, nodes)| suspicion(server, nodes)).collect();
-        let is_due = !suspicions.is_empty() && now >= self.told_at + REPEAT_EVERY;
-        if suspicions == self.told && !is_due {
+        let is_due = !suspicions.is_empty() && now >= self.last_sent_at + REPEAT_INTERVAL_US;
+        if suspicions == self.last_sent && !is_due {
             return None;
         }
-        self.told.clone_from(&suspicions);
-        self.told_at = now;
+        self.last_sent.clone_from(&suspicions);
+        self.last_sent_at = now;
         Some(suspicions)
     }
 
-    fn forget(&mut self, before: u64) {
+    fn drop_before(&mut self, before: u64) {
         for nodes in self.servers.values_mut() {
             for samples in nodes.values_mut() {
                 let old = samples.partition_point(|sample| sample.at < before);
--- a/crates/control/src/start.rs
+++ b/crates/control/src/start.rs
@@ -1,4 +1,4 @@
-//! What a replica starts from.
+//! Initial state of a replica: its identity, the recovered log and the first command for the disk thread.
 
 use std::net::SocketAddr;
 
@@ -7,68 +7,71 @@
 use crate::disk::{DiskCommand, OpenedStore, RecordTranslator};
 use crate::identity::{founding_id, founding_members};
 
-/// Bounds of the time without a leader after which a replica stands for election, in microseconds. Machines of one
-/// deployment are milliseconds apart; a replica answers heartbeats whatever its disk does.
-const ELECTION_MIN: u64 = 350_000;
-const ELECTION_MAX: u64 = 600_000;
-/// Number of the identity that a process starts with.
+/// Bounds of the randomized election timeout, in microseconds. Messages between machines of one deployment
+/// take milliseconds, and a replica answers heartbeats even while its disk is slow.
+const ELECTION_TIMEOUT_MIN_US: u64 = 350_000;
+const ELECTION_TIMEOUT_MAX_US: u64 = 600_000;
+/// Generation of the identity that a process starts with. It grows each time that the process takes a new
+/// identity.
 const FIRST_GENERATION: u64 = 1;
 
-/// Timing of the replica group of a deployment in which so many machines may be lost at once.
+/// Timing and target size of a replica group that tolerates the simultaneous loss of `tolerated` machines.
 pub fn replication_settings(tolerated: usize) -> Settings {
     Settings {
         target_voters: 2 * tolerated + 1,
-        election_min: ELECTION_MIN,
-        election_max: ELECTION_MAX,
+        election_min: ELECTION_TIMEOUT_MIN_US,
+        election_max: ELECTION_TIMEOUT_MAX_US,
         ..Settings::default()
     }
 }
 
-/// Who a replica is, and what it goes on from.
+/// What a replica starts from.
 #[derive(Debug, Clone)]
 pub struct InitialState {
-    /// This replica.
+    /// This replica as a member of the group.
     pub me: Member,
-    /// The voters, if this start founds the group.
+    /// All voters if this start founds the group; `None` if the replica resumes or joins.
     pub founding: Option<Vec<Member>>,
-    /// What the disk held.
+    /// Persistent state from the store; empty for a founder and for a new member.
     pub recovered: Recovered,
-    /// The first order for the disk thread: whose the store is.
+    /// First command for the disk thread: assigns the store to this identity.
     pub disk_command: DiskCommand,
 }
 
 impl InitialState {
-    /// Whoever the store says, a founder, or someone new, whose identity `fresh` makes. `me` has the identity of a
-    /// founder.
+    /// Resumes the identity of the store if it has one and is undamaged. Otherwise the replica founds the
+    /// group, or joins it under an identity from `new_id`. `me` is given the identity of a founder by the
+    /// caller.
     pub fn determine(
         bootstrap: bool,
         seeds: &[SocketAddr],
         mut me: Member,
         opened: OpenedStore,
-        fresh: impl FnOnce(SocketAddr) -> ReplicaId,
+        new_id: impl FnOnce(SocketAddr) -> ReplicaId,
     ) -> Self {
-        if let Some(identity) = opened.metadata.filter(|_| !opened.damaged) {
-            me.id = identity.id;
+        if let Some(metadata) = opened.metadata.filter(|_| !opened.damaged) {
+            me.id = metadata.id;
             if me.id == founding_id(me.control) {
                 me.zone = String::new();
             }
-            let translator = RecordTranslator::for_store(identity, &opened.recovered);
+            let translator = RecordTranslator::for_store(metadata, &opened.recovered);
             let disk_command = DiskCommand::Adopt { generation: FIRST_GENERATION, translator };
             return Self { me, founding: None, recovered: opened.recovered, disk_command };
         }
         let founding = founding_members(bootstrap, seeds, &me).filter(|_| !opened.damaged);
         if founding.is_some() {
-            // Zones of others are not known, and the founding list has to be the same on all.
+            // The zones of the other founders are unknown, and the founding list must be the same on all of
+            // them.
             me.zone = String::new();
         } else {
-            me.id = fresh(me.control);
+            me.id = new_id(me.control);
         }
-        let disk_command = begin_empty(me.id, opened.damaged);
+        let disk_command = empty_store_command(me.id, opened.damaged);
         Self { me, founding, recovered: Recovered::default(), disk_command }
     }
 }
 
-fn begin_empty(id: ReplicaId, damaged: bool) -> DiskCommand {
+fn empty_store_command(id: ReplicaId, damaged: bool) -> DiskCommand {
     if damaged {
         return DiskCommand::Wipe { generation: FIRST_GENERATION, id };
     }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of the configuration's shard.
+//! Replicated state machine of the configuration.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -8,12 +8,12 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Digests of taken configurations that are kept; the oldest goes first.
+/// Most digests of applied changes that are kept; the oldest is dropped first.
 pub const MAX_DIGESTS: usize = 4_096;
-/// Versions whose taking is remembered for [`ConfigurationState::history`]; the oldest goes first.
+/// Most versions that [`ConfigurationState::history`] keeps; the oldest is dropped first.
 pub const MAX_HISTORY_VERSIONS: usize = 256;
 
-/// Identifies an order of the operator: what it builds on and its body, byte for byte.
+/// Identifies a change of the configuration by its base version and its body, byte for byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct Digest(
@@ -23,7 +23,7 @@
 );
 
 impl Digest {
-    /// XXH3 (128 bits) of the base version, little endian, mixed with that of the body.
+    /// XXH3 (128 bits) of the base version (little endian) followed by the XXH3 of the body.
     pub fn of(base: u64, body: &[u8]) -> Self {
         let mut bytes = [0_u8; 24];
         bytes[..8].copy_from_slice(&base.to_le_bytes());
@@ -35,43 +35,43 @@
 /// A command of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Command {
-    /// Put a configuration in force.
+    /// Replaces the configuration.
     #[n(0)]
     Replace {
-        /// Version that it builds on; 0 for the first.
+        /// Version that it replaces; 0 for the first configuration.
         #[n(0)]
         base: u64,
-        /// Its version.
+        /// Version of the new configuration.
         #[n(1)]
         version: u64,
-        /// Digest of the order.
+        /// Digest of the base version and the body.
         #[n(2)]
         digest: Digest,
-        /// The operator's JSON.
+        /// The new configuration: the operator's JSON.
         #[n(3)]
         #[cbor(with = "minicbor::bytes")]
         body: Vec<u8>,
     },
 }
 
-/// What a command came to.
+/// Outcome of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// The configuration was replaced.
     Applied,
-    /// It had been taken before; nothing changes.
+    /// The same change was applied before; nothing changes.
     AlreadyApplied,
-    /// It builds on a version that is not the current one, or its own is not above it; nothing changes.
+    /// The base is not the current version, or the new version is not above it; nothing changes.
     Conflict,
 }
 
-/// A version that was put in force.
+/// Version of an applied change, for the history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct AppliedVersion {
-    /// The version.
+    /// Version of the configuration.
     #[n(0)]
     pub version: u64,
-    /// The version that it was built on; 0 for the first.
+    /// Version that it replaced; 0 for the first configuration.
     #[n(1)]
     pub base: u64,
     /// Length of the operator's JSON in bytes.
@@ -79,47 +79,48 @@
     pub bytes: u64,
 }
 
-/// Bytes of the log or of a snapshot that can't be read.
+/// A log entry or snapshot that cannot be decoded.
 #[derive(Debug, Error)]
-#[error("replicated data can't be read: {0}; check that all control machines run the same release")]
+#[error("cannot decode replicated data: {0}; check that all control machines run the same release")]
 pub struct StateError(#[from] minicbor::decode::Error);
 
-/// The configuration in force and what was taken before it.
+/// The current configuration, its version history and the digests of applied changes.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigurationState {
     version: u64,
     body: Bytes,
-    order: VecDeque<Digest>,
-    taken: HashSet<Digest>,
+    /// Digests in the order in which they were applied.
+    digest_order: VecDeque<Digest>,
+    digests: HashSet<Digest>,
     history: VecDeque<AppliedVersion>,
 }
 
 impl ConfigurationState {
-    /// Version in force; 0 before the first.
+    /// Current version; 0 before the first configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The operator's JSON of the version in force; empty before the first.
+    /// JSON of the current version as the operator sent it; empty before the first configuration.
     pub fn body(&self) -> &Bytes {
         &self.body
     }
 
-    /// Whether that very order was taken, as far back as digests are kept.
+    /// Whether this change was applied; limited to the newest [`MAX_DIGESTS`] changes.
     pub fn was_applied(&self, digest: &Digest) -> bool {
-        self.taken.contains(digest)
+        self.digests.contains(digest)
     }
 
-    /// The newest versions that were put in force, oldest first; at most [`MAX_HISTORY_VERSIONS`].
+    /// The newest applied versions, oldest first; at most [`MAX_HISTORY_VERSIONS`].
     pub fn history(&self) -> impl ExactSizeIterator<Item = &AppliedVersion> {
         self.history.iter()
     }
 
-    /// Applies a committed command. The outcome depends on the commands before it alone.
+    /// Applies a committed command. The outcome depends only on the commands before it.
     ///
     /// # Errors
     ///
-    /// The command can't be read; nothing changes.
+    /// The command cannot be decoded; nothing changes.
     pub fn apply(&mut self, command: &[u8]) -> Result<(Digest, ApplyOutcome), StateError> {
         let Command::Replace { base, version, digest, body } = minicbor::decode(command)?;
         if self.was_applied(&digest) {
@@ -130,69 +131,70 @@
         }
         self.version = version;
         self.body = Bytes::from(body);
-        self.remember(digest);
-        self.note_version(AppliedVersion { version, base, bytes: self.body.len() as u64 });
+        self.add_digest(digest);
+        self.add_to_history(AppliedVersion { version, base, bytes: self.body.len() as u64 });
         Ok((digest, ApplyOutcome::Applied))
     }
 
-    /// The whole state as bytes.
+    /// Encodes the complete state.
     pub fn snapshot(&self) -> Vec<u8> {
-        let image = Image {
+        let content = Snapshot {
             version: self.version,
             body: self.body.to_vec(),
-            taken: self.order.iter().copied().collect(),
+            digests: self.digest_order.iter().copied().collect(),
             history: Some(self.history.iter().copied().collect()),
         };
-        encode(&image)
+        encode(&content)
     }
 
-    /// The state that [`Self::snapshot`] wrote; no bytes are the state before the first command.
+    /// Decodes a state that [`Self::snapshot`] encoded; no bytes stand for the state before the first
+    /// command.
     ///
     /// # Errors
     ///
-    /// The bytes can't be read.
+    /// The bytes cannot be decoded.
     pub fn restore(bytes: &[u8]) -> Result<Self, StateError> {
         if bytes.is_empty() {
             return Ok(Self::default());
         }
-        let image: Image = minicbor::decode(bytes)?;
+        let content: Snapshot = minicbor::decode(bytes)?;
         Ok(Self {
-            version: image.version,
-            body: Bytes::from(image.body),
-            taken: image.taken.iter().copied().collect(),
-            order: image.taken.into(),
-            history: image.history.unwrap_or_default().into(),
+            version: content.version,
+            body: Bytes::from(content.body),
+            digests: content.digests.iter().copied().collect(),
+            digest_order: content.digests.into(),
+            history: content.history.unwrap_or_default().into(),
         })
     }
 
-    fn note_version(&mut self, taken: AppliedVersion) {
-        self.history.push_back(taken);
+    fn add_to_history(&mut self, applied: AppliedVersion) {
+        self.history.push_back(applied);
         if self.history.len() > MAX_HISTORY_VERSIONS {
             self.history.pop_front();
         }
     }
 
-    fn remember(&mut self, digest: Digest) {
-        self.order.push_back(digest);
-        self.taken.insert(digest);
-        if self.order.len() > MAX_DIGESTS {
-            let oldest = self.order.pop_front();
-            oldest.map(|digest| self.taken.remove(&digest));
+    fn add_digest(&mut self, digest: Digest) {
+        self.digest_order.push_back(digest);
+        self.digests.insert(digest);
+        if self.digest_order.len() > MAX_DIGESTS {
+            let oldest = self.digest_order.pop_front();
+            oldest.map(|digest| self.digests.remove(&digest));
         }
     }
 }
 
-/// A snapshot's content.
+/// Content of a snapshot.
 #[derive(Encode, Decode)]
-struct Image {
+struct Snapshot {
     #[n(0)]
     version: u64,
     #[n(1)]
     #[cbor(with = "minicbor::bytes")]
     body: Vec<u8>,
     #[n(2)]
-    taken: Vec<Digest>,
-    /// Left out by releases that did not keep it.
+    digests: Vec<Digest>,
+    /// `None` in snapshots of releases that did not keep a history.
     #[n(3)]
     history: Option<Vec<AppliedVersion>>,
 }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -11,37 +11,37 @@
 
 /// The status of this machine, as JSON.
 pub fn page(engine: &Engine) -> Vec<u8> {
-    let readers: Vec<Value> = engine
+    let agents: Vec<Value> = engine
         .connected_agents()
         .into_iter()
         .map(|(node, (version, epoch, sequence))| {
             json!({"node": node, "version": version, "rosterEpoch": epoch, "rosterSequence": sequence})
         })
         .collect();
-    let absent: Vec<Value> = engine
+    let disconnected: Vec<Value> = engine
         .disconnected_agents()
         .into_iter()
-        .map(|(node, since)| json!({"node": node, "sinceMs": since / MILLISECOND}))
+        .map(|(node, elapsed)| json!({"node": node, "sinceMs": elapsed / MILLISECOND}))
         .collect();
     let page = engine.inspect(|node, now| {
         json!({
             "groups": [group(node, now, engine.disk_bytes())],
             "configuration": configuration(node),
             "roster": roster(node, now),
-            "readers": readers,
-            "absentReaders": absent,
+            "readers": agents,
+            "absentReaders": disconnected,
             "links": engine.link_count(),
         })
     });
     sonic_rs::to_vec(&page).unwrap_or_default()
 }
 
-/// The versions that were put in force, oldest first, as JSON. No content of a configuration is shown.
+/// History of the applied versions as JSON, oldest first, without the content of configurations.
 pub fn history(engine: &Engine) -> Vec<u8> {
     let versions: Vec<Value> = engine.inspect(|node, _| {
-        let taken = node.state().history();
-        taken
-            .map(|taken| json!({"version": taken.version, "base": taken.base, "bytes": taken.bytes}))
+        let history = node.state().history();
+        history
+            .map(|applied| json!({"version": applied.version, "base": applied.base, "bytes": applied.bytes}))
             .collect()
     });
     sonic_rs::to_vec(&json!({"versions": versions})).unwrap_or_default()
@@ -54,15 +54,15 @@
         .all()
         .map(|member| {
             let peer = status.peers.iter().find(|peer| peer.id == member.id);
-            let lag = peer.map(|peer| status.last_index.saturating_sub(peer.matched));
-            let heard = peer.and_then(|peer| peer.heard).map(|age| age / MILLISECOND);
+            let lag_entries = peer.map(|peer| status.last_index.saturating_sub(peer.matched));
+            let contact_age_ms = peer.and_then(|peer| peer.heard).map(|age| age / MILLISECOND);
             json!({
                 "id": member.id.to_string(),
                 "control": member.control.to_string(),
                 "zone": member.zone.as_str(),
                 "voter": status.membership.is_voter(member.id),
-                "lagEntries": lag,
-                "heardMs": heard,
+                "lagEntries": lag_entries,
+                "heardMs": contact_age_ms,
                 "diskHealthy": peer.map(|peer| peer.disk_healthy),
             })
         })
--- a/crates/control/tests/fleet_core_faults.rs
+++ b/crates/control/tests/fleet_core_faults.rs
@@ -182,8 +182,9 @@
     fleet.wipe_core(0);
     std::fs::write(&data, "no folder").expect("a file in the folder's place");
     fleet.core(0).start();
-    let waits =
-        || std::future::ready(fleet.core(0).log().contains("the store can't be opened yet").then_some(()));
+    let waits = || {
+        std::future::ready(fleet.core(0).log().contains("cannot open the store yet, retrying").then_some(()))
+    };
     until("the program to wait for its store", waits).await;
     fleet.core(0).signal(Signal::HUP);
     std::fs::remove_file(&data).expect("the file in the folder's place");
