--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -126,7 +126,7 @@
         }
         _ = terminate.recv() => {}
     }
-    info!(log, "stopped");
+    info!(log, "ended");
     Ok(())
 }
 
@@ -291,7 +291,7 @@
 
 /// Transfers the leadership to another member and lets replies in flight reach their callers.
 async fn shut_down(engine: &Engine) {
-    info!(engine.log(), "shutting down");
+    info!(engine.log(), "ending");
     engine.update(|node, now, effects| node.transfer_leadership(now, effects));
     let drained = async {
         while !engine.inspect(|node, _| node.can_shut_down()) {
