--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use dunelink_replication::{HardState, Record, Recovered, ReplicaId, WriteGate, decode, encode};
+use dunelink_replication::{HardState, Record, RecoveredState, ReplicaId, WriteFence, decode, encode};
 use dunelink_storage::{Disk, FolderDisk, Limits, LogStore, Operation, StorageError};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -74,7 +74,7 @@
     /// Identity, term and vote in the store; `None` on an empty disk.
     pub metadata: Option<StoreMetadata>,
     /// Persistent state from which the replica resumes.
-    pub recovered: Recovered,
+    pub recovered: RecoveredState,
     /// Whether durable data is lost; the contents must then not be used.
     pub damaged: bool,
     /// Repairs made while the store was opened.
@@ -128,7 +128,7 @@
 }
 
 /// Decodes the contents of the store. Contents that do not decode count as damaged.
-pub fn decode_recovered(stored: dunelink_storage::Recovered) -> OpenedStore {
+pub fn decode_recovered(stored: dunelink_storage::RecoveredState) -> OpenedStore {
     let mut damaged = stored.damaged;
     let mut require = |readable: bool| damaged |= !readable;
     let metadata: Option<StoreMetadata> = stored.metadata.as_deref().and_then(|bytes| {
@@ -147,7 +147,12 @@
     require(metadata.is_some() || is_blank);
     let hard_state = metadata.map(|metadata| metadata.hard_state);
     let notes = stored.notes.iter().map(|note| format!("{note:?}")).collect();
-    OpenedStore { metadata, recovered: Recovered { hard_state, snapshot, entries }, damaged, notes }
+    OpenedStore {
+        metadata,
+        recovered: RecoveredState { hard_state, snapshot, entries },
+        damaged,
+        notes,
+    }
 }
 
 /// Translates the replica's records into operations of the store.
@@ -171,7 +176,7 @@
     }
 
     /// For a store with these contents.
-    pub fn for_store(metadata: StoreMetadata, recovered: &Recovered) -> Self {
+    pub fn for_store(metadata: StoreMetadata, recovered: &RecoveredState) -> Self {
         let released_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let last_index =
             recovered.entries.last().map_or(released_index, |entry| entry.index.max(released_index));
@@ -242,7 +247,7 @@
     generation: u64,
     /// `None` until the store is assigned to an identity.
     translator: Option<RecordTranslator>,
-    gate: WriteGate,
+    gate: WriteFence,
     /// Error of the last operation; `None` if it succeeded.
     last_error: Option<String>,
 }
@@ -264,7 +269,7 @@
 impl<D: Disk> DiskWorker<D> {
     /// A worker on an open store. Writes are refused until a command has assigned the store to an identity.
     pub fn new(store: LogStore<D>, events: UnboundedSender<DiskEvent>) -> Self {
-        Self { store, events, generation: 0, translator: None, gate: WriteGate::default(), last_error: None }
+        Self { store, events, generation: 0, translator: None, gate: WriteFence::default(), last_error: None }
     }
 
     /// Carries out commands until the sender is dropped.
@@ -300,7 +305,7 @@
     fn adopt(&mut self, generation: u64, translator: RecordTranslator) {
         self.generation = generation;
         self.translator = Some(translator);
-        self.gate = WriteGate::default();
+        self.gate = WriteFence::default();
     }
 
     /// Erases the store for a new identity. The old identity must not come back, so the command is retried
@@ -334,7 +339,7 @@
             }
             Err(error) => {
                 *translator = before;
-                self.gate.failed(last);
+                self.gate.record_failure(last);
                 self.report_health(Some(&error));
                 for sequence in sequences {
                     self.send_event(DiskEvent::WriteFailed { generation, sequence });
@@ -392,7 +397,7 @@
 
 fn records_size(records: &[Record]) -> usize {
     let size = |record: &Record| match record {
-        Record::Append(entry) => entry.size(),
+        Record::Append(entry) => entry.approximate_bytes(),
         Record::Snapshot(snapshot) => snapshot.state.len(),
         Record::HardState(_) | Record::Truncate { .. } => 0,
     };
--- a/crates/control/src/engine.rs
+++ b/crates/control/src/engine.rs
@@ -200,7 +200,7 @@
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
         self.update(|node, now, effects| {
-            let id = random_id(node.me().control);
+            let id = random_id(node.me().control_address);
             self.send_disk_command(DiskCommand::Wipe { generation, id });
             node.rejoin_as(id, seed(), now, effects);
         });
--- a/crates/control/src/feed_server.rs
+++ b/crates/control/src/feed_server.rs
@@ -69,7 +69,7 @@
     let peer = socket.peer_addr()?.ip();
     let (mut reader, writer) = accept(socket, UNACKNOWLEDGED_TIMEOUT)?;
     let hello: Hello = reader.read_within(HELLO_TIMEOUT).await?;
-    if hello.protocol != PROTOCOL_VERSION {
+    if hello.protocol_version != PROTOCOL_VERSION {
         return Ok(());
     }
     match hello.link {
--- a/crates/control/src/feed_session.rs
+++ b/crates/control/src/feed_session.rs
@@ -1,7 +1,7 @@
 //! The messages that one agent is sent, in their order.
 
 use dunelink_feed::{FeedSource, FeedState};
-use dunelink_protocol::{ControlMember, FeedMessage, GrantUpdate, Subscribe};
+use dunelink_protocol::{ControlMember, FeedMessage, FeedPosition, GrantUpdate};
 
 /// Interval of the ticks, in microseconds. A tick is a heartbeat with the age of the fed state.
 pub const TICK_PERIOD_US: u64 = 250_000;
@@ -23,7 +23,7 @@
 
 impl FeedSession {
     /// Starts from the position in the agent's subscription.
-    pub fn new(subscribe: &Subscribe) -> Self {
+    pub fn new(subscribe: &FeedPosition) -> Self {
         Self { source: FeedSource::new(subscribe), members: Vec::new(), grants: None, last_tick_at: None }
     }
 
@@ -36,7 +36,7 @@
     pub fn next_message(&mut self, state: &FeedState, now: u64) -> Option<FeedMessage> {
         if self.last_tick_at.is_none_or(|at| now + TICK_EARLY_US >= at + TICK_PERIOD_US) {
             self.last_tick_at = Some(now);
-            return Some(FeedMessage::Tick(state.tick(now)));
+            return Some(FeedMessage::Heartbeat(state.heartbeat(now)));
         }
         if state.members != self.members && !state.members.is_empty() {
             self.members.clone_from(&state.members);
@@ -47,8 +47,8 @@
         }
         // The source ticks only on changes: the periodic ticks are sent above, also between the chunks of a
         // configuration.
-        let message = self.source.next(state, u64::MAX, now);
-        if let Some(FeedMessage::Tick(_)) = message {
+        let message = self.source.next_message(state, u64::MAX, now);
+        if let Some(FeedMessage::Heartbeat(_)) = message {
             self.last_tick_at = Some(now);
         }
         message
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -40,19 +40,24 @@
 /// machines whose control addresses are the seeds, on empty disks. The zones of other machines are unknown
 /// and left empty.
 pub fn founding_members(bootstrap: bool, seeds: &[SocketAddr], me: &Member) -> Option<Vec<Member>> {
-    if !bootstrap || !seeds.contains(&me.control) {
+    if !bootstrap || !seeds.contains(&me.control_address) {
         return None;
     }
     let mut seeds = seeds.to_vec();
     seeds.sort_unstable();
     seeds.dedup();
-    let internal_port = me.internal.port();
+    let internal_port = me.internal_address.port();
     Some(seeds.into_iter().map(|control| founding_member(control, internal_port)).collect())
 }
 
 fn founding_member(control: SocketAddr, internal_port: u16) -> Member {
     let internal = internal_address(control.ip(), internal_port);
-    Member { id: founding_id(control), internal, control, zone: String::new() }
+    Member {
+        id: founding_id(control),
+        internal_address: internal,
+        control_address: control,
+        zone: String::new(),
+    }
 }
 
 /// Internal address of a machine. All machines use the same internal port.
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -100,7 +100,9 @@
         effects: &mut Vec<Effect>,
     ) {
         let lease_heartbeat = match &message {
-            Message::Heartbeat { term, commit, lease: true, .. } => Some((*term, *commit)),
+            Message::Heartbeat { term, commit_index, leader_holds_lease: true, .. } => {
+                Some((*term, *commit_index))
+            }
             _ => None,
         };
         self.step_replica(now, Input::Received { from, message }, effects);
@@ -126,17 +128,18 @@
             Output::Write { sequence, records } => effects.push(Effect::Write { sequence, records }),
             Output::Apply { index, command } => self.apply(index, &command, effects),
             Output::Restore { index, state } => self.restore(index, &state, effects),
-            Output::Answer { ticket, result } => self.handle_proposal_result(now, ticket, result, effects),
+            Output::ProposalResult { proposal_id, result } => self.handle_proposal_result(now, proposal_id, result, effects),
             Output::TakeSnapshot { index } => {
-                let bytes = self.state.snapshot();
-                snapshots.push(Input::State { index, bytes });
+                let state = self.state.snapshot();
+                snapshots.push(Input::SnapshotTaken { index, state });
             }
             Output::LeaderChanged { leader, term, is_self } => {
-                let leader = leader.map_or_else(|| "none".to_owned(), |leader| leader.control.to_string());
+                let leader =
+                    leader.map_or_else(|| "none".to_owned(), |leader| leader.control_address.to_string());
                 info!(self.log, "leader changed"; "leader" => leader, "term" => term, "self" => is_self);
             }
             Output::MembershipChanged(membership) => self.membership_changed(&membership, effects),
-            Output::Removed => {
+            Output::RemovedFromGroup => {
                 info!(self.log, "no longer a member"; "id" => %self.me.id);
                 effects.push(Effect::Rejoin);
             }
@@ -174,7 +177,7 @@
 
     /// Feeds the current configuration to agents, unless a newer one is fed already.
     fn feed_configuration(&mut self, effects: &mut Vec<Effect>) {
-        if self.state.version() > self.feed.version() {
+        if self.state.version() > self.feed.configuration_version() {
             let bytes = self.state.body().clone();
             self.feed.configuration = Some(Configuration { version: self.state.version(), bytes });
             effects.push(Effect::FeedChanged);
@@ -183,13 +186,14 @@
 
     fn membership_changed(&mut self, membership: &Membership, effects: &mut Vec<Effect>) {
         let names = |members: &mut dyn Iterator<Item = &Member>| -> String {
-            members.map(|member| member.control.to_string()).collect::<Vec<_>>().join(",")
+            members.map(|member| member.control_address.to_string()).collect::<Vec<_>>().join(",")
         };
         info!(self.log, "members changed";
             "voters" => names(&mut membership.voters.iter()),
-            "incoming" => names(&mut membership.incoming.iter().flatten()),
+            "incoming" => names(&mut membership.incoming_voters.iter().flatten()),
             "learners" => names(&mut membership.learners.iter()));
-        let controls: Vec<SocketAddr> = membership.all().map(|member| member.control).collect();
+        let controls: Vec<SocketAddr> =
+            membership.all_members().map(|member| member.control_address).collect();
         self.add_known_addresses(controls.into_iter());
         self.update_members(effects);
     }
@@ -197,14 +201,17 @@
     /// Updates the list of control machines that agents receive.
     pub(super) fn update_members(&mut self, effects: &mut Vec<Effect>) {
         let zone_of = |member: &Member| -> String {
-            let reported = self.zones.get(&member.internal.ip()).cloned();
+            let reported = self.zones.get(&member.internal_address.ip()).cloned();
             reported.unwrap_or_else(|| member.zone.clone())
         };
         let members: Vec<ControlMember> = self
             .replica
             .membership()
-            .all()
-            .map(|member| ControlMember { internal: member.internal.to_string(), zone: zone_of(member) })
+            .all_members()
+            .map(|member| ControlMember {
+                internal_address: member.internal_address.to_string(),
+                zone: zone_of(member),
+            })
             .collect();
         if members != self.feed.members {
             self.feed.members = members;
@@ -236,13 +243,13 @@
     /// Asks known machines for membership: without one, or after some time without a leader.
     pub(super) fn send_join_requests(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let is_member = self.replica.membership().contains(self.me.id);
-        let is_leaderless = self.replica.leader_contact(now).is_none_or(|age| age > JOIN_AFTER_LEADERLESS_US);
+        let is_leaderless = self.replica.time_since_leader_contact(now).is_none_or(|age| age > JOIN_AFTER_LEADERLESS_US);
         let is_past_start = now > self.identity_since + JOIN_AFTER_LEADERLESS_US;
         if self.shutting_down || (is_member && !(is_leaderless && is_past_start)) {
             return;
         }
-        let port = self.me.internal.port();
-        for control in self.known_addresses.iter().filter(|control| **control != self.me.control) {
+        let port = self.me.internal_address.port();
+        for control in self.known_addresses.iter().filter(|control| **control != self.me.control_address) {
             let to = internal_address(control.ip(), port);
             let message = PeerMessage::JoinRequest(self.me.clone());
             effects.push(Effect::Send { to, envelope: Envelope { from: self.me.id, to: None, message } });
@@ -250,10 +257,10 @@
     }
 
     pub(super) fn handle_join_request(&mut self, now: u64, member: Member, effects: &mut Vec<Effect>) {
-        if member.id == self.me.id || member.internal == self.me.internal {
+        if member.id == self.me.id || member.internal_address == self.me.internal_address {
             return;
         }
-        let members: Vec<Member> = self.replica.membership().all().cloned().collect();
+        let members: Vec<Member> = self.replica.membership().all_members().cloned().collect();
         let leader = self.replica.leader().cloned();
         if !members.is_empty() {
             self.send(&member, PeerMessage::Members(KnownMembers { members, leader }), effects);
@@ -265,7 +272,7 @@
 
     pub(super) fn learn_members(&mut self, known: KnownMembers) {
         let members = known.members.iter().chain(&known.leader);
-        let controls: Vec<SocketAddr> = members.map(|member| member.control).collect();
+        let controls: Vec<SocketAddr> = members.map(|member| member.control_address).collect();
         self.add_known_addresses(controls.into_iter());
     }
 
@@ -275,12 +282,12 @@
 
     /// The other members.
     pub(super) fn others(&self) -> impl Iterator<Item = &Member> {
-        self.replica.membership().all().filter(|member| member.id != self.me.id)
+        self.replica.membership().all_members().filter(|member| member.id != self.me.id)
     }
 
     pub(super) fn send(&self, to: &Member, message: PeerMessage, effects: &mut Vec<Effect>) {
         let envelope = Envelope { from: self.me.id, to: Some(to.id), message };
-        effects.push(Effect::Send { to: to.internal, envelope });
+        effects.push(Effect::Send { to: to.internal_address, envelope });
     }
 
     pub(super) fn broadcast(&self, message: &PeerMessage, effects: &mut Vec<Effect>) {
--- a/crates/control/src/node/leader.rs
+++ b/crates/control/src/node/leader.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use dunelink_grants::{Allocator, TenantQuota};
-use dunelink_protocol::{RosterOffset, RosterUpdate, ServerEntry, Tick};
+use dunelink_protocol::{Heartbeat, RosterOffset, RosterUpdate, ServerEntry};
 use dunelink_replication::{Member, ReplicaId};
 use slog::{info, warn};
 
@@ -55,7 +55,7 @@
         let is_leader = self.replica.is_leader();
         if is_leader && self.leader_state.is_none() && self.holds_lease(now) {
             let allocator = Allocator::new(self.settings.quota, self.replica.term(), now);
-            let history_request = allocator.question();
+            let history_request = allocator.history_request();
             self.broadcast(&PeerMessage::HistoryRequest(history_request.clone()), effects);
             effects.push(Effect::RequestHistory(history_request));
             self.leader_state = Some(LeaderState {
@@ -88,7 +88,7 @@
             {
                 continue;
             }
-            leader_state.allocator.report(now, &node, &demand);
+            leader_state.allocator.observe_report(now, &node, &demand);
             leader_state.outcomes.add(now, &node, observations);
             leader_state.loads.report(now, &node, loads);
             leader_state.agent_machines.insert(node, machine);
@@ -299,20 +299,20 @@
         else {
             return;
         };
-        let update = roster.since(member_offset, now).or_else(|| roster.whole(now));
+        let update = roster.changes_since(member_offset, now).or_else(|| roster.full_update(now));
         let age_ms = self.feed.freshness.roster_age_ms(now);
         self.send(member, PeerMessage::Roster(RosterAnnouncement { offset, age_ms, update }), effects);
     }
 
     /// Records that the roster has the content of the platform's list as it was `age_ms` ago.
     fn confirm_roster(&mut self, age_ms: u64, now: u64) {
-        let tick = Tick {
-            confirmed_age_ms: dunelink_feed::NEVER_MS,
+        let tick = Heartbeat {
+            confirmed_age_ms: dunelink_feed::NEVER_CONFIRMED_MS,
             configuration_version: 0,
             roster: self.feed.roster.offset().unwrap_or_default(),
             roster_age_ms: age_ms,
         };
-        self.feed.freshness.take(&tick, true, now);
+        self.feed.freshness.update(&tick, true, now);
     }
 }
 
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -12,10 +12,10 @@
 use std::net::{IpAddr, SocketAddr};
 
 use bytes::Bytes;
-use dunelink_feed::{FeedState, NEVER_MS};
+use dunelink_feed::{FeedState, NEVER_CONFIRMED_MS};
 use dunelink_grants::QuotaBounds;
-use dunelink_protocol::{GrantUpdate, ProxyReport, RosterOffset, ServerEntry, Tick};
-use dunelink_replication::{Input, Member, Record, Recovered, Replica, ReplicaId, Settings};
+use dunelink_protocol::{GrantUpdate, Heartbeat, ProxyReport, RosterOffset, ServerEntry};
+use dunelink_replication::{Input, Member, Record, RecoveredState, Replica, ReplicaId, Settings};
 use slog::{Logger, info};
 
 use crate::change_queue::{CallId, ChangeQueue, Reply};
@@ -130,7 +130,7 @@
         settings: NodeSettings,
         me: Member,
         founding: Option<Vec<Member>>,
-        recovered: Recovered,
+        recovered: RecoveredState,
         seed: u64,
         now: u64,
         log: Logger,
@@ -164,7 +164,7 @@
         }
         self.me.id = id;
         let settings = self.settings.replication.clone();
-        self.replica = Replica::new(settings, self.me.clone(), None, Recovered::default(), seed, now);
+        self.replica = Replica::new(settings, self.me.clone(), None, RecoveredState::default(), seed, now);
         self.state = ConfigurationState::default();
         self.outcomes.clear();
         self.leader_state = None;
@@ -221,12 +221,12 @@
     /// Prepares for the end of the process: the leadership is transferred to another member.
     pub fn transfer_leadership(&mut self, now: u64, effects: &mut Vec<Effect>) {
         self.shutting_down = true;
-        self.step_replica(now, Input::HandOver, effects);
+        self.step_replica(now, Input::PrepareShutdown, effects);
     }
 
     /// Whether a shutdown has nothing left to wait for.
     pub fn can_shut_down(&self) -> bool {
-        !self.replica.is_leader() && !self.replica.awaits_replacement() && self.changes.is_empty()
+        !self.replica.is_leader() && !self.replica.should_delay_shutdown() && self.changes.is_empty()
     }
 
     /// Replaces the seeds after a change of the settings file.
@@ -318,7 +318,7 @@
     /// Whether there was no contact to a leader for longer than an election takes: agents should then try
     /// another machine.
     fn is_isolated(&self, now: u64) -> bool {
-        self.replica.leader_contact(now).is_none_or(|age| age > ELECTION_DURATION_US)
+        self.replica.time_since_leader_contact(now).is_none_or(|age| age > ELECTION_DURATION_US)
     }
 
     /// Updates the age that the feed states for its content.
@@ -326,24 +326,24 @@
         let confirmed_age_ms = if self.holds_lease(now) {
             0
         } else {
-            self.confirmation.confirmed_at.map_or(NEVER_MS, |at| now.saturating_sub(at) / MILLISECOND)
+            self.confirmation.confirmed_at.map_or(NEVER_CONFIRMED_MS, |at| now.saturating_sub(at) / MILLISECOND)
         };
-        let tick = Tick {
+        let tick = Heartbeat {
             confirmed_age_ms,
             configuration_version: self.state.version(),
             roster: RosterOffset::default(),
-            roster_age_ms: NEVER_MS,
+            roster_age_ms: NEVER_CONFIRMED_MS,
         };
-        self.feed.freshness.take(&tick, false, now);
+        self.feed.freshness.update(&tick, false, now);
         if self.is_isolated(now) {
-            self.feed.freshness.lose_proof();
+            self.feed.freshness.clear_confirmation();
         }
     }
 
     /// Whether this machine is in contact with a leader of the group and not shutting down.
     pub fn is_ready(&self, now: u64) -> bool {
         !self.shutting_down
-            && self.replica.leader_contact(now).is_some_and(|age| age < LEADER_CONTACT_TIMEOUT_US)
+            && self.replica.time_since_leader_contact(now).is_some_and(|age| age < LEADER_CONTACT_TIMEOUT_US)
     }
 
     /// Sends the leader the list that it asked for; `None` if it could not be read.
--- a/crates/control/src/node/proposals.rs
+++ b/crates/control/src/node/proposals.rs
@@ -1,6 +1,6 @@
 //! Configuration changes of the operator: checks, proposals to the log and replies.
 
-use dunelink_replication::{Input, Refusal, encode};
+use dunelink_replication::{Input, ProposalError, encode};
 
 use super::{Effect, LEADER_CONTACT_TIMEOUT_US, Node};
 use crate::change_queue::{CallId, ConfigurationChange, Reply};
@@ -114,7 +114,7 @@
         let ConfigurationChange { base, version, digest, body, calls } = change;
         let ticket = self.changes.begin_proposal(digest, calls);
         let command = encode(&Command::Replace { base, version, digest, body: body.to_vec() });
-        self.step_replica(now, Input::Propose { ticket, command }, effects);
+        self.step_replica(now, Input::Propose { proposal_id: ticket, command }, effects);
     }
 
     /// Handles the result of a proposal and replies to its callers.
@@ -122,7 +122,7 @@
         &mut self,
         now: u64,
         ticket: u64,
-        result: Result<u64, Refusal>,
+        result: Result<u64, ProposalError>,
         effects: &mut Vec<Effect>,
     ) {
         let Some((digest, calls)) = self.changes.finish_proposal(ticket) else { return };
@@ -130,18 +130,18 @@
         let reply = match (result, outcome) {
             (Ok(_), Some(ApplyOutcome::Applied | ApplyOutcome::AlreadyApplied)) => Reply::Accepted,
             (Ok(_), Some(ApplyOutcome::Conflict)) => Reply::Conflict { current: self.state.version() },
-            (Ok(_), None) | (Err(Refusal::Uncertain), _) => OUTCOME_UNKNOWN,
-            (Err(Refusal::NotLeader), _) => self.redirect_to_leader(now),
-            (Err(Refusal::Overloaded), _) => OVERLOADED,
+            (Ok(_), None) | (Err(ProposalError::OutcomeUnknown), _) => OUTCOME_UNKNOWN,
+            (Err(ProposalError::NotLeader), _) => self.redirect_to_leader(now),
+            (Err(ProposalError::Overloaded), _) => OVERLOADED,
         };
         reply_all(calls, &reply, effects);
     }
 
     /// Reply to a call that only the leader can answer: its address, if there was recent contact to it.
     fn redirect_to_leader(&self, now: u64) -> Reply {
-        let in_contact = self.replica.leader_contact(now).is_some_and(|age| age < LEADER_CONTACT_TIMEOUT_US);
+        let in_contact = self.replica.time_since_leader_contact(now).is_some_and(|age| age < LEADER_CONTACT_TIMEOUT_US);
         let leader = self.replica.leader().filter(|leader| in_contact && leader.id != self.me.id);
-        leader.map_or(LEADERLESS, |leader| Reply::Redirect(leader.control))
+        leader.map_or(LEADERLESS, |leader| Reply::Redirect(leader.control_address))
     }
 }
 
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -139,7 +139,12 @@
     let (disk_commands, mut events) =
         disk::start(&folder, disk_limits(boot)).context("cannot start the disk thread")?;
     let opened = wait_for_store(&mut events, log).await?;
-    let me = Member { id: founding_id(control), internal, control, zone: boot.zone.clone() };
+    let me = Member {
+        id: founding_id(control),
+        internal_address: internal,
+        control_address: control,
+        zone: boot.zone.clone(),
+    };
     let initial = initial_state(boot, me, opened, &disk_commands, log);
     let node = Node::new(
         node_settings(boot),
@@ -234,7 +239,7 @@
 
 fn hello(boot: &Boot) -> Hello {
     Hello {
-        protocol: PROTOCOL_VERSION,
+        protocol_version: PROTOCOL_VERSION,
         link: LinkKind::Replica,
         node: boot.node_name.clone(),
         ip: boot.ip.to_string(),
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -40,7 +40,7 @@
             loads: NodeLoads::default(),
         });
         entry.demand = report.demand;
-        entry.loads.add(report.loads);
+        entry.loads.merge(report.loads);
         for observation in report.observations {
             add_observation(&mut entry.observations, observation);
         }
--- a/crates/control/src/start.rs
+++ b/crates/control/src/start.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use dunelink_replication::{HardState, Member, Recovered, ReplicaId, Settings};
+use dunelink_replication::{HardState, Member, RecoveredState, ReplicaId, Settings};
 
 use crate::disk::{DiskCommand, OpenedStore, RecordTranslator};
 use crate::identity::{founding_id, founding_members};
@@ -19,8 +19,8 @@
 pub fn replication_settings(tolerated: usize) -> Settings {
     Settings {
         target_voters: 2 * tolerated + 1,
-        election_min: ELECTION_TIMEOUT_MIN_US,
-        election_max: ELECTION_TIMEOUT_MAX_US,
+        election_timeout_min: ELECTION_TIMEOUT_MIN_US,
+        election_timeout_max: ELECTION_TIMEOUT_MAX_US,
         ..Settings::default()
     }
 }
@@ -33,7 +33,7 @@
     /// All voters if this start founds the group; `None` if the replica resumes or joins.
     pub founding: Option<Vec<Member>>,
     /// Persistent state from the store; empty for a founder and for a new member.
-    pub recovered: Recovered,
+    pub recovered: RecoveredState,
     /// First command for the disk thread: assigns the store to this identity.
     pub disk_command: DiskCommand,
 }
@@ -51,7 +51,7 @@
     ) -> Self {
         if let Some(metadata) = opened.metadata.filter(|_| !opened.damaged) {
             me.id = metadata.id;
-            if me.id == founding_id(me.control) {
+            if me.id == founding_id(me.control_address) {
                 me.zone = String::new();
             }
             let translator = RecordTranslator::for_store(metadata, &opened.recovered);
@@ -64,10 +64,10 @@
             // them.
             me.zone = String::new();
         } else {
-            me.id = new_id(me.control);
+            me.id = new_id(me.control_address);
         }
         let disk_command = empty_store_command(me.id, opened.damaged);
-        Self { me, founding, recovered: Recovered::default(), disk_command }
+        Self { me, founding, recovered: RecoveredState::default(), disk_command }
     }
 }
 
--- a/crates/control/tests/disk_thread.rs
+++ b/crates/control/tests/disk_thread.rs
@@ -106,7 +106,7 @@
     let folder = Folder::new("back");
     let (orders, mut events) = start(&folder.0, Limits::default()).expect("the thread starts");
     assert!(opened(&mut events).metadata.is_none());
-    let hard_state = HardState { term: 4, vote: Some(ID) };
+    let hard_state = HardState { term: 4, voted_for: Some(ID) };
     let records = vec![
         Record::Snapshot(snapshot(0)),
         Record::HardState(hard_state),
@@ -152,9 +152,9 @@
 #[test]
 fn contents_without_an_identity_or_that_do_not_decode_are_damaged() {
     let entries = vec![StoredEntry { index: 1, bytes: encode(&entry(1, 1)) }];
-    let nameless = dunelink_storage::Recovered { entries, ..Default::default() };
+    let nameless = dunelink_storage::RecoveredState { entries, ..Default::default() };
     assert!(decode_recovered(nameless).damaged);
-    let unreadable = dunelink_storage::Recovered { metadata: Some(vec![0xff]), ..Default::default() };
+    let unreadable = dunelink_storage::RecoveredState { metadata: Some(vec![0xff]), ..Default::default() };
     assert!(decode_recovered(unreadable).damaged);
-    assert!(!decode_recovered(dunelink_storage::Recovered::default()).damaged);
+    assert!(!decode_recovered(dunelink_storage::RecoveredState::default()).damaged);
 }
--- a/crates/control/tests/node_group.rs
+++ b/crates/control/tests/node_group.rs
@@ -5,7 +5,7 @@
 use dunelink_control::change_queue::Reply;
 use dunelink_control::message::{ListResponse, PeerMessage};
 use dunelink_control::node::Effect;
-use dunelink_feed::NEVER_MS;
+use dunelink_feed::NEVER_CONFIRMED_MS;
 use dunelink_protocol::{NodeDemand, ProxyReport, ServerEntry, TenantDemand};
 
 use group::{Group, control, internal};
@@ -27,8 +27,8 @@
         slots: 1,
         ready: true,
         cold_remaining_ms: 0,
-        software: String::new(),
-        weights: None,
+        software_version: String::new(),
+        weights_version: None,
     }
 }
 
@@ -48,14 +48,14 @@
     assert_eq!(group.ask(leader, 0, &body(3, "k")), Reply::Accepted);
     group.run_until("all have it", |group| versions(group) == [3, 3, 3]);
     let follower = group.follower();
-    assert_eq!(group.node(follower).feed().version(), 3);
+    assert_eq!(group.node(follower).feed().configuration_version(), 3);
 }
 
 #[test]
 fn others_send_the_caller_to_the_leader_unless_the_order_was_taken() {
     let mut group = Group::founded();
     let (leader, follower) = (group.leader().expect("a leader"), group.follower());
-    let elsewhere = group.node(leader).me().control;
+    let elsewhere = group.node(leader).me().control_address;
     assert_eq!(group.ask(follower, 0, &body(3, "k")), Reply::Redirect(elsewhere));
     assert_eq!(group.node(follower).read_configuration(group.now), Reply::Redirect(elsewhere));
     group.ask(leader, 0, &body(3, "k"));
@@ -156,7 +156,7 @@
         _ => None,
     });
     let (at, request, to) = asked.expect("one machine is asked");
-    assert_eq!(to.internal, leader);
+    assert_eq!(to.internal_address, leader);
     group
         .act(at, |node, _, effects| node.answer_list_request(&to, request, Some(vec![server("a")]), effects));
     group.run_until("all have it", |group| {
@@ -200,10 +200,10 @@
     TenantDemand {
         tenant: "t".to_owned(),
         rate_per_s: 5.0,
-        passed: 0.0,
-        request_units: 1.0,
+        admitted: 0.0,
+        mean_request_units: 1.0,
         incarnation: 1,
-        counted: 0.0,
+        acknowledged: 0.0,
         ..TenantDemand::default()
     }
 }
@@ -214,7 +214,7 @@
     let (leader, follower) = (group.leader().expect("a leader"), group.follower());
     let age = |group: &mut Group, at| {
         group.act(at, |node, now, _| node.update_freshness(now));
-        group.node(at).feed().tick(group.now).confirmed_age_ms
+        group.node(at).feed().heartbeat(group.now).confirmed_age_ms
     };
     group.run(500);
     assert_eq!(age(&mut group, leader), 0);
@@ -238,12 +238,12 @@
                 group.run(50);
                 group.act(alone, |node, now, _| node.update_freshness(now));
             }
-            group.node(alone).feed().tick(group.now).confirmed_age_ms
+            group.node(alone).feed().heartbeat(group.now).confirmed_age_ms
         };
         assert!(refreshed(&mut group, 500) <= 200);
         group.machines.iter_mut().for_each(|(address, machine)| machine.up = *address == alone);
         assert!(refreshed(&mut group, 400) <= 600, "an election takes as long");
-        assert_eq!(refreshed(&mut group, 1_000), NEVER_MS);
+        assert_eq!(refreshed(&mut group, 1_000), NEVER_CONFIRMED_MS);
         group.machines.values_mut().for_each(|machine| machine.up = true);
         assert!(refreshed(&mut group, 3_000) <= 200);
     }
@@ -261,7 +261,7 @@
     group.run_until("it votes", |group| group.node(leader).replica().membership().is_voter(id));
     group.run_until("the lost one is out", |group| {
         let membership = group.node(leader).replica().membership();
-        let is_new = membership.voters.iter().any(|voter| voter.control == control(4));
-        is_new && membership.voters.len() == 3 && membership.incoming.is_none()
+        let is_new = membership.voters.iter().any(|voter| voter.control_address == control(4));
+        is_new && membership.voters.len() == 3 && membership.incoming_voters.is_none()
     });
 }
