--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -147,12 +147,7 @@
     require(metadata.is_some() || is_blank);
     let hard_state = metadata.map(|metadata| metadata.hard_state);
     let notes = stored.notes.iter().map(|note| format!("{note:?}")).collect();
-    OpenedStore {
-        metadata,
-        recovered: RecoveredState { hard_state, snapshot, entries },
-        damaged,
-        notes,
-    }
+    OpenedStore { metadata, recovered: RecoveredState { hard_state, snapshot, entries }, damaged, notes }
 }
 
 /// Translates the replica's records into operations of the store.
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -128,7 +128,9 @@
             Output::Write { sequence, records } => effects.push(Effect::Write { sequence, records }),
             Output::Apply { index, command } => self.apply(index, &command, effects),
             Output::Restore { index, state } => self.restore(index, &state, effects),
-            Output::ProposalResult { proposal_id, result } => self.handle_proposal_result(now, proposal_id, result, effects),
+            Output::ProposalResult { proposal_id, result } => {
+                self.handle_proposal_result(now, proposal_id, result, effects)
+            }
             Output::TakeSnapshot { index } => {
                 let state = self.state.snapshot();
                 snapshots.push(Input::SnapshotTaken { index, state });
@@ -243,7 +245,8 @@
     /// Asks known machines for membership: without one, or after some time without a leader.
     pub(super) fn send_join_requests(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let is_member = self.replica.membership().contains(self.me.id);
-        let is_leaderless = self.replica.time_since_leader_contact(now).is_none_or(|age| age > JOIN_AFTER_LEADERLESS_US);
+        let is_leaderless =
+            self.replica.time_since_leader_contact(now).is_none_or(|age| age > JOIN_AFTER_LEADERLESS_US);
         let is_past_start = now > self.identity_since + JOIN_AFTER_LEADERLESS_US;
         if self.shutting_down || (is_member && !(is_leaderless && is_past_start)) {
             return;
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -326,7 +326,9 @@
         let confirmed_age_ms = if self.holds_lease(now) {
             0
         } else {
-            self.confirmation.confirmed_at.map_or(NEVER_CONFIRMED_MS, |at| now.saturating_sub(at) / MILLISECOND)
+            self.confirmation
+                .confirmed_at
+                .map_or(NEVER_CONFIRMED_MS, |at| now.saturating_sub(at) / MILLISECOND)
         };
         let tick = Heartbeat {
             confirmed_age_ms,
--- a/crates/control/src/node/proposals.rs
+++ b/crates/control/src/node/proposals.rs
@@ -139,7 +139,8 @@
 
     /// Reply to a call that only the leader can answer: its address, if there was recent contact to it.
     fn redirect_to_leader(&self, now: u64) -> Reply {
-        let in_contact = self.replica.time_since_leader_contact(now).is_some_and(|age| age < LEADER_CONTACT_TIMEOUT_US);
+        let in_contact =
+            self.replica.time_since_leader_contact(now).is_some_and(|age| age < LEADER_CONTACT_TIMEOUT_US);
         let leader = self.replica.leader().filter(|leader| in_contact && leader.id != self.me.id);
         leader.map_or(LEADERLESS, |leader| Reply::Redirect(leader.control_address))
     }
