--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -1,32 +1,32 @@
-//! Encoding of records and messages.
+//! CBOR encoding of records and messages.
 
 use minicbor::{Decode, Encode};
 
-/// Bytes that are no record or message of this version.
+/// The bytes are not a valid record or message of this version.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed replication data ({0}); check that all replicas run the same version")]
 pub struct CodecError(#[from] minicbor::decode::Error);
 
-/// Encodes a [`crate::Record`], [`crate::Message`] or any part of them.
+/// Encodes a [`crate::Record`], a [`crate::Message`] or any part of one.
 pub fn encode<T: Encode<()>>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut encoder = minicbor::Encoder::new(&mut bytes);
-    // Writing to a vector has no error.
+    // Writing to a vector cannot fail.
     let _ = encoder.encode(value);
     bytes
 }
 
-/// Decodes what [`encode`] wrote; bytes after the value are an error.
+/// Decodes the output of [`encode`]. Trailing bytes are an error.
 pub fn decode<'b, T: Decode<'b, ()>>(bytes: &'b [u8]) -> Result<T, CodecError> {
     let mut decoder = minicbor::Decoder::new(bytes);
     let value = decoder.decode()?;
     if decoder.position() == bytes.len() {
         return Ok(value);
     }
-    Err(CodecError(minicbor::decode::Error::message("bytes after the value")))
+    Err(CodecError(minicbor::decode::Error::message("trailing bytes after the value")))
 }
 
-/// Socket addresses as text.
+/// Encodes socket addresses as text.
 pub(crate) mod address {
     use std::net::SocketAddr;
 
--- a/crates/replication/src/disk.rs
+++ b/crates/replication/src/disk.rs
@@ -1,59 +1,60 @@
-//! Writes in flight, and what is known to be synced.
+//! Tracks the writes in flight and the synced part of the log.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
 use crate::record::Record;
 
-/// Follows which writes a disk may carry out after one of them failed.
+/// Decides which writes a host may carry out after one of them failed.
 ///
-/// After a failure the disk may still have later writes in its queue, and storing them would leave a gap. Sequences
-/// rise by one from write to write, but the first attempt after a failure skips a number. So each write that directly
-/// follows a failed one fails too, until one skips.
+/// After a failure, the host may still have later writes in its queue, and storing them would leave a gap in
+/// the log. Sequence numbers increase by one from write to write, but the first retry after a failure skips a
+/// number. Each write that directly follows a failed one must therefore fail too, until a number is skipped.
 #[derive(Clone, Debug, Default)]
 pub struct WriteFence {
     failed: Option<u64>,
 }
 
 impl WriteFence {
-    /// Whether the write may be carried out; if not, report it with [`crate::Input::WriteFailed`].
+    /// Whether the write may be carried out. If not, the host reports it with [`crate::Input::WriteFailed`].
     pub fn accepts(&mut self, sequence: u64) -> bool {
-        let follows = self.failed.is_some_and(|failed| sequence <= failed.saturating_add(1));
-        self.failed = follows.then_some(sequence);
-        !follows
+        let is_behind_failure = self.failed.is_some_and(|failed| sequence <= failed.saturating_add(1));
+        self.failed = is_behind_failure.then_some(sequence);
+        !is_behind_failure
     }
 
-    /// Notes that a write failed.
+    /// Records that a write failed.
     pub fn record_failure(&mut self, sequence: u64) {
         self.failed = Some(sequence);
     }
 }
 
-/// Which parts of the stored state some writes change.
+/// The parts of the stored state that a set of writes changes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Touched {
+pub(crate) struct ChangedState {
     pub(crate) hard_state: bool,
     pub(crate) snapshot: bool,
-    /// Lowest index that is appended or removed.
-    pub(crate) from: Option<u64>,
+    /// Lowest log index that is appended or removed; `None` if the log is unchanged.
+    pub(crate) first_index: Option<u64>,
 }
 
-impl Touched {
+impl ChangedState {
     fn of(records: &[Record]) -> Self {
-        let mut touched = Self::default();
+        let mut changes = Self::default();
         for record in records {
             match record {
-                Record::HardState(_) => touched.hard_state = true,
-                Record::Snapshot(_) => touched.snapshot = true,
-                Record::Append(entry) => touched.lower(Some(entry.index)),
-                Record::Truncate { from } => touched.lower(Some(*from)),
+                Record::HardState(_) => changes.hard_state = true,
+                Record::Snapshot(_) => changes.snapshot = true,
+                Record::Append(entry) => changes.lower_first_index(Some(entry.index)),
+                Record::Truncate { from } => changes.lower_first_index(Some(*from)),
             }
         }
-        touched
+        changes
     }
 
-    fn lower(&mut self, from: Option<u64>) {
-        self.from = match (self.from, from) {
+    /// Extends the changed range of the log down to `first_index`.
+    fn lower_first_index(&mut self, first_index: Option<u64>) {
+        self.first_index = match (self.first_index, first_index) {
             (Some(left), Some(right)) => Some(left.min(right)),
             (left, right) => left.or(right),
         };
@@ -62,38 +63,40 @@
     fn merge(&mut self, other: Self) {
         self.hard_state |= other.hard_state;
         self.snapshot |= other.snapshot;
-        self.lower(other.from);
+        self.lower_first_index(other.first_index);
     }
 }
 
+/// A write that is not synced yet.
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingWrite {
     sequence: u64,
-    issued: Micros,
-    touched: Touched,
-    /// Last index that is on the disk once this write is synced.
+    submitted_at: Micros,
+    changes: ChangedState,
+    /// Last index that is synced once this write is.
     last_index: u64,
 }
 
+/// All writes since a failure, to be retried as one.
 #[derive(Clone, Debug)]
-struct Failed {
-    touched: Touched,
+struct FailedWrite {
+    changes: ChangedState,
     retry_at: Micros,
     retry_sequence: u64,
 }
 
-/// The disk as the replica sees it.
+/// The writes submitted to the host's disk and their outcomes.
 #[derive(Clone, Debug)]
-pub(crate) struct Disk {
+pub(crate) struct WriteTracker {
     next_sequence: u64,
     synced_sequence: u64,
     synced_index: u64,
-    in_flight: VecDeque<Pending>,
-    failed: Option<Failed>,
-    progressed: Micros,
+    in_flight: VecDeque<PendingWrite>,
+    failed: Option<FailedWrite>,
+    last_synced_at: Micros,
 }
 
-impl Disk {
+impl WriteTracker {
     pub(crate) fn new(synced_index: u64) -> Self {
         Self {
             next_sequence: 1,
@@ -101,11 +104,11 @@
             synced_index,
             in_flight: VecDeque::new(),
             failed: None,
-            progressed: 0,
+            last_synced_at: 0,
         }
     }
 
-    /// Last index that is synced.
+    /// Last synced index.
     pub(crate) fn synced_index(&self) -> u64 {
         self.synced_index
     }
@@ -114,87 +117,90 @@
         self.synced_sequence >= sequence
     }
 
-    /// Sequence that covers everything submitted up to now, and `staged` too.
-    pub(crate) fn sequence(&self, staged: bool) -> u64 {
+    /// Sequence number of the write that completes everything submitted so far, and the staged records if
+    /// there are any.
+    pub(crate) fn covering_sequence(&self, has_staged: bool) -> u64 {
         match &self.failed {
             Some(failed) => failed.retry_sequence,
-            None if staged => self.next_sequence,
-            None => self.in_flight.back().map_or(self.synced_sequence, |pending| pending.sequence),
+            None if has_staged => self.next_sequence,
+            None => self.in_flight.back().map_or(self.synced_sequence, |write| write.sequence),
         }
     }
 
-    /// Submits records; the sequence to write them under, or none while a failed write waits for its next attempt.
+    /// Submits records. Returns the sequence number of their write, or `None` while a failed write awaits its
+    /// retry.
     pub(crate) fn submit(&mut self, now: Micros, records: &[Record], last_index: u64) -> Option<u64> {
-        let touched = Touched::of(records);
-        self.lower_synced(touched.from);
+        let changes = ChangedState::of(records);
+        self.cap_synced_index(changes.first_index);
         if let Some(failed) = &mut self.failed {
-            failed.touched.merge(touched);
+            failed.changes.merge(changes);
             return None;
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.in_flight.push_back(Pending { sequence, issued: now, touched, last_index });
+        self.in_flight.push_back(PendingWrite { sequence, submitted_at: now, changes, last_index });
         Some(sequence)
     }
 
-    /// Notes a synced write; false if it is not one of those in flight.
-    pub(crate) fn written(&mut self, now: Micros, sequence: u64) -> bool {
-        if !self.in_flight.iter().any(|pending| pending.sequence == sequence) {
+    /// Records a synced write. Returns false if it is not in flight.
+    pub(crate) fn mark_written(&mut self, now: Micros, sequence: u64) -> bool {
+        if !self.in_flight.iter().any(|write| write.sequence == sequence) {
             return false;
         }
-        while self.in_flight.front().is_some_and(|pending| pending.sequence <= sequence) {
-            if let Some(pending) = self.in_flight.pop_front() {
-                self.synced_index = pending.last_index;
+        while self.in_flight.front().is_some_and(|write| write.sequence <= sequence) {
+            if let Some(write) = self.in_flight.pop_front() {
+                self.synced_index = write.last_index;
             }
         }
         self.synced_sequence = sequence;
-        self.progressed = now;
+        self.last_synced_at = now;
         true
     }
 
-    /// Notes a failed write: it and all after it wait for the next attempt.
-    pub(crate) fn write_failed(&mut self, sequence: u64, retry_at: Micros) {
-        let Some(place) = self.in_flight.iter().position(|pending| pending.sequence == sequence) else {
+    /// Records a failed write. It and all later writes are retried together at `retry_at`.
+    pub(crate) fn mark_failed(&mut self, sequence: u64, retry_at: Micros) {
+        let Some(position) = self.in_flight.iter().position(|write| write.sequence == sequence) else {
             return;
         };
-        let mut touched = Touched::default();
-        for pending in self.in_flight.drain(place..) {
-            touched.merge(pending.touched);
+        let mut changes = ChangedState::default();
+        for write in self.in_flight.drain(position..) {
+            changes.merge(write.changes);
         }
         let retry_sequence = self.next_sequence + 1;
         self.next_sequence = retry_sequence + 1;
-        self.failed = Some(Failed { touched, retry_at, retry_sequence });
+        self.failed = Some(FailedWrite { changes, retry_at, retry_sequence });
     }
 
-    /// When the next attempt after a failure is due.
+    /// When the retry after a failure is due; `None` without a failure.
     pub(crate) fn retry_at(&self) -> Option<Micros> {
         self.failed.as_ref().map(|failed| failed.retry_at)
     }
 
-    /// Starts the next attempt if it is due: its sequence, and what it has to contain.
-    pub(crate) fn retry(&mut self, now: Micros, last_index: u64) -> Option<(u64, Touched)> {
+    /// Starts the retry if it is due. Returns its sequence number and the state that it has to write.
+    pub(crate) fn start_retry(&mut self, now: Micros, last_index: u64) -> Option<(u64, ChangedState)> {
         let failed = self.failed.take_if(|failed| now >= failed.retry_at)?;
-        let (sequence, touched) = (failed.retry_sequence, failed.touched);
-        self.in_flight.push_back(Pending { sequence, issued: now, touched, last_index });
-        Some((sequence, touched))
+        let (sequence, changes) = (failed.retry_sequence, failed.changes);
+        self.in_flight.push_back(PendingWrite { sequence, submitted_at: now, changes, last_index });
+        Some((sequence, changes))
     }
 
-    /// When the oldest write in flight counts as stalled.
-    pub(crate) fn stalls_at(&self, limit: Micros) -> Option<Micros> {
+    /// When the oldest write in flight counts as stalled; `None` if nothing is in flight.
+    pub(crate) fn stall_deadline(&self, stall_timeout: Micros) -> Option<Micros> {
         let oldest = self.in_flight.front()?;
-        Some(oldest.issued.max(self.progressed).saturating_add(limit))
+        Some(oldest.submitted_at.max(self.last_synced_at).saturating_add(stall_timeout))
     }
 
-    /// Whether writes succeed in time.
-    pub(crate) fn is_healthy(&self, now: Micros, limit: Micros) -> bool {
-        self.failed.is_none() && self.stalls_at(limit).is_none_or(|at| now < at)
+    /// Whether writes succeed without stalling.
+    pub(crate) fn is_healthy(&self, now: Micros, stall_timeout: Micros) -> bool {
+        self.failed.is_none() && self.stall_deadline(stall_timeout).is_none_or(|at| now < at)
     }
 
-    fn lower_synced(&mut self, from: Option<u64>) {
-        let Some(kept) = from.map(|from| from.saturating_sub(1)) else { return };
-        self.synced_index = self.synced_index.min(kept);
-        for pending in &mut self.in_flight {
-            pending.last_index = pending.last_index.min(kept);
+    /// Entries at and after `first_index` are replaced: their earlier writes no longer count as synced.
+    fn cap_synced_index(&mut self, first_index: Option<u64>) {
+        let Some(last_kept) = first_index.map(|index| index.saturating_sub(1)) else { return };
+        self.synced_index = self.synced_index.min(last_kept);
+        for write in &mut self.in_flight {
+            write.last_index = write.last_index.min(last_kept);
         }
     }
 }
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -4,116 +4,117 @@
 use crate::message::Message;
 use crate::record::Record;
 
-/// What happened on the host.
+/// An event on the host.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The time of [`crate::Replica::next_deadline`] has come; harmless at any other time.
+    /// The time of [`crate::Replica::next_deadline`] has come. A tick at any other time is harmless.
     Tick,
-    /// A message came in.
+    /// A message was received.
     Received {
         /// Identity of the sender.
         from: ReplicaId,
         /// The message.
         message: Message,
     },
-    /// A command to commit; answered by [`Output::ProposalResult`] with the same id.
+    /// Proposes a command. Its outcome is reported by [`Output::ProposalResult`] with the same id.
     Propose {
-        /// Number chosen by the host.
+        /// Identifier chosen by the host.
         proposal_id: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// The write is synced, with all before it.
+    /// A write and all earlier writes are synced.
     Written {
-        /// Its sequence.
+        /// Sequence number of the write.
         sequence: u64,
     },
-    /// The write failed, wholly or in part.
+    /// A write failed, entirely or in part.
     WriteFailed {
-        /// Its sequence.
+        /// Sequence number of the write.
         sequence: u64,
     },
-    /// A replica wants to join; does something only on the leader.
+    /// A replica asks to join the group, or reports a new address. Has an effect only on the leader.
     Join(Member),
-    /// The process is about to end: hand over the leadership and do not stand again.
+    /// The process is shutting down: the replica hands over the leadership and does not campaign again.
     PrepareShutdown,
-    /// Answer to [`Output::TakeSnapshot`].
+    /// The state requested by [`Output::TakeSnapshot`].
     SnapshotTaken {
-        /// Index of the request.
+        /// `index` of the request.
         index: u64,
-        /// State of the host after the entry at that index.
+        /// State of the host after it applied the entry at `index`.
         state: Vec<u8>,
     },
 }
 
-/// What the host carries out, in order.
+/// An action for the host. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message; it may be lost.
+    /// Send a message. Messages may be lost.
     Send {
-        /// Receiver; the message is for this identity only.
+        /// Receiver. The message must not reach another identity at the same address.
         to: Member,
         /// The message.
         message: Message,
     },
-    /// Write and sync records, then hand in [`Input::Written`] or [`Input::WriteFailed`].
+    /// Write and sync records, then report [`Input::Written`] or [`Input::WriteFailed`].
     Write {
-        /// Rises with each write.
+        /// Sequence number, increasing with each write.
         sequence: u64,
-        /// Records in their order.
+        /// Records in the order of writing.
         records: Vec<Record>,
     },
-    /// A committed command.
+    /// Apply a committed command.
     Apply {
-        /// Its index.
+        /// Index of the command's entry.
         index: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// Replace the whole state.
+    /// Replace the whole state of the host.
     Restore {
-        /// Last index that the state contains.
+        /// Index of the last entry contained in the state.
         index: u64,
-        /// The state.
+        /// The new state.
         state: Vec<u8>,
     },
     /// Outcome of a proposal.
     ProposalResult {
-        /// Number of the proposal.
+        /// `proposal_id` of the [`Input::Propose`].
         proposal_id: u64,
-        /// Index at which it is committed and applied.
+        /// Index at which the command was committed and applied, or the reason why there is none.
         result: Result<u64, ProposalError>,
     },
-    /// Take the state as it is after the outputs before this one, and hand it in as [`Input::SnapshotTaken`], now or later.
+    /// Capture the state as of the preceding outputs and pass it in as [`Input::SnapshotTaken`], now or
+    /// later.
     TakeSnapshot {
-        /// Index that the state contains.
+        /// Index of the last entry contained in the state.
         index: u64,
     },
-    /// Another leader, or none, is known.
+    /// The known leader or its term changed.
     LeaderChanged {
-        /// The leader.
+        /// The leader; `None` if unknown.
         leader: Option<Member>,
-        /// The term.
+        /// The current term.
         term: u64,
-        /// Whether it is this replica.
+        /// Whether this replica is the leader.
         is_self: bool,
     },
-    /// Another membership is in force.
+    /// A new membership is in force.
     MembershipChanged(Membership),
-    /// This identity is no longer a member: throw the log away and join under a new one.
+    /// This identity is no longer a member: discard the log and join under a new identity.
     RemovedFromGroup,
 }
 
-/// Why a proposal has no index.
+/// Why a proposal did not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
-    /// Not taken: this replica does not lead.
-    #[error("this replica does not lead the group; send the proposal to the leader")]
+    /// Rejected: this replica is not the leader, or is handing over the leadership.
+    #[error("this replica is not the leader of the group; send the proposal to the leader")]
     NotLeader,
-    /// Not taken: too much is waiting to be committed.
+    /// Rejected: too many bytes are waiting to be committed.
     #[error("too many proposals are waiting to be committed; send it again later")]
     Overloaded,
-    /// Taken, and it may or may not be committed later.
-    #[error("the leadership was lost before the outcome was known; read the state and decide then")]
+    /// Accepted, but the leadership was lost: the command may or may not be committed later.
+    #[error("the leadership was lost before the outcome was known; read the state before proposing again")]
     OutcomeUnknown,
 }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with messages of a leader.
+//! The follower role: handling of messages from a leader.
 
 use crate::members::{Member, ReplicaId};
 use crate::message::Message;
@@ -17,41 +17,41 @@
             return;
         };
         let term = *term;
-        let Some(sender) = self.sender(from, &message) else { return };
+        let Some(sender) = self.resolve_sender(from, &message) else { return };
         if term < self.hard_state.term {
-            return self.answer_heartbeat(sender, 0);
+            return self.send_heartbeat_reply(sender, 0);
         }
         if let Message::TimeoutNow { .. } = message {
             if term == self.hard_state.term && self.leader.as_ref() == Some(&sender) {
-                self.on_stand_now();
+                self.on_timeout_now();
             }
             return;
         }
-        if term == self.hard_state.term && self.leading.is_some() {
+        if term == self.hard_state.term && self.leader_state.is_some() {
             return;
         }
         if term > self.hard_state.term
             || self.role == Role::Candidate
             || self.leader.as_ref() != Some(&sender)
         {
-            self.follow(term, Some(sender.clone()));
+            self.become_follower(term, Some(sender.clone()));
         }
-        self.heard_leader = Some(self.now);
-        self.needed_candidate = false;
+        self.last_leader_message_at = Some(self.now);
+        self.campaigns_as_non_voter = false;
         self.reset_election_deadline();
         match message {
             Message::Heartbeat { round, commit_index, leader_holds_lease, .. } => {
                 if leader_holds_lease {
-                    self.contact = Some(self.now);
+                    self.lease_holder_heard_at = Some(self.now);
                 }
-                self.answer_heartbeat(sender, round);
-                self.learn_commit(commit_index);
+                self.send_heartbeat_reply(sender, round);
+                self.update_commit_index(commit_index);
             }
             Message::Append { prev_index, prev_term, entries, commit_index, .. } => {
                 self.on_append(sender, prev_index, prev_term, entries);
-                self.learn_commit(commit_index);
+                self.update_commit_index(commit_index);
             }
-            Message::CommitUpdate { commit_index, .. } => self.learn_commit(commit_index),
+            Message::CommitUpdate { commit_index, .. } => self.update_commit_index(commit_index),
             Message::Chunk { header, offset, total_bytes, bytes, .. } => {
                 self.on_chunk(sender, header, offset, total_bytes, bytes)
             }
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Who to answer: the leader that a heartbeat names, or one that is known already.
-    fn sender(&self, from: ReplicaId, message: &Message) -> Option<Member> {
+    /// The member to reply to: the leader named in a heartbeat, or else a known leader or member.
+    fn resolve_sender(&self, from: ReplicaId, message: &Message) -> Option<Member> {
         if let Message::Heartbeat { leader, .. } = message {
             return Some(leader.clone()).filter(|leader| leader.id == from);
         }
@@ -68,36 +68,37 @@
         known.or_else(|| self.membership().get(from)).cloned()
     }
 
-    fn answer_heartbeat(&mut self, to: Member, round: u64) {
+    fn send_heartbeat_reply(&mut self, to: Member, round: u64) {
         let term = self.hard_state.term;
         let disk_healthy = self.disk_is_healthy();
         let shutting_down = self.shutting_down;
-        self.send_in_term(to, Message::HeartbeatReply { term, round, disk_healthy, shutting_down });
+        self.send_after_term_sync(to, Message::HeartbeatReply { term, round, disk_healthy, shutting_down });
     }
 
     fn on_append(&mut self, leader: Member, prev_index: u64, prev_term: u64, entries: Vec<Entry>) {
         if self.membership().is_empty() {
-            return self.reject(leader, prev_index, true);
+            return self.reject_append(leader, prev_index, true);
         }
         if prev_index < self.commit_index {
-            return self.on_late_append(leader, prev_index, entries);
+            return self.on_overlapping_append(leader, prev_index, entries);
         }
         if self.log.term_at(prev_index) != Some(prev_term) {
-            return self.reject(leader, prev_index, false);
+            return self.reject_append(leader, prev_index, false);
         }
-        self.take_entries(leader, prev_index, entries);
+        self.append_entries(leader, prev_index, entries);
     }
 
-    /// Entries that begin within what is committed here, and so is equal.
-    fn on_late_append(&mut self, leader: Member, prev_index: u64, mut entries: Vec<Entry>) {
-        let known = usize::try_from(self.commit_index - prev_index).unwrap_or(usize::MAX).min(entries.len());
-        entries.drain(..known);
+    /// Handles entries that start within the committed part of the log, which matches the leader's.
+    fn on_overlapping_append(&mut self, leader: Member, prev_index: u64, mut entries: Vec<Entry>) {
+        let committed =
+            usize::try_from(self.commit_index - prev_index).unwrap_or(usize::MAX).min(entries.len());
+        entries.drain(..committed);
         let prev_index = self.commit_index;
-        self.take_entries(leader, prev_index, entries);
+        self.append_entries(leader, prev_index, entries);
     }
 
-    /// Entries right after `prev_index`, up to which the log equals the leader's.
-    pub(crate) fn take_entries(&mut self, leader: Member, prev_index: u64, entries: Vec<Entry>) {
+    /// Appends entries that follow `prev_index`, up to which the log matches the leader's.
+    pub(crate) fn append_entries(&mut self, leader: Member, prev_index: u64, entries: Vec<Entry>) {
         let mut match_index = prev_index;
         let mut last_term = self.log.term_at(prev_index).unwrap_or(0);
         for entry in entries {
@@ -109,43 +110,46 @@
             match_index = entry.index;
             match self.log.term_at(entry.index) {
                 Some(term) if term == entry.term => continue,
-                Some(_) => self.truncate(entry.index),
+                Some(_) => self.truncate_log(entry.index),
                 None => {}
             }
-            self.push_entry(entry);
+            self.append_entry(entry);
         }
-        self.confirm(leader, match_index);
+        self.acknowledge(leader, match_index);
     }
 
-    /// The log equals the leader's up to `match_index`; tells so once that is synced.
-    pub(crate) fn confirm(&mut self, leader: Member, match_index: u64) {
-        self.verified = self.verified.max(match_index);
+    /// Records that the log matches the leader's up to `match_index`, and acknowledges that once it is
+    /// synced.
+    pub(crate) fn acknowledge(&mut self, leader: Member, match_index: u64) {
+        self.verified_index = self.verified_index.max(match_index);
         let term = self.hard_state.term;
-        self.send_synced(leader, Message::AppendAccepted { term, match_index });
+        self.send_after_sync(leader, Message::AppendAccepted { term, match_index });
     }
 
-    fn reject(&mut self, leader: Member, prev_index: u64, needs_snapshot: bool) {
+    fn reject_append(&mut self, leader: Member, prev_index: u64, needs_snapshot: bool) {
         let (hint_index, hint_term) = self.conflict_hint(prev_index);
         let term = self.hard_state.term;
         let message = Message::AppendRejected { term, prev_index, hint_index, hint_term, needs_snapshot };
-        self.send_in_term(leader, message);
+        self.send_after_term_sync(leader, message);
     }
 
-    /// Last entry before the term that differs at `prev_index`, or the last one of all.
+    /// (index, term) of the last entry that may match the leader's: the one before the term found at
+    /// `prev_index`, or the last entry if the log is shorter.
     fn conflict_hint(&self, prev_index: u64) -> (u64, u64) {
         let last = self.log.last();
         if prev_index > last.index {
             return (last.index, last.term);
         }
-        let conflicting = self.log.term_at(prev_index);
+        let conflicting_term = self.log.term_at(prev_index);
         let mut index = prev_index;
-        while index > self.commit_index && self.log.term_at(index) == conflicting {
+        while index > self.commit_index && self.log.term_at(index) == conflicting_term {
             index -= 1;
         }
         (index, self.log.term_at(index).unwrap_or(0))
     }
 
-    pub(crate) fn learn_commit(&mut self, commit_index: u64) {
-        self.commit_to(commit_index.min(self.verified));
+    /// Advances the commit index, as far as the log is known to match the leader's.
+    pub(crate) fn update_commit_index(&mut self, commit_index: u64) {
+        self.commit_up_to(commit_index.min(self.verified_index));
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,16 +1,17 @@
-//! Replicated state by majority: log, leader lease, change of members; no I/O.
+//! Raft consensus as a state machine without I/O: replicated log, leader lease, membership changes.
 //!
-//! [`Replica`] is a state machine in the manner of Raft (Ongaro and Ousterhout, 2014) with pre-vote, leases on the
-//! steady clock and joint consensus. The host calls [`Replica::handle`] with an [`Input`] and the time, and carries
-//! out the [`Output`]s in their order. Nothing here opens a socket or a file, reads a clock or starts a thread.
+//! [`Replica`] implements Raft (Ongaro and Ousterhout, 2014) with pre-vote, leader leases on the monotonic
+//! clock and joint consensus. The host calls [`Replica::handle`] with an [`Input`] and the current time, and
+//! carries out the returned [`Output`]s in order. This crate opens no sockets or files, reads no clock and
+//! starts no threads.
 //!
-//! What the host must keep to:
-//! - Records of one [`Output::Write`] go to the disk in their order, and writes in the order of their sequences.
-//!   [`Input::Written`] is handed in only after the records are synced. After a failed write the disk follows
-//!   [`WriteFence`].
-//! - A message reaches only the identity that [`Output::Send`] names: one that was sent to an older identity at the
-//!   same address is dropped.
-//! - [`Output::Apply`] and [`Output::Restore`] change the state in the order of the outputs, before the answers that
+//! Requirements on the host:
+//! - It writes the records of one [`Output::Write`] in order, and separate writes in the order of their
+//!   sequence numbers. It passes [`Input::Written`] only after the records are synced. After a failed write
+//!   it consults [`WriteFence`] before each further write.
+//! - It delivers a message only to the identity named in [`Output::Send`], and drops a message addressed to
+//!   an older identity at the same address.
+//! - It applies [`Output::Apply`] and [`Output::Restore`] in output order, before the proposal results that
 //!   follow them.
 #![forbid(unsafe_code)]
 
@@ -45,5 +46,5 @@
 pub use settings::Settings;
 pub use status::{PeerStatus, Role, Status};
 
-/// Steady clock of one machine, in microseconds from an arbitrary start.
+/// Time on the monotonic clock of one machine, or a duration, in microseconds. The epoch is arbitrary.
 pub type Micros = u64;
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,4 +1,4 @@
-//! Entries in memory, and the newest snapshot.
+//! The in-memory log and the latest snapshot.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,22 +12,22 @@
     pub(crate) term: u64,
 }
 
-/// The log from some index on. `before` is the position right before the first entry kept.
+/// The log entries after `base`, the position that directly precedes the first entry in memory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
-    before: Position,
+    base: Position,
     entries: VecDeque<Entry>,
     bytes: usize,
     snapshot: Option<Arc<Snapshot>>,
 }
 
 impl Log {
-    /// A log as read back; entries that do not follow the snapshot without a gap are dropped.
-    pub(crate) fn recovered(snapshot: Option<Snapshot>, entries: Vec<Entry>) -> Self {
-        let before =
-            snapshot.as_ref().map(|snapshot| Position { index: snapshot.index, term: snapshot.term });
+    /// Rebuilds the log from recovered state. Entries that do not follow the snapshot without a gap are
+    /// dropped.
+    pub(crate) fn recover(snapshot: Option<Snapshot>, entries: Vec<Entry>) -> Self {
+        let base = snapshot.as_ref().map(|snapshot| Position { index: snapshot.index, term: snapshot.term });
         let mut log =
-            Self { before: before.unwrap_or_default(), snapshot: snapshot.map(Arc::new), ..Self::default() };
+            Self { base: base.unwrap_or_default(), snapshot: snapshot.map(Arc::new), ..Self::default() };
         for entry in entries {
             if entry.index == log.last().index.saturating_add(1) {
                 log.push(entry);
@@ -48,42 +48,42 @@
         self.bytes
     }
 
-    /// Index before the first entry in memory.
-    pub(crate) fn before(&self) -> u64 {
-        self.before.index
+    /// Index that directly precedes the first entry in memory.
+    pub(crate) fn base_index(&self) -> u64 {
+        self.base.index
     }
 
     pub(crate) fn last(&self) -> Position {
-        self.entries.back().map_or(self.before, |entry| Position { index: entry.index, term: entry.term })
+        self.entries.back().map_or(self.base, |entry| Position { index: entry.index, term: entry.term })
     }
 
     pub(crate) fn get(&self, index: u64) -> Option<&Entry> {
-        let place = index.checked_sub(self.before.index)?.checked_sub(1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+        let offset = index.checked_sub(self.base.index)?.checked_sub(1)?;
+        self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Term of the entry at `index`, if it is known.
+    /// Term of the entry at `index`; `None` if the log does not contain it.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.before.index {
-            return Some(self.before.term);
+        if index == self.base.index {
+            return Some(self.base.term);
         }
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Entries from `index` on.
-    pub(crate) fn from(&self, index: u64) -> impl Iterator<Item = &Entry> {
-        let skipped = index.saturating_sub(self.before.index.saturating_add(1));
+    /// Entries at and after `index`.
+    pub(crate) fn entries_from(&self, index: u64) -> impl Iterator<Item = &Entry> {
+        let skipped = index.saturating_sub(self.base.index.saturating_add(1));
         self.entries.iter().skip(usize::try_from(skipped).unwrap_or(usize::MAX))
     }
 
-    /// Adds the entry after the last one.
+    /// Appends an entry, whose index must directly follow the last one.
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
         self.bytes += entry.approximate_bytes();
         self.entries.push_back(entry);
     }
 
-    /// Removes the entries from `index` on.
+    /// Removes all entries at and after `index`.
     pub(crate) fn truncate(&mut self, index: u64) {
         while self.entries.back().is_some_and(|entry| entry.index >= index) {
             let removed = self.entries.pop_back();
@@ -91,18 +91,18 @@
         }
     }
 
-    /// Replaces everything by a snapshot from the leader.
+    /// Replaces the whole log by a snapshot received from the leader.
     pub(crate) fn restore(&mut self, snapshot: Arc<Snapshot>) {
-        self.before = Position { index: snapshot.index, term: snapshot.term };
+        self.base = Position { index: snapshot.index, term: snapshot.term };
         self.entries.clear();
         self.bytes = 0;
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes over a snapshot of this log's own state and drops entries behind it, but for the newest that are within
-    /// both limits.
+    /// Installs a snapshot of the local state and drops the entries that it covers, except for the newest
+    /// ones within both limits.
     pub(crate) fn compact(&mut self, snapshot: Arc<Snapshot>, keep_entries: u64, keep_bytes: usize) {
-        let covered = snapshot.index.saturating_sub(self.before.index);
+        let covered = snapshot.index.saturating_sub(self.base.index);
         let covered = usize::try_from(covered).unwrap_or(usize::MAX).min(self.entries.len());
         let mut kept_bytes = 0;
         let mut kept = 0;
@@ -116,7 +116,7 @@
         let dropped = covered - usize::try_from(kept).unwrap_or(covered).min(covered);
         for entry in self.entries.drain(..dropped) {
             self.bytes -= entry.approximate_bytes();
-            self.before = Position { index: entry.index, term: entry.term };
+            self.base = Position { index: entry.index, term: entry.term };
         }
         self.entries.shrink_to(2 * self.entries.len());
         self.snapshot = Some(snapshot);
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -1,4 +1,4 @@
-//! What a replica writes: records, the next attempt after a failure, snapshots.
+//! Persistence: staged records, retries after failed writes, snapshots.
 
 use std::sync::Arc;
 
@@ -8,118 +8,122 @@
 use crate::replica::Replica;
 
 impl Replica {
-    /// Write that covers all changes up to now.
-    pub(crate) fn sequence(&self) -> u64 {
-        self.disk.sequence(!self.staged.is_empty())
+    /// Sequence number of the write that completes all changes made so far.
+    pub(crate) fn current_write_sequence(&self) -> u64 {
+        self.writes.covering_sequence(!self.staged_records.is_empty())
     }
 
-    pub(crate) fn stage(&mut self, record: Record) {
-        self.staged.push(record);
+    pub(crate) fn stage_record(&mut self, record: Record) {
+        self.staged_records.push(record);
     }
 
-    /// Adds an entry to the log, to be written.
-    pub(crate) fn push_entry(&mut self, entry: Entry) {
-        self.membership_changed |= self.memberships.note(&entry);
-        self.stage(Record::Append(entry.clone()));
+    /// Appends an entry to the log and stages its record.
+    pub(crate) fn append_entry(&mut self, entry: Entry) {
+        self.membership_changed |= self.membership_history.record_entry(&entry);
+        self.stage_record(Record::Append(entry.clone()));
         self.log.push(entry);
     }
 
-    /// Removes entries from an index on.
-    pub(crate) fn truncate(&mut self, from: u64) {
-        self.membership_changed |= self.memberships.truncate(from);
+    /// Removes all entries at and after `from`, and stages the record of that.
+    pub(crate) fn truncate_log(&mut self, from: u64) {
+        self.membership_changed |= self.membership_history.truncate(from);
         self.log.truncate(from);
-        self.verified = self.verified.min(from.saturating_sub(1));
-        self.stage(Record::Truncate { from });
+        self.verified_index = self.verified_index.min(from.saturating_sub(1));
+        self.stage_record(Record::Truncate { from });
     }
 
     pub(crate) fn disk_is_healthy(&self) -> bool {
-        self.disk.is_healthy(self.now, self.settings.disk_stall_timeout)
+        self.writes.is_healthy(self.now, self.settings.disk_stall_timeout)
     }
 
-    /// Replaces log and state by a snapshot of the leader.
-    pub(crate) fn restore(&mut self, snapshot: Snapshot) {
-        // Entries from its index on differ from the leader's. They go first, so that a crash between the two records
-        // leaves no entry after the snapshot that does not belong to it. The founding snapshot has index 0, the first
-        // entry index 1.
+    /// Replaces the log and the host's state by a snapshot received from the leader.
+    pub(crate) fn restore_snapshot(&mut self, snapshot: Snapshot) {
+        // Local entries at and after the snapshot's index conflict with the leader's. They are removed first,
+        // so that a crash between the two records leaves no conflicting entry after the snapshot. The initial
+        // snapshot has index 0, the first entry index 1.
         let from = snapshot.index.max(1);
         if self.log.last().index >= from {
-            self.stage(Record::Truncate { from });
+            self.stage_record(Record::Truncate { from });
         }
-        self.stage(Record::Snapshot(snapshot.clone()));
-        self.memberships = members::History::new(Some((snapshot.index, snapshot.membership.clone())));
+        self.stage_record(Record::Snapshot(snapshot.clone()));
+        self.membership_history =
+            members::MembershipHistory::new(Some((snapshot.index, snapshot.membership.clone())));
         self.membership_changed = true;
         self.commit_index = snapshot.index;
-        self.verified = snapshot.index;
-        self.snapshot_request = None;
+        self.verified_index = snapshot.index;
+        self.pending_snapshot_index = None;
         self.bytes_since_snapshot = 0;
-        self.out.push(Output::Restore { index: snapshot.index, state: snapshot.state.clone() });
+        self.outputs.push(Output::Restore { index: snapshot.index, state: snapshot.state.clone() });
         self.log.restore(Arc::new(snapshot));
-        self.role = self.idle_role();
+        self.role = self.passive_role();
     }
 
-    pub(crate) fn request_snapshot(&mut self) {
+    pub(crate) fn request_snapshot_if_due(&mut self) {
         let entries = self.commit_index.saturating_sub(self.log.snapshot_index());
         let enough = entries >= self.settings.snapshot_every_entries
             || self.bytes_since_snapshot >= self.settings.snapshot_every_bytes;
-        if enough && entries > 0 && self.snapshot_request.is_none() {
-            self.snapshot_request = Some(self.commit_index);
-            self.out.push(Output::TakeSnapshot { index: self.commit_index });
+        if enough && entries > 0 && self.pending_snapshot_index.is_none() {
+            self.pending_snapshot_index = Some(self.commit_index);
+            self.outputs.push(Output::TakeSnapshot { index: self.commit_index });
         }
     }
 
-    pub(crate) fn keep_snapshot(&mut self, index: u64, state: Vec<u8>) {
-        if self.snapshot_request != Some(index) {
+    pub(crate) fn store_snapshot(&mut self, index: u64, state: Vec<u8>) {
+        if self.pending_snapshot_index != Some(index) {
             return;
         }
-        self.snapshot_request = None;
+        self.pending_snapshot_index = None;
         let Some(term) = self.log.term_at(index) else { return };
-        let membership = self.memberships.at(index).clone();
+        let membership = self.membership_history.at(index).clone();
         let snapshot = Arc::new(Snapshot { index, term, membership, state });
-        self.stage(Record::Snapshot(Snapshot::clone(&snapshot)));
-        self.memberships.forget_before(index);
+        self.stage_record(Record::Snapshot(Snapshot::clone(&snapshot)));
+        self.membership_history.compact(index);
         self.log.compact(snapshot, self.settings.keep_entries, self.settings.keep_bytes);
         self.bytes_since_snapshot = self
             .log
-            .from(index + 1)
+            .entries_from(index + 1)
             .take_while(|entry| entry.index <= self.commit_index)
             .map(Entry::approximate_bytes)
             .sum();
     }
 
-    pub(crate) fn stage_founding(&mut self) {
+    pub(crate) fn stage_initial_state(&mut self) {
         let snapshot = self.log.snapshot().map(|snapshot| Snapshot::clone(snapshot));
-        self.staged.extend(snapshot.map(Record::Snapshot));
+        self.staged_records.extend(snapshot.map(Record::Snapshot));
         self.set_hard_state(self.hard_state);
     }
 
-    pub(crate) fn flush_staged(&mut self) {
-        if self.staged.is_empty() {
+    pub(crate) fn write_staged_records(&mut self) {
+        if self.staged_records.is_empty() {
             return;
         }
-        let records = std::mem::take(&mut self.staged);
-        if let Some(sequence) = self.disk.submit(self.now, &records, self.log.last().index) {
-            self.out.push(Output::Write { sequence, records });
+        let records = std::mem::take(&mut self.staged_records);
+        if let Some(sequence) = self.writes.submit(self.now, &records, self.log.last().index) {
+            self.outputs.push(Output::Write { sequence, records });
         }
     }
 
-    /// Writes again what a failed write left out, from the state as it is now.
+    /// Retries a failed write if the retry is due, with the current state of everything that it left
+    /// unwritten.
     pub(crate) fn retry_write(&mut self) {
-        self.flush_staged();
-        let Some((sequence, touched)) = self.disk.retry(self.now, self.log.last().index) else { return };
+        self.write_staged_records();
+        let Some((sequence, changes)) = self.writes.start_retry(self.now, self.log.last().index) else {
+            return;
+        };
         let mut records = Vec::new();
-        if touched.hard_state {
+        if changes.hard_state {
             records.push(Record::HardState(self.hard_state));
         }
-        if let Some(from) = touched.from {
+        if let Some(from) = changes.first_index {
             records.push(Record::Truncate { from });
         }
-        if touched.snapshot {
+        if changes.snapshot {
             records.extend(self.log.snapshot().map(|snapshot| Record::Snapshot(Snapshot::clone(snapshot))));
         }
-        if let Some(from) = touched.from {
-            let first = if touched.snapshot { from.max(self.log.snapshot_index() + 1) } else { from };
-            records.extend(self.log.from(first).cloned().map(Record::Append));
+        if let Some(from) = changes.first_index {
+            let first = if changes.snapshot { from.max(self.log.snapshot_index() + 1) } else { from };
+            records.extend(self.log.entries_from(first).cloned().map(Record::Append));
         }
-        self.out.push(Output::Write { sequence, records });
+        self.outputs.push(Output::Write { sequence, records });
     }
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,11 +1,11 @@
-//! The replica: its state, the dispatch of inputs, and what all roles share.
+//! The replica: its state, input dispatch, and the functions shared by all roles.
 
 use std::collections::BTreeSet;
 
-use crate::chunks::Assembly;
-use crate::disk::Disk;
+use crate::chunks::PartialTransfer;
+use crate::disk::WriteTracker;
 use crate::event::{Input, Output, ProposalError};
-use crate::leader::Leading;
+use crate::leader::LeaderState;
 use crate::log::Log;
 use crate::members::{Member, Membership, ReplicaId};
 use crate::message::Message;
@@ -14,121 +14,132 @@
 use crate::status::{PeerStatus, Role, Status};
 use crate::{Micros, members};
 
-/// A message that waits until a write is synced.
+/// A message that is sent once a write is synced.
 #[derive(Clone, Debug)]
-struct Gated {
+struct DeferredMessage {
     sequence: u64,
     to: Member,
     message: Message,
 }
 
-/// One replica of a group. See the crate's page for what its host must keep to.
+/// One replica of a group. The crate documentation lists the requirements on its host.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) settings: Settings,
     pub(crate) me: Member,
     pub(crate) random: fastrand::Rng,
-    /// Time of the current input; never goes back.
+    /// Time of the current input. It never decreases.
     pub(crate) now: Micros,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
     pub(crate) hard_state: HardState,
-    /// Write that makes the current term durable.
-    pub(crate) term_sequence: u64,
+    /// Sequence number of the write that makes the current term durable.
+    pub(crate) term_write_sequence: u64,
     pub(crate) log: Log,
-    pub(crate) memberships: members::History,
-    pub(crate) disk: Disk,
-    pub(crate) staged: Vec<Record>,
-    gated: Vec<Gated>,
+    pub(crate) membership_history: members::MembershipHistory,
+    pub(crate) writes: WriteTracker,
+    /// Records to write at the end of the current input.
+    pub(crate) staged_records: Vec<Record>,
+    /// Messages that wait for a write.
+    deferred_messages: Vec<DeferredMessage>,
     pub(crate) role: Role,
     pub(crate) leader: Option<Member>,
-    pub(crate) leading: Option<Box<Leading>>,
-    /// Votes or promised votes in the current election.
+    pub(crate) leader_state: Option<Box<LeaderState>>,
+    /// Replicas that granted a vote, or a pre-vote, in the current election.
     pub(crate) votes: BTreeSet<ReplicaId>,
-    /// Whether the current election is still at its first half, the pre-vote.
-    pub(crate) asking_promises: bool,
-    /// Whether this replica stands though it does not vote; until it hears a leader.
-    pub(crate) needed_candidate: bool,
-    /// Candidacy that waits for the replica's own vote to be synced.
-    pub(crate) candidacy: Option<Candidacy>,
-    /// Committed index; all up to it is applied.
+    /// Whether the current election is in its pre-vote phase.
+    pub(crate) in_pre_vote: bool,
+    /// Whether this replica campaigns although it is not a voter, until it receives a message from a leader.
+    pub(crate) campaigns_as_non_voter: bool,
+    /// Campaign that waits for the replica's own vote to be synced.
+    pub(crate) pending_campaign: Option<PendingCampaign>,
+    /// Commit index. All entries up to it are applied.
     pub(crate) commit_index: u64,
-    /// Last index that is known to equal the log of the current leader.
-    pub(crate) verified: u64,
-    pub(crate) heard_leader: Option<Micros>,
-    pub(crate) contact: Option<Micros>,
-    pub(crate) refuse_until: Micros,
+    /// Last index up to which the log is known to match the current leader's.
+    pub(crate) verified_index: u64,
+    /// When the last message from a leader was received.
+    pub(crate) last_leader_message_at: Option<Micros>,
+    /// When the last heartbeat from a leader that held its lease was received. The lease holder itself keeps
+    /// it current.
+    pub(crate) lease_holder_heard_at: Option<Micros>,
+    /// Votes are withheld until this time after a restart, since the replica may have acknowledged a
+    /// heartbeat before the restart.
+    pub(crate) withhold_votes_until: Micros,
     pub(crate) election_deadline: Micros,
-    pub(crate) assembly: Option<Assembly>,
-    pub(crate) snapshot_request: Option<u64>,
+    pub(crate) incoming_transfer: Option<PartialTransfer>,
+    /// Index of the snapshot that was requested from the host and not delivered yet.
+    pub(crate) pending_snapshot_index: Option<u64>,
     pub(crate) bytes_since_snapshot: usize,
     pub(crate) shutting_down: bool,
     pub(crate) removed: bool,
+    /// Whether the first input was handled.
     started: bool,
     reported_leader: Option<ReplicaId>,
     reported_term: u64,
     pub(crate) membership_changed: bool,
 }
 
-/// An election that waits for the replica's own vote.
+/// A campaign that starts once the replica's own vote is synced.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Candidacy {
+pub(crate) struct PendingCampaign {
     pub(crate) sequence: u64,
     pub(crate) handover: bool,
 }
 
 impl Replica {
-    /// A replica at start. On an empty disk `founding` names the voters of the group that is founded, the same list
-    /// on each of them and `me` among them; without it, or with state on the disk, the replica waits for a leader.
+    /// Creates a replica from recovered state. On an empty disk, `initial_voters` bootstraps a new group: it
+    /// must be the same list on every initial voter and contain `me`. Without it, or with state on the disk,
+    /// the replica waits for a leader.
     pub fn new(
         settings: Settings,
         me: Member,
-        founding: Option<Vec<Member>>,
+        initial_voters: Option<Vec<Member>>,
         recovered: RecoveredState,
         seed: u64,
         now: Micros,
     ) -> Self {
-        let fresh = recovered.is_empty();
-        let founding = founding.filter(|_| fresh);
-        let founds = founding.is_some();
-        let snapshot = recovered.snapshot.or_else(|| founding.map(founding_snapshot));
+        let disk_is_empty = recovered.is_empty();
+        let initial_voters = initial_voters.filter(|_| disk_is_empty);
+        let bootstraps = initial_voters.is_some();
+        let snapshot = recovered.snapshot.or_else(|| initial_voters.map(initial_snapshot));
         let base = snapshot.as_ref().map(|snapshot| (snapshot.index, snapshot.membership.clone()));
-        let log = Log::recovered(snapshot, recovered.entries);
-        let mut memberships = members::History::new(base);
-        for entry in log.from(0) {
-            memberships.note(entry);
+        let log = Log::recover(snapshot, recovered.entries);
+        let mut membership_history = members::MembershipHistory::new(base);
+        for entry in log.entries_from(0) {
+            membership_history.record_entry(entry);
         }
         let mut hard_state = recovered.hard_state.unwrap_or_default();
         if log.last().term > hard_state.term {
             hard_state = HardState { term: log.last().term, voted_for: None };
         }
-        let refuse_until = if founds { now } else { now.saturating_add(settings.election_timeout_min) };
+        let withhold_votes_until =
+            if bootstraps { now } else { now.saturating_add(settings.election_timeout_min) };
         let commit_index = log.snapshot_index();
         let mut replica = Self {
             random: fastrand::Rng::with_seed(seed),
             now,
-            out: Vec::new(),
+            outputs: Vec::new(),
             hard_state,
-            term_sequence: 0,
-            disk: Disk::new(log.last().index),
+            term_write_sequence: 0,
+            writes: WriteTracker::new(log.last().index),
             log,
-            memberships,
-            staged: Vec::new(),
-            gated: Vec::new(),
+            membership_history,
+            staged_records: Vec::new(),
+            deferred_messages: Vec::new(),
             role: Role::Follower,
             leader: None,
-            leading: None,
+            leader_state: None,
             votes: BTreeSet::new(),
-            asking_promises: false,
-            needed_candidate: false,
-            candidacy: None,
+            in_pre_vote: false,
+            campaigns_as_non_voter: false,
+            pending_campaign: None,
             commit_index,
-            verified: commit_index,
-            heard_leader: None,
-            contact: None,
-            refuse_until,
+            verified_index: commit_index,
+            last_leader_message_at: None,
+            lease_holder_heard_at: None,
+            withhold_votes_until,
             election_deadline: now,
-            assembly: None,
-            snapshot_request: None,
+            incoming_transfer: None,
+            pending_snapshot_index: None,
             bytes_since_snapshot: 0,
             shutting_down: false,
             removed: false,
@@ -139,36 +150,36 @@
             settings,
             me,
         };
-        replica.role = replica.idle_role();
+        replica.role = replica.passive_role();
         replica.membership_changed = !replica.membership().is_empty();
-        replica.set_first_deadline(founds);
-        if founds {
-            replica.stage_founding();
+        replica.set_initial_election_deadline(bootstraps);
+        if bootstraps {
+            replica.stage_initial_state();
         }
         replica
     }
 
-    /// Takes one input at a time of the steady clock, and appends what the host has to do.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+    /// Handles one input at the monotonic time `now` and appends the actions for the host to `outputs`.
+    pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         if self.removed {
-            refuse_proposal(input, out);
+            refuse_proposal(input, outputs);
             return;
         }
-        self.start();
-        self.check_time();
-        self.take(input);
+        self.report_recovered_snapshot();
+        self.run_timers();
+        self.dispatch(input);
         self.retry_write();
-        if self.leading.is_some() {
+        if self.leader_state.is_some() {
             self.replicate();
         }
-        self.request_snapshot();
-        self.flush_staged();
-        self.report();
-        out.append(&mut self.out);
+        self.request_snapshot_if_due();
+        self.write_staged_records();
+        self.report_changes();
+        outputs.append(&mut self.outputs);
     }
 
-    /// When to hand in [`Input::Tick`] at the latest.
+    /// Latest time at which the host must pass in [`Input::Tick`].
     pub fn next_deadline(&self) -> Micros {
         if self.removed {
             return Micros::MAX;
@@ -176,44 +187,51 @@
         if !self.started {
             return self.now;
         }
-        let role = self.leading.as_ref().map_or(self.election_deadline, |leading| leading.next_deadline());
-        let stalled = self.disk.stalls_at(self.settings.disk_stall_timeout).filter(|at| *at > self.now);
-        let stalled = stalled.filter(|_| self.leading.is_some());
-        role.min(self.disk.retry_at().unwrap_or(Micros::MAX)).min(stalled.unwrap_or(Micros::MAX))
+        let role_deadline = self
+            .leader_state
+            .as_ref()
+            .map_or(self.election_deadline, |leader_state| leader_state.next_deadline());
+        let stall_deadline =
+            self.writes.stall_deadline(self.settings.disk_stall_timeout).filter(|at| *at > self.now);
+        let stall_deadline = stall_deadline.filter(|_| self.leader_state.is_some());
+        role_deadline
+            .min(self.writes.retry_at().unwrap_or(Micros::MAX))
+            .min(stall_deadline.unwrap_or(Micros::MAX))
     }
 
-    /// Whether this replica leads. It may have been replaced without its knowledge; see [`Replica::holds_lease`].
+    /// Whether this replica considers itself the leader. Another leader may have been elected without its
+    /// knowledge; see [`Replica::holds_lease`].
     pub fn is_leader(&self) -> bool {
-        self.leading.is_some()
+        self.leader_state.is_some()
     }
 
-    /// The leader that this replica follows, or itself.
+    /// The leader that this replica follows, or this replica if it leads; `None` if unknown.
     pub fn leader(&self) -> Option<&Member> {
         self.leader.as_ref()
     }
 
-    /// Newest term seen.
+    /// Highest term seen.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// Last index that is committed and applied here.
+    /// Last index that is committed and applied on this replica.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// Membership in force: the newest in the log, committed or not.
+    /// Membership in force: the latest one in the log, committed or not.
     pub fn membership(&self) -> &Membership {
-        self.memberships.newest()
+        self.membership_history.latest()
     }
 
-    /// View for operators.
+    /// Status for operators.
     pub fn status(&self, now: Micros) -> Status {
-        let peers = self.leading.iter().flat_map(|leading| leading.peers.iter());
+        let peers = self.leader_state.iter().flat_map(|leader_state| leader_state.peers.iter());
         let peers = peers.map(|(id, progress)| PeerStatus {
             id: *id,
             match_index: progress.match_index,
-            since_last_message: progress.heard.map(|heard| now.saturating_sub(heard)),
+            since_last_message: progress.last_message_at.map(|received_at| now.saturating_sub(received_at)),
             disk_healthy: progress.disk_healthy,
         });
         Status {
@@ -223,7 +241,7 @@
             leader: self.leader.clone(),
             holds_lease: self.holds_lease(now),
             last_index: self.log.last().index,
-            synced_index: self.disk.synced_index(),
+            synced_index: self.writes.synced_index(),
             commit_index: self.commit_index,
             snapshot_index: self.log.snapshot_index(),
             log_bytes: self.log.bytes(),
@@ -233,24 +251,24 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn dispatch(&mut self, input: Input) {
         match input {
             Input::Tick => {}
-            Input::Received { from, message } => self.receive(from, message),
+            Input::Received { from, message } => self.on_message(from, message),
             Input::Propose { proposal_id, command } => self.propose(proposal_id, command),
-            Input::Written { sequence } => self.written(sequence),
+            Input::Written { sequence } => self.on_written(sequence),
             Input::WriteFailed { sequence } => {
                 let retry_at = self.now.saturating_add(self.settings.write_retry_delay);
-                self.disk.write_failed(sequence, retry_at);
-                self.check_time();
+                self.writes.mark_failed(sequence, retry_at);
+                self.run_timers();
             }
             Input::Join(member) => self.join(member),
-            Input::PrepareShutdown => self.retire(),
-            Input::SnapshotTaken { index, state } => self.keep_snapshot(index, state),
+            Input::PrepareShutdown => self.prepare_shutdown(),
+            Input::SnapshotTaken { index, state } => self.store_snapshot(index, state),
         }
     }
 
-    fn receive(&mut self, from: ReplicaId, message: Message) {
+    fn on_message(&mut self, from: ReplicaId, message: Message) {
         if from == self.me.id || !message.is_plausible() {
             return;
         }
@@ -259,7 +277,7 @@
                 self.on_vote_request(from, message)
             }
             Message::PreVoteReply { .. } | Message::VoteReply { .. } => self.on_vote_reply(from, message),
-            Message::MembershipQuery { member, .. } => self.on_member_question(from, member),
+            Message::MembershipQuery { member, .. } => self.on_membership_query(from, member),
             Message::NotMember { id } => self.on_not_member(id),
             Message::HeartbeatReply { .. }
             | Message::AppendAccepted { .. }
@@ -273,112 +291,118 @@
         }
     }
 
-    /// What is due before any input counts: a leader that was stopped for a while looks at the clock first.
-    fn check_time(&mut self) {
-        if self.leading.is_some() {
-            self.lead_on();
+    /// Runs the timers that are due. They precede any input, so that a leader whose process was suspended
+    /// steps down before it acts.
+    fn run_timers(&mut self) {
+        if self.leader_state.is_some() {
+            self.run_leader_timers();
         } else if self.now >= self.election_deadline {
-            self.election_due();
+            self.on_election_timeout();
         }
     }
 
-    fn written(&mut self, sequence: u64) {
-        if !self.disk.written(self.now, sequence) {
+    fn on_written(&mut self, sequence: u64) {
+        if !self.writes.mark_written(self.now, sequence) {
             return;
         }
-        let (ready, waiting) = std::mem::take(&mut self.gated)
+        let (ready, waiting) = std::mem::take(&mut self.deferred_messages)
             .into_iter()
-            .partition::<Vec<_>, _>(|gated| self.disk.is_synced(gated.sequence));
-        self.gated = waiting;
-        for gated in ready {
-            self.out.push(Output::Send { to: gated.to, message: gated.message });
+            .partition::<Vec<_>, _>(|deferred| self.writes.is_synced(deferred.sequence));
+        self.deferred_messages = waiting;
+        for deferred in ready {
+            self.outputs.push(Output::Send { to: deferred.to, message: deferred.message });
         }
-        self.continue_candidacy();
+        self.continue_campaign();
         self.advance_commit();
     }
 
-    /// Sends at once.
+    /// Sends a message immediately.
     pub(crate) fn send(&mut self, to: Member, message: Message) {
-        self.out.push(Output::Send { to, message });
+        self.outputs.push(Output::Send { to, message });
     }
 
-    /// Sends once all that was changed up to now is synced.
-    pub(crate) fn send_synced(&mut self, to: Member, message: Message) {
-        let sequence = self.sequence();
-        self.send_after(sequence, to, message);
+    /// Sends a message once all changes made so far are synced.
+    pub(crate) fn send_after_sync(&mut self, to: Member, message: Message) {
+        let sequence = self.current_write_sequence();
+        self.send_after_write(sequence, to, message);
     }
 
-    /// Sends once the current term is synced.
-    pub(crate) fn send_in_term(&mut self, to: Member, message: Message) {
-        self.send_after(self.term_sequence, to, message);
+    /// Sends a message once the current term is synced.
+    pub(crate) fn send_after_term_sync(&mut self, to: Member, message: Message) {
+        self.send_after_write(self.term_write_sequence, to, message);
     }
 
-    fn send_after(&mut self, sequence: u64, to: Member, message: Message) {
-        if self.disk.is_synced(sequence) {
+    fn send_after_write(&mut self, sequence: u64, to: Member, message: Message) {
+        if self.writes.is_synced(sequence) {
             return self.send(to, message);
         }
-        // Only the newest of a kind counts: a stalled disk must not let them pile up.
-        let same = |gated: &&mut Gated| {
-            gated.sequence == sequence && gated.to.id == to.id && gated.message.is_same_kind(&message)
+        // Only the newest message of a kind is kept, so that messages do not accumulate behind a stalled
+        // disk.
+        let is_superseded = |deferred: &&mut DeferredMessage| {
+            deferred.sequence == sequence
+                && deferred.to.id == to.id
+                && deferred.message.is_same_kind(&message)
         };
-        match self.gated.iter_mut().find(same) {
-            Some(gated) => gated.message.supersede(message),
-            None => self.gated.push(Gated { sequence, to, message }),
+        match self.deferred_messages.iter_mut().find(is_superseded) {
+            Some(deferred) => deferred.message.supersede(message),
+            None => self.deferred_messages.push(DeferredMessage { sequence, to, message }),
         }
     }
 
-    /// Role without a leader or an election.
-    pub(crate) fn idle_role(&self) -> Role {
+    /// Role of a replica that neither leads nor campaigns.
+    pub(crate) fn passive_role(&self) -> Role {
         if self.membership().is_voter(self.me.id) { Role::Follower } else { Role::Learner }
     }
 
-    /// Enters a term, newer or the same, as one who follows.
-    pub(crate) fn follow(&mut self, term: u64, leader: Option<Member>) {
-        self.abdicate();
+    /// Becomes a follower in `term`, which is the current term or a higher one.
+    pub(crate) fn become_follower(&mut self, term: u64, leader: Option<Member>) {
+        self.step_down();
         if term > self.hard_state.term {
             self.set_hard_state(HardState { term, voted_for: None });
-            self.verified = self.commit_index;
-            self.assembly = None;
+            self.verified_index = self.commit_index;
+            self.incoming_transfer = None;
         }
-        self.role = self.idle_role();
+        self.role = self.passive_role();
         self.votes.clear();
-        self.asking_promises = false;
-        self.candidacy = None;
+        self.in_pre_vote = false;
+        self.pending_campaign = None;
         self.leader = leader;
     }
 
     pub(crate) fn set_hard_state(&mut self, state: HardState) {
         self.hard_state = state;
-        self.stage(Record::HardState(state));
-        self.term_sequence = self.sequence();
+        self.stage_record(Record::HardState(state));
+        self.term_write_sequence = self.current_write_sequence();
     }
 
-    /// Commits and applies up to `index`, which is in the log.
-    pub(crate) fn commit_to(&mut self, index: u64) {
+    /// Commits and applies entries up to `index`, as far as the log contains them.
+    pub(crate) fn commit_up_to(&mut self, index: u64) {
         while self.commit_index < index {
             let Some(entry) = self.log.get(self.commit_index + 1) else { return };
             self.commit_index += 1;
             self.bytes_since_snapshot += entry.approximate_bytes();
             if let Payload::Command(command) = &entry.payload {
-                self.out.push(Output::Apply { index: self.commit_index, command: command.clone() });
+                self.outputs.push(Output::Apply { index: self.commit_index, command: command.clone() });
             }
         }
     }
 
-    fn start(&mut self) {
+    /// On the first input, restores the host's state from the recovered snapshot.
+    fn report_recovered_snapshot(&mut self) {
         if std::mem::replace(&mut self.started, true) {
             return;
         }
         let Some(snapshot) = self.log.snapshot().filter(|snapshot| snapshot.index > 0) else { return };
-        self.out.push(Output::Restore { index: snapshot.index, state: snapshot.state.clone() });
+        self.outputs.push(Output::Restore { index: snapshot.index, state: snapshot.state.clone() });
     }
 
-    fn report(&mut self) {
+    /// Reports changes of the membership and of the leader to the host.
+    fn report_changes(&mut self) {
         if std::mem::take(&mut self.membership_changed) {
             if matches!(self.role, Role::Follower | Role::Learner) {
-                self.role = self.idle_role();
+                self.role = self.passive_role();
             }
-            self.out.push(Output::MembershipChanged(self.membership().clone()));
+            self.outputs.push(Output::MembershipChanged(self.membership().clone()));
         }
         let leader = self.leader.as_ref().map(|leader| leader.id);
         if leader == self.reported_leader && (leader.is_none() || self.reported_term == self.hard_state.term)
@@ -387,7 +411,7 @@
         }
         self.reported_leader = leader;
         self.reported_term = self.hard_state.term;
-        self.out.push(Output::LeaderChanged {
+        self.outputs.push(Output::LeaderChanged {
             leader: self.leader.clone(),
             term: self.hard_state.term,
             is_self: self.is_leader(),
@@ -395,12 +419,12 @@
     }
 }
 
-fn founding_snapshot(voters: Vec<Member>) -> Snapshot {
+fn initial_snapshot(voters: Vec<Member>) -> Snapshot {
     Snapshot { index: 0, term: 0, membership: Membership::of_voters(voters), state: Vec::new() }
 }
 
-fn refuse_proposal(input: Input, out: &mut Vec<Output>) {
+fn refuse_proposal(input: Input, outputs: &mut Vec<Output>) {
     if let Input::Propose { proposal_id, .. } = input {
-        out.push(Output::ProposalResult { proposal_id, result: Err(ProposalError::NotLeader) });
+        outputs.push(Output::ProposalResult { proposal_id, result: Err(ProposalError::NotLeader) });
     }
 }
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -1,41 +1,42 @@
-//! Timing and limits of a replica.
+//! Timeouts and limits of a replica.
 
 use crate::Micros;
 
 const MILLISECOND: Micros = 1_000;
 
-/// Timing and limits; all members of a group use the same values.
+/// Timeouts and limits. All members of a group must use the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Time between two heartbeats of a leader to one follower.
+    /// Interval at which a leader sends heartbeats to each peer.
     pub heartbeat_interval: Micros,
-    /// Shortest time without a leader after which a follower stands; also the base of the lease.
+    /// Shortest election timeout. The lease duration derives from it.
     pub election_timeout_min: Micros,
-    /// Longest time without a leader after which a follower stands.
+    /// Longest election timeout.
     pub election_timeout_max: Micros,
-    /// Largest difference between the rates of two clocks, in parts per thousand.
+    /// Largest relative difference between the rates of two members' clocks, in parts per thousand.
     pub max_clock_drift_permille: u64,
-    /// Number of voters that the group grows to while caught-up learners are there.
+    /// Number of voters up to which the leader promotes caught-up learners.
     pub target_voters: usize,
-    /// A voter that was not heard for this long is replaced by a caught-up learner.
+    /// Time without a message from a voter after which a caught-up learner replaces it.
     pub replace_voter_after: Micros,
-    /// A learner that was not heard for this long is dropped.
+    /// Time without a message from a learner after which it is removed from the group.
     pub drop_learner_after: Micros,
-    /// A write unfinished for this long counts as a stalled disk.
+    /// Time without a completed write, while writes are pending, after which the disk counts as stalled.
     pub disk_stall_timeout: Micros,
-    /// Time between a failed write and the next attempt.
+    /// Delay before a failed write is retried.
     pub write_retry_delay: Micros,
-    /// Largest number of bytes in flight to one follower, and so of one message with entries or a part of them.
+    /// Most bytes of entries in flight to one follower, and therefore in one message.
     pub max_append_bytes: usize,
-    /// Largest number of bytes of proposals that are not yet committed; more are refused.
+    /// Most bytes of uncommitted proposals; further proposals are rejected as
+    /// [`crate::ProposalError::Overloaded`].
     pub max_uncommitted_bytes: usize,
-    /// A snapshot is taken after this many bytes of log.
+    /// Bytes of committed entries since the last snapshot that trigger the next one.
     pub snapshot_every_bytes: usize,
-    /// A snapshot is taken after this many entries.
+    /// Number of committed entries since the last snapshot that triggers the next one.
     pub snapshot_every_entries: u64,
-    /// Entries kept behind the snapshot for slow followers.
+    /// Most entries covered by the snapshot that stay in memory for slow followers.
     pub keep_entries: u64,
-    /// Bytes of entries kept behind the snapshot for slow followers.
+    /// Most bytes of entries covered by the snapshot that stay in memory for slow followers.
     pub keep_bytes: usize,
 }
 
@@ -62,7 +63,7 @@
 }
 
 impl Settings {
-    /// How long after the send time of an acknowledged heartbeat the lease lasts.
+    /// Duration of the lease, counted from the time at which an acknowledged heartbeat was sent.
     pub fn lease_duration(&self) -> Micros {
         let margin = self.election_timeout_min.saturating_mul(self.max_clock_drift_permille) / 1_000;
         self.election_timeout_min.saturating_sub(margin)
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -1,61 +1,61 @@
-//! View of a replica for operators.
+//! Status of a replica, for operators.
 
 use crate::Micros;
 use crate::members::{Member, Membership, ReplicaId};
 
-/// What a replica does at present.
+/// Current role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows, votes.
+    /// Replicates the leader's log and votes.
     Follower,
-    /// Follows, does not vote.
+    /// Replicates the leader's log but does not vote.
     Learner,
-    /// Asks for votes.
+    /// Campaigns for votes.
     Candidate,
-    /// Leads.
+    /// Leads the group.
     Leader,
 }
 
-/// One peer as the leader sees it.
+/// A peer as seen by the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The peer.
+    /// Identity of the peer.
     pub id: ReplicaId,
-    /// Last index known to be synced there.
+    /// Last index known to be synced on the peer.
     pub match_index: u64,
-    /// Time since it was last heard; none if never.
+    /// Time since the leader last received a message from the peer; `None` if never.
     pub since_last_message: Option<Micros>,
-    /// Whether it says that its disk takes writes in time.
+    /// Whether the peer's writes succeed without stalling, as it last reported.
     pub disk_healthy: bool,
 }
 
-/// State of a replica at one time.
+/// Status of a replica at a point in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     /// This replica.
     pub me: Member,
-    /// Its role.
+    /// Current role.
     pub role: Role,
-    /// Its term.
+    /// Current term.
     pub term: u64,
-    /// The leader, if known.
+    /// The leader; `None` if unknown.
     pub leader: Option<Member>,
-    /// Whether it holds the lease.
+    /// Whether this replica holds the leader lease.
     pub holds_lease: bool,
     /// Index of the last entry.
     pub last_index: u64,
-    /// Last index that is synced here.
+    /// Last index that is synced on the local disk.
     pub synced_index: u64,
-    /// Committed and applied index.
+    /// Last index that is committed and applied.
     pub commit_index: u64,
-    /// Index of the snapshot.
+    /// Index of the latest snapshot; 0 if there is none.
     pub snapshot_index: u64,
-    /// Bytes of entries in memory.
+    /// Approximate size of the log entries in memory, in bytes.
     pub log_bytes: usize,
-    /// Whether the disk takes writes in time.
+    /// Whether local writes succeed without stalling.
     pub disk_healthy: bool,
-    /// Membership in force.
+    /// Membership in force, committed or not.
     pub membership: Membership,
-    /// Peers, on the leader only.
+    /// Peers; empty unless this replica leads.
     pub peers: Vec<PeerStatus>,
 }
--- a/crates/replication/tests/model/replacement.rs
+++ b/crates/replication/tests/model/replacement.rs
@@ -1,94 +1,101 @@
-//! A voter is lost, or told to end, and a learner takes its place; after every single event of that, another machine
-//! loses its disk.
+//! A voter is lost or shuts down, and a learner replaces it. After every single event of the replacement,
+//! another machine loses its disk.
 
-use crate::walk::{end_calmly, end_calmly_without};
+use crate::walk::{assert_group_recovers, assert_group_recovers_without};
 use crate::world::{Action, World};
 
-/// What happens to the others as a disk is lost.
+/// What happens to the other machines when a disk is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Others {
-    /// Nothing.
-    RunOn,
-    /// All lose power, with what they have not synced.
+    /// They keep running.
+    KeepRunning,
+    /// All of them lose power, and with it their unsynced writes.
     LosePower,
 }
 
-/// How a voter goes.
+/// How a voter leaves the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Leaving {
-    /// It is lost, one that doesn't lead.
-    Lost,
-    /// It is told to end, one that doesn't lead.
-    Retires,
-    /// The leader is told to end.
-    LeaderRetires,
+pub(crate) enum Departure {
+    /// A follower fails permanently.
+    Fails,
+    /// A follower shuts down.
+    ShutsDown,
+    /// The leader shuts down.
+    LeaderShutsDown,
 }
 
-/// Calm steps after which the last half of a change is committed and known.
-const COMMITTED_AFTER: usize = 3;
-/// Events of a replacement, at most.
-const EVENTS_MOST: usize = 2_000;
+/// Number of fault-free steps after which the second phase of a change is committed and known to all.
+const STEPS_UNTIL_COMMITTED: usize = 3;
+/// Most events of a replacement.
+const MAX_EVENTS: usize = 2_000;
 
-/// Plays a replacement whose events come in an order drawn from a seed, with a loss after each: the number of losses.
-pub(crate) fn lose_a_disk_at_each_step(leaving: Leaving, others: Others, seed: u64) -> usize {
+/// Simulates a replacement whose order of events derives from a seed, with a disk loss after each event.
+/// Returns the number of losses.
+pub(crate) fn lose_disk_after_each_event(departure: Departure, others: Others, seed: u64) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut world = World::with_ready_learner();
     let leader = world.leader().expect("a leader");
-    let follower = (0..3).find(|place| *place != leader).expect("a follower");
-    let lost = if leaving == Leaving::LeaderRetires { leader } else { follower };
-    world.apply(if leaving == Leaving::Lost { Action::Crash(lost) } else { Action::PrepareShutdown(lost) });
-    let mut tried = 0;
-    for event in 0..EVENTS_MOST {
+    let follower = (0..3).find(|position| *position != leader).expect("a follower");
+    let lost = if departure == Departure::LeaderShutsDown { leader } else { follower };
+    world.apply(if departure == Departure::Fails {
+        Action::Crash(lost)
+    } else {
+        Action::PrepareShutdown(lost)
+    });
+    let mut losses = 0;
+    for event in 0..MAX_EVENTS {
         if world.is_replaced(lost) {
-            // Until that is committed everywhere.
-            (0..COMMITTED_AFTER).for_each(|_| world.calm_step());
-            return tried + lose_each_other(&world, lost, others);
+            // The change is committed on all machines afterwards.
+            (0..STEPS_UNTIL_COMMITTED).for_each(|_| world.fault_free_step());
+            return losses + check_loss_of_each_other(&world, lost, others);
         }
-        if leaving != Leaving::Lost {
-            end_early(world.clone(), lost);
+        if departure != Departure::Fails {
+            check_early_shutdown(world.clone(), lost);
         }
-        let due = world.calm_actions();
-        let action = due.get(random.usize(..due.len().max(1))).copied().unwrap_or(Action::Advance);
+        let due_actions = world.fault_free_actions();
+        let action =
+            due_actions.get(random.usize(..due_actions.len().max(1))).copied().unwrap_or(Action::Advance);
         world.apply(action);
-        for place in (0..world.nodes.len()).filter(|place| *place != lost) {
-            let outcome = std::panic::catch_unwind(|| lose(world.clone(), place, others));
+        for position in (0..world.nodes.len()).filter(|position| *position != lost) {
+            let outcome = std::panic::catch_unwind(|| check_loss(world.clone(), position, others));
             assert!(
                 outcome.is_ok(),
-                "{leaving:?}, {others:?}, seed {seed}: machine {place} loses its disk after event {event}, {action:?}"
+                "{departure:?}, {others:?}, seed {seed}: machine {position} loses its disk after event {event}, {action:?}"
             );
-            tried += 1;
+            losses += 1;
         }
     }
-    panic!("the lost voter is not replaced");
+    panic!("the departing voter is not replaced");
 }
 
-/// One that was told to end ends before a learner has its place.
-fn end_early(mut world: World, place: usize) {
-    end_calmly_without(&mut world, Some(place));
+/// Checks that the group recovers if the machine that shuts down stops before a learner has replaced it.
+fn check_early_shutdown(mut world: World, position: usize) {
+    assert_group_recovers_without(&mut world, Some(position));
 }
 
-/// One is replaced and gone for good. Each other machine loses its disk in turn; what is left has to elect and commit.
-fn lose_each_other(world: &World, gone: usize, others: Others) -> usize {
-    let places = (0..world.nodes.len()).filter(|place| *place != gone);
-    let lost = places.map(|place| {
+/// One machine was replaced and is gone permanently. Each other machine loses its disk in turn; the remaining
+/// ones must elect a leader and commit.
+fn check_loss_of_each_other(world: &World, removed: usize, others: Others) -> usize {
+    let others_left = (0..world.nodes.len()).filter(|position| *position != removed);
+    let checked_losses = others_left.map(|position| {
         let mut world = world.clone();
-        world.apply(Action::Crash(gone));
-        lose_disk(&mut world, place, others);
-        end_calmly_without(&mut world, Some(gone));
+        world.apply(Action::Crash(removed));
+        lose_disk(&mut world, position, others);
+        assert_group_recovers_without(&mut world, Some(removed));
     });
-    lost.count()
+    checked_losses.count()
 }
 
-fn lose(mut world: World, place: usize, others: Others) {
-    lose_disk(&mut world, place, others);
-    end_calmly(&mut world);
+fn check_loss(mut world: World, position: usize, others: Others) {
+    lose_disk(&mut world, position, others);
+    assert_group_recovers(&mut world);
 }
 
-fn lose_disk(world: &mut World, place: usize, others: Others) {
+fn lose_disk(world: &mut World, position: usize, others: Others) {
     if others == Others::LosePower {
         (0..world.nodes.len())
-            .filter(|other| *other != place)
+            .filter(|other| *other != position)
             .for_each(|other| world.apply(Action::Crash(other)));
     }
-    world.apply(Action::Wipe(place));
+    world.apply(Action::Wipe(position));
 }
--- a/crates/replication/tests/model/walk.rs
+++ b/crates/replication/tests/model/walk.rs
@@ -1,68 +1,71 @@
-//! Long walks: events drawn with weights of their own for each walk, and a calm end after which the group has to work.
+//! Random walks: events are drawn with weights that vary by walk and phase. A fault-free end follows, in
+//! which the group must recover.
 
 use std::collections::BTreeSet;
 
 use fastrand::Rng;
 
-use crate::world::{Action, STEP, World};
+use crate::world::{Action, TIME_STEP, World};
 
-/// Events between two changes of what is likely and who is in touch.
-const PHASE: usize = 60;
-/// Weights of which each kind of event gets one.
-const WEIGHTS: [u32; 5] = [0, 1, 4, 16, 64];
-/// Steps of calm time after which a group whose machines are back has to work.
-const CALM: usize = 60;
+/// Number of events between two changes of the event weights and the connectivity.
+const EVENTS_PER_PHASE: usize = 60;
+/// Weights from which that of each kind of event is drawn.
+const WEIGHT_CHOICES: [u32; 5] = [0, 1, 4, 16, 64];
+/// Number of fault-free steps in which a group whose machines are back must recover.
+const FAULT_FREE_STEPS: usize = 60;
 
-/// Where walks begin, and how long they are.
+/// Initial state, length and faults of a set of walks.
 #[derive(Clone, Copy)]
 pub(crate) struct Scenario {
     pub(crate) name: &'static str,
-    pub(crate) begin: fn() -> World,
+    pub(crate) initial_world: fn() -> World,
     pub(crate) events: usize,
-    /// Whether it begins shortly before something that is rare.
+    /// Whether it starts shortly before a rare situation.
     pub(crate) is_short: bool,
-    /// Events without faults at the beginning of every second walk.
-    pub(crate) calm_events: usize,
-    /// Whether the first machine and the last are out of touch with the others for half of the walk.
-    pub(crate) is_parted: bool,
+    /// Number of fault-free events at the start of every second walk.
+    pub(crate) fault_free_events: usize,
+    /// Whether the leader and the last machine are partitioned from the others for the first half of the
+    /// walk.
+    pub(crate) is_partitioned: bool,
 }
 
-/// What walks got done.
+/// Total progress of a set of walks.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Done {
+pub(crate) struct WalkTotals {
     walks: u64,
     events: u64,
     acknowledged: usize,
     terms: usize,
-    changes: usize,
-    wipes: u32,
+    voter_changes: usize,
+    disk_losses: u32,
 }
 
-impl Done {
+impl WalkTotals {
     pub(crate) fn add(&mut self, other: &Self) {
         self.walks += other.walks;
         self.events += other.events;
         self.acknowledged += other.acknowledged;
         self.terms += other.terms;
-        self.changes += other.changes;
-        self.wipes += other.wipes;
+        self.voter_changes += other.voter_changes;
+        self.disk_losses += other.disk_losses;
     }
 
-    /// A model in which nothing happens shows nothing. Long walks begin with nothing and have to change voters too.
+    /// Asserts a minimum of progress, since a model in which nothing happens proves nothing. Long walks must
+    /// also change voters.
     pub(crate) fn assert_enough(&self, is_long: bool) {
         assert!(self.acknowledged as u64 > 2 * self.walks, "{self:?}");
         assert!(self.terms as u64 > self.walks, "{self:?}");
         assert!(!is_long || self.acknowledged as u64 > 10 * self.walks, "{self:?}");
-        assert!(!is_long || self.changes as u64 > self.walks / 2, "{self:?}");
+        assert!(!is_long || self.voter_changes as u64 > self.walks / 2, "{self:?}");
     }
 }
 
-/// Which kind of event an action is, and its weight in calm times.
-fn kind(action: Action) -> (usize, u32) {
+/// The kind of an action, and a weight.
+fn action_kind(action: Action) -> (usize, u32) {
     match action {
         Action::Advance => (0, 4),
         Action::Tick(_) => (1, 16),
-        Action::Deliver { place: 0, .. } => (2, 64),
+        Action::Deliver { position: 0, .. } => (2, 64),
         Action::Deliver { .. } => (3, 1),
         Action::Duplicate { .. } => (4, 1),
         Action::Lose { .. } => (5, 1),
@@ -77,100 +80,103 @@
 }
 
 const KINDS: usize = 13;
-/// Messages, writes, ticks and commands in any order, a little time, and no faults.
-const CALM_WEIGHTS: [u32; KINDS] = [1, 16, 16, 4, 0, 0, 16, 4, 0, 0, 0, 4, 0];
-/// Kinds that a walk may do without.
-const DISPENSABLE: [usize; 6] = [3, 4, 5, 8, 10, 12];
+/// Weights of a phase without faults: messages, writes, ticks and proposals in any order, and little time.
+const FAULT_FREE_WEIGHTS: [u32; KINDS] = [1, 16, 16, 4, 0, 0, 16, 4, 0, 0, 0, 4, 0];
+/// Kinds of events whose weight may be zero.
+const OPTIONAL_KINDS: [usize; 6] = [3, 4, 5, 8, 10, 12];
 
-/// Walks from a seed.
-pub(crate) fn walk(scenario: Scenario, seed: u64) -> Done {
+/// Runs one walk from a seed.
+pub(crate) fn walk(scenario: Scenario, seed: u64) -> WalkTotals {
     let mut random = Rng::with_seed(seed);
-    let mut world = (scenario.begin)();
+    let mut world = (scenario.initial_world)();
     let mut actions = Vec::new();
     let mut weights = draw_weights(&mut random);
-    let mut touch = Touch::all();
+    let mut connectivity = Connectivity::all();
     let leader = world.leader();
     for event in 0..scenario.events {
-        if event % PHASE == 0 {
-            // Every second short walk begins without faults, and with hardly any time.
-            let is_calm = event < scenario.calm_events && seed.is_multiple_of(2);
-            weights = if is_calm { CALM_WEIGHTS } else { draw_weights(&mut random) };
-            touch = match leader.filter(|_| scenario.is_parted && event < scenario.events / 2) {
-                Some(leader) => Touch::parted(&[leader, world.nodes.len() - 1], world.nodes.len()),
-                None if is_calm => Touch::all(),
-                None => Touch::draw(&mut random, world.nodes.len()),
+        if event % EVENTS_PER_PHASE == 0 {
+            // Every second short walk starts without faults, and with little time.
+            let is_fault_free = event < scenario.fault_free_events && seed.is_multiple_of(2);
+            weights = if is_fault_free { FAULT_FREE_WEIGHTS } else { draw_weights(&mut random) };
+            connectivity = match leader.filter(|_| scenario.is_partitioned && event < scenario.events / 2) {
+                Some(leader) => {
+                    Connectivity::partitioned(&[leader, world.nodes.len() - 1], world.nodes.len())
+                }
+                None if is_fault_free => Connectivity::all(),
+                None => Connectivity::draw(&mut random, world.nodes.len()),
             };
         }
         actions.clear();
         world.actions(&mut actions);
-        actions.retain(|action| touch.allows(*action));
-        let weight = |action: &Action| weights[kind(*action).0] * if is_fault(*action) { 1 } else { 8 };
+        actions.retain(|action| connectivity.allows(*action));
+        let weight =
+            |action: &Action| weights[action_kind(*action).0] * if is_fault(*action) { 1 } else { 8 };
         let total: u32 = actions.iter().map(weight).sum();
         let mut drawn = random.u32(..total.max(1));
         let chosen = actions.iter().find(|action| {
-            let own = weight(action);
-            let is_it = drawn < own;
-            drawn = drawn.saturating_sub(own);
-            is_it
+            let own_weight = weight(action);
+            let is_chosen = drawn < own_weight;
+            drawn = drawn.saturating_sub(own_weight);
+            is_chosen
         });
         world.apply(chosen.copied().unwrap_or(Action::Advance));
     }
-    end_calmly(&mut world);
-    Done {
+    assert_group_recovers(&mut world);
+    WalkTotals {
         walks: 1,
         events: scenario.events as u64,
         acknowledged: world.checks.acknowledgements(),
         terms: world.checks.terms(),
-        changes: world.checks.changes(),
-        wipes: world.wipes.1,
+        voter_changes: world.checks.voter_changes(),
+        disk_losses: world.disk_losses.1,
     }
 }
 
-/// Who is in touch with whom for a while. What is sent meanwhile stays on its way.
-struct Touch {
-    held: BTreeSet<(usize, usize)>,
-    frozen: BTreeSet<usize>,
+/// Connectivity of the machines during a phase. Messages on a held link stay in flight.
+struct Connectivity {
+    held_links: BTreeSet<(usize, usize)>,
+    paused: BTreeSet<usize>,
 }
 
-impl Touch {
+impl Connectivity {
     fn all() -> Self {
-        Self { held: BTreeSet::new(), frozen: BTreeSet::new() }
+        Self { held_links: BTreeSet::new(), paused: BTreeSet::new() }
     }
 
-    /// Some are out of touch with the others.
-    fn parted(side: &[usize], nodes: usize) -> Self {
-        let mut touch = Self::all();
+    /// One side is partitioned from the other machines.
+    fn partitioned(side: &[usize], nodes: usize) -> Self {
+        let mut connectivity = Self::all();
         let pairs = (0..nodes).flat_map(|from| (0..nodes).map(move |to| (from, to)));
-        touch.held.extend(pairs.filter(|(from, to)| side.contains(from) != side.contains(to)));
-        touch
+        connectivity.held_links.extend(pairs.filter(|(from, to)| side.contains(from) != side.contains(to)));
+        connectivity
     }
 
     fn draw(random: &mut Rng, nodes: usize) -> Self {
-        let mut touch = Self::all();
+        let mut connectivity = Self::all();
         let pairs = || (0..nodes).flat_map(|from| (0..nodes).map(move |to| (from, to)));
         match random.u32(..6) {
             0 | 1 => {
                 let sides: Vec<bool> = (0..nodes).map(|_| random.bool()).collect();
-                touch.held.extend(pairs().filter(|(from, to)| sides[*from] != sides[*to]));
+                connectivity.held_links.extend(pairs().filter(|(from, to)| sides[*from] != sides[*to]));
             }
-            2 => touch.held.extend(pairs().filter(|_| random.u32(..3) == 0)),
+            2 => connectivity.held_links.extend(pairs().filter(|_| random.u32(..3) == 0)),
             3 => {
-                touch.frozen.insert(random.usize(..nodes));
+                connectivity.paused.insert(random.usize(..nodes));
             }
             _ => {}
         }
-        touch
+        connectivity
     }
 
     fn allows(&self, action: Action) -> bool {
         match action {
             Action::Deliver { from, to, .. } | Action::Duplicate { from, to } | Action::Lose { from, to } => {
-                !self.held.contains(&(from, to)) && !self.frozen.contains(&to)
+                !self.held_links.contains(&(from, to)) && !self.paused.contains(&to)
             }
-            Action::Tick(place) | Action::Sync(place) | Action::Propose(place) => {
-                !self.frozen.contains(&place)
+            Action::Tick(position) | Action::Sync(position) | Action::Propose(position) => {
+                !self.paused.contains(&position)
             }
-            Action::Join { who, leader } => !self.held.contains(&(who, leader)),
+            Action::Join { joiner, leader } => !self.held_links.contains(&(joiner, leader)),
             _ => true,
         }
     }
@@ -183,30 +189,31 @@
 fn draw_weights(random: &mut Rng) -> [u32; KINDS] {
     let mut weights = [0; KINDS];
     for (kind, weight) in weights.iter_mut().enumerate() {
-        let least = usize::from(!DISPENSABLE.contains(&kind));
-        *weight = WEIGHTS[random.usize(least..WEIGHTS.len())];
+        let first_choice = usize::from(!OPTIONAL_KINDS.contains(&kind));
+        *weight = WEIGHT_CHOICES[random.usize(first_choice..WEIGHT_CHOICES.len())];
     }
     weights
 }
 
-/// All machines are back and nothing is lost any more: a leader is found, commits, and all come to hold the same.
-pub(crate) fn end_calmly(world: &mut World) {
-    end_calmly_without(world, None);
+/// Restarts all machines and runs without faults: the group must elect a leader and commit, without a pending
+/// change.
+pub(crate) fn assert_group_recovers(world: &mut World) {
+    assert_group_recovers_without(world, None);
 }
 
-/// The same where one machine is gone for good.
-pub(crate) fn end_calmly_without(world: &mut World, gone: Option<usize>) {
-    // Those that were told to end have ended.
-    for place in 0..world.nodes.len() {
-        world.apply(Action::Crash(place));
-        if gone != Some(place) {
-            world.apply(Action::Start(place));
+/// The same with one machine gone permanently.
+pub(crate) fn assert_group_recovers_without(world: &mut World, removed: Option<usize>) {
+    // All processes stop, including those that were told to shut down.
+    for position in 0..world.nodes.len() {
+        world.apply(Action::Crash(position));
+        if removed != Some(position) {
+            world.apply(Action::Start(position));
         }
     }
-    let wanted = world.next_command;
+    let first_command = world.next_command;
     let before = world.checks.acknowledgements();
-    for step in 0..CALM {
-        world.calm_step();
+    for step in 0..FAULT_FREE_STEPS {
+        world.fault_free_step();
         let Some(leader) = world.leader() else { continue };
         let mut actions = Vec::new();
         world.actions(&mut actions);
@@ -218,16 +225,17 @@
             world.apply(Action::Propose(leader));
         }
     }
-    let proposed = world.next_command - wanted;
+    let proposed = world.next_command - first_command;
     let acknowledged = (world.checks.acknowledgements() - before) as u64;
     assert!(
         proposed > 2 && acknowledged + 2 >= proposed,
-        "{acknowledged} of {proposed} acknowledged in calm times"
+        "{acknowledged} of {proposed} proposals acknowledged without faults"
     );
-    let leader = world.leader().expect("a leader in calm times");
-    let membership = world.nodes[leader].replica.as_ref().expect("it runs").membership().clone();
+    let leader = world.leader().expect("a leader without faults");
+    let membership =
+        world.nodes[leader].replica.as_ref().expect("the leader is running").membership().clone();
     assert!(
         membership.incoming_voters.is_none(),
-        "a change of voters is under way after {CALM} steps of {STEP} us"
+        "a change of voters is still under way after {FAULT_FREE_STEPS} steps of {TIME_STEP} us"
     );
 }
--- a/crates/replication/tests/model/world.rs
+++ b/crates/replication/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The model: replicas, their disks, and the messages on their way.
+//! The model: replicas, their disks, and the messages in flight.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::{self, Write};
@@ -13,59 +13,60 @@
 
 mod prepared;
 
-/// What time advances by. Heartbeats are one step apart, a promise lasts for two.
-pub(crate) const STEP: u64 = 100_000;
-/// Messages on their way from one replica to another, at most: more are lost.
-const LINK_MOST: usize = 8;
-/// Bytes of a message with entries: one command fits, two don't, so that logs grow entry by entry.
-const APPEND_MOST: usize = 64;
+/// Duration of one time step, in microseconds. Heartbeats are one step apart; a vote is withheld for two
+/// steps.
+pub(crate) const TIME_STEP: u64 = 100_000;
+/// Most messages in flight on one link. Further ones are lost.
+const MAX_LINK_MESSAGES: usize = 8;
+/// Most bytes of entries in a message. One command fits and two do not, so that logs grow entry by entry.
+const MAX_APPEND_BYTES: usize = 64;
 
-/// A message with the identities of its sender and its receiver.
+/// A message in flight: identity of the sender, identity of the receiver, message.
 type Envelope = (ReplicaId, ReplicaId, Message);
 
-/// A write that is not synced yet.
-type Pending = (u64, Vec<Record>);
+/// An unsynced write: sequence number, records.
+type UnsyncedWrite = (u64, Vec<Record>);
 
-/// One machine: a replica, or none while it is down, and its disk.
+/// A machine: its replica, or `None` while it is down, and its disk.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub(crate) member: Member,
-    founder: bool,
+    is_initial_voter: bool,
     pub(crate) replica: Option<Replica>,
     synced: RecoveredState,
-    pending: VecDeque<Pending>,
-    /// When it did anything last.
-    pub(crate) acted_at: u64,
-    /// Commands applied since the start, by index.
+    unsynced_writes: VecDeque<UnsyncedWrite>,
+    /// Time of the last input.
+    pub(crate) last_input_at: u64,
+    /// Commands applied since the last start, by index.
     pub(crate) applied: BTreeMap<u64, u64>,
 }
 
-/// What may happen next.
+/// A possible next event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
-    /// Time goes on for all.
+    /// Time advances by one step on all machines.
     Advance,
-    /// A replica looks at the clock.
+    /// A replica runs its timers.
     Tick(usize),
-    /// A message arrives: the place in the queue from one replica to another.
-    Deliver { from: usize, to: usize, place: usize },
-    /// The oldest message from one replica to another arrives and stays on its way.
+    /// A message arrives. `position` is its position in the queue of the link.
+    Deliver { from: usize, to: usize, position: usize },
+    /// The oldest message of a link arrives and stays in the queue.
     Duplicate { from: usize, to: usize },
-    /// The oldest message is lost.
+    /// The oldest message of a link is lost.
     Lose { from: usize, to: usize },
-    /// The oldest write is synced.
+    /// The oldest write of a machine is synced.
     Sync(usize),
-    /// A leader gets a command.
+    /// A leader receives a proposal.
     Propose(usize),
-    /// The power is lost, with what was not synced.
+    /// A machine loses power, and with it its unsynced writes.
     Crash(usize),
-    /// It comes back.
+    /// A stopped machine starts.
     Start(usize),
-    /// The disk is lost too: it comes back as another identity.
+    /// A machine loses its disk and restarts with a new identity.
     Wipe(usize),
-    /// One that wants to join reaches the leader.
-    Join { who: usize, leader: usize },
-    /// The process is told to end.
+    /// The join request of a machine reaches the leader.
+    Join { joiner: usize, leader: usize },
+    /// The process is told to shut down.
     PrepareShutdown(usize),
 }
 
@@ -79,155 +80,155 @@
     pub(crate) checks: Checks,
     pub(crate) next_command: u64,
     next_seed: u64,
-    /// Most disks that may be lost, and that were.
-    pub(crate) wipes: (u32, u32),
+    /// Number of disks that may be lost, and number of disks lost so far.
+    pub(crate) disk_losses: (u32, u32),
 }
 
 fn settings(voters: usize) -> Settings {
     Settings {
-        heartbeat_interval: STEP,
-        election_timeout_min: 2 * STEP,
-        election_timeout_max: 5 * STEP,
-        replace_voter_after: 3 * STEP,
+        heartbeat_interval: TIME_STEP,
+        election_timeout_min: 2 * TIME_STEP,
+        election_timeout_max: 5 * TIME_STEP,
+        replace_voter_after: 3 * TIME_STEP,
         target_voters: voters,
         snapshot_every_entries: 4,
         keep_entries: 1,
-        max_append_bytes: APPEND_MOST,
+        max_append_bytes: MAX_APPEND_BYTES,
         ..Settings::default()
     }
 }
 
-fn member(place: usize, generation: u64) -> Member {
-    let address = |port| SocketAddr::from(([10, 0, 0, place as u8 + 1], port));
+fn member(position: usize, generation: u64) -> Member {
+    let address = |port| SocketAddr::from(([10, 0, 0, position as u8 + 1], port));
     Member {
-        id: ReplicaId(place as u64 * 100 + generation),
+        id: ReplicaId(position as u64 * 100 + generation),
         internal_address: address(7000),
         control_address: address(8000),
-        zone: format!("z{place}"),
+        zone: format!("z{position}"),
     }
 }
 
 impl World {
-    /// A group of so many voters that was just founded, and machines beside it that want to join.
-    pub(crate) fn founded(voters: usize, spares: usize) -> Self {
-        let nodes = (0..voters + spares).map(|place| Node {
-            member: member(place, 1),
-            founder: place < voters,
+    /// A new group of `voters` initial voters, and `joiners` machines that want to join.
+    pub(crate) fn new_group(voters: usize, joiners: usize) -> Self {
+        let nodes = (0..voters + joiners).map(|position| Node {
+            member: member(position, 1),
+            is_initial_voter: position < voters,
             replica: None,
             synced: RecoveredState::default(),
-            pending: VecDeque::new(),
-            acted_at: 0,
+            unsynced_writes: VecDeque::new(),
+            last_input_at: 0,
             applied: BTreeMap::new(),
         });
         let mut world = Self {
-            now: 10 * STEP,
+            now: 10 * TIME_STEP,
             nodes: nodes.collect(),
             links: BTreeMap::new(),
             checks: Checks::default(),
             next_command: 1,
             next_seed: 1,
-            wipes: (voters.saturating_sub(1) as u32 / 2, 0),
+            disk_losses: (voters.saturating_sub(1) as u32 / 2, 0),
         };
-        (0..voters + spares).for_each(|place| world.start(place));
+        (0..voters + joiners).for_each(|position| world.start(position));
         world
     }
 
-    /// What happens next in calm times.
-    pub(crate) fn next_calm_action(&self) -> Action {
-        (0..self.nodes.len()).find_map(|place| self.due(place)).unwrap_or(Action::Advance)
+    /// The next event of a run without faults.
+    pub(crate) fn next_fault_free_action(&self) -> Action {
+        (0..self.nodes.len()).find_map(|position| self.due_action(position)).unwrap_or(Action::Advance)
     }
 
-    /// What may happen next in calm times but for the time that goes on: writes, messages in their order, clocks.
-    pub(crate) fn calm_actions(&self) -> Vec<Action> {
+    /// All possible next events of a run without faults, except for the advance of time: synced writes,
+    /// messages in order, timers.
+    pub(crate) fn fault_free_actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.actions(&mut actions);
         actions.retain(|action| match action {
             Action::Sync(_) | Action::Tick(_) => true,
-            Action::Deliver { to, place, .. } => *place == 0 && self.nodes[*to].replica.is_some(),
+            Action::Deliver { to, position, .. } => *position == 0 && self.nodes[*to].replica.is_some(),
             _ => false,
         });
         actions
     }
 
-    /// Whether the holder of the lease has exchanged the voter at a place, and nothing of that is under way.
-    pub(crate) fn is_replaced(&self, place: usize) -> bool {
+    /// Whether the lease holder has replaced the voter at `position` and no joint change is under way.
+    pub(crate) fn is_replaced(&self, position: usize) -> bool {
         let holder = self.leader().and_then(|leader| self.nodes[leader].replica.as_ref());
         holder.is_some_and(|replica| {
             let membership = replica.membership();
-            membership.incoming_voters.is_none() && !membership.is_voter(self.nodes[place].member.id)
+            membership.incoming_voters.is_none() && !membership.is_voter(self.nodes[position].member.id)
         })
     }
 
-    /// Time goes on by a step, and all that is due happens in order.
-    pub(crate) fn calm_step(&mut self) {
+    /// Advances time by one step and carries out all due events in order, without faults.
+    pub(crate) fn fault_free_step(&mut self) {
         self.apply(Action::Advance);
         for _ in 0..600 {
-            match self.next_calm_action() {
+            match self.next_fault_free_action() {
                 Action::Advance => break,
                 action => self.apply(action),
             }
         }
     }
 
-    /// What is due at a machine in calm times.
-    fn due(&self, place: usize) -> Option<Action> {
+    /// The next due event of a machine in a run without faults.
+    fn due_action(&self, position: usize) -> Option<Action> {
         let all: Vec<usize> = (0..self.nodes.len()).collect();
-        self.due_among(place, &all)
+        self.due_action_among(position, &all)
     }
 
-    /// The same where only some machines are in touch.
-    fn due_among(&self, place: usize, places: &[usize]) -> Option<Action> {
-        let node = &self.nodes[place];
+    /// The same if only some machines are connected.
+    fn due_action_among(&self, position: usize, positions: &[usize]) -> Option<Action> {
+        let node = &self.nodes[position];
         let replica = node.replica.as_ref()?;
-        if !node.pending.is_empty() {
-            return Some(Action::Sync(place));
+        if !node.unsynced_writes.is_empty() {
+            return Some(Action::Sync(position));
         }
-        let mut links = self
-            .links
-            .iter()
-            .filter(|((from, to), messages)| *to == place && places.contains(from) && !messages.is_empty());
+        let mut links = self.links.iter().filter(|((from, to), messages)| {
+            *to == position && positions.contains(from) && !messages.is_empty()
+        });
         if let Some(((from, to), _)) = links.next() {
-            return Some(Action::Deliver { from: *from, to: *to, place: 0 });
+            return Some(Action::Deliver { from: *from, to: *to, position: 0 });
         }
         if replica.next_deadline() <= self.now {
-            return Some(Action::Tick(place));
+            return Some(Action::Tick(position));
         }
         None
     }
 
-    /// The machine that holds the lease.
+    /// The machine that holds the lease; `None` if there is none.
     pub(crate) fn leader(&self) -> Option<usize> {
         self.nodes.iter().position(|node| node.holds_lease(self.now))
     }
 
-    /// Whether a machine is no member as far as the holder of the lease knows.
-    fn wants_to_join(&self, place: usize) -> bool {
-        self.nodes[place].replica.as_ref().is_some_and(|replica| replica.membership().is_empty())
+    /// Whether a machine knows no membership yet.
+    fn wants_to_join(&self, position: usize) -> bool {
+        self.nodes[position].replica.as_ref().is_some_and(|replica| replica.membership().is_empty())
     }
 
-    /// All that may happen now, in a fixed order.
+    /// All possible next events, in a fixed order.
     pub(crate) fn actions(&self, actions: &mut Vec<Action>) {
         actions.push(Action::Advance);
-        for (place, node) in self.nodes.iter().enumerate() {
+        for (position, node) in self.nodes.iter().enumerate() {
             let Some(replica) = &node.replica else {
-                actions.push(Action::Start(place));
+                actions.push(Action::Start(position));
                 continue;
             };
             if replica.next_deadline() <= self.now {
-                actions.push(Action::Tick(place));
+                actions.push(Action::Tick(position));
             }
-            if !node.pending.is_empty() {
-                actions.push(Action::Sync(place));
+            if !node.unsynced_writes.is_empty() {
+                actions.push(Action::Sync(position));
             }
             if replica.is_leader() {
-                actions.push(Action::Propose(place));
-                actions.push(Action::PrepareShutdown(place));
-                let joining = (0..self.nodes.len()).filter(|who| self.wants_to_join(*who));
-                actions.extend(joining.map(|who| Action::Join { who, leader: place }));
+                actions.push(Action::Propose(position));
+                actions.push(Action::PrepareShutdown(position));
+                let joining = (0..self.nodes.len()).filter(|joiner| self.wants_to_join(*joiner));
+                actions.extend(joining.map(|joiner| Action::Join { joiner, leader: position }));
             }
-            actions.push(Action::Crash(place));
-            if self.wipes.1 < self.wipes.0 {
-                actions.push(Action::Wipe(place));
+            actions.push(Action::Crash(position));
+            if self.disk_losses.1 < self.disk_losses.0 {
+                actions.push(Action::Wipe(position));
             }
         }
         for ((from, to), messages) in &self.links {
@@ -235,22 +236,22 @@
             if messages.is_empty() {
                 continue;
             }
-            actions.push(Action::Deliver { from, to, place: 0 });
+            actions.push(Action::Deliver { from, to, position: 0 });
             actions.push(Action::Lose { from, to });
             actions.push(Action::Duplicate { from, to });
             if messages.len() > 1 {
-                actions.push(Action::Deliver { from, to, place: messages.len() - 1 });
+                actions.push(Action::Deliver { from, to, position: messages.len() - 1 });
             }
         }
     }
 
-    /// Lets something happen, and checks what must hold.
+    /// Applies an event and checks the invariants.
     pub(crate) fn apply(&mut self, action: Action) {
         match action {
-            Action::Advance => self.now += STEP,
-            Action::Tick(place) => self.handle(place, Input::Tick),
-            Action::Deliver { from, to, place } => {
-                let message = self.links.get_mut(&(from, to)).and_then(|messages| messages.remove(place));
+            Action::Advance => self.now += TIME_STEP,
+            Action::Tick(position) => self.handle(position, Input::Tick),
+            Action::Deliver { from, to, position } => {
+                let message = self.links.get_mut(&(from, to)).and_then(|messages| messages.remove(position));
                 self.deliver(to, message);
             }
             Action::Duplicate { from, to } => {
@@ -260,23 +261,23 @@
             Action::Lose { from, to } => {
                 self.links.get_mut(&(from, to)).map(VecDeque::pop_front);
             }
-            Action::Sync(place) => self.sync(place),
-            Action::Propose(place) => {
+            Action::Sync(position) => self.sync(position),
+            Action::Propose(position) => {
                 let command = self.next_command;
                 self.next_command += 1;
                 let bytes = command.to_le_bytes().to_vec();
-                self.handle(place, Input::Propose { proposal_id: command, command: bytes });
+                self.handle(position, Input::Propose { proposal_id: command, command: bytes });
             }
-            Action::Crash(place) => self.crash(place),
-            Action::Start(place) => self.start(place),
-            Action::Wipe(place) => self.wipe(place),
-            Action::Join { who, leader } => {
-                let member = self.nodes[who].member.clone();
+            Action::Crash(position) => self.crash(position),
+            Action::Start(position) => self.start(position),
+            Action::Wipe(position) => self.wipe(position),
+            Action::Join { joiner, leader } => {
+                let member = self.nodes[joiner].member.clone();
                 self.handle(leader, Input::Join(member));
             }
-            Action::PrepareShutdown(place) => self.handle(place, Input::PrepareShutdown),
+            Action::PrepareShutdown(position) => self.handle(position, Input::PrepareShutdown),
         }
-        self.checks.state(self.now, &self.nodes);
+        self.checks.check_state(self.now, &self.nodes);
     }
 
     fn deliver(&mut self, to: usize, message: Option<Envelope>) {
@@ -286,68 +287,72 @@
         }
     }
 
-    fn sync(&mut self, place: usize) {
-        let node = &mut self.nodes[place];
-        let Some((sequence, records)) = node.pending.pop_front() else { return };
+    fn sync(&mut self, position: usize) {
+        let node = &mut self.nodes[position];
+        let Some((sequence, records)) = node.unsynced_writes.pop_front() else { return };
         records.into_iter().for_each(|record| node.synced.replay(record));
-        self.handle(place, Input::Written { sequence });
+        self.handle(position, Input::Written { sequence });
     }
 
-    fn crash(&mut self, place: usize) {
-        let node = &mut self.nodes[place];
+    fn crash(&mut self, position: usize) {
+        let node = &mut self.nodes[position];
         node.replica = None;
-        node.pending.clear();
+        node.unsynced_writes.clear();
         node.applied.clear();
     }
 
-    fn start(&mut self, place: usize) {
-        let voters = self.nodes.iter().filter(|node| node.founder).count();
-        let founders: Vec<Member> = (0..voters).map(|place| member(place, 1)).collect();
+    fn start(&mut self, position: usize) {
+        let voters = self.nodes.iter().filter(|node| node.is_initial_voter).count();
+        let initial_voters: Vec<Member> = (0..voters).map(|position| member(position, 1)).collect();
         self.next_seed += 1;
         let (seed, now) = (self.next_seed, self.now);
-        let node = &mut self.nodes[place];
-        let founding = (node.founder && node.member.id == founders[place].id).then_some(founders);
+        let node = &mut self.nodes[position];
+        let initial_voters = (node.is_initial_voter && node.member.id == initial_voters[position].id)
+            .then_some(initial_voters);
         let recovered = node.synced.clone();
-        let replica = Replica::new(settings(voters), node.member.clone(), founding, recovered, seed, now);
+        let replica =
+            Replica::new(settings(voters), node.member.clone(), initial_voters, recovered, seed, now);
         node.replica = Some(replica);
-        self.handle(place, Input::Tick);
+        self.handle(position, Input::Tick);
     }
 
-    fn wipe(&mut self, place: usize) {
-        self.crash(place);
-        self.wipes.1 += 1;
-        self.begin_again(place);
-        self.start(place);
+    fn wipe(&mut self, position: usize) {
+        self.crash(position);
+        self.disk_losses.1 += 1;
+        self.reset_disk(position);
+        self.start(position);
     }
 
-    /// An empty disk and another identity.
-    fn begin_again(&mut self, place: usize) {
-        let node = &mut self.nodes[place];
+    /// Gives a machine an empty disk and a new identity.
+    fn reset_disk(&mut self, position: usize) {
+        let node = &mut self.nodes[position];
         node.synced = RecoveredState::default();
         node.member.id = ReplicaId(node.member.id.0 + 1);
     }
 
-    fn handle(&mut self, place: usize, input: Input) {
+    fn handle(&mut self, position: usize, input: Input) {
         let mut outputs = Vec::new();
         let now = self.now;
-        let node = &mut self.nodes[place];
-        node.acted_at = now;
+        let node = &mut self.nodes[position];
+        node.last_input_at = now;
         if let Some(replica) = &mut node.replica {
             replica.handle(now, input, &mut outputs);
         }
         for output in outputs {
-            self.carry_out(place, output);
+            self.handle_output(position, output);
         }
     }
 
-    fn carry_out(&mut self, place: usize, output: Output) {
+    fn handle_output(&mut self, position: usize, output: Output) {
         match output {
-            Output::Send { to, message } => self.send(place, &to, message),
-            Output::Write { sequence, records } => self.nodes[place].pending.push_back((sequence, records)),
+            Output::Send { to, message } => self.send(position, &to, message),
+            Output::Write { sequence, records } => {
+                self.nodes[position].unsynced_writes.push_back((sequence, records))
+            }
             Output::Apply { index, command } => {
                 let command = u64::from_le_bytes(command.try_into().expect("eight bytes"));
-                self.nodes[place].applied.insert(index, command);
-                self.checks.applied(index, command);
+                self.nodes[position].applied.insert(index, command);
+                self.checks.on_applied(index, command);
             }
             Output::Restore { state, .. } => {
                 let numbers: Vec<u64> = state
@@ -355,44 +360,44 @@
                     .map(|bytes| u64::from_le_bytes(bytes.try_into().expect("eight bytes")))
                     .collect();
                 let pairs = numbers.chunks_exact(2).map(|pair| (pair[0], pair[1]));
-                self.nodes[place].applied = pairs.collect();
+                self.nodes[position].applied = pairs.collect();
             }
             Output::ProposalResult { proposal_id, result } => {
                 if let Ok(index) = result {
-                    self.checks.acknowledged(index, proposal_id);
+                    self.checks.on_acknowledged(index, proposal_id);
                 }
             }
             Output::TakeSnapshot { index } => {
-                let applied = &self.nodes[place].applied;
+                let applied = &self.nodes[position].applied;
                 let bytes = applied.iter().flat_map(|(index, command)| [*index, *command]);
                 let state = bytes.flat_map(u64::to_le_bytes).collect();
-                self.handle(place, Input::SnapshotTaken { index, state });
+                self.handle(position, Input::SnapshotTaken { index, state });
             }
             Output::RemovedFromGroup => {
-                self.crash(place);
-                self.begin_again(place);
-                self.start(place);
+                self.crash(position);
+                self.reset_disk(position);
+                self.start(position);
             }
             Output::LeaderChanged { .. } | Output::MembershipChanged(_) => {}
         }
     }
 
     fn send(&mut self, from: usize, to: &Member, message: Message) {
-        let Some(place) =
+        let Some(position) =
             self.nodes.iter().position(|node| node.member.internal_address == to.internal_address)
         else {
             return;
         };
         let id = self.nodes[from].member.id;
-        let messages = self.links.entry((from, place)).or_default();
-        if messages.len() < LINK_MOST {
+        let messages = self.links.entry((from, position)).or_default();
+        if messages.len() < MAX_LINK_MESSAGES {
             messages.push_back((id, to.id, message));
         }
     }
 }
 
 impl Node {
-    /// The last index that its disk holds; nothing if it holds no state of the group.
+    /// Last synced index; `None` if the disk holds no state of the group.
     pub(crate) fn synced_index(&self) -> Option<u64> {
         let snapshot = self.synced.snapshot.as_ref().map(|snapshot| snapshot.index);
         self.synced.entries.last().map(|entry| entry.index).max(snapshot)
@@ -403,7 +408,7 @@
     }
 }
 
-/// Feeds what is written to a hasher, without a string between.
+/// Passes formatted text to a hasher without an intermediate string.
 struct HashWriter<'a, H>(&'a mut H);
 
 impl<H: Hasher> Write for HashWriter<'_, H> {
@@ -415,8 +420,8 @@
 
 impl Hash for World {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        // The whole state as it is printed: nothing of it is left out when a field is added.
-        write!(HashWriter(state), "{self:?}").expect("a hasher takes everything");
+        // The debug output covers the whole state, including fields that are added later.
+        write!(HashWriter(state), "{self:?}").expect("writing to a hasher cannot fail");
     }
 }
 
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,4 +1,4 @@
-//! One replica, driven message by message.
+//! Tests of a single replica, driven input by input.
 
 mod support;
 
@@ -9,19 +9,20 @@
 use support::machine::member;
 use support::{MILLISECOND, SECOND};
 
-const START: u64 = SECOND;
-const AFTER_PROMISE: u64 = START + 601 * MILLISECOND;
+const START_TIME: u64 = SECOND;
+/// Just after the time until which a restarted replica withholds its vote.
+const VOTES_ALLOWED_AT: u64 = START_TIME + 601 * MILLISECOND;
 
 fn voters() -> Vec<Member> {
-    (0..3).map(|place| member(place, 1)).collect()
+    (0..3).map(|position| member(position, 1)).collect()
 }
 
 fn entry(index: u64, term: u64) -> Entry {
     Entry { index, term, payload: Payload::Command(vec![term as u8]) }
 }
 
-/// Recovered state of a voter with entries of the given terms.
-fn recovered(term: u64, terms: &[u64]) -> RecoveredState {
+/// Recovered state of a voter whose entries have the given terms.
+fn recovered_state(term: u64, terms: &[u64]) -> RecoveredState {
     let membership = Membership::of_voters(voters());
     RecoveredState {
         hard_state: Some(HardState { term, voted_for: None }),
@@ -30,65 +31,67 @@
     }
 }
 
-struct Single {
+struct ReplicaDriver {
     replica: Replica,
     now: u64,
     /// Outputs of the last input.
-    out: Vec<Output>,
-    sequences: Vec<u64>,
+    outputs: Vec<Output>,
+    /// Sequence numbers of unsynced writes.
+    unsynced_writes: Vec<u64>,
 }
 
-impl Single {
-    fn new(recovered: RecoveredState) -> Self {
-        let replica = Replica::new(Settings::default(), member(0, 1), None, recovered, 1, START);
-        let mut single = Self { replica, now: START, out: Vec::new(), sequences: Vec::new() };
-        single.input(START, Input::Tick);
-        single
+impl ReplicaDriver {
+    fn new(recovered_state: RecoveredState) -> Self {
+        let replica = Replica::new(Settings::default(), member(0, 1), None, recovered_state, 1, START_TIME);
+        let mut driver = Self { replica, now: START_TIME, outputs: Vec::new(), unsynced_writes: Vec::new() };
+        driver.handle(START_TIME, Input::Tick);
+        driver
     }
 
-    fn input(&mut self, now: u64, input: Input) {
+    fn handle(&mut self, now: u64, input: Input) {
         self.now = now;
-        self.out.clear();
-        self.replica.handle(now, input, &mut self.out);
-        let writes = self.out.iter().filter_map(|output| match output {
+        self.outputs.clear();
+        self.replica.handle(now, input, &mut self.outputs);
+        let writes = self.outputs.iter().filter_map(|output| match output {
             Output::Write { sequence, .. } => Some(*sequence),
             _ => None,
         });
-        self.sequences.extend(writes);
+        self.unsynced_writes.extend(writes);
     }
 
     fn receive(&mut self, from: usize, message: Message) {
-        self.input(self.now, Input::Received { from: member(from, 1).id, message });
+        self.handle(self.now, Input::Received { from: member(from, 1).id, message });
     }
 
-    /// Syncs all writes; the outputs of all of it.
+    /// Syncs all writes and collects the outputs.
     fn sync(&mut self) {
-        let mut all = Vec::new();
-        while !self.sequences.is_empty() {
-            let sequence = self.sequences.remove(0);
-            self.input(self.now, Input::Written { sequence });
-            all.append(&mut self.out);
+        let mut all_outputs = Vec::new();
+        while !self.unsynced_writes.is_empty() {
+            let sequence = self.unsynced_writes.remove(0);
+            self.handle(self.now, Input::Written { sequence });
+            all_outputs.append(&mut self.outputs);
         }
-        self.out = all;
+        self.outputs = all_outputs;
     }
 
-    fn sent(&self, wanted: impl Fn(&Message) -> bool) -> usize {
-        let sent = |output: &&Output| matches!(output, Output::Send { message, .. } if wanted(message));
-        self.out.iter().filter(sent).count()
+    fn count_sent(&self, matches_message: impl Fn(&Message) -> bool) -> usize {
+        let sent =
+            |output: &&Output| matches!(output, Output::Send { message, .. } if matches_message(message));
+        self.outputs.iter().filter(sent).count()
     }
 
     fn records(&self) -> Vec<Record> {
-        let records = self.out.iter().filter_map(|output| match output {
+        let records = self.outputs.iter().filter_map(|output| match output {
             Output::Write { records, .. } => Some(records.clone()),
             _ => None,
         });
         records.flatten().collect()
     }
 
-    /// Becomes leader by the votes of replica 1.
+    /// Becomes leader with the votes of replica 1.
     fn elect(&mut self) {
         let deadline = self.replica.next_deadline();
-        self.input(deadline, Input::Tick);
+        self.handle(deadline, Input::Tick);
         let requested_term = self.replica.term() + 1;
         self.receive(1, Message::PreVoteReply { term: requested_term - 1, requested_term, granted: true });
         self.sync();
@@ -115,253 +118,266 @@
     }
 }
 
-fn granted(message: &Message) -> bool {
+fn is_granted_vote(message: &Message) -> bool {
     matches!(message, Message::VoteReply { granted: true, .. })
 }
 
-fn appended(message: &Message) -> bool {
+fn is_append_accepted(message: &Message) -> bool {
     matches!(message, Message::AppendAccepted { .. })
 }
 
 #[test]
-fn a_vote_is_told_after_it_is_synced() {
-    let mut single = Single::new(recovered(1, &[1]));
-    single.now = AFTER_PROMISE;
-    single.receive(1, Single::vote(2, (1, 1), 1, false));
-    assert_eq!(single.sent(granted), 0);
+fn vote_is_sent_after_sync() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[1]));
+    driver.now = VOTES_ALLOWED_AT;
+    driver.receive(1, ReplicaDriver::vote(2, (1, 1), 1, false));
+    assert_eq!(driver.count_sent(is_granted_vote), 0);
     assert!(
-        single
+        driver
             .records()
             .contains(&Record::HardState(HardState { term: 2, voted_for: Some(member(1, 1).id) }))
     );
-    single.sync();
-    assert_eq!(single.sent(granted), 1);
-    single.receive(2, Single::vote(2, (9, 1), 2, false));
-    assert_eq!(single.sent(granted), 0, "one vote a term");
+    driver.sync();
+    assert_eq!(driver.count_sent(is_granted_vote), 1);
+    driver.receive(2, ReplicaDriver::vote(2, (9, 1), 2, false));
+    assert_eq!(driver.count_sent(is_granted_vote), 0, "a replica votes once per term");
 }
 
 #[test]
-fn a_restarted_replica_gives_no_vote_while_it_may_have_promised() {
-    let mut single = Single::new(recovered(1, &[1]));
-    single.now = START + 599 * MILLISECOND;
-    single.receive(1, Single::vote(2, (1, 1), 1, false));
-    assert_eq!(single.replica.term(), 1);
-    assert!(single.out.is_empty());
-    single.receive(1, Single::vote(2, (1, 1), 1, true));
-    single.sync();
-    assert_eq!(single.sent(granted), 1, "the old leader gave up its lease");
+fn restarted_replica_withholds_its_vote() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[1]));
+    driver.now = START_TIME + 599 * MILLISECOND;
+    driver.receive(1, ReplicaDriver::vote(2, (1, 1), 1, false));
+    assert_eq!(driver.replica.term(), 1);
+    assert!(driver.outputs.is_empty());
+    driver.receive(1, ReplicaDriver::vote(2, (1, 1), 1, true));
+    driver.sync();
+    assert_eq!(driver.count_sent(is_granted_vote), 1, "the old leader gave up its lease");
 }
 
 #[test]
-fn a_follower_gives_no_vote_while_it_hears_a_leader() {
-    let mut single = Single::new(recovered(1, &[1]));
-    single.now = AFTER_PROMISE;
-    single.heartbeat(1, 1, 1);
-    single.now += 599 * MILLISECOND;
-    single.receive(2, Single::vote(2, (1, 1), 2, false));
-    assert_eq!(single.replica.term(), 1);
-    single.now += 2 * MILLISECOND;
-    single.receive(2, Single::vote(2, (1, 1), 2, false));
-    single.sync();
-    assert_eq!(single.sent(granted), 1);
+fn follower_of_a_live_leader_withholds_its_vote() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[1]));
+    driver.now = VOTES_ALLOWED_AT;
+    driver.heartbeat(1, 1, 1);
+    driver.now += 599 * MILLISECOND;
+    driver.receive(2, ReplicaDriver::vote(2, (1, 1), 2, false));
+    assert_eq!(driver.replica.term(), 1);
+    driver.now += 2 * MILLISECOND;
+    driver.receive(2, ReplicaDriver::vote(2, (1, 1), 2, false));
+    driver.sync();
+    assert_eq!(driver.count_sent(is_granted_vote), 1);
 }
 
 #[test]
-fn a_heartbeat_in_a_new_term_is_answered_after_the_term_is_synced_and_later_ones_at_once() {
-    let answered = |message: &Message| matches!(message, Message::HeartbeatReply { term: 3, .. });
-    let mut single = Single::new(recovered(1, &[1]));
-    single.heartbeat(1, 3, 1);
-    assert_eq!(single.sent(answered), 0);
-    single.sync();
-    assert_eq!(single.sent(answered), 1);
-    single.append(3, (1, 1), vec![entry(2, 3)], 0);
-    assert_eq!(single.sent(appended), 0);
-    single.heartbeat(1, 3, 2);
-    assert_eq!(single.sent(answered), 1, "entries that are not synced do not hold it up");
+fn heartbeat_reply_waits_for_the_term_only() {
+    let is_heartbeat_reply = |message: &Message| matches!(message, Message::HeartbeatReply { term: 3, .. });
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[1]));
+    driver.heartbeat(1, 3, 1);
+    assert_eq!(driver.count_sent(is_heartbeat_reply), 0);
+    driver.sync();
+    assert_eq!(driver.count_sent(is_heartbeat_reply), 1);
+    driver.append(3, (1, 1), vec![entry(2, 3)], 0);
+    assert_eq!(driver.count_sent(is_append_accepted), 0);
+    driver.heartbeat(1, 3, 2);
+    assert_eq!(driver.count_sent(is_heartbeat_reply), 1, "unsynced entries do not delay the reply");
 }
 
 #[test]
-fn entries_of_an_earlier_term_are_not_committed_by_counting() {
-    let mut single = Single::new(recovered(3, &[1, 2]));
-    single.elect();
-    let term = single.replica.term();
-    single.sync();
-    single.receive(1, Message::AppendAccepted { term, match_index: 2 });
-    assert_eq!(single.replica.commit_index(), 0);
-    single.receive(1, Message::AppendAccepted { term, match_index: 3 });
-    assert_eq!(single.replica.commit_index(), 3);
+fn entries_of_earlier_terms_are_not_committed_by_counting_replicas() {
+    let mut driver = ReplicaDriver::new(recovered_state(3, &[1, 2]));
+    driver.elect();
+    let term = driver.replica.term();
+    driver.sync();
+    driver.receive(1, Message::AppendAccepted { term, match_index: 2 });
+    assert_eq!(driver.replica.commit_index(), 0);
+    driver.receive(1, Message::AppendAccepted { term, match_index: 3 });
+    assert_eq!(driver.replica.commit_index(), 3);
 }
 
 #[test]
-fn a_leader_counts_itself_after_its_own_write() {
-    let mut single = Single::new(recovered(1, &[]));
-    single.elect();
-    let term = single.replica.term();
-    single.receive(1, Message::AppendAccepted { term, match_index: 1 });
-    assert_eq!(single.replica.commit_index(), 0);
-    single.sync();
-    assert_eq!(single.replica.commit_index(), 1);
+fn leader_counts_itself_after_its_own_sync() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[]));
+    driver.elect();
+    let term = driver.replica.term();
+    driver.receive(1, Message::AppendAccepted { term, match_index: 1 });
+    assert_eq!(driver.replica.commit_index(), 0);
+    driver.sync();
+    assert_eq!(driver.replica.commit_index(), 1);
 }
 
 #[test]
-fn conflicting_entries_are_removed_on_the_disk_too() {
-    let mut single = Single::new(recovered(2, &[1, 1, 1]));
-    single.heartbeat(1, 3, 1);
-    single.append(3, (1, 1), vec![entry(2, 2)], 0);
-    let records = single.records();
+fn conflicting_entries_are_removed_from_disk() {
+    let mut driver = ReplicaDriver::new(recovered_state(2, &[1, 1, 1]));
+    driver.heartbeat(1, 3, 1);
+    driver.append(3, (1, 1), vec![entry(2, 2)], 0);
+    let records = driver.records();
     let truncated = records.iter().position(|record| *record == Record::Truncate { from: 2 });
     let added = records.iter().position(|record| *record == Record::Append(entry(2, 2)));
     assert!(truncated.expect("truncated") < added.expect("added"));
-    assert_eq!(single.replica.status(single.now).synced_index, 1, "the removed ones no longer count");
-    single.sync();
-    assert_eq!(single.replica.status(single.now).synced_index, 2);
+    assert_eq!(
+        driver.replica.status(driver.now).synced_index,
+        1,
+        "removed entries no longer count as synced"
+    );
+    driver.sync();
+    assert_eq!(driver.replica.status(driver.now).synced_index, 2);
 }
 
 #[test]
-fn removed_entries_do_not_count_when_an_older_write_ends() {
-    let mut single = Single::new(recovered(2, &[1]));
-    single.heartbeat(1, 3, 1);
-    single.append(3, (1, 1), vec![entry(2, 3), entry(3, 3)], 0);
-    single.heartbeat(2, 4, 1);
+fn removed_entries_stay_unsynced_when_an_older_write_completes() {
+    let mut driver = ReplicaDriver::new(recovered_state(2, &[1]));
+    driver.heartbeat(1, 3, 1);
+    driver.append(3, (1, 1), vec![entry(2, 3), entry(3, 3)], 0);
+    driver.heartbeat(2, 4, 1);
     let (prev_index, prev_term) = (1, 1);
-    single.receive(
+    driver.receive(
         2,
         Message::Append { term: 4, prev_index, prev_term, entries: vec![entry(2, 4)], commit_index: 0 },
     );
-    let last = single.sequences.pop().expect("the write of the new entry");
-    single.sync();
-    assert_eq!(single.replica.status(single.now).synced_index, 1);
-    single.input(single.now, Input::Written { sequence: last });
-    assert_eq!(single.replica.status(single.now).synced_index, 2);
+    let last = driver.unsynced_writes.pop().expect("the write of the new entry");
+    driver.sync();
+    assert_eq!(driver.replica.status(driver.now).synced_index, 1);
+    driver.handle(driver.now, Input::Written { sequence: last });
+    assert_eq!(driver.replica.status(driver.now).synced_index, 2);
 }
 
 #[test]
-fn entries_beyond_what_was_compared_are_not_committed() {
-    let mut single = Single::new(recovered(2, &[1, 1, 1]));
-    single.heartbeat(1, 3, 1);
-    single.append(3, (1, 1), Vec::new(), 3);
-    assert_eq!(single.replica.commit_index(), 1);
+fn unverified_entries_are_not_committed() {
+    let mut driver = ReplicaDriver::new(recovered_state(2, &[1, 1, 1]));
+    driver.heartbeat(1, 3, 1);
+    driver.append(3, (1, 1), Vec::new(), 3);
+    assert_eq!(driver.replica.commit_index(), 1);
 }
 
 #[test]
-fn a_snapshot_over_conflicting_entries_removes_those_from_its_index_on_first() {
-    let mut single = Single::new(recovered(2, &[1, 2, 2, 2]));
-    single.heartbeat(1, 3, 1);
+fn snapshot_removes_conflicting_entries_first() {
+    let mut driver = ReplicaDriver::new(recovered_state(2, &[1, 2, 2, 2]));
+    driver.heartbeat(1, 3, 1);
     let membership = Membership::of_voters(voters());
     let header = dunelink_replication::TransferHeader::Snapshot { index: 3, term: 3, membership };
-    single.receive(1, Message::Chunk { term: 3, header, offset: 0, total_bytes: 2, bytes: vec![7, 7] });
-    let records = single.records();
+    driver.receive(1, Message::Chunk { term: 3, header, offset: 0, total_bytes: 2, bytes: vec![7, 7] });
+    let records = driver.records();
     assert_eq!(records[0], Record::Truncate { from: 3 });
     assert!(matches!(&records[1], Record::Snapshot(snapshot) if snapshot.index == 3));
-    assert!(single.out.contains(&Output::Restore { index: 3, state: vec![7, 7] }));
-    assert_eq!(single.sent(appended), 0);
-    single.sync();
-    assert_eq!(single.sent(appended), 1);
-    let mut disk = recovered(2, &[1, 2, 2, 2]);
+    assert!(driver.outputs.contains(&Output::Restore { index: 3, state: vec![7, 7] }));
+    assert_eq!(driver.count_sent(is_append_accepted), 0);
+    driver.sync();
+    assert_eq!(driver.count_sent(is_append_accepted), 1);
+    let mut disk = recovered_state(2, &[1, 2, 2, 2]);
     records.into_iter().for_each(|record| disk.replay(record));
     assert!(disk.entries.is_empty());
 }
 
 #[test]
-fn the_founding_snapshot_removes_nothing_from_an_empty_log() {
-    let mut single = Single::new(RecoveredState::default());
-    single.heartbeat(1, 1, 1);
+fn initial_snapshot_on_an_empty_log_truncates_nothing() {
+    let mut driver = ReplicaDriver::new(RecoveredState::default());
+    driver.heartbeat(1, 1, 1);
     let membership = Membership::of_voters(voters());
     let header = dunelink_replication::TransferHeader::Snapshot { index: 0, term: 0, membership };
-    single.receive(1, Message::Chunk { term: 1, header, offset: 0, total_bytes: 0, bytes: Vec::new() });
-    let records = single.records();
+    driver.receive(1, Message::Chunk { term: 1, header, offset: 0, total_bytes: 0, bytes: Vec::new() });
+    let records = driver.records();
     assert!(!records.iter().any(|record| matches!(record, Record::Truncate { .. })), "{records:?}");
     assert!(records.iter().any(|record| matches!(record, Record::Snapshot(snapshot) if snapshot.index == 0)));
-    single.sync();
-    assert_eq!(single.sent(appended), 1, "a replica that joins can be sent entries");
+    driver.sync();
+    assert_eq!(driver.count_sent(is_append_accepted), 1, "the joining replica is ready for entries");
 }
 
 #[test]
-fn promises_that_were_refused_are_asked_for_again_within_a_heartbeat() {
-    let mut single = Single::new(recovered(1, &[1]));
-    single.input(single.replica.next_deadline(), Input::Tick);
-    let pre_vote_request = |message: &Message| matches!(message, Message::PreVoteRequest { term: 2, .. });
-    assert_eq!(single.sent(pre_vote_request), 2);
-    single.receive(1, Message::PreVoteReply { term: 1, requested_term: 2, granted: false });
-    single.receive(2, Message::PreVoteReply { term: 1, requested_term: 2, granted: false });
-    let next = single.replica.next_deadline();
-    assert!(next <= single.now + Settings::default().heartbeat_interval, "{} us", next - single.now);
-    single.input(next, Input::Tick);
-    assert_eq!(single.sent(pre_vote_request), 2);
-    assert_eq!(single.replica.term(), 1, "asking costs no term");
+fn refused_pre_votes_are_requested_again_within_a_heartbeat() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[1]));
+    driver.handle(driver.replica.next_deadline(), Input::Tick);
+    let is_pre_vote_request = |message: &Message| matches!(message, Message::PreVoteRequest { term: 2, .. });
+    assert_eq!(driver.count_sent(is_pre_vote_request), 2);
+    driver.receive(1, Message::PreVoteReply { term: 1, requested_term: 2, granted: false });
+    driver.receive(2, Message::PreVoteReply { term: 1, requested_term: 2, granted: false });
+    let next = driver.replica.next_deadline();
+    assert!(next <= driver.now + Settings::default().heartbeat_interval, "{} us", next - driver.now);
+    driver.handle(next, Input::Tick);
+    assert_eq!(driver.count_sent(is_pre_vote_request), 2);
+    assert_eq!(driver.replica.term(), 1, "pre-votes do not change the term");
 }
 
 #[test]
-fn one_change_of_the_membership_at_a_time() {
-    let mut single = Single::new(recovered(1, &[]));
-    single.elect();
-    let term = single.replica.term();
-    single.input(single.now, Input::Join(member(5, 1)));
-    assert!(single.replica.membership().learners.is_empty(), "nothing is committed in this term yet");
-    single.receive(1, Message::AppendAccepted { term, match_index: 1 });
-    single.sync();
-    single.input(single.now, Input::Join(member(6, 1)));
-    let learners = single.replica.membership().learners.len();
+fn membership_changes_are_sequential() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[]));
+    driver.elect();
+    let term = driver.replica.term();
+    driver.handle(driver.now, Input::Join(member(5, 1)));
+    assert!(driver.replica.membership().learners.is_empty(), "no entry of this term is committed yet");
+    driver.receive(1, Message::AppendAccepted { term, match_index: 1 });
+    driver.sync();
+    driver.handle(driver.now, Input::Join(member(6, 1)));
+    let learners = driver.replica.membership().learners.len();
     assert_eq!(learners, 2);
-    single.input(single.now, Input::Join(member(7, 1)));
-    assert_eq!(single.replica.membership().learners.len(), learners);
-    single.receive(1, Message::AppendAccepted { term, match_index: 2 });
-    single.sync();
-    assert_eq!(single.replica.membership().learners.len(), learners + 1);
+    driver.handle(driver.now, Input::Join(member(7, 1)));
+    assert_eq!(driver.replica.membership().learners.len(), learners);
+    driver.receive(1, Message::AppendAccepted { term, match_index: 2 });
+    driver.sync();
+    assert_eq!(driver.replica.membership().learners.len(), learners + 1);
 }
 
 #[test]
-fn a_failed_write_is_tried_again_with_all_that_came_after_it() {
-    let mut single = Single::new(recovered(1, &[1]));
-    single.heartbeat(1, 2, 1);
-    single.sync();
-    single.append(2, (1, 1), vec![entry(2, 2)], 0);
-    let first = single.sequences.remove(0);
-    single.append(2, (2, 2), vec![entry(3, 2)], 0);
-    let second = single.sequences.remove(0);
-    single.input(single.now, Input::WriteFailed { sequence: first });
-    single.input(single.now, Input::Written { sequence: second });
-    assert_eq!(single.sent(appended), 0, "it came after a failed one");
-    single.append(2, (3, 2), vec![entry(4, 2)], 0);
-    assert!(single.records().is_empty());
-    assert_eq!(single.replica.next_deadline(), single.now + 100 * MILLISECOND);
-    single.input(single.now + 100 * MILLISECOND, Input::Tick);
-    let records = single.records();
+fn failed_write_is_retried_with_all_later_ones() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[1]));
+    driver.heartbeat(1, 2, 1);
+    driver.sync();
+    driver.append(2, (1, 1), vec![entry(2, 2)], 0);
+    let first = driver.unsynced_writes.remove(0);
+    driver.append(2, (2, 2), vec![entry(3, 2)], 0);
+    let second = driver.unsynced_writes.remove(0);
+    driver.handle(driver.now, Input::WriteFailed { sequence: first });
+    driver.handle(driver.now, Input::Written { sequence: second });
+    assert_eq!(driver.count_sent(is_append_accepted), 0, "the write follows a failed one");
+    driver.append(2, (3, 2), vec![entry(4, 2)], 0);
+    assert!(driver.records().is_empty());
+    assert_eq!(driver.replica.next_deadline(), driver.now + 100 * MILLISECOND);
+    driver.handle(driver.now + 100 * MILLISECOND, Input::Tick);
+    let records = driver.records();
     let expected: Vec<Record> = (2..=4).map(|index| Record::Append(entry(index, 2))).collect();
     assert_eq!(records[0], Record::Truncate { from: 2 });
     assert_eq!(records[1..], expected);
-    assert!(single.sequences[0] > second + 1, "a number is skipped");
-    single.sync();
-    assert_eq!(single.sent(|message| matches!(message, Message::AppendAccepted { match_index: 4, .. })), 1);
+    assert!(driver.unsynced_writes[0] > second + 1, "the retry skips a sequence number");
+    driver.sync();
+    assert_eq!(
+        driver.count_sent(|message| matches!(message, Message::AppendAccepted { match_index: 4, .. })),
+        1
+    );
 }
 
 #[test]
-fn a_replica_with_a_failing_disk_does_not_stand() {
-    let mut single = Single::new(recovered(1, &[1]));
-    single.heartbeat(1, 2, 1);
-    let sequence = single.sequences.remove(0);
-    single.input(single.now, Input::WriteFailed { sequence });
+fn replica_with_a_failing_disk_does_not_campaign() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[1]));
+    driver.heartbeat(1, 2, 1);
+    let sequence = driver.unsynced_writes.remove(0);
+    driver.handle(driver.now, Input::WriteFailed { sequence });
     for _ in 0..50 {
-        single.input(single.replica.next_deadline(), Input::Tick);
-        assert_eq!(single.sent(|message| matches!(message, Message::PreVoteRequest { .. })), 0);
-        if let Some(sequence) = single.sequences.pop() {
-            single.input(single.now, Input::WriteFailed { sequence });
+        driver.handle(driver.replica.next_deadline(), Input::Tick);
+        assert_eq!(driver.count_sent(|message| matches!(message, Message::PreVoteRequest { .. })), 0);
+        if let Some(sequence) = driver.unsynced_writes.pop() {
+            driver.handle(driver.now, Input::WriteFailed { sequence });
         }
     }
-    assert!(single.now > START + 2 * SECOND);
+    assert!(driver.now > START_TIME + 2 * SECOND);
 }
 
 #[test]
-fn founders_keep_the_membership_before_they_vote() {
-    let mut out = Vec::new();
-    let founding = Some(voters());
-    let mut replica =
-        Replica::new(Settings::default(), member(0, 1), founding, RecoveredState::default(), 1, START);
-    replica.handle(START, Input::Tick, &mut out);
+fn initial_voter_stores_the_membership_first() {
+    let mut outputs = Vec::new();
+    let initial_voters = Some(voters());
+    let mut replica = Replica::new(
+        Settings::default(),
+        member(0, 1),
+        initial_voters,
+        RecoveredState::default(),
+        1,
+        START_TIME,
+    );
+    replica.handle(START_TIME, Input::Tick, &mut outputs);
     let Some(Output::Write { records, .. }) =
-        out.iter().find(|output| matches!(output, Output::Write { .. }))
+        outputs.iter().find(|output| matches!(output, Output::Write { .. }))
     else {
-        panic!("no write: {out:?}");
+        panic!("no write: {outputs:?}");
     };
     let mut disk = RecoveredState::default();
     records.iter().cloned().for_each(|record| disk.replay(record));
@@ -369,15 +385,18 @@
 }
 
 #[test]
-fn messages_for_a_stalled_disk_do_not_pile_up() {
-    let mut single = Single::new(recovered(1, &[1]));
-    single.heartbeat(1, 2, 1);
+fn messages_behind_a_stalled_disk_are_superseded() {
+    let mut driver = ReplicaDriver::new(recovered_state(1, &[1]));
+    driver.heartbeat(1, 2, 1);
     for round in 2..200 {
-        single.heartbeat(1, 2, round);
-        single.append(2, (1, 1), vec![entry(2, 2)], 0);
-        single.append(2, (1, 1), Vec::new(), 0);
+        driver.heartbeat(1, 2, round);
+        driver.append(2, (1, 1), vec![entry(2, 2)], 0);
+        driver.append(2, (1, 1), Vec::new(), 0);
     }
-    single.sync();
-    assert!(single.out.len() < 5, "{} outputs", single.out.len());
-    assert_eq!(single.sent(|message| matches!(message, Message::AppendAccepted { match_index: 2, .. })), 1);
+    driver.sync();
+    assert!(driver.outputs.len() < 5, "{} outputs", driver.outputs.len());
+    assert_eq!(
+        driver.count_sent(|message| matches!(message, Message::AppendAccepted { match_index: 2, .. })),
+        1
+    );
 }
--- a/crates/replication/tests/seeded_changes.rs
+++ b/crates/replication/tests/seeded_changes.rs
@@ -1,13 +1,14 @@
-//! Mistakes made on purpose inside the state machine, each in a copy of the sources, and each found by the model.
+//! Mutation tests: faults are seeded into a copy of the state machine's sources, and the model must detect
+//! each one.
 //!
-//! The shipped code has no switch for them. A change whose text is no longer in the sources fails the test: it has to be
-//! written anew.
+//! The shipped code contains no switches for them. A change whose original text is no longer in the sources
+//! fails the test and has to be adapted.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A mistake: `from`, which stands once in the file, becomes `to`.
+/// A seeded fault: `from`, which must occur exactly once in the file, is replaced by `to`.
 struct SeededChange {
     name: &'static str,
     file: &'static str,
@@ -17,37 +18,37 @@
 
 const CHANGES: [SeededChange; 10] = [
     SeededChange {
-        name: "a voter that is told to end keeps its vote",
+        name: "a voter that shuts down is not replaced",
         file: "reconfigure.rs",
-        from: ".or_else(|| self.retiring_voter())?;",
+        from: ".or_else(|| self.replace_departing_voter())?;",
         to: ".or_else(|| None)?;",
     },
     SeededChange {
         name: "a vote for a candidate whose log is behind",
         file: "election.rs",
-        from: "let granted = free && self.leading.is_none() && self.is_up_to_date(last);",
-        to: "let granted = free && self.leading.is_none();",
+        from: "let granted = vote_available && self.leader_state.is_none() && self.is_up_to_date(last_entry);",
+        to: "let granted = vote_available && self.leader_state.is_none();",
     },
     SeededChange {
-        name: "a vote despite the promise behind the lease",
+        name: "a vote while the leader's lease may be valid",
         file: "election.rs",
-        from: "if self.membership().is_empty() || (self.has_promised() && !handover) {",
+        from: "if self.membership().is_empty() || (self.must_withhold_vote() && !handover) {",
         to: "if self.membership().is_empty() {",
     },
     SeededChange {
-        name: "a change of voters without its joint half",
+        name: "a change of voters without the joint phase",
         file: "reconfigure.rs",
         from: "Some(Membership { incoming_voters: Some(voters), ..membership.clone() })",
         to: "Some(Membership { voters, ..membership.clone() })",
     },
     SeededChange {
-        name: "a learner taken for ready that lacks entries",
+        name: "a learner that lacks entries counts as ready",
         file: "reconfigure.rs",
-        from: "        streams\n            && caught_up\n",
-        to: "        (streams || true)\n            && (caught_up || true)\n",
+        from: "        is_pipelining\n            && caught_up\n",
+        to: "        (is_pipelining || true)\n            && (caught_up || true)\n",
     },
     SeededChange {
-        name: "entries of earlier terms committed by count",
+        name: "entries of earlier terms committed by counting replicas",
         file: "leader.rs",
         from: "if index <= self.commit_index || self.log.term_at(index) != Some(self.hard_state.term) {",
         to: "if index <= self.commit_index {",
@@ -55,73 +56,73 @@
     SeededChange {
         name: "a second change of voters before the first is committed",
         file: "reconfigure.rs",
-        from: "let settled =\n            self.memberships.newest_index() <= self.commit_index && self.commit_index >= leading.first_index;",
-        to: "let settled = self.commit_index >= leading.first_index;",
+        from: "let is_settled = self.membership_history.latest_index() <= self.commit_index\n            && self.commit_index >= leader_state.term_start_index;",
+        to: "let is_settled = self.commit_index >= leader_state.term_start_index;",
     },
     SeededChange {
         name: "a lease held before the term's first entry is applied",
         file: "lease.rs",
-        from: "self.commit_index >= leading.first_index && self.lease_end",
-        to: "leading.first_index > 0 && self.lease_end",
+        from: "self.commit_index >= leader_state.term_start_index && self.lease_end",
+        to: "leader_state.term_start_index > 0 && self.lease_end",
     },
     SeededChange {
-        name: "a commit beyond what the follower has verified",
+        name: "a commit beyond the follower's verified index",
         file: "follower.rs",
-        from: "self.commit_to(commit_index.min(self.verified));",
-        to: "self.commit_to(commit_index);",
+        from: "self.commit_up_to(commit_index.min(self.verified_index));",
+        to: "self.commit_up_to(commit_index);",
     },
     SeededChange {
-        name: "one that refuses a candidate for its shorter log does not stand",
+        name: "a non-voter with a longer log than the candidate does not campaign",
         file: "election.rs",
-        from: "            self.needed_candidate = true;",
-        to: "            self.needed_candidate = false;",
+        from: "            self.campaigns_as_non_voter = true;",
+        to: "            self.campaigns_as_non_voter = false;",
     },
 ];
 
-/// A copy of this crate that builds alone.
-struct Copy {
+/// A copy of this crate that builds as a workspace of its own.
+struct CrateCopy {
     root: PathBuf,
 }
 
-impl Copy {
+impl CrateCopy {
     fn make() -> Self {
         let root = Path::new(env!("CARGO_TARGET_TMPDIR")).join("seeded");
-        let own = Path::new(env!("CARGO_MANIFEST_DIR"));
-        let workspace = own.parent().and_then(Path::parent).expect("the crate is in a workspace");
+        let crate_root = Path::new(env!("CARGO_MANIFEST_DIR"));
+        let workspace = crate_root.parent().and_then(Path::parent).expect("the crate is part of a workspace");
         let copy = Self { root };
-        copy.take_folder(&own.join("src"), "crates/replication/src");
-        copy.take_folder(&own.join("tests/model"), "crates/replication/tests/model");
-        copy.take(&own.join("Cargo.toml"), "crates/replication/Cargo.toml");
-        copy.take(&workspace.join("Cargo.lock"), "Cargo.lock");
+        copy.copy_folder(&crate_root.join("src"), "crates/replication/src");
+        copy.copy_folder(&crate_root.join("tests/model"), "crates/replication/tests/model");
+        copy.copy_file(&crate_root.join("Cargo.toml"), "crates/replication/Cargo.toml");
+        copy.copy_file(&workspace.join("Cargo.lock"), "Cargo.lock");
         let manifest = fs::read_to_string(workspace.join("Cargo.toml")).expect("the workspace's manifest");
-        let alone = manifest.lines().filter(|line| !line.starts_with("default-members"));
-        let alone = alone.map(|line| match line.starts_with("members") {
+        let standalone = manifest.lines().filter(|line| !line.starts_with("default-members"));
+        let standalone = standalone.map(|line| match line.starts_with("members") {
             true => r#"members = ["crates/replication"]"#,
             false => line,
         });
-        fs::write(copy.root.join("Cargo.toml"), alone.collect::<Vec<_>>().join("\n"))
+        fs::write(copy.root.join("Cargo.toml"), standalone.collect::<Vec<_>>().join("\n"))
             .expect("the copy is written");
         copy
     }
 
-    fn take(&self, from: &Path, to: &str) {
+    fn copy_file(&self, from: &Path, to: &str) {
         let to = self.root.join(to);
         fs::create_dir_all(to.parent().expect("a folder")).expect("the copy's folder is made");
-        // The same content keeps its time, so that it is not built again.
+        // An unchanged file keeps its modification time, so that it is not rebuilt.
         let content = fs::read(from).expect("the sources are read");
         if fs::read(&to).ok().as_ref() != Some(&content) {
             fs::write(to, content).expect("the copy is written");
         }
     }
 
-    fn take_folder(&self, from: &Path, to: &str) {
+    fn copy_folder(&self, from: &Path, to: &str) {
         for file in fs::read_dir(from).expect("the folder is read") {
             let file = file.expect("an entry of the folder");
             let to = format!("{to}/{}", file.file_name().display());
             if file.path().is_dir() {
-                self.take_folder(&file.path(), &to);
+                self.copy_folder(&file.path(), &to);
             } else {
-                self.take(&file.path(), &to);
+                self.copy_file(&file.path(), &to);
             }
         }
     }
@@ -130,7 +131,7 @@
         self.root.join("crates/replication/src").join(file)
     }
 
-    /// Runs cargo on the model: whether it succeeds, and what it prints.
+    /// Runs the model with cargo; returns whether it succeeds, and its output.
     fn cargo(&self, arguments: &[&str]) -> (bool, String) {
         let output = Command::new(env!("CARGO"))
             .args(["test", "--offline", "--quiet", "--test", "model"])
@@ -141,39 +142,45 @@
             .env_remove("MODEL_SECONDS")
             .output()
             .expect("cargo runs");
-        let printed = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
-        (output.status.success(), printed.into_owned())
+        let output_text = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
+        (output.status.success(), output_text.into_owned())
     }
 
-    /// The model's verdict on a change: what it says against it, if anything.
-    fn judge(&self, change: &SeededChange) -> Option<String> {
+    /// The model's output if it detects the change, or `None`.
+    fn find_failure(&self, change: &SeededChange) -> Option<String> {
         let path = self.source(change.file);
-        let sound = fs::read_to_string(&path).expect("the source is read");
-        assert_eq!(sound.matches(change.from).count(), 1, "write anew: {}", change.name);
-        fs::write(&path, sound.replace(change.from, change.to)).expect("the change is written");
-        let (builds, printed) = self.cargo(&["--no-run"]);
-        let verdict = if builds { self.cargo(&[]) } else { (false, String::new()) };
-        fs::write(&path, sound).expect("the source is restored");
-        assert!(builds, "{} does not build: {printed}", change.name);
-        let (passes, said) = verdict;
-        (!passes).then_some(said)
+        let original = fs::read_to_string(&path).expect("the source is read");
+        assert_eq!(
+            original.matches(change.from).count(),
+            1,
+            "the text to replace does not occur exactly once; adapt the change: {}",
+            change.name
+        );
+        fs::write(&path, original.replace(change.from, change.to)).expect("the change is written");
+        let (builds, output_text) = self.cargo(&["--no-run"]);
+        let model_result = if builds { self.cargo(&[]) } else { (false, String::new()) };
+        fs::write(&path, original).expect("the source is restored");
+        assert!(builds, "{} does not build: {output_text}", change.name);
+        let (passes, output) = model_result;
+        (!passes).then_some(output)
     }
 }
 
 #[test]
-fn the_model_finds_each_mistake_made_on_purpose() {
-    let copy = Copy::make();
-    let (passes, printed) = copy.cargo(&[]);
-    assert!(passes, "the model does not pass without a mistake: {printed}");
+fn model_detects_every_seeded_change() {
+    let copy = CrateCopy::make();
+    let (passes, output_text) = copy.cargo(&[]);
+    assert!(passes, "the model fails without a seeded change: {output_text}");
     let mut missed = Vec::new();
     for change in &CHANGES {
-        match copy.judge(change) {
-            Some(said) => {
-                let first = said.lines().find(|line| line.contains("at seed") || line.contains("Discovered"));
-                println!("{}: {}", change.name, first.unwrap_or("found"));
+        match copy.find_failure(change) {
+            Some(output) => {
+                let first_finding =
+                    output.lines().find(|line| line.contains("at seed") || line.contains("Discovered"));
+                println!("{}: {}", change.name, first_finding.unwrap_or("found"));
             }
             None => missed.push(change.name),
         }
     }
-    assert!(missed.is_empty(), "nothing finds: {missed:?}");
+    assert!(missed.is_empty(), "the model does not detect: {missed:?}");
 }
--- a/crates/replication/tests/storage.rs
+++ b/crates/replication/tests/storage.rs
@@ -1,4 +1,4 @@
-//! What a host needs to keep a replica's records.
+//! Encoding and replay of records, and the fence behind failed writes.
 
 mod support;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn records_survive_encoding() {
+fn records_round_trip() {
     let joint = Membership {
         voters: vec![member(0, 1)],
         incoming_voters: Some(vec![member(1, 1)]),
@@ -34,19 +34,19 @@
         Record::Snapshot(snapshot(5)),
     ];
     for record in records {
-        assert_eq!(decode::<Record>(&encode(&record)).expect("it decodes"), record);
+        assert_eq!(decode::<Record>(&encode(&record)).expect("records decode"), record);
     }
 }
 
 #[test]
-fn a_command_takes_its_length_and_little_more() {
+fn command_encoding_is_compact() {
     let command = vec![200; 10_000];
     let record = Record::Append(Entry { index: 1, term: 1, payload: Payload::Command(command) });
     assert!(encode(&record).len() < 10_050);
 }
 
 #[test]
-fn replay_gives_the_state_of_the_last_record() {
+fn replay_applies_records_in_order() {
     let mut recovered = RecoveredState::default();
     assert!(recovered.is_empty());
     (1..=5).for_each(|index| recovered.replay(Record::Append(entry(index, 1))));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn gate_refuses_writes_behind_a_failed_one() {
+fn fence_rejects_writes_behind_a_failure() {
     let mut fence = WriteFence::default();
     assert!(fence.accepts(1) && fence.accepts(2));
     fence.record_failure(2);
--- a/crates/replication/tests/support/checks.rs
+++ b/crates/replication/tests/support/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at every step.
+//! Invariants that are checked at every step.
 
 use std::collections::BTreeMap;
 
@@ -6,61 +6,70 @@
 
 #[derive(Default)]
 pub struct Checks {
-    /// Every command that was applied anywhere, by index.
+    /// Every command applied on any machine, by index.
     pub applied: BTreeMap<u64, u64>,
     /// Acknowledged commands by index.
     pub acknowledged: BTreeMap<u64, u64>,
-    /// Place and identity of the last holder of the lease.
-    pub holder: Option<(usize, u64)>,
-    pub holders: u32,
+    /// Machine position and term of the last lease holder.
+    pub lease_holder: Option<(usize, u64)>,
+    /// Number of (machine, term) pairs that have held the lease.
+    pub lease_holder_count: u32,
 }
 
 impl Checks {
     pub fn on_apply(&mut self, machine: &Machine, index: u64, command: u64) {
         assert!(
-            index > machine.applied,
+            index > machine.applied_index,
             "machine {} applies {index} after {}",
-            machine.place,
-            machine.applied
+            machine.position,
+            machine.applied_index
         );
         let known = *self.applied.entry(index).or_insert(command);
-        assert_eq!(known, command, "machine {} applies another command at {index}", machine.place);
-        let skipped = self.applied.range(machine.applied + 1..index).next();
-        assert!(skipped.is_none(), "machine {} skips {skipped:?}", machine.place);
+        assert_eq!(known, command, "machine {} applies a different command at {index}", machine.position);
+        let skipped_entry = self.applied.range(machine.applied_index + 1..index).next();
+        assert!(skipped_entry.is_none(), "machine {} skips {skipped_entry:?}", machine.position);
     }
 
     pub fn on_restore(&mut self, machine: &Machine, index: u64, state: &BTreeMap<u64, u64>) {
-        assert!(index >= machine.applied, "machine {} goes back to {index}", machine.place);
+        assert!(
+            index >= machine.applied_index,
+            "machine {} restores an older state, at {index}",
+            machine.position
+        );
         assert!(
             self.applied.range(..=index).eq(state.iter()),
-            "machine {} restores another state",
-            machine.place
+            "machine {} restores a state that differs from the applied commands",
+            machine.position
         );
     }
 
     pub fn on_acknowledged(&mut self, machine: &Machine, index: u64, command: u64) {
-        assert_eq!(machine.state.get(&index), Some(&command), "acknowledged before it was applied");
+        assert_eq!(
+            machine.state.get(&index),
+            Some(&command),
+            "the command is acknowledged before the leader has applied it"
+        );
         self.acknowledged.insert(index, command);
     }
 
-    pub fn on_step(&mut self, now: u64, machines: &[Machine]) {
+    pub fn check_leases(&mut self, now: u64, machines: &[Machine]) {
         let mut holders = machines.iter().filter(|machine| machine.holds_lease(now));
-        let Some(holder) = holders.next() else { return };
-        let second = holders.next().map(|machine| machine.place);
-        assert!(second.is_none(), "two hold the lease: {} and {second:?}", holder.place);
-        let term = holder.replica.as_ref().map_or(0, |replica| replica.term());
-        if self.holder != Some((holder.place, term)) {
-            self.holder = Some((holder.place, term));
-            self.holders += 1;
-            self.assert_complete(holder);
+        let Some(lease_holder) = holders.next() else { return };
+        let second = holders.next().map(|machine| machine.position);
+        assert!(second.is_none(), "two machines hold the lease: {} and {second:?}", lease_holder.position);
+        let term = lease_holder.replica.as_ref().map_or(0, |replica| replica.term());
+        if self.lease_holder != Some((lease_holder.position, term)) {
+            self.lease_holder = Some((lease_holder.position, term));
+            self.lease_holder_count += 1;
+            self.assert_has_acknowledged(lease_holder);
         }
     }
 
-    /// The machine has applied all that was acknowledged.
-    pub fn assert_complete(&self, machine: &Machine) {
+    /// Asserts that the machine has applied every acknowledged command.
+    pub fn assert_has_acknowledged(&self, machine: &Machine) {
         for (index, command) in &self.acknowledged {
             let found = machine.state.get(index);
-            assert_eq!(found, Some(command), "machine {} lacks acknowledged entry {index}", machine.place);
+            assert_eq!(found, Some(command), "machine {} lacks acknowledged entry {index}", machine.position);
         }
     }
 }
--- a/crates/replication/tests/support/disk.rs
+++ b/crates/replication/tests/support/disk.rs
@@ -1,52 +1,52 @@
-//! A disk that syncs after a while, loses what is not synced, stalls, and fills.
+//! A simulated disk that delays syncs, loses unsynced writes, stalls and fills up.
 
 use std::collections::VecDeque;
 
 use dunelink_replication::{Record, RecoveredState, WriteFence};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum DiskMode {
     Normal,
     Stalled,
     Full,
 }
 
 pub struct Disk {
-    pub mode: Mode,
+    pub mode: DiskMode,
     pub synced: RecoveredState,
-    queue: VecDeque<(u64, Vec<Record>)>,
+    pending_writes: VecDeque<(u64, Vec<Record>)>,
     fence: WriteFence,
-    pub due: Option<u64>,
+    pub completion_due: Option<u64>,
 }
 
 impl Disk {
     pub fn new() -> Self {
         Self {
-            mode: Mode::Normal,
+            mode: DiskMode::Normal,
             synced: RecoveredState::default(),
-            queue: VecDeque::new(),
+            pending_writes: VecDeque::new(),
             fence: WriteFence::default(),
-            due: None,
+            completion_due: None,
         }
     }
 
     pub fn submit(&mut self, sequence: u64, records: Vec<Record>) {
-        self.queue.push_back((sequence, records));
+        self.pending_writes.push_back((sequence, records));
     }
 
     pub fn is_busy(&self) -> bool {
-        !self.queue.is_empty()
+        !self.pending_writes.is_empty()
     }
 
-    /// Ends the first write of the queue: its sequence, and whether it is synced.
-    pub fn finish(&mut self, random: &mut fastrand::Rng) -> Option<(u64, bool)> {
-        let (sequence, records) = self.queue.pop_front()?;
+    /// Finishes the first pending write; returns its sequence number and whether it is synced.
+    pub fn finish_write(&mut self, random: &mut fastrand::Rng) -> Option<(u64, bool)> {
+        let (sequence, records) = self.pending_writes.pop_front()?;
         if !self.fence.accepts(sequence) {
             return Some((sequence, false));
         }
-        if self.mode == Mode::Full {
+        if self.mode == DiskMode::Full {
             self.fence.record_failure(sequence);
-            self.write_some(records, random);
+            self.write_prefix(records, random);
             return Some((sequence, false));
         }
         for record in records {
@@ -55,33 +55,38 @@
         Some((sequence, true))
     }
 
-    /// Loses power: of the write under way any first part may be stored.
+    /// Loses power. Any prefix of the interrupted write may be stored.
     pub fn lose_power(&mut self, random: &mut fastrand::Rng) {
-        let under_way = self.queue.drain(..).next();
-        if let Some((sequence, records)) = under_way
+        let interrupted_write = self.pending_writes.drain(..).next();
+        if let Some((sequence, records)) = interrupted_write
             && self.fence.accepts(sequence)
         {
-            self.write_some(records, random);
+            self.write_prefix(records, random);
         }
         self.fence = WriteFence::default();
-        self.due = None;
+        self.completion_due = None;
     }
 
-    fn write_some(&mut self, records: Vec<Record>, random: &mut fastrand::Rng) {
-        let stored = random.usize(0..=records.len());
-        for record in records.into_iter().take(stored) {
+    fn write_prefix(&mut self, records: Vec<Record>, random: &mut fastrand::Rng) {
+        let stored_count = random.usize(0..=records.len());
+        for record in records.into_iter().take(stored_count) {
             self.store(record);
         }
     }
 
     fn store(&mut self, record: Record) {
-        let last = self.synced.entries.last().map(|entry| entry.index);
-        let last = last.or(self.synced.snapshot.as_ref().map(|snapshot| snapshot.index)).unwrap_or(0);
+        let last_index = self.synced.entries.last().map(|entry| entry.index);
+        let last_index =
+            last_index.or(self.synced.snapshot.as_ref().map(|snapshot| snapshot.index)).unwrap_or(0);
         if let Record::Append(entry) = &record {
-            assert!(entry.index <= last + 1, "gap on disk: {} after {last}", entry.index);
+            assert!(
+                entry.index <= last_index + 1,
+                "gap on the disk: entry {} follows {last_index}",
+                entry.index
+            );
         }
         if let Record::Truncate { from } = &record {
-            assert!(*from > 0, "there is no entry 0 to remove");
+            assert!(*from > 0, "truncation from entry 0, which does not exist");
         }
         self.synced.replay(record);
     }
--- a/crates/replication/tests/support/faults.rs
+++ b/crates/replication/tests/support/faults.rs
@@ -3,67 +3,68 @@
 use dunelink_replication::Input;
 
 use super::cluster::Cluster;
-use super::disk::Mode;
+use super::disk::DiskMode;
 use super::{MILLISECOND, SECOND};
 
-/// Runs faults by chance for a while, then mends everything and checks that the group works and agrees.
+/// Injects random faults, then ends all faults and checks that the group recovers and agrees.
 pub fn run_schedule(size: usize, seed: u64, steps: u32) -> Cluster {
     let mut cluster = run_faults(size, seed, steps);
-    mend(&mut cluster);
-    assert_works(&mut cluster);
+    end_faults(&mut cluster);
+    assert_recovers(&mut cluster);
     cluster
 }
 
-/// Runs faults by chance for a while.
+/// Injects `steps` random faults with random pauses.
 fn run_faults(size: usize, seed: u64, steps: u32) -> Cluster {
     let mut cluster = Cluster::new(size, seed);
     cluster.settings.snapshot_every_entries = 40;
     cluster.settings.keep_entries = 10;
     cluster.settings.max_append_bytes = 16 * 1024;
-    cluster.padding = if seed.is_multiple_of(3) { 40_000 } else { 200 };
-    cluster.network.ordered = !seed.is_multiple_of(4);
-    for place in 0..size {
-        cluster.restart(place);
+    cluster.max_command_padding = if seed.is_multiple_of(3) { 40_000 } else { 200 };
+    cluster.network.in_order = !seed.is_multiple_of(4);
+    for position in 0..size {
+        cluster.restart(position);
     }
     if seed % 2 == 1 {
         cluster.add_machine();
     }
     for _ in 0..steps {
-        fault(&mut cluster);
+        inject_fault(&mut cluster);
         let wait = cluster.random.u64(20 * MILLISECOND..900 * MILLISECOND);
         cluster.run_for(wait);
     }
     cluster
 }
 
-fn fault(cluster: &mut Cluster) {
-    let running: Vec<usize> =
-        (0..cluster.machines.len()).filter(|place| !cluster.machines[*place].gone).collect();
-    let place = running[cluster.random.usize(0..running.len())];
-    let leader = cluster.leader().unwrap_or(place);
-    let place = if cluster.random.bool() { leader } else { place };
+/// Injects one random fault, or ends some faults.
+fn inject_fault(cluster: &mut Cluster) {
+    let present: Vec<usize> =
+        (0..cluster.machines.len()).filter(|position| !cluster.machines[*position].removed).collect();
+    let position = present[cluster.random.usize(0..present.len())];
+    let leader = cluster.leader().unwrap_or(position);
+    let position = if cluster.random.bool() { leader } else { position };
     match cluster.random.u32(0..28) {
-        0 => cluster.crash(place),
-        1 | 2 => cluster.restart(place),
-        3 => running.iter().for_each(|place| cluster.restart(*place)),
+        0 => cluster.crash(position),
+        1 | 2 => cluster.restart(position),
+        3 => present.iter().for_each(|position| cluster.restart(*position)),
         4 | 5 => {
             let duration = cluster.random.u64(50 * MILLISECOND..3 * SECOND);
-            cluster.pause(place, duration);
+            cluster.pause(position, duration);
         }
-        6 | 7 => cluster.isolate(place),
+        6 | 7 => cluster.isolate(position),
         8 | 9 => {
-            let to = running[cluster.random.usize(0..running.len())];
-            cluster.network.cut(place, to);
+            let to = present[cluster.random.usize(0..present.len())];
+            cluster.network.cut(position, to);
         }
-        10 => running.iter().for_each(|to| cluster.network.cut(place, *to)),
-        11 => running.iter().for_each(|from| cluster.network.cut(*from, place)),
-        12 => cluster.network.loss = cluster.random.u32(0..40),
-        13 => cluster.set_disk(place, Mode::Stalled),
-        14 => cluster.set_disk(place, Mode::Full),
-        15 | 16 => running.iter().for_each(|place| cluster.set_disk(*place, Mode::Normal)),
-        17 if cluster.disks_are_whole() => cluster.wipe(place),
-        18 if cluster.disks_are_whole() => drop(cluster.replace(place)),
-        19 => cluster.handle(place, Input::PrepareShutdown),
+        10 => present.iter().for_each(|to| cluster.network.cut(position, *to)),
+        11 => present.iter().for_each(|from| cluster.network.cut(*from, position)),
+        12 => cluster.network.loss_percent = cluster.random.u32(0..40),
+        13 => cluster.set_disk_mode(position, DiskMode::Stalled),
+        14 => cluster.set_disk_mode(position, DiskMode::Full),
+        15 | 16 => present.iter().for_each(|position| cluster.set_disk_mode(*position, DiskMode::Normal)),
+        17 if cluster.voter_disks_are_intact() => cluster.wipe(position),
+        18 if cluster.voter_disks_are_intact() => drop(cluster.replace(position)),
+        19 => cluster.handle(position, Input::PrepareShutdown),
         _ => {
             cluster.network.heal();
             start_all(cluster);
@@ -72,38 +73,39 @@
 }
 
 fn start_all(cluster: &mut Cluster) {
-    for place in 0..cluster.machines.len() {
-        if cluster.machines[place].replica.is_none() && !cluster.machines[place].gone {
-            cluster.start(place);
+    for position in 0..cluster.machines.len() {
+        if cluster.machines[position].replica.is_none() && !cluster.machines[position].removed {
+            cluster.start(position);
         }
     }
 }
 
 /// Ends all faults.
-pub fn mend(cluster: &mut Cluster) {
+pub fn end_faults(cluster: &mut Cluster) {
     cluster.network.heal();
-    cluster.network.ordered = true;
-    for place in 0..cluster.machines.len() {
-        if !cluster.machines[place].gone {
-            cluster.set_disk(place, Mode::Normal);
-            cluster.restart(place);
+    cluster.network.in_order = true;
+    for position in 0..cluster.machines.len() {
+        if !cluster.machines[position].removed {
+            cluster.set_disk_mode(position, DiskMode::Normal);
+            cluster.restart(position);
         }
     }
 }
 
-/// The group has a leader, grows to its size, and all machines come to the same state.
-pub fn assert_works(cluster: &mut Cluster) {
+/// Asserts that the group elects a leader, regains its number of voters, and that all machines reach the same
+/// state.
+pub fn assert_recovers(cluster: &mut Cluster) {
     cluster.wait_for_leader(10 * SECOND);
-    cluster.run_until(20 * SECOND, Cluster::disks_are_whole);
+    cluster.run_until(20 * SECOND, Cluster::voter_disks_are_intact);
     let leader = cluster.wait_for_leader(SECOND);
     let command = cluster.propose(leader);
     cluster.run_until(5 * SECOND, |cluster| cluster.is_acknowledged(command));
-    cluster.propose_every = None;
+    cluster.proposal_interval = None;
     cluster.run_until(10 * SECOND, |cluster| {
-        let mut machines = cluster.machines.iter().filter(|machine| !machine.gone);
+        let mut machines = cluster.machines.iter().filter(|machine| !machine.removed);
         machines.all(|machine| machine.state == cluster.checks.applied)
     });
-    for machine in cluster.machines.iter().filter(|machine| !machine.gone) {
-        cluster.checks.assert_complete(machine);
+    for machine in cluster.machines.iter().filter(|machine| !machine.removed) {
+        cluster.checks.assert_has_acknowledged(machine);
     }
 }
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A replica group in memory: machines with disks and clocks of their own, links between them, faults, and checks of
-//! what must always hold. One seed gives one course of events.
+//! Deterministic simulation of a replica group: machines with their own disks and clocks, network links,
+//! faults, and checks of invariants. A seed determines the whole run.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 pub mod checks;
