--- a/crates/replication/tests/model/walk.rs
+++ b/crates/replication/tests/model/walk.rs
@@ -132,22 +132,24 @@
     }
 }
 
-/// Connectivity of the machines during a phase. Messages on a held link stay in flight.
+/// Connectivity of the machines during a phase. Messages on a blocked link stay in flight.
 struct Connectivity {
-    held_links: BTreeSet<(usize, usize)>,
+    blocked_links: BTreeSet<(usize, usize)>,
     paused: BTreeSet<usize>,
 }
 
 impl Connectivity {
     fn all() -> Self {
-        Self { held_links: BTreeSet::new(), paused: BTreeSet::new() }
+        Self { blocked_links: BTreeSet::new(), paused: BTreeSet::new() }
     }
 
     /// One side is partitioned from the other machines.
     fn partitioned(side: &[usize], nodes: usize) -> Self {
         let mut connectivity = Self::all();
         let pairs = (0..nodes).flat_map(|from| (0..nodes).map(move |to| (from, to)));
-        connectivity.held_links.extend(pairs.filter(|(from, to)| side.contains(from) != side.contains(to)));
+        connectivity
+            .blocked_links
+            .extend(pairs.filter(|(from, to)| side.contains(from) != side.contains(to)));
         connectivity
     }
 
@@ -157,9 +159,9 @@
         match random.u32(..6) {
             0 | 1 => {
                 let sides: Vec<bool> = (0..nodes).map(|_| random.bool()).collect();
-                connectivity.held_links.extend(pairs().filter(|(from, to)| sides[*from] != sides[*to]));
+                connectivity.blocked_links.extend(pairs().filter(|(from, to)| sides[*from] != sides[*to]));
             }
-            2 => connectivity.held_links.extend(pairs().filter(|_| random.u32(..3) == 0)),
+            2 => connectivity.blocked_links.extend(pairs().filter(|_| random.u32(..3) == 0)),
             3 => {
                 connectivity.paused.insert(random.usize(..nodes));
             }
@@ -171,12 +173,12 @@
     fn allows(&self, action: Action) -> bool {
         match action {
             Action::Deliver { from, to, .. } | Action::Duplicate { from, to } | Action::Lose { from, to } => {
-                !self.held_links.contains(&(from, to)) && !self.paused.contains(&to)
+                !self.blocked_links.contains(&(from, to)) && !self.paused.contains(&to)
             }
             Action::Tick(position) | Action::Sync(position) | Action::Propose(position) => {
                 !self.paused.contains(&position)
             }
-            Action::Join { joiner, leader } => !self.held_links.contains(&(joiner, leader)),
+            Action::Join { joiner, leader } => !self.blocked_links.contains(&(joiner, leader)),
             _ => true,
         }
     }
