--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,13 +1,14 @@
 //! Messages between the programs of the fleet, and their framing; no I/O.
 //!
-//! Two links use them:
+//! They are used on two kinds of connection:
 //!
-//! - agent to control, over TCP to a control machine's first internal port: [`AgentMessage`] one way,
-//!   [`FeedMessage`] the other;
-//! - proxy to agent, over TCP on one machine: [`ProxyMessage`] one way, [`FeedMessage`] the other.
+//! - agent to control, over TCP to a control machine's first internal port: [`AgentMessage`] in one
+//!   direction, [`FeedMessage`] in the other;
+//! - proxy to agent, over TCP on one machine: [`ProxyMessage`] in one direction, [`FeedMessage`] in the
+//!   other.
 //!
-//! Every connection begins with a [`Hello`] from its opener, which names the kind of link.
-//! A message is CBOR behind a length of four bytes, little endian ([`frame`]).
+//! Every connection begins with a [`Hello`] from the node that opened it, which states the purpose of the
+//! connection. A message is encoded as CBOR with a length prefix of four bytes, little endian ([`frame`]).
 
 #![forbid(unsafe_code)]
 
@@ -18,12 +19,12 @@
 pub mod report;
 
 pub use feed::{
-    ConfigurationChunk, ControlMember, FeedMessage, GrantUpdate, HeldTenant, RosterOffset, RosterUpdate,
-    ServerEntry, ServerSuspicion, TenantGrant, Tick,
+    ConfigurationChunk, ControlMember, FeedMessage, GrantUpdate, Heartbeat, RosterOffset, RosterUpdate,
+    ServerEntry, ServerSuspicion, TenantGrant, ThrottledTenant,
 };
 pub use frame::{FrameError, MAX_FRAME_BYTES, decode, encode};
 pub use hello::{Hello, LinkKind};
-pub use load::{FleetLoads, NodeLoads, ServerLoad, UNREAD_UNIT, server_key};
+pub use load::{FleetLoads, NodeLoads, PROMPT_UNIT_TOKENS, ServerLoad, server_key};
 pub use report::{
-    AgentMessage, NodeDemand, ProxyMessage, ProxyReport, ServerObservation, Subscribe, TenantDemand,
+    AgentMessage, FeedPosition, NodeDemand, ProxyMessage, ProxyReport, ServerObservation, TenantDemand,
 };
--- a/crates/storage/tests/model/mod.rs
+++ b/crates/storage/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! What a store should hold, kept in memory.
+//! In-memory model of the expected contents of a store.
 
-use dunelink_storage::{Operation, Recovered, StoredEntry, StoredSnapshot};
+use dunelink_storage::{Operation, RecoveredState, StoredEntry, StoredSnapshot};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Model {
@@ -41,9 +41,11 @@
         }
     }
 
-    /// True if that is what was recovered.
-    pub(crate) fn is(&self, found: &Recovered) -> bool {
-        self.metadata == found.metadata && self.snapshot == found.snapshot && self.entries == found.entries
+    /// Whether the recovered state equals the model.
+    pub(crate) fn matches(&self, recovered: &RecoveredState) -> bool {
+        self.metadata == recovered.metadata
+            && self.snapshot == recovered.snapshot
+            && self.entries == recovered.entries
     }
 
     #[allow(dead_code)]
