--- a/bench/src/lines.rs
+++ b/bench/src/lines.rs
@@ -7,7 +7,7 @@
 
 use anyhow::bail;
 use clap::Args;
-use dunelink::deciding::{
+use dunelink::consensus::{
     Bounds, Council, Evictions, Generation, Held, Input as Told, MOST, Micros, Names, Output, Process,
     Settings, View, Wire,
 };
--- a/crates/dunelink/src/engine.rs
+++ b/crates/dunelink/src/engine.rs
@@ -234,12 +234,12 @@
         Snapshot {
             servers,
             open: self.open.values().filter(|open| open.answer.is_some()).count(),
-            kept: self.open.len().max(self.balancer.tracked_requests()),
-            held: self.balancer.queued_requests(),
+            tracked: self.open.len().max(self.balancer.tracked_requests()),
+            queued: self.balancer.queued_requests(),
             in_flight: attempts().count(),
             connections: self.servers.connections(),
             listed: self.balancer.listed_servers(),
-            avoided: self.balancer.ejected_servers(self.now),
+            ejected: self.balancer.ejected_servers(self.now),
             counts: self.tally.counts(),
         }
     }
--- a/crates/dunelink/src/error.rs
+++ b/crates/dunelink/src/error.rs
@@ -28,7 +28,7 @@
 pub enum CallError {
     /// The request is not one that the node can take; the sender has to mend it.
     #[error("{0}")]
-    Invalid(#[from] Invalid),
+    Invalid(#[from] InvalidRequest),
     /// Its body could not be read.
     #[error("{0}")]
     Body(#[from] BodyError),
@@ -64,15 +64,15 @@
 /// What is wrong with a request.
 ///
 /// ```
-/// use dunelink::{CallError, Invalid};
+/// use dunelink::{CallError, InvalidRequest};
 ///
-/// let invalid = Invalid::new(http::StatusCode::CONFLICT, "taken");
+/// let invalid = InvalidRequest::new(http::StatusCode::CONFLICT, "taken");
 /// assert_eq!(CallError::from(invalid).status(), 409);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 #[non_exhaustive]
-pub struct Invalid {
+pub struct InvalidRequest {
     /// The status that tells its sender.
     pub status: StatusCode,
     /// What is wrong, in words.
@@ -81,16 +81,16 @@
     pub allow: Option<&'static str>,
 }
 
-impl Invalid {
+impl InvalidRequest {
     /// What is wrong, and the status that says so.
-    pub const fn new(status: StatusCode, reason: &'static str) -> Invalid {
-        Invalid { status, reason, allow: None }
+    pub const fn new(status: StatusCode, reason: &'static str) -> InvalidRequest {
+        InvalidRequest { status, reason, allow: None }
     }
 }
 
-impl From<Fault> for Invalid {
-    fn from(fault: Fault) -> Invalid {
-        Invalid::new(fault.status(), fault.reason())
+impl From<Fault> for InvalidRequest {
+    fn from(fault: Fault) -> InvalidRequest {
+        InvalidRequest::new(fault.status(), fault.reason())
     }
 }
 
--- a/crates/dunelink/src/http.rs
+++ b/crates/dunelink/src/http.rs
@@ -8,7 +8,7 @@
 use http::{Response, StatusCode};
 
 use crate::answer_body::AnswerBody;
-use crate::error::{CallError, Invalid};
+use crate::error::{CallError, InvalidRequest};
 use crate::types::Answer;
 
 /// How a response came to be; in the extensions of every response that [`respond`] makes.
@@ -121,7 +121,7 @@
     }
     let mut response = plain(error.status(), error.to_string());
     // RFC 9110, 15.5.6.
-    if let CallError::Invalid(Invalid { allow: Some(method), .. }) = error {
+    if let CallError::Invalid(InvalidRequest { allow: Some(method), .. }) = error {
         response.headers_mut().insert(header::ALLOW, HeaderValue::from_static(method));
     }
     response
--- a/crates/dunelink/src/intake.rs
+++ b/crates/dunelink/src/intake.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use crate::config::{Absent, Config, Effect, Intake as Rules, LONGEST};
-use crate::error::Invalid;
+use crate::error::InvalidRequest;
 use crate::payload::Payload;
 use crate::types::Outgoing;
 
@@ -89,7 +89,7 @@
     /// When the request's last byte came, where it has waited since: a client's patience begins then, and not when
     /// its turn has come. Without it, that is when the call has read it.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub struct Came(pub Instant);
+    pub struct ReceivedAt(pub Instant);
 
     /// A guess at the work; without it, `Req-Cost` (microseconds).
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -138,8 +138,8 @@
     key: Option<u64>,
 }
 
-const fn bad(reason: &'static str) -> Invalid {
-    Invalid::new(StatusCode::BAD_REQUEST, reason)
+const fn bad(reason: &'static str) -> InvalidRequest {
+    InvalidRequest::new(StatusCode::BAD_REQUEST, reason)
 }
 
 impl Intake {
@@ -159,12 +159,12 @@
     }
 
     /// Reads a request's target, and the fields that could give it another meaning.
-    pub(crate) fn target<'a>(&self, parts: &'a Parts) -> Result<Target<'a>, Invalid> {
+    pub(crate) fn target<'a>(&self, parts: &'a Parts) -> Result<Target<'a>, InvalidRequest> {
         let headers = &parts.headers;
         let size = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum::<usize>();
         if size > HEADERS_MOST {
             let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-            return Err(Invalid::new(status, "the headers are over 32 KiB"));
+            return Err(InvalidRequest::new(status, "the headers are over 32 KiB"));
         }
         let hosting = match self.rules.host {
             Absent::Refuse => Hosting::Wire,
@@ -174,7 +174,7 @@
     }
 
     /// Reads what a request's head says beside its target. Extensions go before headers.
-    pub(crate) fn basics(&self, parts: &Parts, came: Instant) -> Result<Basics, Invalid> {
+    pub(crate) fn basics(&self, parts: &Parts, came: Instant) -> Result<Basics, InvalidRequest> {
         let (headers, ext) = (&parts.headers, &parts.extensions);
         let id = match ext.get::<ext::Id>() {
             Some(id) => Some(&*id.0),
@@ -214,7 +214,7 @@
     }
 
     /// Reads a request's head. Extensions go before headers and path.
-    pub(crate) fn head(&self, parts: &Parts, came: Instant) -> Result<Head, Invalid> {
+    pub(crate) fn head(&self, parts: &Parts, came: Instant) -> Result<Head, InvalidRequest> {
         let target = self.target(parts)?;
         let named = match parts.extensions.get::<ext::Class>() {
             // The host may have found it in any part of the path.
@@ -222,7 +222,7 @@
             None => target.class(),
         };
         let Some(class) = self.classes.get(named).map(|class| self.class_rules[*class]) else {
-            return Err(Invalid::new(StatusCode::NOT_FOUND, "no such class"));
+            return Err(InvalidRequest::new(StatusCode::NOT_FOUND, "no such class"));
         };
         let basics = self.basics(parts, came)?;
         method_fits(&class, &parts.method, &parts.headers)?;
@@ -244,14 +244,18 @@
     }
 
     /// Takes the request's id, or makes one, for as long as the request is open.
-    pub(crate) fn claim(self: &Arc<Self>, id: Option<&str>, number: RequestId) -> Result<Claimed, Invalid> {
+    pub(crate) fn claim(
+        self: &Arc<Self>,
+        id: Option<&str>,
+        number: RequestId,
+    ) -> Result<Claimed, InvalidRequest> {
         let id = id.map_or_else(|| format!("{number:016x}").into(), Box::from);
         let new = self.ids(&id).insert(id.clone());
         match new {
             true => Ok(Claimed { id, intake: self.clone() }),
             false => {
                 let reason = "another open request has this Req-Id";
-                Err(Invalid::new(StatusCode::CONFLICT, reason))
+                Err(InvalidRequest::new(StatusCode::CONFLICT, reason))
             }
         }
     }
@@ -332,7 +336,7 @@
         mut parts: Parts,
         body: Payload,
         claimed: &Claimed,
-    ) -> Result<Outgoing, Invalid> {
+    ) -> Result<Outgoing, InvalidRequest> {
         if parts.method == Method::GET && body.length() != Some(0) {
             return Err(bad("a GET has no body"));
         }
@@ -361,11 +365,11 @@
 }
 
 /// The method follows from the class.
-fn method_fits(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), Invalid> {
+fn method_fits(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), InvalidRequest> {
     let right = if class.effect == Effect::Safe { "GET" } else { "POST" };
     if method.as_str() != right {
-        let invalid = Invalid::new(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class");
-        return Err(Invalid { allow: Some(right), ..invalid });
+        let invalid = InvalidRequest::new(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class");
+        return Err(InvalidRequest { allow: Some(right), ..invalid });
     }
     match class.effect {
         Effect::Keyed if request::key(headers).is_none() => Err(bad("Idempotency-Key is missing")),
--- a/crates/dunelink/src/lib.rs
+++ b/crates/dunelink/src/lib.rs
@@ -32,7 +32,7 @@
 //! # Ok(()) }
 //! ```
 //!
-//! # Parts
+//! # NodeParts
 //!
 //! - [`Config`]: everything a node goes by, from TOML, from the platform's JSON, or made in code.
 //! - [`roster`]: where the list of servers comes from.
@@ -78,17 +78,17 @@
 pub use config::Config;
 pub use counts::{ClassCounts, Counts};
 /// What gossip tells of members and servers.
-pub use dunelink_gossip as gossiping;
+pub use dunelink_gossip as gossip;
 /// What a GraphQL request is, and what the node says of it.
 pub use dunelink_graphql as graphql;
 /// Who reaches whom.
-pub use dunelink_reach as reaching;
+pub use dunelink_reach as reachability;
 /// What the fleet decides as one.
-pub use dunelink_view as deciding;
+pub use dunelink_view as consensus;
 pub use entries::{Server, ServerState, Update};
-pub use error::{BodyError, BoxError, CallError, Closed, Invalid, StartError};
+pub use error::{BodyError, BoxError, CallError, Closed, InvalidRequest, StartError};
 pub use fleet::{FleetView, GossipView, Gossiper, NodeView, OutView};
 pub use intake::ext;
-pub use node::{Builder, Finished, Handle, Node, Parts, Received, Shard, Source};
+pub use node::{Builder, Completion, Handle, Node, NodeParts, ReceivedRequest, ServerListReader, Shard};
 pub use snapshot::{ServerView, Snapshot};
 pub use types::Answer;
--- a/crates/dunelink/src/node/graphql.rs
+++ b/crates/dunelink/src/node/graphql.rs
@@ -12,9 +12,9 @@
 use super::batch::{Batch, Part};
 use super::endpoint::Endpoint;
 use super::handle::Handle;
-use super::received::{Received, Work};
+use super::received::{ReceivedRequest, Work};
 use crate::config::ConfigError;
-use crate::error::{BoxError, CallError, Invalid};
+use crate::error::{BoxError, CallError, InvalidRequest};
 use crate::http::Rendering;
 use crate::intake::{Basics, Head, ID_MOST};
 use crate::payload::Payload;
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// It can't be read, or has a document that would be turned down. The old one stays then.
-    pub fn reread_documents(&self) -> Result<usize, ConfigError> {
+    pub fn reload_graphql_documents(&self) -> Result<usize, ConfigError> {
         self.shared.graphql.as_ref().map_or(Ok(0), Endpoint::reread)
     }
 
@@ -62,7 +62,7 @@
         came: Instant,
         within: Option<Instant>,
         place: Option<OwnedSemaphorePermit>,
-    ) -> Result<Received, CallError>
+    ) -> Result<ReceivedRequest, CallError>
     where
         B: Body + Send + 'static,
         B::Error: Into<BoxError>,
@@ -85,13 +85,13 @@
             Verdict::Single(ruling) => {
                 let one =
                     self.one(self.head_of(&ruling, basics), parts, Payload::Whole(body.clone()), place)?;
-                Ok(Received { body, deadline: one.head.deadline, rendering, work: Work::One(one) })
+                Ok(ReceivedRequest { body, deadline: one.head.deadline, rendering, work: Work::One(one) })
             }
             Verdict::Batch(rulings) => {
                 let batch = self.batch(&parts, rulings, basics, place, media)?;
                 let deadline = |part: &Part| part.one.as_ref().ok().map(|one| one.head.deadline);
                 let deadline = batch.parts.iter().filter_map(deadline).max().unwrap_or(latest);
-                Ok(Received { body, deadline, rendering, work: Work::Batch(batch) })
+                Ok(ReceivedRequest { body, deadline, rendering, work: Work::Batch(batch) })
             }
         }
     }
@@ -112,7 +112,7 @@
         basics: Basics,
         mut place: Option<OwnedSemaphorePermit>,
         media: Media,
-    ) -> Result<Batch, Invalid> {
+    ) -> Result<Batch, InvalidRequest> {
         let number = self.engine().mailbox.number();
         let claimed = self.shared.intake.claim(basics.id.as_deref(), number)?;
         let mut keyed = 0;
@@ -129,7 +129,8 @@
             if ruling.class.effect == Effect::Keyed {
                 if let (Some(key), true) = (request::key(&parts.headers), keyed > 0) {
                     let key = HeaderValue::from_str(&format!("{key}.{keyed}"));
-                    let wrong = |_| Invalid::new(StatusCode::BAD_REQUEST, "Idempotency-Key is unreadable");
+                    let wrong =
+                        |_| InvalidRequest::new(StatusCode::BAD_REQUEST, "Idempotency-Key is unreadable");
                     parts.headers.insert(KEY, key.map_err(wrong)?);
                 }
                 keyed += 1;
@@ -137,7 +138,7 @@
             let mut basics = basics.clone();
             basics.id = Some(format!("{}.{at}", claimed.id()).into());
             if basics.id.as_ref().is_some_and(|id| id.len() > ID_MOST) {
-                return Err(Invalid::new(
+                return Err(InvalidRequest::new(
                     StatusCode::BAD_REQUEST,
                     "Req-Id leaves no room for a batch's parts",
                 ));
--- a/crates/dunelink/src/node/handle.rs
+++ b/crates/dunelink/src/node/handle.rs
@@ -16,11 +16,11 @@
 use super::endpoint::Endpoint;
 use super::engines::Engine;
 use super::one::One;
-use super::received::{Received, Work};
+use super::received::{ReceivedRequest, Work};
 use crate::config::ConfigError;
 use crate::counts::{ClassCounts, Counts};
 use crate::engine::Happening;
-use crate::error::{BodyError, BoxError, CallError, Closed, Invalid};
+use crate::error::{BodyError, BoxError, CallError, Closed, InvalidRequest};
 use crate::fleet::{Ask, Asks, GossipView, ask};
 use crate::http::Rendering;
 use crate::intake::{Head, Intake, ext};
@@ -118,7 +118,7 @@
     }
 
     /// Reads and checks a request, by `within` at the latest, without taking it yet. For fronts that have more
-    /// to check once the body is there; [`Handle::call`] is this and [`Received::answer`].
+    /// to check once the body is there; [`Handle::call`] is this and [`ReceivedRequest::answer`].
     ///
     /// # Errors
     ///
@@ -127,7 +127,7 @@
         &self,
         request: Request<B>,
         within: Option<Instant>,
-    ) -> Result<Received, CallError>
+    ) -> Result<ReceivedRequest, CallError>
     where
         B: Body + Send + 'static,
         B::Error: Into<BoxError>,
@@ -142,7 +142,7 @@
         request: Request<B>,
         within: Option<Instant>,
         place: Option<OwnedSemaphorePermit>,
-    ) -> Result<Received, CallError>
+    ) -> Result<ReceivedRequest, CallError>
     where
         B: Body + Send + 'static,
         B::Error: Into<BoxError>,
@@ -159,7 +159,7 @@
         request: Request<B>,
         within: Option<Instant>,
         place: Option<OwnedSemaphorePermit>,
-    ) -> Result<Received, CallError>
+    ) -> Result<ReceivedRequest, CallError>
     where
         B: Body + Send + 'static,
         B::Error: Into<BoxError>,
@@ -168,7 +168,7 @@
             return Err(CallError::Closed);
         }
         let (parts, body) = request.into_parts();
-        let whole_at = parts.extensions.get::<ext::Came>().map(|came| Instant::from_std(came.0));
+        let whole_at = parts.extensions.get::<ext::ReceivedAt>().map(|came| Instant::from_std(came.0));
         let came = whole_at.unwrap_or_else(Instant::now);
         if let Some(endpoint) = self.endpoint(&parts) {
             return self.read_graphql(endpoint, (parts, body), came, within, place).await;
@@ -192,7 +192,7 @@
         head.begin(whole_at.unwrap_or_else(Instant::now));
         let one = One { rest, room: room.and_then(Result::ok), ..self.one(head, parts, body, place)? };
         let (deadline, rendering) = (one.head.deadline, Rendering::Plain);
-        Ok(Received { body: first, deadline, rendering, work: Work::One(one) })
+        Ok(ReceivedRequest { body: first, deadline, rendering, work: Work::One(one) })
     }
 
     /// Reads a body that has to be held whole, until its request's deadline or `within`; it has a little time in any
@@ -224,7 +224,7 @@
         parts: Parts,
         body: Payload,
         place: Option<OwnedSemaphorePermit>,
-    ) -> Result<One, Invalid> {
+    ) -> Result<One, InvalidRequest> {
         let engine = self.engine();
         let number = engine.mailbox.number();
         let claimed = self.shared.intake.claim(head.id.as_deref(), number)?;
@@ -240,11 +240,11 @@
     /// Whether there is any server to send to, for every shard, and the node has not stepped aside: one that is worse
     /// off than the fleet may, where the configuration says so. It serves whoever asks it all the same.
     pub fn is_ready(&self) -> bool {
-        !self.is_aside() && self.engines().iter().all(|engine| engine.any_ready.load(Ordering::Acquire))
+        !self.is_withdrawn() && self.engines().iter().all(|engine| engine.any_ready.load(Ordering::Acquire))
     }
 
     /// Whether the node says that it is not ready, as it is worse off than the fleet.
-    pub fn is_aside(&self) -> bool {
+    pub fn is_withdrawn(&self) -> bool {
         self.shared.aside.load(Ordering::Acquire)
     }
 
@@ -323,7 +323,7 @@
     /// # Errors
     ///
     /// There is no gossip, or it can't be decided: why not.
-    pub async fn put_out(&self, name: &str, how: Option<(u64, String)>) -> Result<(), String> {
+    pub async fn evict_or_restore(&self, name: &str, how: Option<(u64, String)>) -> Result<(), String> {
         let put = |tell| Ask::Put(name.to_owned(), how, tell);
         let told = ask(self.shared.gossip.as_ref(), put).await;
         told.unwrap_or_else(|| Err("this node does not gossip".into()))
@@ -334,7 +334,7 @@
     /// # Errors
     ///
     /// The files can't be used; the keys stay as they were.
-    pub async fn reread_keys(&self) -> Option<Result<usize, ConfigError>> {
+    pub async fn reload_gossip_keys(&self) -> Option<Result<usize, ConfigError>> {
         ask(self.shared.gossip.as_ref(), Ask::Keys).await
     }
 
@@ -344,7 +344,7 @@
     }
 
     /// Closes the connection to a server that has been idle for longest: the process is out of descriptors.
-    pub fn free_descriptor(&self) {
+    pub fn close_idle_connection(&self) {
         self.engine().mailbox.send(Happening::Evict);
     }
 
--- a/crates/dunelink/src/node/mod.rs
+++ b/crates/dunelink/src/node/mod.rs
@@ -16,10 +16,10 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 pub use handle::Handle;
-pub use one::Finished;
-pub use received::Received;
+pub use one::Completion;
+pub use received::ReceivedRequest;
 pub use running::Node;
-pub use shards::{Parts, Shard, Source};
+pub use shards::{NodeParts, ServerListReader, Shard};
 
 use crate::config::{Config, ConfigError, RosterConfig};
 use crate::error::StartError;
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// The configuration does not hold together.
-    pub fn split(self) -> Result<Parts, ConfigError> {
+    pub fn split(self) -> Result<NodeParts, ConfigError> {
         let Builder { config, roster } = self;
         config.validate()?;
         let roster = roster.unwrap_or_else(|| match &config.roster {
@@ -83,7 +83,7 @@
     /// The configuration does not hold together, or there is no thread or descriptor to be had.
     pub fn start(self) -> Result<Node, StartError> {
         // Shards that have started end with the node if a later one can't.
-        let Parts { node, shards, source, gossip } = self.split()?;
+        let NodeParts { node, shards, source, gossip } = self.split()?;
         let (begun, begins) = std::sync::mpsc::channel();
         let count = shards.len();
         for shard in shards {
@@ -119,7 +119,7 @@
     /// Outside a `LocalSet`, as `tokio::task::spawn_local` does.
     pub fn start_local(self) -> Result<Node, StartError> {
         tokio::runtime::Handle::try_current().map_err(io::Error::other)?;
-        let Parts { node, mut shards, gossip, .. } = self.split()?;
+        let NodeParts { node, mut shards, gossip, .. } = self.split()?;
         if let Some(gossip) = gossip {
             gossip.start()?;
         }
--- a/crates/dunelink/src/node/one.rs
+++ b/crates/dunelink/src/node/one.rs
@@ -21,11 +21,11 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub struct Finished {
+pub struct Completion {
     /// The answer.
     pub answer: Answer,
     /// Whether some of the request's body was not read.
-    pub unread: bool,
+    pub body_unread: bool,
 }
 
 /// One request for the engine.
@@ -52,17 +52,17 @@
     /// Takes it and waits for its one final answer.
     pub(super) async fn answer(self) -> Answer {
         match self.finish().await {
-            Ok(Finished { answer, .. }) => answer,
+            Ok(Completion { answer, .. }) => answer,
             // Only a body that is passed on can break off.
             Err(_) => Answer::Failed { timed_out: false },
         }
     }
 
     /// The same for one whose body may still be coming.
-    pub(super) async fn finish(self) -> Result<Finished, CallError> {
-        let unread = self.rest.is_some();
+    pub(super) async fn finish(self) -> Result<Completion, CallError> {
+        let body_unread = self.rest.is_some();
         if self.place.is_none() {
-            return Ok(Finished { answer: self.refuse(Some(CROWDED)), unread });
+            return Ok(Completion { answer: self.refuse(Some(CROWDED)), body_unread });
         }
         let One { engine, head, outgoing, number, claimed: _claimed, place: _place, room, mut rest } = self;
         let (sender, mut answer) = oneshot::channel();
@@ -73,7 +73,7 @@
         if !engine.mailbox.send(Happening::Arrived(head.request(number), upload, outgoing, sender)) {
             waiting.answered = true;
             engine.tally.turned_away(class);
-            return Ok(Finished { answer: Answer::Refused { retry_after: None }, unread });
+            return Ok(Completion { answer: Answer::Refused { retry_after: None }, body_unread });
         }
         // The engine answers all that it has heard of; without an answer its thread has died.
         let dead = |_| Answer::Failed { timed_out: false };
@@ -89,14 +89,14 @@
             };
             if let Some(answer) = early {
                 waiting.answered = true;
-                return Ok(Finished { answer, unread });
+                return Ok(Completion { answer, body_unread });
             }
         }
         // Its body has come to its end.
         drop((rest, room));
         let answer = answer.await;
         waiting.answered = true;
-        Ok(Finished { answer: answer.unwrap_or_else(dead), unread: false })
+        Ok(Completion { answer: answer.unwrap_or_else(dead), body_unread: false })
     }
 }
 
--- a/crates/dunelink/src/node/received.rs
+++ b/crates/dunelink/src/node/received.rs
@@ -6,12 +6,12 @@
 use tokio::time::Instant;
 
 use super::batch::Batch;
-use super::one::{Finished, One};
+use super::one::{Completion, One};
 use crate::error::CallError;
 use crate::http::Rendering;
 use crate::types::Answer;
 
-/// A request that the node can take: whole, and in order. It counts as taken once [`Received::answer`] is
+/// A request that the node can take: whole, and in order. It counts as taken once [`ReceivedRequest::answer`] is
 /// polled; dropped before that, nothing has happened.
 ///
 /// ```
@@ -27,7 +27,7 @@
 /// assert_eq!(node.handle().counts().refused, 1);
 /// # Ok(()) }
 /// ```
-pub struct Received {
+pub struct ReceivedRequest {
     pub(super) body: Bytes,
     pub(super) deadline: Instant,
     pub(super) rendering: Rendering,
@@ -40,14 +40,14 @@
     Batch(Batch),
 }
 
-impl Received {
+impl ReceivedRequest {
     /// When no answer is of use any more.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
     /// Whether its body is there as a whole.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_received(&self) -> bool {
         !matches!(&self.work, Work::One(One { rest: Some(_), .. }))
     }
 
@@ -82,11 +82,11 @@
     ///
     /// # Errors
     ///
-    /// As for [`Received::answer`].
-    pub async fn finish(self) -> Result<Finished, CallError> {
+    /// As for [`ReceivedRequest::answer`].
+    pub async fn finish(self) -> Result<Completion, CallError> {
         match self.work {
             Work::One(one) => one.finish().await,
-            Work::Batch(batch) => Ok(Finished { answer: batch.answer().await, unread: false }),
+            Work::Batch(batch) => Ok(Completion { answer: batch.answer().await, body_unread: false }),
         }
     }
 }
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -53,13 +53,13 @@
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[non_exhaustive]
-pub struct Parts {
+pub struct NodeParts {
     /// The whole node.
     pub node: Node,
     /// Its shards, each to be run on a thread of its own.
     pub shards: Vec<Shard>,
     /// The reader of the list, where there are several shards; to be run on a thread that nothing blocks.
-    pub source: Option<Source>,
+    pub source: Option<ServerListReader>,
     /// Gossip with the other nodes, where the configuration wants it; it is to be started.
     pub gossip: Option<Gossiper>,
 }
@@ -89,7 +89,7 @@
 }
 
 /// Reads the list of servers for all shards.
-pub struct Source {
+pub struct ServerListReader {
     roster: Box<dyn Roster>,
     config: Config,
     seed: u64,
@@ -97,10 +97,10 @@
     ended: Vec<CancellationToken>,
 }
 
-impl Source {
+impl ServerListReader {
     /// Runs until all shards have ended. It needs a tokio `LocalSet`.
     pub fn run(self) -> RosterFuture {
-        let Source { roster, config, seed, hub, ended } = self;
+        let ServerListReader { roster, config, seed, hub, ended } = self;
         let running = roster.run(Feed::new(&config, seed, hub));
         Box::pin(async move {
             let all = async {
@@ -126,7 +126,7 @@
     mut config: Config,
     mut roster: Box<dyn Roster>,
     seed: u64,
-) -> Result<Parts, ConfigError> {
+) -> Result<NodeParts, ConfigError> {
     let count = config.fleet.shards;
     let intake = Arc::new(Intake::new(&config));
     let graphql = Endpoint::new(&config)?;
@@ -190,6 +190,6 @@
     let handle = Handle { shared: Arc::new(shared), home: None };
     let shard = |(number, engineering)| Shard { engineering, handle: handle.at_home(number) };
     let shards = engineerings.into_iter().enumerate().map(shard).collect();
-    let source = hub.zip(roster).map(|(hub, roster)| Source { roster, config, seed, hub, ended });
-    Ok(Parts { node: Node { handle }, shards, source, gossip })
+    let source = hub.zip(roster).map(|(hub, roster)| ServerListReader { roster, config, seed, hub, ended });
+    Ok(NodeParts { node: Node { handle }, shards, source, gossip })
 }
--- a/crates/dunelink/src/snapshot.rs
+++ b/crates/dunelink/src/snapshot.rs
@@ -16,7 +16,7 @@
 /// # let classes = vec![Class::new("view", Effect::Safe, Duration::from_secs(1))];
 /// # let node = Node::builder(Config { classes, ..Config::default() }).start()?;
 /// let now = node.handle().snapshot().await?;
-/// assert_eq!((now.servers.len(), now.open, now.held, now.connections), (0, 0, 0, 0));
+/// assert_eq!((now.servers.len(), now.open, now.queued, now.connections), (0, 0, 0, 0));
 /// # Ok(()) }
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -25,10 +25,10 @@
     pub servers: Vec<ServerView>,
     /// Requests without their final answer.
     pub open: usize,
-    /// Requests of which anything is kept: open ones, and answered ones with an attempt still out.
-    pub kept: usize,
+    /// Requests of which anything is tracked: open ones, and answered ones with an attempt still out.
+    pub tracked: usize,
     /// Open requests that wait in the queue for a server with room.
-    pub held: usize,
+    pub queued: usize,
     /// Attempts out.
     pub in_flight: usize,
     /// Connections to servers, idle ones included.
@@ -36,7 +36,7 @@
     /// Servers in the list, those that drain included.
     pub listed: usize,
     /// Servers that take requests and that the node avoids now; of several shards, the most that one avoids.
-    pub avoided: usize,
+    pub ejected: usize,
     /// How requests ended.
     pub counts: Counts,
 }
@@ -54,12 +54,12 @@
             }
         }
         self.open += other.open;
-        self.kept += other.kept;
-        self.held += other.held;
+        self.tracked += other.tracked;
+        self.queued += other.queued;
         self.in_flight += other.in_flight;
         self.connections += other.connections;
         // Each shard has the whole list.
-        (self.listed, self.avoided) = (self.listed.max(other.listed), self.avoided.max(other.avoided));
+        (self.listed, self.ejected) = (self.listed.max(other.listed), self.ejected.max(other.ejected));
         self.counts = self.counts.plus(other.counts);
     }
 }
--- a/crates/dunelink/src/tower.rs
+++ b/crates/dunelink/src/tower.rs
@@ -26,7 +26,7 @@
 use crate::node::Handle;
 
 /// A call on its way to its response.
-pub type Answering = Pin<Box<dyn Future<Output = Result<Response<AnswerBody>, CallError>> + Send>>;
+pub type AnswerFuture = Pin<Box<dyn Future<Output = Result<Response<AnswerBody>, CallError>> + Send>>;
 
 /// The places for open requests, one of which may be in hand.
 struct Places {
@@ -53,7 +53,7 @@
     }
 
     /// Sends a request to the fleet, in the place in hand or one that happens to be free.
-    fn ask<B>(&mut self, request: Request<B>) -> Answering
+    fn ask<B>(&mut self, request: Request<B>) -> AnswerFuture
     where
         B: Body + Send + 'static,
         B::Data: Send,
@@ -118,13 +118,13 @@
 {
     type Response = Response<AnswerBody>;
     type Error = CallError;
-    type Future = Answering;
+    type Future = AnswerFuture;
 
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CallError>> {
         self.places.poll(cx)
     }
 
-    fn call(&mut self, request: Request<B>) -> Answering {
+    fn call(&mut self, request: Request<B>) -> AnswerFuture {
         self.places.ask(request)
     }
 }
@@ -208,7 +208,7 @@
 
     /// `poll_ready` waits for a place at the node too. That holds the inner service's requests back as well;
     /// without it, what comes when there is no place is refused at once and told when to come back.
-    pub fn wait_for_room(mut self) -> FleetLayer {
+    pub fn wait_for_capacity(mut self) -> FleetLayer {
         self.waits = true;
         self
     }
@@ -286,7 +286,7 @@
     #[allow(missing_docs)]
     pub enum FleetFuture<F> {
         /// The request went to the fleet.
-        Fleet { future: Answering, rendering: Rendering },
+        Fleet { future: AnswerFuture, rendering: Rendering },
         /// It went to the inner service.
         Inner { #[pin] future: F },
     }
--- a/crates/dunelink/tests/host/main.rs
+++ b/crates/dunelink/tests/host/main.rs
@@ -138,7 +138,7 @@
         panic!("the host's own fault");
     });
     assert!(host.block_on(panicked).unwrap_err().is_panic());
-    wait_for("nothing is kept", || host.block_on(node.handle().snapshot()).unwrap().kept == 0);
+    wait_for("nothing is kept", || host.block_on(node.handle().snapshot()).unwrap().tracked == 0);
     let counts = node.handle().counts();
     assert_eq!((counts.taken, counts.left, counts.failed), (1, 1, 0));
     assert!(one.count() + two.count() <= 1, "the order went out once at most");
@@ -252,7 +252,7 @@
         // The layer's host has an error type of its own: it is answered, and its other routes live on.
         let inner =
             service_fn(|_: Request<String>| async { Ok::<_, Infallible>(Response::new(String::new())) });
-        let portal = FleetLayer::prefix(fleet.clone(), "/view/").wait_for_room().layer(inner);
+        let portal = FleetLayer::prefix(fleet.clone(), "/view/").wait_for_capacity().layer(inner);
         let response = portal.clone().oneshot(view("4")).await.unwrap();
         assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
         let about = Request::get("/about").body(String::new()).unwrap();
@@ -429,7 +429,7 @@
     let about = Request::get("/about").body(String::new()).unwrap();
     let response = layer.clone().layer(inner).oneshot(about).await.unwrap();
     assert_eq!(response.into_body().collect().await.unwrap().to_bytes(), "inner");
-    let mut waiting = layer.wait_for_room().layer(inner);
+    let mut waiting = layer.wait_for_capacity().layer(inner);
     let pending =
         poll_fn(|cx| Poll::Ready(Service::<Request<String>>::poll_ready(&mut waiting, cx).is_pending()));
     assert!(pending.await, "this one was told to wait");
--- a/crates/dunelink/tests/leaks.rs
+++ b/crates/dunelink/tests/leaks.rs
@@ -76,9 +76,9 @@
     });
 
     let look = || host.block_on(fleet.snapshot()).unwrap();
-    settle("requests are let go", &|| look().kept == 0);
+    settle("requests are let go", &|| look().tracked == 0);
     let end = look();
-    assert_eq!((end.open, end.held, end.in_flight), (0, 0, 0));
+    assert_eq!((end.open, end.queued, end.in_flight), (0, 0, 0));
     assert_eq!((end.counts.taken, end.counts.left), (CALLS as u64, CALLS as u64), "{:?}", end.counts);
     settle("connections are closed", &|| look().connections == 0);
     // The servers are in this process too: one thread and two descriptors a connection.
--- a/crates/dunelinkd/src/clients.rs
+++ b/crates/dunelinkd/src/clients.rs
@@ -10,9 +10,9 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use dunelink::ext::Came;
+use dunelink::ext::ReceivedAt;
 use dunelink::http::plain;
-use dunelink::{AnswerBody, CallError, Config, Finished, Handle};
+use dunelink::{AnswerBody, CallError, Completion, Config, Handle};
 use dunelink_edge::Fault;
 use dunelink_edge::request::{self, Hosting};
 use hyper::body::{Body, Incoming};
@@ -192,7 +192,7 @@
                 Err(error) => {
                     if out_of_sockets(&error) {
                         self.make_room();
-                        self.node.free_descriptor();
+                        self.node.close_idle_connection();
                     }
                     sleep(NO_SOCKETS).await;
                 }
@@ -384,7 +384,7 @@
         let (mut head, body) = request.into_parts();
         // It may have waited for the answers to those before it; its client's patience began all the same.
         if let Some(at) = came {
-            head.extensions.insert(Came(at.into_std()));
+            head.extensions.insert(ReceivedAt(at.into_std()));
         }
         let rendering = self.node.rendering(&head);
         let received = match self.node.receive(Request::from_parts(head, body), Some(by)).await {
@@ -396,9 +396,9 @@
             Err(error) => return Err(rendering.respond(Err(error))),
         };
         // Where all others are busy too, a refusal needs no server and makes room.
-        let whole = received.is_whole();
+        let whole = received.is_fully_received();
         let finished = match self.busy.get() > self.served() {
-            true => Finished { answer: received.refuse(CROWDED), unread: !whole },
+            true => Completion { answer: received.refuse(CROWDED), body_unread: !whole },
             false => match received.finish().await {
                 Ok(finished) => finished,
                 Err(error) => return Err(rendering.respond(Err(error))),
@@ -406,7 +406,7 @@
         };
         let response = rendering.respond(Ok(finished.answer));
         // What is still coming of a request that was answered is no next one.
-        if finished.unread { Err(response) } else { Ok((response, chunked)) }
+        if finished.body_unread { Err(response) } else { Ok((response, chunked)) }
     }
 
     fn health(&self, method: &Method) -> Response<AnswerBody> {
--- a/crates/dunelinkd/src/dealer.rs
+++ b/crates/dunelinkd/src/dealer.rs
@@ -199,7 +199,7 @@
                 Err(error) => {
                     if out_of_sockets(&error) {
                         self.seats.iter().for_each(|seat| seat.room.notify_one());
-                        self.node.free_descriptor();
+                        self.node.close_idle_connection();
                     }
                     sleep(NO_SOCKETS).await;
                 }
--- a/crates/dunelinkd/src/demo/view.rs
+++ b/crates/dunelinkd/src/demo/view.rs
@@ -79,7 +79,7 @@
         "{:>4} s  served {served} refused {refused} failed {failed}; open {} held {}; {}",
         board.at.as_secs(),
         s.open,
-        s.held,
+        s.queued,
         rates.join("  ")
     )
 }
@@ -107,7 +107,7 @@
     let title = Line::from(vec!["dunelink demo".bold(), format!("  {:.0} s", board.at.as_secs_f64()).into()]);
     let sums = Line::from(format!(
         "served {served}  refused {refused}  failed {failed}   open {}  held {}  connections {}   q ends it",
-        s.open, s.held, s.connections
+        s.open, s.queued, s.connections
     ));
     frame.render_widget(Paragraph::new(vec![title, sums]), head);
 
--- a/crates/dunelinkd/src/door.rs
+++ b/crates/dunelinkd/src/door.rs
@@ -142,7 +142,7 @@
         let query = request.uri().query().unwrap_or_default();
         match path {
             path if changes => self.put(path, query).await,
-            "/admin/health" if self.serving.load(Ordering::Acquire) && !self.node.is_aside() => {
+            "/admin/health" if self.serving.load(Ordering::Acquire) && !self.node.is_withdrawn() => {
                 plain(StatusCode::OK, "serving\n")
             }
             "/admin/health" => plain(StatusCode::SERVICE_UNAVAILABLE, "not serving\n"),
@@ -183,7 +183,7 @@
             (true, Some(seconds)) => Some((seconds, reason)),
             (true, None) => return plain(StatusCode::BAD_REQUEST, "seconds: expected a number\n"),
         };
-        match timeout(LOOK_WITHIN, self.node.put_out(&name, how)).await {
+        match timeout(LOOK_WITHIN, self.node.evict_or_restore(&name, how)).await {
             Ok(Ok(())) => plain(StatusCode::ACCEPTED, "it will be decided\n"),
             Ok(Err(why)) => plain(StatusCode::CONFLICT, format!("{why}\n")),
             Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "the node is busy; ask again\n"),
@@ -193,7 +193,7 @@
     /// Counts are read as they are; what only the engine knows is asked of it, but not waited for without end.
     async fn figures(&self) -> String {
         if let Ok(Ok(now)) = timeout(LOOK_WITHIN, self.node.snapshot()).await {
-            self.last.set((now.listed, now.avoided));
+            self.last.set((now.listed, now.ejected));
         }
         let (listed, avoided) = self.last.get();
         let mut text = String::new();
--- a/crates/dunelinkd/src/gossip.rs
+++ b/crates/dunelinkd/src/gossip.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Context, bail};
 use clap::{Args, Subcommand};
-use dunelink::gossiping::Secret;
+use dunelink::gossip::Secret;
 use dunelink::{GossipView, Snapshot};
 
 /// How long a node may take to answer its operators.
--- a/crates/dunelinkd/src/serve.rs
+++ b/crates/dunelinkd/src/serve.rs
@@ -10,7 +10,7 @@
 use anyhow::{Context, anyhow};
 use dunelink::config::{Absent, RosterConfig};
 use dunelink::roster::{Watch, WatchMover};
-use dunelink::{Config, Counts, Handle, Node, Parts};
+use dunelink::{Config, Counts, Handle, Node, NodeParts};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::Notify;
 use tokio::task::{LocalSet, spawn_local};
@@ -95,7 +95,7 @@
         builder = builder.roster(watch);
         mover = Some(moves);
     }
-    let Parts { node, mut shards, source: list, gossip, .. } = builder.split()?;
+    let NodeParts { node, mut shards, source: list, gossip, .. } = builder.split()?;
     if let Some(gossip) = gossip {
         info!(target: "fleet", node = config.name, "starts");
         info!(target: "node", "{} gossips on {}", config.name, gossip.address()?);
@@ -213,13 +213,13 @@
 async fn reread(source: Source, mut hang_up: Signal, mover: Option<WatchMover>, node: Handle) {
     while hang_up.recv().await.is_some() {
         let path = source.path().display();
-        match node.reread_keys().await {
+        match node.reload_gossip_keys().await {
             Some(Ok(names)) => info!(target: "node", "gossip keys read anew; {names} names are known"),
             Some(Err(error)) => error!(target: "node", "{error}; the keys stay as they were"),
             None => {}
         }
         if node.graphql_path().is_some() {
-            match node.reread_documents() {
+            match node.reload_graphql_documents() {
                 Ok(count) => info!(target: "node", "{path} read anew; {count} GraphQL documents are known"),
                 Err(error) => error!(target: "node", "{error}; the documents stay as they were"),
             }
--- a/fuzz/fuzz_targets/fleet_words.rs
+++ b/fuzz/fuzz_targets/fleet_words.rs
@@ -2,8 +2,8 @@
 //! What other nodes say of views, leases and themselves, as it is carried in gossip's packets: whatever a member with a
 //! valid key sends, a council and a node's health take it in, stay bounded and can be looked at.
 
-use dunelink::deciding::{Bounds, Council, Input, Names, Process, Settings, Wire};
-use dunelink::reaching::{self, Health, Row};
+use dunelink::consensus::{Bounds, Council, Input, Names, Process, Settings, Wire};
+use dunelink::reachability::{self, Health, Row};
 
 const BOUNDS: Bounds = Bounds { lease: 2_000_000, drift: 500 };
 
@@ -27,12 +27,12 @@
         assert!(out.len() < 10_000);
     }
     if let Ok(row) = postcard::from_bytes::<Row>(bytes) {
-        let settings = reaching::Settings { me, zone: "a".into(), floor: 0.5 };
+        let settings = reachability::Settings { me, zone: "a".into(), floor: 0.5 };
         let (mut health, mut out) = (Health::new(settings, 0), Vec::new());
-        health.handle(0, reaching::Input::Members(vec![0, 1, 2]), &mut out);
+        health.handle(0, reachability::Input::Members(vec![0, 1, 2]), &mut out);
         for now in (0..20_000_000).step_by(1_000_000) {
-            health.handle(now, reaching::Input::Heard(from, row.clone()), &mut out);
-            health.handle(now, reaching::Input::Aside(true), &mut out);
+            health.handle(now, reachability::Input::Heard(from, row.clone()), &mut out);
+            health.handle(now, reachability::Input::Aside(true), &mut out);
         }
         let _ = (health.matrix().one_way(20_000_000), health.matrix().stance(20_000_000, 0));
     }
