--- /dev/null
+++ b/crates/proxy/src/relay.rs
@@ -0,0 +1,323 @@
+//! Relays response bodies to clients as they arrive. A broken stream is resumed at another server if its
+//! route allows.
+
+use std::future::Future;
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+
+use bytes::{Bytes, BytesMut};
+use dunelink_routing::Outcome;
+use http::HeaderValue;
+
+use crate::attempt_guard::AttemptGuard;
+use crate::exchange::Exchange;
+use crate::response::BodyError;
+use crate::upstream::{TimeoutKind, UpstreamResponse};
+
+/// Maximum size of a buffered partial event in bytes. A stream with a longer event is forwarded without being
+/// resumable.
+const MAX_PARTIAL_EVENT_BYTES: usize = 256 * 1024;
+
+/// A server's response and the attempt that it belongs to.
+type ResponseAttempt = (Box<UpstreamResponse>, AttemptGuard);
+
+type ResumeFuture = Pin<Box<dyn Future<Output = (Exchange, Option<ResponseAttempt>)>>>;
+
+/// A response body on its way from a server to the client.
+pub struct RelayedBody {
+    source: Source,
+    length: Option<u64>,
+    /// Number of body bytes received from servers.
+    forwarded_bytes: u64,
+    events: Option<EventFramer>,
+    first_event_recorded: bool,
+}
+
+enum Source {
+    Streaming(Box<ActiveStream>),
+    /// The stream is being resumed at another server. If the previous server only fell silent, its response
+    /// is kept until the other server has answered.
+    Resuming {
+        resume: ResumeFuture,
+        silent_attempt: Option<ResponseAttempt>,
+    },
+    /// hyper writes the data received so far before this error aborts the connection.
+    Failed(BodyError),
+    Ended,
+}
+
+/// A request and the response that is being relayed for it.
+struct ActiveStream {
+    exchange: Exchange,
+    response: Box<UpstreamResponse>,
+    attempt: AttemptGuard,
+}
+
+impl RelayedBody {
+    /// Relays a response body of `length` bytes, or of unknown length if `None`.
+    pub fn new(
+        exchange: Exchange,
+        response: Box<UpstreamResponse>,
+        attempt: AttemptGuard,
+        length: Option<u64>,
+    ) -> Self {
+        let resumable = exchange.admission.policy.resumable && length.is_none();
+        let events = resumable.then(|| EventFramer::starting_after(exchange.last_event_id()));
+        let mut exchange = exchange;
+        exchange.timer.set_silence_timeout(
+            resumable.then(|| exchange.event_gap_timeout()),
+            response.connection.activity(),
+        );
+        let source = Source::Streaming(Box::new(ActiveStream { exchange, response, attempt }));
+        Self { source, length, forwarded_bytes: 0, events, first_event_recorded: false }
+    }
+
+    /// Returns the length of the body, if it is known.
+    pub fn length(&self) -> Option<u64> {
+        self.length
+    }
+
+    /// Returns the next data for the client.
+    pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        loop {
+            match &mut self.source {
+                Source::Ended => return Poll::Ready(None),
+                Source::Failed(_) => {
+                    let Source::Failed(error) = std::mem::replace(&mut self.source, Source::Ended) else {
+                        continue;
+                    };
+                    return Poll::Ready(Some(Err(error)));
+                }
+                Source::Resuming { resume, silent_attempt } => {
+                    let (mut exchange, resumed_response) = ready!(resume.as_mut().poll(cx));
+                    let silent_attempt = silent_attempt.take();
+                    self.first_event_recorded &= resumed_response.is_none();
+                    let Some((response, attempt)) = self.select_response(resumed_response, silent_attempt)
+                    else {
+                        return self.fail(BodyError::Broken, cx);
+                    };
+                    exchange.timer.set_silence_timeout(
+                        Some(exchange.event_gap_timeout()),
+                        response.connection.activity(),
+                    );
+                    self.source = Source::Streaming(Box::new(ActiveStream { exchange, response, attempt }));
+                }
+                Source::Streaming(stream) => match stream.response.poll_frame(cx) {
+                    Poll::Ready(Some(Ok(frame))) => {
+                        let Ok(data) = frame.into_data() else { continue };
+                        if data.is_empty() {
+                            continue;
+                        }
+                        if std::mem::replace(&mut self.first_event_recorded, true) {
+                            stream.attempt.record_progress(1);
+                        } else {
+                            stream.attempt.record_first_event();
+                        }
+                        self.forwarded_bytes += data.len() as u64;
+                        // hyper does not poll again after the stated length, so the response is finished
+                        // here.
+                        if self.length == Some(self.forwarded_bytes) {
+                            self.finish_served(cx);
+                        }
+                        let Some(events) = &mut self.events else { return Poll::Ready(Some(Ok(data))) };
+                        if let Some(complete) = events.push(data) {
+                            return Poll::Ready(Some(Ok(complete)));
+                        }
+                    }
+                    // The end of the connection within an event is not the end of the stream.
+                    Poll::Ready(None)
+                        if stream.response.is_close_delimited
+                            && self.events.as_ref().is_some_and(EventFramer::has_partial_event) =>
+                    {
+                        match self.resume_after_break() {
+                            Ok(()) => {}
+                            Err(error) => return self.fail(error, cx),
+                        }
+                    }
+                    Poll::Ready(None) => {
+                        self.finish_served(cx);
+                        if let Some(rest) = self.events.as_mut().and_then(EventFramer::take_remainder) {
+                            return Poll::Ready(Some(Ok(rest)));
+                        }
+                    }
+                    Poll::Ready(Some(Err(_))) => match self.resume_after_break() {
+                        Ok(()) => {}
+                        Err(error) => return self.fail(error, cx),
+                    },
+                    Poll::Pending => {
+                        match ready!(stream.exchange.timer.poll(cx, stream.response.connection.activity())) {
+                            TimeoutKind::Deadline => return self.time_out(cx),
+                            TimeoutKind::Silence => self.resume_after_silence(),
+                        }
+                    }
+                },
+            }
+        }
+    }
+
+    /// Ends the body early. hyper first flushes its buffered data when the body is pending; the error that
+    /// follows aborts the connection.
+    fn fail(&mut self, error: BodyError, cx: &Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        self.source = Source::Failed(error);
+        cx.waker().wake_by_ref();
+        Poll::Pending
+    }
+
+    fn time_out(&mut self, cx: &Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        // A timeout of the request says nothing about the server: the attempt is dropped and counts as
+        // cancelled.
+        self.source = Source::Ended;
+        self.fail(BodyError::TimedOut, cx)
+    }
+
+    fn take_active(&mut self) -> Option<ActiveStream> {
+        match std::mem::replace(&mut self.source, Source::Ended) {
+            Source::Streaming(stream) => Some(*stream),
+            _ => None,
+        }
+    }
+
+    /// Finishes a completely received response.
+    fn finish_served(&mut self, cx: &mut Context<'_>) {
+        let Some(ActiveStream { exchange, response, attempt }) = self.take_active() else { return };
+        attempt.finish(Outcome::Served);
+        exchange.return_to_pool(response.connection, cx);
+    }
+
+    /// Resumes the stream at another server after the connection broke, if that is possible.
+    fn resume_after_break(&mut self) -> Result<(), BodyError> {
+        let Some(ActiveStream { exchange, response, attempt }) = self.take_active() else { return Ok(()) };
+        attempt.finish(Outcome::Broken);
+        drop(response);
+        let Some(events) = &mut self.events else { return Err(BodyError::Broken) };
+        let Ok(last) = events.discard_partial() else { return Err(BodyError::Broken) };
+        if !exchange.try_retry() {
+            return Err(BodyError::Broken);
+        }
+        self.source = Source::Resuming { resume: Box::pin(exchange.resume(last)), silent_attempt: None };
+        Ok(())
+    }
+
+    /// Asks another server to resume the stream after a silence, if that is possible.
+    fn resume_after_silence(&mut self) {
+        let last = self.events.as_ref().and_then(EventFramer::resume_position);
+        let Source::Streaming(stream) = &self.source else { return };
+        let Some(last) = last.filter(|_| stream.exchange.try_retry()) else { return };
+        let Some(ActiveStream { exchange, response, attempt }) = self.take_active() else { return };
+        let resume = Box::pin(exchange.resume(last));
+        self.source = Source::Resuming { resume, silent_attempt: Some((response, attempt)) };
+    }
+
+    /// Selects the response to continue with: the new server's, otherwise the one of the silent server.
+    fn select_response(
+        &mut self,
+        resumed_response: Option<ResponseAttempt>,
+        silent_attempt: Option<ResponseAttempt>,
+    ) -> Option<ResponseAttempt> {
+        if resumed_response.is_none() {
+            return silent_attempt;
+        }
+        if let Some((_, attempt)) = silent_attempt {
+            attempt.finish(Outcome::TimedOut);
+        }
+        // A partial event of the silent server is not forwarded.
+        self.events.as_mut()?.discard_partial().ok()?;
+        resumed_response
+    }
+}
+
+/// Splits a stream at event boundaries, so that only complete events are forwarded.
+#[derive(Debug, Default)]
+pub struct EventFramer {
+    /// Received bytes of an incomplete event.
+    partial: BytesMut,
+    /// Id of the last forwarded event; `None` if no event had one.
+    last_id: Option<HeaderValue>,
+    /// Whether part of an event was forwarded because the event was too long to buffer.
+    forwarded_partial: bool,
+}
+
+/// Part of an event was already forwarded, so the stream cannot be resumed.
+#[derive(Debug, PartialEq, Eq)]
+pub struct PartialEventForwarded;
+
+impl EventFramer {
+    /// Creates a framer for a stream that starts after the event with this id.
+    pub fn starting_after(last_id: Option<HeaderValue>) -> Self {
+        Self { last_id, ..Self::default() }
+    }
+
+    /// Adds received data and returns the events that are complete.
+    pub fn push(&mut self, data: Bytes) -> Option<Bytes> {
+        if self.forwarded_partial {
+            return Some(data);
+        }
+        if self.partial.is_empty() && ends_event(&data) {
+            self.record_last_id(&data);
+            return Some(data);
+        }
+        self.partial.extend_from_slice(&data);
+        let Some(event_end) = last_event_end(&self.partial) else {
+            self.forwarded_partial = self.partial.len() > MAX_PARTIAL_EVENT_BYTES;
+            return if self.forwarded_partial { Some(self.partial.split().freeze()) } else { None };
+        };
+        let complete = self.partial.split_to(event_end).freeze();
+        self.record_last_id(&complete);
+        Some(complete)
+    }
+
+    /// Whether the stream is within an event.
+    pub fn has_partial_event(&self) -> bool {
+        self.forwarded_partial || !self.partial.is_empty()
+    }
+
+    /// Returns the remaining bytes at the regular end of a stream.
+    pub fn take_remainder(&mut self) -> Option<Bytes> {
+        if self.partial.is_empty() { None } else { Some(self.partial.split().freeze()) }
+    }
+
+    /// Discards the incomplete event and returns the event id to resume after.
+    ///
+    /// # Errors
+    ///
+    /// Part of an event was already forwarded.
+    pub fn discard_partial(&mut self) -> Result<Option<HeaderValue>, PartialEventForwarded> {
+        if self.forwarded_partial {
+            return Err(PartialEventForwarded);
+        }
+        self.partial.clear();
+        Ok(self.last_id.clone())
+    }
+
+    /// Returns the event id to resume after; the outer option is `None` if part of an event was already
+    /// forwarded.
+    pub fn resume_position(&self) -> Option<Option<HeaderValue>> {
+        (!self.forwarded_partial).then(|| self.last_id.clone())
+    }
+
+    /// Records the last id that occurs in complete events.
+    fn record_last_id(&mut self, events: &[u8]) {
+        let mut lines = events.rsplit(|octet| *octet == b'\n');
+        let id = lines.find_map(|line| line.strip_prefix(b"id:"));
+        let Some(id) = id else { return };
+        if let Ok(id) = HeaderValue::from_bytes(id.trim_ascii()) {
+            self.last_id = Some(id);
+        }
+    }
+}
+
+fn ends_event(bytes: &[u8]) -> bool {
+    bytes.ends_with(b"\n\n") || bytes.ends_with(b"\r\n\r\n")
+}
+
+/// Returns the offset just behind the last complete event.
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let mut end = bytes.len();
+    while end >= 2 {
+        if ends_event(&bytes[..end]) {
+            return Some(end);
+        }
+        end -= 1;
+    }
+    None
+}
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! From the command line to the end of the process.
+//! Process startup, from the command line to the exit code.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -12,19 +12,20 @@
 use tokio::task::LocalSet;
 
 use crate::arguments::{Arguments, HELP};
-use crate::listen::{Clients, listen};
+use crate::listener::{ClientConnections, listen};
 use crate::node::Node;
-use crate::shutdown::{Signals, finish};
+use crate::shutdown::{Signals, drain};
 use crate::{feed, readiness};
 
-/// Exit code for a command line or settings that can't be followed.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for an invalid command line or invalid settings.
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
-/// The program: 0 after an ordered end, 1 if it can't run, 2 if command line or settings are wrong.
+/// Runs the program. Exits with 0 after an orderly shutdown, 1 if it cannot run, and 2 if the command line or
+/// the settings are invalid.
 pub fn main() -> ExitCode {
     let arguments = match Arguments::read() {
         Ok(arguments) => arguments,
-        Err(wrong) => return refuse(&wrong),
+        Err(error) => return exit_invalid(&error),
     };
     if arguments.help {
         print!("{HELP}");
@@ -32,7 +33,7 @@
     }
     let boot = match BootSettings::load() {
         Ok(boot) => boot,
-        Err(wrong) => return refuse(&wrong),
+        Err(error) => return exit_invalid(&error),
     };
     if arguments.check {
         return ExitCode::SUCCESS;
@@ -41,32 +42,32 @@
     match run(boot, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
-            error!(log, "can't run"; "reason" => format!("{reason:#}"));
+            error!(log, "startup or shutdown failed"; "reason" => format!("{reason:#}"));
             ExitCode::FAILURE
         }
     }
 }
 
-fn refuse(wrong: &dyn std::error::Error) -> ExitCode {
-    eprintln!("dunelink-proxy: {wrong}");
-    ExitCode::from(BAD_SETTINGS)
+fn exit_invalid(error: &dyn std::error::Error) -> ExitCode {
+    eprintln!("dunelink-proxy: {error}");
+    ExitCode::from(INVALID_SETTINGS_EXIT_CODE)
 }
 
 fn run(boot: BootSettings, log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let mut signals = Signals::take().context("signals can't be taken over")?;
+        let mut signals = Signals::install().context("failed to install signal handlers")?;
         let proxy = Proxy::bind(Node::new(boot, log.clone()))?;
         let node = proxy.node();
         let clients = proxy.start();
-        signals.told_to_end(&node).await;
-        node.leave();
-        finish(&node, &clients).await;
+        signals.wait_for_termination(&node).await;
+        node.begin_shutdown();
+        drain(&node, &clients).await;
         Ok(())
     })
 }
 
-/// A proxy whose addresses are bound.
+/// A proxy whose listening sockets are bound.
 pub struct Proxy {
     node: Rc<Node>,
     front: TcpListener,
@@ -74,11 +75,11 @@
 }
 
 impl Proxy {
-    /// Binds the addresses that the settings name.
+    /// Binds the addresses that the settings configure.
     ///
     /// # Errors
     ///
-    /// An address is missing, in use, or not the machine's.
+    /// An address is missing from the settings, is in use, or does not belong to this machine.
     pub fn bind(node: Rc<Node>) -> anyhow::Result<Self> {
         let front = bind(node.boot.listen.front, "listen.front")?;
         let readiness = bind(node.boot.listen.readiness, "listen.readiness")?;
@@ -86,32 +87,32 @@
         Ok(Self { node, front, readiness })
     }
 
-    /// The state that its parts share.
+    /// Returns the state that the proxy's tasks share.
     pub fn node(&self) -> Rc<Node> {
         self.node.clone()
     }
 
-    /// Where clients connect.
+    /// Returns the address that accepts client connections.
     ///
     /// # Errors
     ///
-    /// The system can't tell.
+    /// The operating system does not report the socket's address.
     pub fn front(&self) -> std::io::Result<SocketAddr> {
         self.front.local_addr()
     }
 
-    /// Where the platform checks.
+    /// Returns the address that answers the platform's readiness checks.
     ///
     /// # Errors
     ///
-    /// The system can't tell.
+    /// The operating system does not report the socket's address.
     pub fn readiness(&self) -> std::io::Result<SocketAddr> {
         self.readiness.local_addr()
     }
 
-    /// Starts its tasks on the local set that it is called in.
-    pub fn start(self) -> Rc<Clients> {
-        let clients = Clients::new(self.node.clone());
+    /// Spawns the proxy's tasks on the current `LocalSet`.
+    pub fn start(self) -> Rc<ClientConnections> {
+        let clients = ClientConnections::new(self.node.clone());
         tokio::task::spawn_local(clients.clone().accept(self.front));
         tokio::task::spawn_local(clients.clone().sweep());
         tokio::task::spawn_local(readiness::serve(self.node.clone(), self.readiness));
@@ -121,7 +122,8 @@
 }
 
 fn bind(address: Option<SocketAddr>, key: &str) -> anyhow::Result<TcpListener> {
-    let address = address.with_context(|| format!("`{key}` is missing in the settings file: add it"))?;
-    listen(address)
-        .with_context(|| format!("can't listen at {address}: check `{key}`, and that nothing else listens"))
+    let address = address.with_context(|| format!("`{key}` is missing from the settings file: add it"))?;
+    listen(address).with_context(|| {
+        format!("failed to listen on {address}: check `{key}`, and that no other process uses the address")
+    })
 }
--- a/crates/proxy/src/upstream/socket.rs
+++ b/crates/proxy/src/upstream/counting_socket.rs
@@ -1,4 +1,4 @@
-//! A server's socket that counts what is written to it.
+//! A socket to a server that counts the bytes written to it.
 
 use std::cell::Cell;
 use std::io;
@@ -9,27 +9,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket whose written bytes are counted: a request of which not every byte was written has not run.
-pub(super) struct CountedSocket {
+/// Counts written bytes: a request that was not written completely has not been executed.
+pub(super) struct CountingSocket {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
 }
 
-impl CountedSocket {
+impl CountingSocket {
     pub(super) fn new(stream: TcpStream) -> (Self, Rc<Cell<u64>>) {
         let written = Rc::new(Cell::new(0));
         (Self { stream, written: written.clone() }, written)
     }
 
-    fn count(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let Poll::Ready(Ok(bytes)) = &polled {
+    fn count_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(bytes)) = &result {
             self.written.set(self.written.get() + *bytes as u64);
         }
-        polled
+        result
     }
 }
 
-impl AsyncRead for CountedSocket {
+impl AsyncRead for CountingSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -39,10 +39,10 @@
     }
 }
 
-impl AsyncWrite for CountedSocket {
+impl AsyncWrite for CountingSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.count(polled)
+        let result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        self.count_written(result)
     }
 
     fn poll_write_vectored(
@@ -50,8 +50,8 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.count(polled)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
+        self.count_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
