--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -12,7 +12,7 @@
 };
 use dunelink_routing::{Router, RouterSettings, ServerInfo};
 use dunelink_runtime::Clock;
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use slog::Logger;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -39,7 +39,7 @@
 /// Shared state of the proxy process.
 pub struct Node {
     /// Settings that were read at startup.
-    pub boot: Boot,
+    pub boot: BootSettings,
     /// Logger of the process.
     pub log: Logger,
     /// Monotonic clock of the process.
@@ -70,7 +70,7 @@
 
 impl Node {
     /// Creates the state of a proxy without configuration, servers or grants.
-    pub fn new(boot: Boot, log: Logger) -> Rc<Self> {
+    pub fn new(boot: BootSettings, log: Logger) -> Rc<Self> {
         let bounds = &boot.bounds;
         let quota = QuotaBounds {
             window_s: bounds.quota_window_s,
@@ -107,13 +107,13 @@
         })
     }
 
-    fn usable_fds(boot: &Boot) -> usize {
+    fn usable_fds(boot: &BootSettings) -> usize {
         let all = if boot.limits.max_fds > 0 { boot.limits.max_fds } else { DEFAULT_MAX_FDS };
         all.saturating_sub(RESERVED_FDS).max(64) as usize
     }
 
     /// Returns the maximum number of client connections.
-    pub fn max_client_connections(boot: &Boot) -> usize {
+    pub fn max_client_connections(boot: &BootSettings) -> usize {
         (Self::usable_fds(boot) as f64 * CLIENT_FD_FRACTION) as usize
     }
 
@@ -183,7 +183,7 @@
     /// newer version may have been committed since then.
     pub fn observe_heartbeat(&self, heartbeat: &Heartbeat) {
         let version = self.configuration_version();
-        let uptime_ms = self.clock.age().as_millis() as u64;
+        let uptime_ms = self.clock.uptime().as_millis() as u64;
         let is_recent = heartbeat.confirmed_age_ms < MAX_CONFIRMATION_AGE_MS.min(uptime_ms.saturating_add(1));
         if is_recent && heartbeat.configuration_version <= version && version > 0 {
             self.configuration_confirmed.set(true);
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,13 +1,13 @@
-//! What the fleet's programs share around their state machines: logs, clock, framed connections, long
-//! computations.
+//! Runtime services shared by the fleet's programs: logging, the monotonic clock, framed connections, and
+//! offloading of long computations.
 
 #![forbid(unsafe_code)]
 
-pub mod aside;
 pub mod clock;
 pub mod link;
 pub mod log;
+pub mod offload;
 
-pub use aside::aside;
 pub use clock::Clock;
 pub use link::{LinkError, LinkReader, LinkWriter, accept, dial};
+pub use offload::offload_if_large;
