--- a/bench/src/gossip.rs
+++ b/bench/src/gossip.rs
@@ -4,8 +4,8 @@
 
 use anyhow::anyhow;
 use clap::Args;
-use dunelink_gossip::sim::{Net, Weather};
-use dunelink_gossip::{Micros, Note, ServerObservation, Standing, needed};
+use dunelink_gossip::sim::{Net, NetworkConditions};
+use dunelink_gossip::{Liveness, LogEvent, Micros, ServerObservation, witnesses_needed};
 use plotters::prelude::*;
 
 const SERVER: u64 = 7;
@@ -59,17 +59,21 @@
 
 fn present(net: &Net) -> usize {
     let alive = |gossip: &dunelink_gossip::Gossip| {
-        gossip.members().iter().filter(|m| m.standing == Standing::Alive).count()
+        gossip.members().iter().filter(|m| m.liveness == Liveness::Alive).count()
     };
     net.nodes.iter().filter_map(|node| node.gossip.as_ref()).map(alive).sum()
 }
 
 fn downs(net: &Net) -> usize {
-    net.nodes.iter().flat_map(|node| &node.notes).filter(|(_, note)| matches!(note, Note::Down(_))).count()
+    net.nodes
+        .iter()
+        .flat_map(|node| &node.log_events)
+        .filter(|(_, note)| matches!(note, LogEvent::MemberDown(_)))
+        .count()
 }
 
 fn bytes(net: &Net) -> u64 {
-    net.nodes.iter().map(|node| node.bytes).sum()
+    net.nodes.iter().map(|node| node.bytes_sent).sum()
 }
 
 /// Runs until something holds, looking that often; how many seconds that took.
@@ -86,7 +90,7 @@
 
 /// Those that see a stall: one more than are needed for full doubt.
 fn run(net: &mut Net, span: Micros, stalled: bool) {
-    let witnesses = needed(net.nodes.len()) as usize + 1;
+    let witnesses = witnesses_needed(net.nodes.len()) as usize + 1;
     let see = move |node: usize, _: Micros| match stalled && node < witnesses {
         true => {
             vec![ServerObservation { server: SERVER, suspicion: 1.0, recent_answers: 0, sample_count: 4 }]
@@ -108,7 +112,7 @@
         dead.push(until(net, false, STEP / 2, |net| {
             let others = net.nodes.iter().filter_map(|node| node.gossip.as_ref());
             let of = |g: &dunelink_gossip::Gossip| g.members().into_iter().find(|m| m.name == name);
-            others.map(of).all(|seen| seen.is_none_or(|m| m.standing == Standing::Dead))
+            others.map(of).all(|seen| seen.is_none_or(|m| m.liveness == Liveness::Dead))
         }));
         net.start(victim);
         known.push(until(net, false, STEP / 2, |net| {
@@ -127,7 +131,7 @@
 
 fn measure(nodes: usize, options: &Options) -> Figures {
     let mut net = Net::new(nodes, options.seed, |_, _| {});
-    net.weather = Weather { loss: options.loss, ..Weather::default() };
+    net.conditions = NetworkConditions { loss: options.loss, ..NetworkConditions::default() };
     net.start_all();
     let joined = until(&mut net, false, S, |net| present(net) == nodes * (nodes - 1));
     run(&mut net, 10 * S, false);
@@ -138,7 +142,7 @@
     run(&mut net, 20 * S, false);
     let quiet = a_second(&net, sent, began);
     let in_doubt = |net: &Net, least: f64| {
-        net.nodes.iter().filter(|n| n.doubts.get(&SERVER).is_some_and(|doubt| *doubt >= least)).count()
+        net.nodes.iter().filter(|n| n.suspicions.get(&SERVER).is_some_and(|doubt| *doubt >= least)).count()
     };
     let (sent, stall) = (bytes(&net), net.now);
     let half = until(&mut net, true, STEP, |net| 2 * in_doubt(net, 0.99) >= nodes);
@@ -149,12 +153,12 @@
     let over = until(&mut net, false, STEP, |net| in_doubt(net, 0.01) == 0);
     let minutes = (net.now - began) as f64 / S as f64 / 60.0;
     let wrong = (downs(&net) - wrong) as f64 / nodes as f64 / minutes;
-    net.cut = Box::new(move |from, to| (from < nodes / 2) != (to < nodes / 2));
+    net.is_cut = Box::new(move |from, to| (from < nodes / 2) != (to < nodes / 2));
     run(&mut net, 30 * S, false);
-    net.cut = Box::new(|_, _| false);
+    net.is_cut = Box::new(|_, _| false);
     let healed = until(&mut net, false, S, |net| present(net) == nodes * (nodes - 1));
     let (dead, known) = kills(&mut net);
-    let peak = net.nodes.iter().map(|node| node.peak).max().unwrap_or(0);
+    let peak = net.nodes.iter().map(|node| node.peak_bytes_per_second).max().unwrap_or(0);
     Figures { nodes, joined, half, all, over, quiet, stalled, peak, wrong, healed, dead, known }
 }
 
--- a/bench/src/lines.rs
+++ b/bench/src/lines.rs
@@ -8,11 +8,11 @@
 use anyhow::bail;
 use clap::Args;
 use dunelink::deciding::{
-    Bounds, Council, Evictions, Generation, Held, Input as Told, MOST, Micros, Names, Output, Process,
-    Settings, View, Wire,
+    Coordinator, ElectorNames, Evictions, FleetMessage, Generation, Input as Told, LeaseBounds, LeaseKind,
+    MAX_TOTAL_SHARE, Micros, Output, Process, Settings, View,
 };
-use dunelink_gossip::sim::{Net, Weather};
-use dunelink_gossip::{Input, MemberId, Standing};
+use dunelink_gossip::sim::{Net, NetworkConditions};
+use dunelink_gossip::{Input, Liveness, MemberId};
 use testkit::rig::faults::{Fault, TimeLine};
 
 const S: Micros = 1_000_000;
@@ -20,7 +20,7 @@
 const STEP: Micros = S / 100;
 /// How often they are told who is there.
 const THERE: Micros = S / 5;
-const BOUNDS: Bounds = Bounds { lease: 2 * S, drift: 500 };
+const BOUNDS: LeaseBounds = LeaseBounds { lease: 2 * S, drift_ppm: 500 };
 /// By how many millionths clocks are fast or slow: within what the bounds allow.
 const DRIFTS: i64 = 400;
 /// All have started and found each other by then.
@@ -46,7 +46,7 @@
 }
 
 struct Node {
-    council: Option<Council>,
+    council: Option<Coordinator>,
     process: Process,
     /// By how many millionths its clock is fast, and how far ahead it is.
     drift: i64,
@@ -74,7 +74,7 @@
     net: Net,
     nodes: Vec<Node>,
     names: Vec<u64>,
-    electors: Names,
+    electors: ElectorNames,
     dice: fastrand::Rng,
     decided: BTreeMap<(Generation, u64), View>,
     outcome: Outcome,
@@ -102,7 +102,7 @@
             wants_aside: false,
         };
         let nodes = (0..count).map(node).collect();
-        let electors = Names::new(names.iter().copied().take(5));
+        let electors = ElectorNames::new(names.iter().copied().take(5));
         let net = Net::new(count, seed, |_, _| {});
         let (decided, outcome) = (BTreeMap::new(), Outcome::default());
         Fleet { net, nodes, names, electors, dice, decided, outcome }
@@ -117,13 +117,13 @@
         let me = Process { name: id.0, instance };
         let settings = Settings {
             me,
-            names: self.electors.clone(),
-            bounds: BOUNDS,
-            nodes: self.nodes.len(),
+            elector_names: self.electors.clone(),
+            lease_bounds: BOUNDS,
+            configured_nodes: self.nodes.len(),
             seed: instance,
         };
         let node = &mut self.nodes[at];
-        (node.council, node.process) = (Some(Council::new(settings, now)), me);
+        (node.council, node.process) = (Some(Coordinator::new(settings, now)), me);
         (node.part, node.wants_aside, node.there_at) = (0.0, false, 0);
     }
 
@@ -134,7 +134,8 @@
 
     fn tell(&mut self, at: usize, input: Told) {
         let now = self.nodes[at].clock(self.net.now);
-        let (mut inputs, mut said): (Vec<Told>, BTreeMap<u64, Vec<Wire>>) = (vec![input], BTreeMap::new());
+        let (mut inputs, mut said): (Vec<Told>, BTreeMap<u64, Vec<FleetMessage>>) =
+            (vec![input], BTreeMap::new());
         while !inputs.is_empty() {
             let mut out = Vec::new();
             let Some(council) = &mut self.nodes[at].council else { return };
@@ -142,13 +143,13 @@
             for output in out {
                 match output {
                     Output::Send(name, wire) if name == self.names[at] => {
-                        inputs.push(Told::Heard(self.nodes[at].process, wire));
+                        inputs.push(Told::Received(self.nodes[at].process, wire));
                     }
                     Output::Send(name, wire) => said.entry(name).or_default().push(wire),
-                    Output::Part(part) => self.nodes[at].part = part,
+                    Output::LimitShare(part) => self.nodes[at].part = part,
                     Output::Decided(view) => self.decided(view),
-                    Output::Lease(Held::Aside, held, _) => self.nodes[at].wants_aside = held,
-                    Output::Side(_) | Output::Lease(..) | Output::Dropped(_) => {}
+                    Output::Lease(LeaseKind::Unready, held, _) => self.nodes[at].wants_aside = held,
+                    Output::PartitionSide(_) | Output::Lease(..) | Output::Rejected(_) => {}
                 }
             }
         }
@@ -156,7 +157,7 @@
             // As few packets as they fit would be one or two; each by itself is the harder case.
             for pair in wires.chunks(2) {
                 if let Ok(bytes) = postcard::to_stdvec(pair) {
-                    self.net.tell(at, Input::Carry(MemberId(name), bytes));
+                    self.net.input(at, Input::SendPayload(MemberId(name), bytes));
                 }
             }
         }
@@ -171,10 +172,10 @@
 
     fn step(&mut self) {
         self.net.run_until(self.net.now + STEP, &|_, _| Vec::new());
-        for (at, from, instance, bytes) in std::mem::take(&mut self.net.carried) {
+        for (at, from, instance, bytes) in std::mem::take(&mut self.net.payloads) {
             let process = Process { name: from.0, instance };
-            for wire in postcard::from_bytes::<Vec<Wire>>(&bytes).unwrap_or_default() {
-                self.tell(at, Told::Heard(process, wire));
+            for wire in postcard::from_bytes::<Vec<FleetMessage>>(&bytes).unwrap_or_default() {
+                self.tell(at, Told::Received(process, wire));
             }
         }
         for at in 0..self.nodes.len() {
@@ -186,14 +187,15 @@
                 continue;
             }
             self.nodes[at].there_at = self.net.now;
-            let there = self.net.nodes[at].gossip.as_ref().map(|gossip| gossip.there()).unwrap_or_default();
+            let there =
+                self.net.nodes[at].gossip.as_ref().map(|gossip| gossip.alive_processes()).unwrap_or_default();
             let there = there.into_iter().map(|(id, instance)| Process { name: id.0, instance });
-            self.tell(at, Told::There(there.collect()));
+            self.tell(at, Told::AliveProcesses(there.collect()));
             // Now and then one wants to step aside, or does not any more.
             if self.dice.u8(..) < 4 {
                 let wants = !self.nodes[at].wants_aside;
                 self.nodes[at].wants_aside = wants;
-                self.tell(at, Told::Aside(wants));
+                self.tell(at, Told::WantUnready(wants));
             }
         }
         self.hold();
@@ -202,11 +204,11 @@
     /// The promises, by true time.
     fn hold(&mut self) {
         let now = self.net.now;
-        let standing = |node: &Node| node.council.as_ref().map(|council| council.standing(node.clock(now)));
+        let standing = |node: &Node| node.council.as_ref().map(|council| council.status(node.clock(now)));
         let stand: Vec<_> = self.nodes.iter().filter_map(standing).collect();
         for (what, held) in [
-            ("the chair", stand.iter().filter(|s| s.chair).count()),
-            ("the right to step aside", stand.iter().filter(|s| s.aside).count()),
+            ("the chair", stand.iter().filter(|s| s.holds_proposer_lease).count()),
+            ("the right to step aside", stand.iter().filter(|s| s.holds_unready_lease).count()),
         ] {
             if held > 1 {
                 self.outcome.broken.push(format!("{what} is held by {held} at {now}"));
@@ -216,7 +218,7 @@
         let awake = self.nodes.iter().filter(|node| !node.paused && node.council.is_some());
         let parts: f64 = awake.map(|node| node.part).sum();
         self.outcome.most = self.outcome.most.max(parts);
-        if parts > MOST + 1e-9 {
+        if parts > MAX_TOTAL_SHARE + 1e-9 {
             self.outcome.broken.push(format!("all together take {parts} at {now}"));
         }
     }
@@ -226,9 +228,9 @@
         let views: Vec<Option<View>> = self
             .nodes
             .iter()
-            .map(|node| node.council.as_ref().map(|council| council.standing(node.clock(now))))
+            .map(|node| node.council.as_ref().map(|council| council.status(node.clock(now))))
             .map(|standing| {
-                standing.filter(|standing| standing.name_for > 0).and_then(|standing| standing.view)
+                standing.filter(|standing| standing.name_lease_left > 0).and_then(|standing| standing.view)
             })
             .collect();
         let first = &views[0];
@@ -261,19 +263,20 @@
             Fault::Cut(sides) => {
                 let sides = sides.clone();
                 let side = move |node: usize| sides.iter().position(|side| side.contains(&node));
-                self.net.cut = Box::new(move |from, to| side(from) != side(to));
+                self.net.is_cut = Box::new(move |from, to| side(from) != side(to));
             }
             Fault::OneWay(one, other) => {
                 let (one, other) = (*one, *other);
-                self.net.cut = Box::new(move |from, to| (from, to) == (one, other));
+                self.net.is_cut = Box::new(move |from, to| (from, to) == (one, other));
             }
             Fault::Weather(weather) => {
                 let delay = (300, 300 + weather.delay.1.as_micros() as Micros);
-                self.net.weather = Weather { loss: weather.loss, doubled: weather.doubled, delay };
+                self.net.conditions =
+                    NetworkConditions { loss: weather.loss, duplication: weather.doubled, delay };
             }
             Fault::Heal => {
-                self.net.cut = Box::new(|_, _| false);
-                self.net.weather = Weather::default();
+                self.net.is_cut = Box::new(|_, _| false);
+                self.net.conditions = NetworkConditions::default();
             }
             Fault::End(_) | Fault::Servers(..) | Fault::List(..) | Fault::Conduct(..) => {}
         }
@@ -302,8 +305,8 @@
         // Operators put one out, and it comes back when its time is over.
         if agreed {
             let victim = fleet.names[count - 1];
-            fleet.tell(0, Told::Want(Evictions::out(victim, 3, "by the time line")));
-            let out = |fleet: &Fleet| fleet.decided.values().any(|view| Evictions::has(view, victim));
+            fleet.tell(0, Told::Propose(Evictions::evict(victim, 3, "by the time line")));
+            let out = |fleet: &Fleet| fleet.decided.values().any(|view| Evictions::is_evicted(view, victim));
             let back = |fleet: &Fleet| out(fleet) && fleet.agree();
             if !fleet.run(fleet.net.now + WAIT, back) {
                 fleet.show();
@@ -313,7 +316,7 @@
         let seconds = (fleet.net.now - begins) as f64 / S as f64;
         fleet.outcome.bytes = (Fleet::bytes(&fleet.net) - bytes) as f64 / count as f64 / seconds;
         (fleet.outcome.faults, fleet.outcome.views) = (line.faults.len(), fleet.decided.len());
-        let alive = |m: &dunelink_gossip::MemberView| m.standing == Standing::Alive;
+        let alive = |m: &dunelink_gossip::MemberView| m.liveness == Liveness::Alive;
         let known = fleet.net.nodes.iter().filter_map(|node| node.gossip.as_ref());
         if known
             .map(|gossip| gossip.members().iter().filter(|m| alive(m)).count())
@@ -331,7 +334,7 @@
                 eprintln!("n{at} does not run");
                 continue;
             };
-            let stands = council.standing(node.clock(self.net.now));
+            let stands = council.status(node.clock(self.net.now));
             let view = stands
                 .view
                 .as_ref()
@@ -340,17 +343,17 @@
                 "n{at} paused {} side {:?} name for {} chair {} aside {} part {} view {view:?} sees {}",
                 node.paused,
                 stands.side,
-                stands.name_for,
-                stands.chair,
-                stands.aside,
+                stands.name_lease_left,
+                stands.holds_proposer_lease,
+                stands.holds_unready_lease,
                 node.part,
-                self.net.nodes[at].gossip.as_ref().map_or(0, |gossip| gossip.there().len())
+                self.net.nodes[at].gossip.as_ref().map_or(0, |gossip| gossip.alive_processes().len())
             );
         }
     }
 
     fn bytes(net: &Net) -> u64 {
-        net.nodes.iter().map(|node| node.bytes).sum()
+        net.nodes.iter().map(|node| node.bytes_sent).sum()
     }
 }
 
--- a/crates/dunelink/src/config/gossip.rs
+++ b/crates/dunelink/src/config/gossip.rs
@@ -154,7 +154,7 @@
         let secret =
             Secret::parse(&error::read(&self.secret)?).map_err(wrong(&self.secret, "gossip.secret"))?;
         let ring = KeyRing::parse(&error::read(&self.ring)?).map_err(wrong(&self.ring, "gossip.ring"))?;
-        if !ring.holds(dunelink_gossip::MemberId::of(name), &secret) {
+        if !ring.has_key(dunelink_gossip::MemberId::of(name), &secret) {
             let what = format!("expected a line with the name {name} and the public key of gossip.secret");
             return Err(ConfigError::of(what).in_file(&self.ring).at(None, "gossip.ring"));
         }
@@ -163,8 +163,8 @@
         if let Some(name) = self.electors.iter().find(|name| !known(name)) {
             return Err(electors(&format!("expected a line with the name {name}")));
         }
-        if !self.electors.is_empty() && ring.len() > dunelink_view::MEMBERS_MOST {
-            let most = dunelink_view::MEMBERS_MOST;
+        if !self.electors.is_empty() && ring.len() > dunelink_view::MAX_MEMBERS {
+            let most = dunelink_view::MAX_MEMBERS;
             return Err(electors(&format!("expected at most {most} names where there are electors")));
         }
         Ok((ring, secret))
--- a/crates/dunelink/src/engine.rs
+++ b/crates/dunelink/src/engine.rs
@@ -12,7 +12,7 @@
     Action, AttemptEnd, AttemptNo, Balancer, Event, Micros, Outcome, Request, RequestId, ServerId,
     ServerObservation, Upload,
 };
-use dunelink_reach::ZoneReach;
+use dunelink_reach::ZoneReachability;
 use hyper::Response;
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::AbortHandle;
@@ -48,7 +48,7 @@
     /// Other nodes are to be told what this one has seen of servers.
     Sight(oneshot::Sender<Vec<ServerObservation>>),
     /// Other nodes are to be told how servers answer this one.
-    Reach(oneshot::Sender<Vec<ZoneReach>>),
+    Reach(oneshot::Sender<Vec<ZoneReachability>>),
     /// The process is out of descriptors.
     Evict,
     /// Nothing more will be taken: the engine ends when all is answered, or at this time.
--- a/crates/dunelink/src/fleet/events.rs
+++ b/crates/dunelink/src/fleet/events.rs
@@ -1,9 +1,9 @@
 //! Events of the fleet, one for each change of view, side, lease and stance, with its epoch and cause: the logs of all
 //! processes can be merged and read as one story.
 
-use dunelink_gossip::{Gossip, MemberId, Note};
-use dunelink_reach::Stance;
-use dunelink_view::{Change, Evictions, Held, Micros, Name, Side, Step, View};
+use dunelink_gossip::{Gossip, LogEvent, MemberId};
+use dunelink_reach::Condition;
+use dunelink_view::{Change, Evictions, LeaseKind, Micros, Name, PartitionSide, View, ViewDelta};
 use tracing::{info, warn};
 
 use super::view::{epoch_of, side_name};
@@ -23,35 +23,38 @@
         names.map(|name| self.name(name)).collect::<Vec<_>>().join(",")
     }
 
-    fn step(&self, step: &Step, view: &View) -> String {
+    fn step(&self, step: &ViewDelta, view: &View) -> String {
         // Facts bear the number of the name that they are about.
         let about = |key: &str| {
             let name = key.split(' ').nth(1).and_then(|hex| Name::from_str_radix(hex, 16).ok());
             name.map(|name| self.name(name)).unwrap_or_default()
         };
         match step {
-            Step::Found => "it is the first that is known here, or of a new founding".into(),
-            Step::Came(process) => format!("{} came in", self.name(process.name)),
-            Step::Went(process) => format!("{} went out", self.name(process.name)),
-            Step::Set(key) => match Evictions::all(view).find(|(name, ..)| self.name(*name) == about(key)) {
-                Some((name, seconds, reason)) => {
-                    format!("{} is put out for {seconds} s: {reason}", self.name(name))
+            ViewDelta::Founded => "it is the first that is known here, or of a new founding".into(),
+            ViewDelta::Joined(process) => format!("{} came in", self.name(process.name)),
+            ViewDelta::Left(process) => format!("{} went out", self.name(process.name)),
+            ViewDelta::Set(key) => {
+                match Evictions::evicted(view).find(|(name, ..)| self.name(*name) == about(key)) {
+                    Some((name, seconds, reason)) => {
+                        format!("{} is put out for {seconds} s: {reason}", self.name(name))
+                    }
+                    None => format!("{key} is set"),
                 }
-                None => format!("{key} is set"),
-            },
-            Step::Cleared(key) => format!("{} may come back in", about(key)),
+            }
+            ViewDelta::Cleared(key) => format!("{} may come back in", about(key)),
         }
     }
 
     pub(super) fn decided(&self, view: &View, before: Option<&View>) {
         let epoch = epoch_of(Some(view));
-        let cause: Vec<String> = view.since(before).iter().map(|step| self.step(step, view)).collect();
+        let cause: Vec<String> =
+            view.changes_since(before).iter().map(|step| self.step(step, view)).collect();
         let (members, electors) =
             (self.names(view.members.keys().copied()), self.names(view.electors.keys().copied()));
         info!(target: "fleet", node = self.node, epoch, members, electors, cause = cause.join("; "), "view decided");
     }
 
-    pub(super) fn side(&self, side: Side, unheard: &[Name], epoch: &str) {
+    pub(super) fn side(&self, side: PartitionSide, unheard: &[Name], epoch: &str) {
         let cause = match unheard {
             [] => "all electors are heard".into(),
             some => format!("not heard: {}", self.names(some.iter().copied())),
@@ -59,11 +62,11 @@
         info!(target: "fleet", node = self.node, epoch, side = side_name(side), cause, "side");
     }
 
-    pub(super) fn lease(&self, what: Held, held: bool, ago: Micros, epoch: &str) {
+    pub(super) fn lease(&self, what: LeaseKind, held: bool, ago: Micros, epoch: &str) {
         let of = match what {
-            Held::Name => format!("name {}", self.node),
-            Held::Chair => "chair".into(),
-            Held::Aside => "aside".into(),
+            LeaseKind::NodeName => format!("name {}", self.node),
+            LeaseKind::Proposer => "chair".into(),
+            LeaseKind::Unready => "aside".into(),
         };
         let cause = match (held, ago) {
             (true, _) => "granted by a majority",
@@ -81,25 +84,27 @@
         info!(target: "fleet", node = self.node, epoch, part = format!("{part:.3}"), "part");
     }
 
-    pub(super) fn stance(&self, stance: &Stance, before: &Stance, epoch: &str) {
+    pub(super) fn stance(&self, stance: &Condition, before: &Condition, epoch: &str) {
         let (stance, before) = (stance.to_string(), before.to_string());
         info!(target: "fleet", node = self.node, epoch, stance, before, "stance");
     }
 
-    pub(super) fn ready(&self, ready: bool, stance: &Stance, epoch: &str) {
+    pub(super) fn ready(&self, ready: bool, stance: &Condition, epoch: &str) {
         info!(target: "fleet", node = self.node, epoch, ready, cause = stance.to_string(), "ready");
     }
 
-    pub(super) fn note(&self, note: &Note) {
+    pub(super) fn note(&self, note: &LogEvent) {
         let node = self.node;
         match note {
-            Note::Up(member) => info!(target: "gossip", node, member, "it is there"),
-            Note::Down(member) => info!(target: "gossip", node, member, "it does not answer any more"),
-            Note::NameShared => warn!(target: "gossip", node, "another process goes by this name"),
-            Note::NoSense(member) => {
+            LogEvent::MemberUp(member) => info!(target: "gossip", node, member, "it is there"),
+            LogEvent::MemberDown(member) => {
+                info!(target: "gossip", node, member, "it does not answer any more")
+            }
+            LogEvent::DuplicateName => warn!(target: "gossip", node, "another process goes by this name"),
+            LogEvent::InvalidAges(member) => {
                 warn!(target: "gossip", node, member, "it tells ages that can't be; its word on servers is not heard");
             }
-            Note::StoodStill(span) => {
+            LogEvent::ProcessPaused(span) => {
                 warn!(target: "gossip", node, ms = span / 1000, "this process stood still");
             }
         }
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -9,10 +9,10 @@
 
 use cherryusher::{Event, ServerId, ServerObservation};
 use dunelink_gossip::{
-    Figures, Gossip, Input, MemberId, MemberView, Micros, Output, PACKET_MOST, Settings, SuspicionView,
+    Counters, Gossip, Input, MAX_PACKET_BYTES, MemberId, MemberView, Micros, Output, Settings, SuspicionView,
 };
-use dunelink_reach::ZoneReach;
-use dunelink_view::{Evictions, Held, Name, Process};
+use dunelink_reach::ZoneReachability;
+use dunelink_view::{Evictions, LeaseKind, Name, Process};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until, timeout};
@@ -45,7 +45,7 @@
     /// The servers that others suspect.
     pub suspicions: Vec<SuspicionView>,
     /// What was counted since the start.
-    pub figures: Figures,
+    pub figures: Counters,
     /// How this node stands with what the fleet decides, where the configuration names electors.
     pub fleet: Option<FleetView>,
 }
@@ -101,11 +101,11 @@
             name: config.name.clone(),
             address,
             seeds: wanted.seeds.clone(),
-            period: wanted.period.as_micros() as Micros,
-            ceiling: wanted.ceiling,
-            nodes: config.fleet.nodes,
+            probe_period: wanted.period.as_micros() as Micros,
+            max_bytes_per_second: wanted.ceiling,
+            configured_nodes: config.fleet.nodes,
             seed: fastrand::Rng::new().u64(..),
-            number: unix.as_micros() as u64,
+            first_statement_number: unix.as_micros() as u64,
         };
         let began = Instant::now();
         let gossip = Gossip::new(settings, ring, secret, 0)
@@ -158,13 +158,13 @@
         let mut look = interval(LOOK);
         look.set_missed_tick_behavior(MissedTickBehavior::Delay);
         // One byte more than a packet has: what is longer shows.
-        let mut bytes = [0; PACKET_MOST + 1];
+        let mut bytes = [0; MAX_PACKET_BYTES + 1];
         let mut out = Vec::new();
         loop {
             let now = self.now();
             let decides = self.deciding.as_ref().map_or(Micros::MAX, |deciding| deciding.next(now));
             let reaches = self.reaching.as_ref().map_or(Micros::MAX, Reaching::next);
-            let next = self.gossip.next().min(decides).min(reaches.max(now + 1_000));
+            let next = self.gossip.next_wakeup().min(decides).min(reaches.max(now + 1_000));
             let next = self.began + Duration::from_micros(next);
             tokio::select! {
                 // An error is what came back of a packet that was sent: its member does not answer then.
@@ -202,7 +202,7 @@
         while !out.is_empty() {
             for output in std::mem::take(out) {
                 match output {
-                    Output::Carried(from, instance, bytes) => {
+                    Output::PayloadReceived(from, instance, bytes) => {
                         let deeds = self.hear(Process { name: from.0, instance }, &bytes);
                         self.carry_out(deeds, out);
                     }
@@ -233,7 +233,7 @@
                 let epoch = || deciding.as_ref().map_or_else(|| epoch_of(None), Deciding::epoch);
                 match deed {
                     // By far the most frequent: nothing else is made for it.
-                    Deed::Carry(to, bytes) => gossip.handle(now, Input::Carry(to, bytes), out),
+                    Deed::Carry(to, bytes) => gossip.handle(now, Input::SendPayload(to, bytes), out),
                     Deed::Part(part) => {
                         teller.part(part, &epoch());
                         self.tell_fleet((1.0 / part).ceil() as u32);
@@ -248,7 +248,7 @@
                     Deed::Side(side, unheard) => teller.side(side, &unheard, &epoch()),
                     Deed::Lease(what, held, ago) => {
                         teller.lease(what, held, ago, &epoch());
-                        if let (Held::Aside, Some(reaching)) = (what, reaching) {
+                        if let (LeaseKind::Unready, Some(reaching)) = (what, reaching) {
                             deeds.extend(reaching.may_step_aside(now, held, gossip));
                         }
                     }
@@ -256,7 +256,7 @@
                     Deed::Stance(stance, before) => teller.stance(&stance, &before, &epoch()),
                     Deed::WantsAside(wants) => {
                         if let Some(deciding) = deciding {
-                            deeds.extend(deciding.want(now, dunelink_view::Input::Aside(wants)));
+                            deeds.extend(deciding.want(now, dunelink_view::Input::WantUnready(wants)));
                         }
                     }
                     Deed::Ready(ready, stance) => teller.ready(ready, &stance, &epoch()),
@@ -279,20 +279,20 @@
         match output {
             // One that can't be sent is one that got lost.
             Output::Send(to, bytes) => drop(socket.try_send_to(&bytes, to)),
-            Output::Doubts(doubts) => {
+            Output::Suspicions(doubts) => {
                 for engine in &self.engines {
                     engine.send(Happening::Module(Event::PeerSuspicions(doubts.clone())));
                 }
             }
             // Where the fleet decides, parts follow leases.
-            Output::Fleet(fleet) => {
-                self.place = fleet.place;
+            Output::FleetPosition(fleet) => {
+                self.place = fleet.rank;
                 if self.deciding.is_none() {
                     self.tell_fleet(fleet.nodes);
                 }
             }
-            Output::Carried(..) => {}
-            Output::Note(note) => Teller { node: &self.config.name, gossip: &self.gossip }.note(&note),
+            Output::PayloadReceived(..) => {}
+            Output::LogEvent(note) => Teller { node: &self.config.name, gossip: &self.gossip }.note(&note),
         }
     }
 
@@ -330,7 +330,7 @@
             self.carry_out(deeds, out);
         }
         let now = self.now();
-        self.gossip.handle(now, Input::Sightings(together(seen.into_iter().flatten())), out);
+        self.gossip.handle(now, Input::Observations(together(seen.into_iter().flatten())), out);
         Some(())
     }
 
@@ -348,12 +348,12 @@
             return Err("expected a name in the ring".into());
         }
         let change = match how {
-            Some((seconds, reason)) => Evictions::out(id.0, seconds, &reason),
-            None => Evictions::back(id.0),
+            Some((seconds, reason)) => Evictions::evict(id.0, seconds, &reason),
+            None => Evictions::restore(id.0),
         };
         deciding.may(&change).map_err(|refusal| refusal.to_string())?;
         let now = self.began.elapsed().as_micros() as Micros;
-        let deeds = deciding.want(now, dunelink_view::Input::Want(change));
+        let deeds = deciding.want(now, dunelink_view::Input::Propose(change));
         self.carry_out(deeds, out);
         Ok(())
     }
@@ -366,7 +366,7 @@
                 let view = GossipView {
                     members: self.gossip.members(),
                     suspicions: self.gossip.suspicions(),
-                    figures: self.gossip.figures(),
+                    figures: self.gossip.counters(),
                     fleet: self.status(now),
                 };
                 let _ = tell.send(view);
@@ -413,13 +413,13 @@
 }
 
 /// What all shards have seen of servers, by zone. Each server is tried by all of them.
-fn by_zone(seen: &[Vec<ZoneReach>]) -> Vec<ZoneReach> {
-    let mut zones: BTreeMap<&str, ZoneReach> = BTreeMap::new();
+fn by_zone(seen: &[Vec<ZoneReachability>]) -> Vec<ZoneReachability> {
+    let mut zones: BTreeMap<&str, ZoneReachability> = BTreeMap::new();
     for reach in seen.iter().flatten() {
         let sum = zones
             .entry(&reach.zone)
-            .or_insert_with(|| ZoneReach { zone: reach.zone.clone(), ..Default::default() });
-        sum.answer = sum.answer.saturating_add(reach.answer);
+            .or_insert_with(|| ZoneReachability { zone: reach.zone.clone(), ..Default::default() });
+        sum.answering = sum.answering.saturating_add(reach.answering);
         sum.silent = sum.silent.saturating_add(reach.silent);
     }
     zones.into_values().collect()
--- a/crates/dunelink/src/fleet/reach.rs
+++ b/crates/dunelink/src/fleet/reach.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dunelink_gossip::{Gossip, MemberId};
-use dunelink_reach::{Health, Input, Matrix, Output, Row, Settings, Stance, ZoneReach};
+use dunelink_reach::{Condition, HealthMonitor, Input, Output, ReachMatrix, Row, Settings, ZoneReachability};
 use dunelink_view::{Micros, Name, Process};
 
 use super::deed::Deed;
@@ -21,13 +21,13 @@
 
 /// A node's part in who reaches whom.
 pub(super) struct Reaching {
-    health: Health,
+    health: HealthMonitor,
     tallies: Vec<Arc<Tally>>,
     /// Read by whoever is asked whether this node is ready.
     aside: Arc<AtomicBool>,
     stood_still: Duration,
     /// What it told of itself last.
-    stance: Stance,
+    stance: Condition,
 }
 
 impl Reaching {
@@ -40,22 +40,22 @@
         now: Micros,
     ) -> Reaching {
         let floor = config.gossip.as_ref().and_then(|gossip| gossip.step_aside).unwrap_or(NEVER);
-        let settings = Settings { me, zone: config.fleet.zone.clone(), floor };
-        let (health, stood_still) = (Health::new(settings, now), Duration::ZERO);
-        Reaching { health, tallies, aside, stood_still, stance: Stance::Well }
+        let settings = Settings { me, zone: config.fleet.zone.clone(), min_ready_fraction: floor };
+        let (health, stood_still) = (HealthMonitor::new(settings, now), Duration::ZERO);
+        Reaching { health, tallies, aside, stood_still, stance: Condition::Healthy }
     }
 
     /// When it wants to be looked at next.
     pub(super) fn next(&self) -> Micros {
-        self.health.next()
+        self.health.next_wakeup()
     }
 
-    pub(super) fn matrix(&self) -> &Matrix {
+    pub(super) fn matrix(&self) -> &ReachMatrix {
         self.health.matrix()
     }
 
-    pub(super) fn stance(&self) -> &Stance {
-        self.health.stance()
+    pub(super) fn stance(&self) -> &Condition {
+        self.health.condition()
     }
 
     /// This process was looked at later than it wanted to be, or an engine answered late.
@@ -66,12 +66,12 @@
     }
 
     /// What the engines have seen of servers.
-    pub(super) fn seen(&mut self, now: Micros, zones: Vec<ZoneReach>, gossip: &Gossip) -> Vec<Deed> {
+    pub(super) fn seen(&mut self, now: Micros, zones: Vec<ZoneReachability>, gossip: &Gossip) -> Vec<Deed> {
         let counts = self.tallies.iter().map(|tally| tally.counts()).fold(Counts::default(), Counts::plus);
         let silent = self.tallies.iter().map(|tally| tally.list_silent()).max().flatten();
         let list = silent.map(|silent| u32::try_from(silent.as_millis()).unwrap_or(u32::MAX));
         let sums = [counts.served, counts.failed, self.stood_still.as_millis() as u64];
-        self.work(now, Input::Own(zones, list, sums), gossip)
+        self.work(now, Input::OwnMeasurements(zones, list, sums), gossip)
     }
 
     pub(super) fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Deed> {
@@ -79,7 +79,7 @@
     }
 
     pub(super) fn heard(&mut self, now: Micros, from: Process, row: Row, gossip: &Gossip) -> Vec<Deed> {
-        self.work(now, Input::Heard(from, row), gossip)
+        self.work(now, Input::Received(from, row), gossip)
     }
 
     /// Who is a member from now on.
@@ -89,7 +89,7 @@
 
     /// Whether this node holds the right to say that it is not ready.
     pub(super) fn may_step_aside(&mut self, now: Micros, held: bool, gossip: &Gossip) -> Vec<Deed> {
-        self.work(now, Input::Aside(held), gossip)
+        self.work(now, Input::UnreadyLease(held), gossip)
     }
 
     fn work(&mut self, now: Micros, input: Input, gossip: &Gossip) -> Vec<Deed> {
@@ -98,16 +98,16 @@
         let mut deeds = Vec::new();
         for output in out {
             match output {
-                Output::Tell(row) => {
+                Output::SendRow(row) => {
                     let bytes = words::row(&row);
-                    let to = gossip.there().into_iter().map(|(id, _)| id);
+                    let to = gossip.alive_processes().into_iter().map(|(id, _)| id);
                     deeds.extend(to.map(|id: MemberId| Deed::Carry(id, bytes.clone())));
                 }
-                Output::Stance(stance) => {
+                Output::Condition(stance) => {
                     let before = std::mem::replace(&mut self.stance, stance.clone());
                     deeds.push(Deed::Stance(stance, before));
                 }
-                Output::WantsAside(wants) => deeds.push(Deed::WantsAside(wants)),
+                Output::WantUnready(wants) => deeds.push(Deed::WantsAside(wants)),
                 Output::Ready(ready) => {
                     self.aside.store(!ready, Ordering::Release);
                     deeds.push(Deed::Ready(ready, self.stance.clone()));
--- a/crates/dunelink/src/fleet/status.rs
+++ b/crates/dunelink/src/fleet/status.rs
@@ -1,8 +1,8 @@
 //! How a node stands with the fleet, for operators.
 
 use dunelink_gossip::{Gossip, MemberId};
-use dunelink_reach::{Matrix, Stance};
-use dunelink_view::{Evictions, Micros, Name, Standing};
+use dunelink_reach::{Condition, ReachMatrix};
+use dunelink_view::{Evictions, Micros, Name, NodeStatus};
 use serde::Serialize;
 
 use super::view::{epoch_of, side_name};
@@ -81,8 +81,8 @@
 pub(super) fn status(
     now: Micros,
     node: &str,
-    standing: &Standing,
-    (matrix, stance): (&Matrix, &Stance),
+    standing: &NodeStatus,
+    (matrix, stance): (&ReachMatrix, &Condition),
     gossip: &Gossip,
 ) -> FleetView {
     let name = |name: Name| gossip.name(MemberId(name));
@@ -99,33 +99,33 @@
             name: name(*of),
             member: view.is_some_and(|view| view.members.contains_key(of)),
             elector: view.is_some_and(|view| view.electors.contains_key(of)),
-            stance: matrix.stance(now, *of).to_string(),
+            stance: matrix.condition(now, *of).to_string(),
             heard,
             ready: row.ready,
             zone: row.zone,
-            hears: row.hears.iter().map(|other| name(*other)).collect(),
-            servers: row.zones.into_iter().map(|reach| (reach.zone, reach.answer, reach.silent)).collect(),
-            list_ms: row.list_ms,
+            hears: row.receives_from.iter().map(|other| name(*other)).collect(),
+            servers: row.zones.into_iter().map(|reach| (reach.zone, reach.answering, reach.silent)).collect(),
+            list_ms: row.list_age_ms,
             served: row.served,
             failed: row.failed,
-            stalled: row.stalled,
+            stalled: row.stalled_permille,
         }
     };
     let mut nodes: Vec<NodeView> = names.iter().map(one).collect();
     nodes.sort_by(|a, b| a.name.cmp(&b.name));
-    let out = view.into_iter().flat_map(Evictions::all);
+    let out = view.into_iter().flat_map(Evictions::evicted);
     FleetView {
         node: node.to_owned(),
         side: side_name(standing.side),
         epoch: epoch_of(view),
-        name_for_ms: standing.name_for / 1000,
-        chair: standing.chair,
-        aside: standing.aside,
-        part: standing.part,
+        name_for_ms: standing.name_lease_left / 1000,
+        chair: standing.holds_proposer_lease,
+        aside: standing.holds_unready_lease,
+        part: standing.limit_share,
         stance: stance.to_string(),
-        hears_electors: standing.heard.iter().map(|elector| name(*elector)).collect(),
+        hears_electors: standing.reachable_electors.iter().map(|elector| name(*elector)).collect(),
         nodes,
-        one_way: matrix.one_way(now).into_iter().map(|(from, to)| (name(from), name(to))).collect(),
+        one_way: matrix.one_way_links(now).into_iter().map(|(from, to)| (name(from), name(to))).collect(),
         out: out
             .map(|(of, seconds, reason)| OutView { name: name(of), seconds, reason: reason.to_owned() })
             .collect(),
--- a/crates/dunelink/src/fleet/words.rs
+++ b/crates/dunelink/src/fleet/words.rs
@@ -2,7 +2,7 @@
 //! no mark; all others do, so that a build which does not know them passes them over.
 
 use dunelink_reach::Row;
-use dunelink_view::Wire;
+use dunelink_view::FleetMessage;
 use serde::Serialize;
 
 /// No packet of the council's begins like this: it would hold more words than fit.
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Words {
     /// Of views and leases.
-    Council(Vec<Wire>),
+    Council(Vec<FleetMessage>),
     /// A node's own row.
     Row(Row),
 }
 
 /// The council's words as bytes.
-pub(super) fn council(wires: &[Wire]) -> Vec<u8> {
+pub(super) fn council(wires: &[FleetMessage]) -> Vec<u8> {
     // Writing to memory can't fail.
     postcard::to_stdvec(wires).unwrap_or_default()
 }
@@ -50,12 +50,12 @@
 
     #[test]
     fn each_kind_is_read_as_what_it_is_and_none_as_another() {
-        let hello = vec![Wire::Hello(Default::default(), 7); 3];
+        let hello = vec![FleetMessage::Hello(Default::default(), 7); 3];
         assert_eq!(read(&council(&hello)), Some(Words::Council(hello)));
         let told = Row { zone: "a".into(), served: 300, ..Row::default() };
         assert_eq!(read(&row(&told)), Some(Words::Row(told.clone())));
         // As a build that knows no marks reads it.
-        assert!(postcard::from_bytes::<Vec<Wire>>(&row(&told)).is_err());
+        assert!(postcard::from_bytes::<Vec<FleetMessage>>(&row(&told)).is_err());
         for other in [&[][..], &[MARK], &[MARK, 9, 1], &[MARK, ROW, 1]] {
             assert_eq!(read(other), None, "{other:?}");
         }
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use cherryusher::{Micros, Outcome, ServerEntry, ServerId, ServerState};
-use dunelink_reach::ZoneReach;
+use dunelink_reach::ZoneReachability;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
@@ -310,16 +310,19 @@
     }
 
     /// How servers answer, by zone. One that was not tried lately is not among them.
-    pub(crate) fn reach(&self) -> Vec<ZoneReach> {
-        let mut zones: BTreeMap<Arc<str>, ZoneReach> = BTreeMap::new();
+    pub(crate) fn reach(&self) -> Vec<ZoneReachability> {
+        let mut zones: BTreeMap<Arc<str>, ZoneReachability> = BTreeMap::new();
         for member in self.members.borrow().values() {
             let silent = member.unanswered.is_some_and(|since| since.elapsed() >= SILENT);
             let answers = member.answered && !silent && member.heard.elapsed() <= ANSWERS;
             let zone = zones.entry(member.zone.clone()).or_default();
             zone.silent = zone.silent.saturating_add(silent.into());
-            zone.answer = zone.answer.saturating_add(answers.into());
+            zone.answering = zone.answering.saturating_add(answers.into());
         }
-        let named = |(zone, reach): (Arc<str>, ZoneReach)| ZoneReach { zone: zone.to_string(), ..reach };
+        let named = |(zone, reach): (Arc<str>, ZoneReachability)| ZoneReachability {
+            zone: zone.to_string(),
+            ..reach
+        };
         zones.into_iter().map(named).collect()
     }
 
--- a/crates/dunelinkd/src/fleet.rs
+++ b/crates/dunelinkd/src/fleet.rs
@@ -115,20 +115,20 @@
         logs.push(Log::read(&name, text.lines()));
     }
     let story = merge(&logs, !raw);
-    for (name, moved) in story.apart(&logs) {
+    for (name, moved) in story.skewed_logs(&logs) {
         match moved {
             Some(by) => println!("# {name}: its clock differs by {} ms, which is taken off", -by / 1000),
             None => println!("# {name}: it shares no view with the others; its times are as it wrote them"),
         }
     }
-    for log in logs.iter().filter(|log| log.unread > 0) {
-        println!("# {}: {} lines are no events", log.name, log.unread);
+    for log in logs.iter().filter(|log| log.unparsed_lines > 0) {
+        println!("# {}: {} lines are no events", log.name, log.unparsed_lines);
     }
     let first = story.events.first().map_or(0, |(at, ..)| *at);
-    let mut doubts = story.doubts.iter().peekable();
+    let mut doubts = story.contradictions.iter().peekable();
     for (at, log, event) in story.events.iter().filter(|(.., event)| !fleet || event.target == "fleet") {
         while let Some(doubt) = doubts.next_if(|doubt| doubt.at <= *at) {
-            println!("{:>12.3} !! {}", (doubt.at - first) as f64 / 1e6, doubt.what);
+            println!("{:>12.3} !! {}", (doubt.at - first) as f64 / 1e6, doubt.description);
         }
         let mut line = format!("{:>12.3} {} {}", (at - first) as f64 / 1e6, logs[*log].name, event.message);
         for (name, value) in event.fields.iter().filter(|(name, _)| *name != "node") {
@@ -137,8 +137,8 @@
         }
         println!("{line}");
     }
-    doubts.for_each(|doubt| println!("{:>12.3} !! {}", (doubt.at - first) as f64 / 1e6, doubt.what));
-    match story.doubts.len() {
+    doubts.for_each(|doubt| println!("{:>12.3} !! {}", (doubt.at - first) as f64 / 1e6, doubt.description));
+    match story.contradictions.len() {
         0 => Ok(()),
         many => bail!("{many} things in these logs can't be (marked with !!)"),
     }
--- a/crates/dunelinkd/src/gossip.rs
+++ b/crates/dunelinkd/src/gossip.rs
@@ -82,27 +82,27 @@
     let mut text = String::new();
     // Writing to a string can't fail.
     for m in &view.members {
-        let standing = format!("{:?}", m.standing).to_lowercase();
-        let since = m.since / 1_000_000;
+        let standing = format!("{:?}", m.liveness).to_lowercase();
+        let since = m.liveness_age / 1_000_000;
         let _ = writeln!(
             text,
             "{} {} {standing} since={since}s place={} credit={:.2}",
-            m.name, m.address, m.place, m.credit
+            m.name, m.address, m.rank, m.credit
         );
     }
     let f = view.figures;
     let _ = writeln!(
         text,
         "# sent={} sent_bytes={} kept_back={} taken={} replayed={} unsigned={} unreadable={} flooded={} checked={}",
-        f.sent,
-        f.sent_bytes,
-        f.kept_back,
-        f.taken,
+        f.packets_sent,
+        f.bytes_sent,
+        f.throttled,
+        f.accepted,
         f.replayed,
-        f.unsigned,
-        f.unreadable,
-        f.flooded,
-        f.checked
+        f.unauthenticated,
+        f.malformed,
+        f.rate_limited,
+        f.signatures_checked
     );
     text
 }
@@ -113,13 +113,13 @@
     for s in &view.suspicions {
         let uid =
             known.servers.iter().find(|server| server.id() == s.server).map(|server| server.uid.as_ref());
-        let _ = writeln!(text, "{} doubt={:.2}", uid.unwrap_or("(not in the list)"), s.doubt);
+        let _ = writeln!(text, "{} doubt={:.2}", uid.unwrap_or("(not in the list)"), s.level);
         for (name, word) in &s.witnesses {
             let _ = writeln!(
                 text,
                 "  {name} strength={:.2} rests_on={} age={}ms weight={:.2}",
                 word.strength,
-                word.rests_on,
+                word.sample_count,
                 word.age / 1000,
                 word.weight
             );
--- a/crates/dunelinkd/tests/fleet/half.rs
+++ b/crates/dunelinkd/tests/fleet/half.rs
@@ -94,11 +94,15 @@
     rig.rest();
     let lines: Vec<Vec<String>> = ALL.iter().map(|node| rig.record.log(*node)).collect();
     let logs: Vec<Log> = lines.iter().map(|lines| Log::read("?", lines.iter().map(String::as_str))).collect();
-    assert!(logs.iter().all(|log| log.unread == 0), "{:?}", rig.story());
+    assert!(logs.iter().all(|log| log.unparsed_lines == 0), "{:?}", rig.story());
     let names: Vec<&str> = logs.iter().map(|log| log.name.as_str()).collect();
     assert_eq!(names, ["n0", "n1", "n2", "n3", "n4"]);
     let story = merge(&logs, true);
-    assert!(story.doubts.is_empty() && story.moved.iter().all(Option::is_some), "{:?}", story.doubts);
+    assert!(
+        story.contradictions.is_empty() && story.clock_offsets.iter().all(Option::is_some),
+        "{:?}",
+        story.contradictions
+    );
     // Each change says why.
     let causes: Vec<&str> = story.events.iter().filter_map(|(_, _, event)| event.field("cause")).collect();
     for cause in ["n0 went out", "n0 came in", "n1 came in", "granted by a majority"] {
--- a/crates/dunelinkd/tests/fleet/hard.rs
+++ b/crates/dunelinkd/tests/fleet/hard.rs
@@ -62,7 +62,7 @@
     kept(&mut rig, &rules());
     let lines: Vec<Vec<String>> = every.iter().map(|node| rig.record.log(*node)).collect();
     let logs: Vec<Log> = lines.iter().map(|log| Log::read("?", log.iter().map(String::as_str))).collect();
-    let doubts = merge(&logs, false).doubts;
+    let doubts = merge(&logs, false).contradictions;
     println!("{nodes} nodes: parts {most:.3} at most, all agree {took:.1?} after; {doubts:?}");
     assert!(most <= 1.1 + 1e-6 && doubts.is_empty(), "{most}, {doubts:?}\n{}", rig.story());
     assert!(took < seconds(5.0) + SLACK, "{took:?}\n{}", rig.story());
@@ -198,7 +198,7 @@
     let shared = |log: &[String]| log.iter().any(|line| line.contains("another process goes by this name"));
     assert!(shared(&first) || shared(&second), "{second:#?}\n{}", rig.story());
     let log = |lines: &[String]| Log::read("?", lines.iter().map(String::as_str));
-    let doubts = merge(&[log(&first), log(&second)], false).doubts;
+    let doubts = merge(&[log(&first), log(&second)], false).contradictions;
     println!("two of one name: parts of the others and the first {most:.3}; {doubts:?}");
     assert!(doubts.is_empty() && most <= 1.1 + 1e-6, "{doubts:?} {most}");
     rig.wait("one view of all", || agree(&rig, &ALL, 5));
--- a/crates/dunelinkd/tests/gossip/main.rs
+++ b/crates/dunelinkd/tests/gossip/main.rs
@@ -9,7 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunelink_gossip::{Gossip, Input, KeyRing, Output, Secret, ServerObservation, Settings, bound};
+use dunelink_gossip::{
+    Gossip, Input, KeyRing, Output, Secret, ServerObservation, Settings, max_false_suspicion,
+};
 use process::{program, write_as};
 use testkit::rig::clients::Load;
 use testkit::rig::faults::{Conduct, Fault};
@@ -133,7 +135,7 @@
             Err(_) => gossip.handle(now(), Input::Tick, &mut out),
         }
         let lie = ServerObservation { server, suspicion: 1.0, recent_answers: 0, sample_count: 60_000 };
-        gossip.handle(now(), Input::Sightings(vec![lie]), &mut out);
+        gossip.handle(now(), Input::Observations(vec![lie]), &mut out);
         for output in out.drain(..) {
             if let Output::Send(to, bytes) = output {
                 let _ = socket.send_to(&bytes, to);
@@ -155,17 +157,17 @@
         name: "n4".into(),
         address: front,
         seeds: vec![rig.place(0).1],
-        period: 500_000,
-        ceiling: CEILING,
-        nodes: 5,
+        probe_period: 500_000,
+        max_bytes_per_second: CEILING,
+        configured_nodes: 5,
         seed: 77,
-        number: 1,
+        first_statement_number: 1,
     };
     let liar = thread::spawn(move || lie(settings, ring, secret, at, id, until));
     for node in 0..4 {
         rig.wait("the lie", || seen(&rig, node, "suspicions").starts_with("s0 doubt="));
         let told = seen(&rig, node, "suspicions");
-        assert!(doubt(&told) <= bound(1, 5) + 0.01, "{told}");
+        assert!(doubt(&told) <= max_false_suspicion(1, 5) + 0.01, "{told}");
     }
     rig.load_at(0..4, &load());
     let began = rig.record.now();
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -46,7 +46,7 @@
     /// How sure it says that it is, from 0 to 1.
     pub strength: f64,
     /// How many requests it says that rests on.
-    pub rests_on: u16,
+    pub sample_count: u16,
     /// How long ago it was seen.
     pub age: Micros,
     /// How much of it counts: its strength, its age, its witness's credit.
@@ -55,13 +55,13 @@
 
 /// How many witnesses at full weight make for the most doubt, among so many nodes. It grows with the logarithm, so that
 /// few liars of many count for little, and a stall is known by all after some seconds.
-pub fn needed(nodes: usize) -> f64 {
+pub fn witnesses_needed(nodes: usize) -> f64 {
     ((nodes + 1) as f64).log2().ceil().clamp(2.0, 8.0)
 }
 
 /// The most doubt that so many liars can cast on a healthy server among so many nodes.
-pub fn bound(liars: usize, nodes: usize) -> f64 {
-    (liars as f64 / needed(nodes)).min(1.0)
+pub fn max_false_suspicion(liars: usize, nodes: usize) -> f64 {
+    (liars as f64 / witnesses_needed(nodes)).min(1.0)
 }
 
 #[derive(Default)]
@@ -102,7 +102,7 @@
                 let fades = (FORGOTTEN - age) as f64 / (FORGOTTEN - FRESH) as f64;
                 let weight = scale * strength(s) * fades.min(1.0);
                 let (strength, rests_on) = (strength(s), s.rests_on);
-                let witness = Witness { witness: *id, strength, rests_on, age, weight };
+                let witness = Witness { witness: *id, strength, sample_count: rests_on, age, weight };
                 by_server.entry(s.server).or_default().push(witness);
             }
         }
@@ -116,7 +116,7 @@
         members: &Members,
         own: &[ServerObservation],
     ) -> Vec<PeerSuspicion> {
-        let needed = needed(members.all.len() + 1);
+        let needed = witnesses_needed(members.all.len() + 1);
         let words = self.words(now, members);
         let passed = now.saturating_sub(self.weighed_at).min(FORGOTTEN) as f64;
         self.weighed_at = now;
@@ -163,7 +163,7 @@
             return None;
         }
         let words = self.words(now, members);
-        let enough = 2.0 * needed(members.all.len() + 1);
+        let enough = 2.0 * witnesses_needed(members.all.len() + 1);
         let known = |server: u64| {
             let renewed = |w: &&Witness| w.age < FRESH;
             words
--- a/crates/gossip/src/gossip/mod.rs
+++ b/crates/gossip/src/gossip/mod.rs
@@ -1,7 +1,7 @@
 //! The state machine of one node: what comes in, what goes out, and when it wants to be looked at.
 
-mod hear;
-mod tell;
+mod receive;
+mod send;
 mod types;
 
 use std::collections::{BTreeMap, VecDeque};
@@ -10,19 +10,20 @@
 use cherryusher::ServerObservation;
 
 use crate::Micros;
+use crate::dissemination::{CROWDED, News, tellings};
 use crate::evidence::{self, Evidence, Witness};
 use crate::keys::{KeyRing, MemberId, Secret};
 use crate::limits::{Bucket, HEADERS, Sources};
-use crate::members::{Member, Members, Standing};
-use crate::news::{CROWDED, News, tellings};
+use crate::members::{Liveness, Member, Members};
 use crate::packet::{
-    ACCUSATIONS_MOST, Accusation, Body, Carried, Header, Message, NAMED_MOST, PACKET_MOST, Packet, SUMS_FROM,
-    SUMS_SENT, Signed, Stance, Statement, Suspicion, Unreadable, VERSION, VERSION_LEAST, millis, parse,
+    ACCUSATIONS_MOST, Accusation, Body, Carried, Header, MAX_PACKET_BYTES, Message, NAMED_MOST, Packet,
+    ParseError, SUMS_FROM, SUMS_SENT, Signed, Stance, Statement, Suspicion, VERSION, VERSION_LEAST, millis,
+    parse,
 };
-use crate::places::{Fleet, Places};
+use crate::position::{FleetPosition, Places};
 use crate::probe::{Prober, Step};
 
-pub use types::{CARRIED_MOST, Figures, Input, MemberView, Note, Output, Settings, SuspicionView};
+pub use types::{Counters, Input, LogEvent, MAX_PAYLOAD_BYTES, MemberView, Output, Settings, SuspicionView};
 
 /// How often news are told while there are any.
 const ROUND: Micros = 100_000;
@@ -92,7 +93,7 @@
     evidence: Evidence,
     sightings: Vec<ServerObservation>,
     places: Places,
-    told: Option<Fleet>,
+    told: Option<FleetPosition>,
     for_probes: Bucket,
     for_news: Bucket,
     sources: Sources,
@@ -112,7 +113,7 @@
     join_at: Micros,
     join_wait: Micros,
     random: fastrand::Rng,
-    figures: Figures,
+    figures: Counters,
     out: Vec<Output>,
     /// What is to be carried, and since when it waits.
     carried: VecDeque<(Micros, MemberId, Vec<u8>)>,
@@ -122,7 +123,7 @@
     /// A node that begins now. `None` if its name is not in the ring with its secret's key.
     pub fn new(settings: Settings, ring: KeyRing, secret: Secret, now: Micros) -> Option<Gossip> {
         let me = MemberId::of(&settings.name);
-        if !ring.holds(me, &secret) {
+        if !ring.has_key(me, &secret) {
             return None;
         }
         let mut random = fastrand::Rng::with_seed(settings.seed);
@@ -132,19 +133,19 @@
             author: me,
             key: secret.hint(),
             instance,
-            number: settings.number,
+            number: settings.first_statement_number,
             address: settings.address,
             stance: Stance::Here,
             suspicions: Vec::new(),
         };
-        let period = settings.period.max(1);
+        let period = settings.probe_period.max(1);
         let random_start = random.u64(..);
         Some(Gossip {
             own: Signed::new(statement, &secret),
             prober: Prober::new(period, now + random.u64(..period)),
-            places: Places::new(settings.nodes),
-            for_probes: Bucket::ceiling(f64::from(settings.ceiling) * (1.0 - FOR_NEWS), now),
-            for_news: Bucket::ceiling(f64::from(settings.ceiling) * FOR_NEWS, now),
+            places: Places::new(settings.configured_nodes),
+            for_probes: Bucket::ceiling(f64::from(settings.max_bytes_per_second) * (1.0 - FOR_NEWS), now),
+            for_news: Bucket::ceiling(f64::from(settings.max_bytes_per_second) * FOR_NEWS, now),
             sources: Sources::new(LISTEN, now),
             sync_at: now + random.u64(..SYNC.1),
             join_at: now + random.u64(..ROUND),
@@ -174,7 +175,7 @@
             eager: EAGERLY,
             sums: SUMS_LEAST,
             join_wait: ROUND,
-            figures: Figures::default(),
+            figures: Counters::default(),
             out: Vec::new(),
             carried: VecDeque::new(),
         })
@@ -184,22 +185,22 @@
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
-        if gap > STOOD_STILL * self.settings.period {
+        if gap > STOOD_STILL * self.settings.probe_period {
             // Nobody could be heard meanwhile: that is no sign that they are gone.
             self.members.shift(gap);
             self.prober.shift(gap);
             self.places.shift(gap);
-            self.note(4, self.me, Note::StoodStill(gap));
+            self.note(4, self.me, LogEvent::ProcessPaused(gap));
         }
         match input {
             Input::Packet(from, bytes) => self.packet(from, bytes),
             Input::Tick => {}
-            Input::Sightings(seen) => self.saw(seen),
-            Input::Carry(to, bytes) => {
-                if bytes.len() <= CARRIED_MOST && self.knows_sums(to) {
+            Input::Observations(seen) => self.saw(seen),
+            Input::SendPayload(to, bytes) => {
+                if bytes.len() <= MAX_PAYLOAD_BYTES && self.knows_sums(to) {
                     if self.carried.len() >= CARRIED_KEPT {
                         self.carried.pop_front();
-                        self.figures.kept_back += 1;
+                        self.figures.throttled += 1;
                     }
                     self.carried.push_back((self.now, to, bytes));
                 }
@@ -212,7 +213,7 @@
     }
 
     /// When it wants to be looked at next.
-    pub fn next(&self) -> Micros {
+    pub fn next_wakeup(&self) -> Micros {
         let round = if self.has_news() { self.round_at } else { Micros::MAX };
         let least = self.now + 1000;
         let carried = if self.carried.is_empty() { Micros::MAX } else { self.now + CARRIED_AGAIN };
@@ -221,7 +222,7 @@
     }
 
     /// What was counted.
-    pub fn figures(&self) -> Figures {
+    pub fn counters(&self) -> Counters {
         self.figures
     }
 
@@ -230,9 +231,9 @@
         let view = |(id, member): (&MemberId, &Member)| MemberView {
             name: self.name(*id),
             address: member.signed.statement.address,
-            standing: member.standing,
-            since: self.now.saturating_sub(member.since),
-            place: self.ring.place(*id).unwrap_or_default(),
+            liveness: member.standing,
+            liveness_age: self.now.saturating_sub(member.since),
+            rank: self.ring.rank(*id).unwrap_or_default(),
             credit: self.evidence.credit(*id),
         };
         self.members.all.iter().map(view).collect()
@@ -244,18 +245,18 @@
     }
 
     /// The other processes that are there.
-    pub fn there(&self) -> Vec<(MemberId, u64)> {
-        let alive = self.members.all.iter().filter(|(_, member)| member.standing == Standing::Alive);
+    pub fn alive_processes(&self) -> Vec<(MemberId, u64)> {
+        let alive = self.members.all.iter().filter(|(_, member)| member.standing == Liveness::Alive);
         alive.map(|(id, member)| (*id, member.signed.statement.instance)).collect()
     }
 
     /// The servers that others suspect.
     pub fn suspicions(&self) -> Vec<SuspicionView> {
-        let needed = evidence::needed(self.members.all.len() + 1);
+        let needed = evidence::witnesses_needed(self.members.all.len() + 1);
         let words = self.evidence.words(self.now, &self.members);
         let view = |(server, words): (u64, Vec<Witness>)| SuspicionView {
             server,
-            doubt: (words.iter().map(|w| w.weight).sum::<f64>() / needed).min(1.0),
+            level: (words.iter().map(|w| w.weight).sum::<f64>() / needed).min(1.0),
             witnesses: words.into_iter().map(|word| (self.name(word.witness), word)).collect(),
         };
         words.into_iter().map(view).collect()
@@ -266,16 +267,16 @@
         self.ring.name(id).unwrap_or_default().to_owned()
     }
 
-    fn note(&mut self, kind: u8, about: MemberId, note: Note) {
+    fn note(&mut self, kind: u8, about: MemberId, note: LogEvent) {
         let last = self.notes.get(&(kind, about)).copied();
         if last.is_none_or(|at| self.now.saturating_sub(at) >= NOTE) {
             self.notes.insert((kind, about), self.now);
-            self.out.push(Output::Note(note));
+            self.out.push(Output::LogEvent(note));
         }
     }
 
     fn note_up(&mut self, id: MemberId) {
-        self.note(0, id, Note::Up(self.name(id)));
+        self.note(0, id, LogEvent::MemberUp(self.name(id)));
     }
 
     /// Hands on what is carried as the ceiling has room. Several packets for each of many members come at once, more
@@ -291,7 +292,7 @@
             }
             let Some((_, to, bytes)) = self.carried.pop_front() else { return };
             if late {
-                self.figures.kept_back += 1;
+                self.figures.throttled += 1;
             } else {
                 self.tell(to, Message::Carried(bytes), false, false);
             }
@@ -300,9 +301,9 @@
 
     fn work(&mut self) {
         self.carry();
-        for id in self.members.expire(self.now, self.settings.period) {
+        for id in self.members.expire(self.now, self.settings.probe_period) {
             self.news.settled(id);
-            self.note(1, id, Note::Down(self.name(id)));
+            self.note(1, id, LogEvent::MemberDown(self.name(id)));
         }
         while !self.learns()
             && let Some(step) = self.prober.step(self.now, &self.members, &mut self.random)
@@ -323,10 +324,10 @@
             self.sync();
         }
         let nodes = self.places.update(self.now, self.members.counted(self.now) as u32 + 1);
-        let fleet = Fleet { nodes, place: self.ring.place(self.me).unwrap_or_default() };
+        let fleet = FleetPosition { nodes, rank: self.ring.rank(self.me).unwrap_or_default() };
         if self.told != Some(fleet) {
             self.told = Some(fleet);
-            self.out.push(Output::Fleet(fleet));
+            self.out.push(Output::FleetPosition(fleet));
         }
     }
 
@@ -403,7 +404,7 @@
             (false, false) => JOIN_MOST.1,
         };
         self.join_at = self.now + self.join_wait / 2 + self.random.u64(..self.join_wait / 2);
-        let gone = |m: &Member| !matches!(m.standing, Standing::Alive | Standing::Suspect);
+        let gone = |m: &Member| !matches!(m.standing, Liveness::Alive | Liveness::Suspect);
         let gone: Vec<MemberId> =
             self.members.all.iter().filter(|(_, m)| gone(m)).map(|(id, _)| *id).collect();
         if let Some(id) = gone.get(self.random.usize(..gone.len().max(1))) {
@@ -494,11 +495,11 @@
         if let Some(say) = self.evidence.say(self.now, &self.members, &self.sightings) {
             self.restate(self.own.statement.stance, say, 0);
         }
-        self.out.push(Output::Doubts(doubts));
+        self.out.push(Output::Suspicions(doubts));
     }
 
     fn change_keys(&mut self, ring: KeyRing, secret: Secret) {
-        if !ring.holds(self.me, &secret) {
+        if !ring.has_key(self.me, &secret) {
             return;
         }
         let keep = |id: MemberId| ring.contains(id);
@@ -534,11 +535,11 @@
                 name: "n0".into(),
                 address: "[2001:db8::ffff:ffff:ffff:ffff]:65535".parse().unwrap(),
                 seeds: Vec::new(),
-                period: 1,
-                ceiling: 16_384,
-                nodes: 2,
+                probe_period: 1,
+                max_bytes_per_second: 16_384,
+                configured_nodes: 2,
                 seed: u64::MAX,
-                number: u64::MAX - 1,
+                first_statement_number: u64::MAX - 1,
             },
             net.ring(),
             net.secret(0),
--- a/crates/gossip/src/gossip/hear.rs
+++ b/crates/gossip/src/gossip/receive.rs
@@ -7,19 +7,24 @@
 impl Gossip {
     pub(super) fn packet(&mut self, source: SocketAddr, bytes: &[u8]) {
         if !self.sources.listens(self.now, source.ip()) {
-            self.figures.flooded += 1;
+            self.figures.rate_limited += 1;
             return;
         }
         let packet = match parse(bytes) {
             Ok(packet) => packet,
-            Err(Unreadable::Length | Unreadable::Stranger | Unreadable::Version(_) | Unreadable::Form) => {
-                self.figures.unreadable += 1;
+            Err(
+                ParseError::Length
+                | ParseError::BadMagic
+                | ParseError::UnsupportedVersion(_)
+                | ParseError::Malformed,
+            ) => {
+                self.figures.malformed += 1;
                 return;
             }
         };
         let Header { from, instance, to_instance, number, speaks, .. } = packet.header;
         if !self.ring.contains(from) {
-            self.figures.unsigned += 1;
+            self.figures.unauthenticated += 1;
             return;
         }
         let hello = matches!(packet.body.message, Message::Join | Message::Welcome);
@@ -29,15 +34,15 @@
             self.figures.replayed += 1;
             return;
         }
-        self.figures.checked += 1;
+        self.figures.signatures_checked += 1;
         if !packet.holds(bytes, &self.ring) {
-            self.figures.unsigned += 1;
+            self.figures.unauthenticated += 1;
             return;
         }
         let now = self.now;
         let bucket = self.by_member.entry(from).or_insert_with(|| Bucket::ceiling(LISTEN, now));
         if !bucket.take(now, 1.0) {
-            self.figures.flooded += 1;
+            self.figures.rate_limited += 1;
             return;
         }
         if from == self.me {
@@ -63,7 +68,7 @@
                 self.take(carried, true);
             }
         }
-        let gone = self.members.all.get(&from).is_some_and(|m| m.standing == Standing::Dead);
+        let gone = self.members.all.get(&from).is_some_and(|m| m.standing == Liveness::Dead);
         if !self.members.hear(now, from, instance, number, speaks) {
             self.figures.replayed += 1;
             return;
@@ -73,7 +78,7 @@
             self.join_at = self.join_at.min(now + self.random.u64(SYNC.1..SYNC.0 / 4));
             self.note_up(from);
         }
-        self.figures.taken += 1;
+        self.figures.accepted += 1;
         self.prober.heard(self.now);
         let given = matches!(packet.body.message, Message::Given { .. } | Message::Welcome);
         let more = !matches!(packet.body.message, Message::Given { more: false });
@@ -107,7 +112,7 @@
         }
         if instance != self.instance {
             self.twins += 1;
-            self.note(2, self.me, Note::NameShared);
+            self.note(2, self.me, LogEvent::DuplicateName);
         }
     }
 
@@ -124,7 +129,7 @@
                 self.restate(stance, suspicions, number);
                 self.twins += 1;
                 if self.twins > 3 {
-                    self.note(2, self.me, Note::NameShared);
+                    self.note(2, self.me, LogEvent::DuplicateName);
                 }
             }
             return false;
@@ -133,7 +138,7 @@
             return false;
         }
         if Evidence::makes_no_sense(suspicions) {
-            self.note(3, author, Note::NoSense(self.name(author)));
+            self.note(3, author, LogEvent::InvalidAges(self.name(author)));
         }
         let standing = |members: &Members| members.all.get(&author).map(|m| m.standing);
         let before = standing(&self.members);
@@ -143,17 +148,17 @@
         self.news.settled(author);
         // One that answers an accusation is news to all, however it was heard. Where all is new, it is asked for, and who
         // has just begun has nothing that others would not have.
-        if is_news && !self.news.is_crowded() && !self.learns() || before == Some(Standing::Suspect) {
+        if is_news && !self.news.is_crowded() && !self.learns() || before == Some(Liveness::Suspect) {
             self.news.heat(author);
         }
-        if before != Some(Standing::Alive) && standing(&self.members) == Some(Standing::Alive) {
+        if before != Some(Liveness::Alive) && standing(&self.members) == Some(Liveness::Alive) {
             self.note_up(author);
         }
         true
     }
 
     pub(super) fn checked(&mut self, signed: &Signed) -> bool {
-        self.figures.checked += 1;
+        self.figures.signatures_checked += 1;
         signed.holds(&self.ring)
     }
 
@@ -206,7 +211,7 @@
             Message::Carried(bytes) => {
                 let instance =
                     self.members.all.get(&from).map_or(0, |member| member.signed.statement.instance);
-                self.out.push(Output::Carried(from, instance, bytes));
+                self.out.push(Output::PayloadReceived(from, instance, bytes));
             }
             Message::Want(ids) => self.give(from, ids),
             Message::Sums { from: first, to: last, salt, known } => {
@@ -219,7 +224,7 @@
     pub(super) fn proof(&mut self, bytes: &[u8]) {
         let Ok(packet) = parse(bytes) else { return };
         let (from, Message::Ack(number)) = (packet.header.from, &packet.body.message) else { return };
-        self.figures.checked += 1;
+        self.figures.signatures_checked += 1;
         if packet.holds(bytes, &self.ring) {
             self.prober.answered(from, *number);
         }
--- a/crates/gossip/src/gossip/tell.rs
+++ b/crates/gossip/src/gossip/send.rs
@@ -85,12 +85,13 @@
             || self.affords((0, base))
             || is_carried && spare && self.affords((base, 0));
         if !fits {
-            self.figures.kept_back += 1;
+            self.figures.throttled += 1;
             return false;
         }
         if news && self.news.is_hot() {
-            let most = if self.eager > 0 { BESIDE } else { PACKET_MOST };
-            let space = PACKET_MOST.saturating_sub(size).min(self.for_news.left(self.now) as usize).min(most);
+            let most = if self.eager > 0 { BESIDE } else { MAX_PACKET_BYTES };
+            let space =
+                MAX_PACKET_BYTES.saturating_sub(size).min(self.for_news.left(self.now) as usize).min(most);
             for id in self.pick_news(space, to, own) {
                 packet.body.news.extend(self.carried(id));
             }
@@ -125,7 +126,7 @@
             members.all.get(&id).is_some_and(|member| !member.signed.statement.suspicions.is_empty())
         });
         let words = if suspects { self.evidence.words(self.now, members) } else { BTreeMap::new() };
-        let enough = 2.0 * evidence::needed(nodes + 1);
+        let enough = 2.0 * evidence::witnesses_needed(nodes + 1);
         let said = |server: u64| words.get(&server).map_or(0.0, |w| w.iter().map(|w| w.weight).sum());
         let most = if self.news.is_crowded() { CROWDED } else { tellings(nodes) };
         let useful = |id: MemberId| {
@@ -139,8 +140,8 @@
     }
 
     pub(super) fn send(&mut self, address: SocketAddr, bytes: Vec<u8>) {
-        self.figures.sent += 1;
-        self.figures.sent_bytes += (bytes.len() + HEADERS) as u64;
+        self.figures.packets_sent += 1;
+        self.figures.bytes_sent += (bytes.len() + HEADERS) as u64;
         self.out.push(Output::Send(address, bytes));
     }
 
@@ -148,7 +149,7 @@
     pub(super) fn give(&mut self, to: MemberId, ids: Vec<MemberId>) {
         let left = self.for_news.left(self.now);
         let left = if self.learns() { left.max(self.for_probes.left(self.now)) } else { left };
-        let mut space = (left as usize).min(PACKET_MOST).saturating_sub(FRAME);
+        let mut space = (left as usize).min(MAX_PACKET_BYTES).saturating_sub(FRAME);
         let mut news = Vec::new();
         let wanted = ids.len();
         for carried in ids.into_iter().filter_map(|id| self.carried(id)) {
--- a/crates/gossip/src/gossip/types.rs
+++ b/crates/gossip/src/gossip/types.rs
@@ -7,11 +7,11 @@
 use crate::Micros;
 use crate::evidence::Witness;
 use crate::keys::{KeyRing, MemberId, Secret};
-use crate::members::Standing;
-use crate::places::Fleet;
+use crate::members::Liveness;
+use crate::position::FleetPosition;
 
 /// Bytes that can be carried in one packet.
-pub const CARRIED_MOST: usize = 1000;
+pub const MAX_PAYLOAD_BYTES: usize = 1000;
 
 /// What a node is told once.
 #[derive(Clone, Debug)]
@@ -23,16 +23,16 @@
     /// Where it asks to be let in.
     pub seeds: Vec<SocketAddr>,
     /// How often a member is asked whether it is there.
-    pub period: Micros,
+    pub probe_period: Micros,
     /// The most bytes that it sends in any second, headers of UDP and IP included.
-    pub ceiling: u32,
+    pub max_bytes_per_second: u32,
     /// How many nodes there are meant to be.
-    pub nodes: u32,
+    pub configured_nodes: u32,
     /// For random numbers, and for telling this process from the one before: never the same twice.
     pub seed: u64,
     /// The number of its first statement: higher than any that its name had before. One that is not is raised once
     /// others say what they know.
-    pub number: u64,
+    pub first_statement_number: u64,
 }
 
 /// What happened.
@@ -43,9 +43,9 @@
     /// Time has passed.
     Tick,
     /// What this node has seen of servers lately, by itself: all of it.
-    Sightings(Vec<ServerObservation>),
-    /// Bytes for a member's process that are none of gossip's business, at most [`CARRIED_MOST`].
-    Carry(MemberId, Vec<u8>),
+    Observations(Vec<ServerObservation>),
+    /// Bytes for a member's process that are none of gossip's business, at most [`MAX_PAYLOAD_BYTES`].
+    SendPayload(MemberId, Vec<u8>),
     /// Other keys count from now on.
     Keys(KeyRing, Secret),
     /// This node goes, for a moment or for good.
@@ -61,51 +61,51 @@
     /// Send a packet.
     Send(SocketAddr, Vec<u8>),
     /// What others say of servers, weighed: all of it.
-    Doubts(Vec<PeerSuspicion>),
+    Suspicions(Vec<PeerSuspicion>),
     /// The number of nodes or this node's place has changed.
-    Fleet(Fleet),
+    FleetPosition(FleetPosition),
     /// Bytes that a member's process, told by its instance, had carried here.
-    Carried(MemberId, u64, Vec<u8>),
+    PayloadReceived(MemberId, u64, Vec<u8>),
     /// Something for the log, never more than one of a kind in a minute for each member.
-    Note(Note),
+    LogEvent(LogEvent),
 }
 
 /// Something for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum LogEvent {
     /// A member is there.
-    Up(String),
+    MemberUp(String),
     /// A member does not answer any more.
-    Down(String),
+    MemberDown(String),
     /// Another process goes by this node's name.
-    NameShared,
+    DuplicateName,
     /// A member tells ages that can't be.
-    NoSense(String),
+    InvalidAges(String),
     /// This process stood still for so long.
-    StoodStill(Micros),
+    ProcessPaused(Micros),
 }
 
 /// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Counters {
     /// Packets sent, and their bytes with the headers of UDP and IP.
-    pub sent: u64,
+    pub packets_sent: u64,
     /// Bytes of those.
-    pub sent_bytes: u64,
+    pub bytes_sent: u64,
     /// Packets that the ceiling kept back.
-    pub kept_back: u64,
+    pub throttled: u64,
     /// Packets taken in.
-    pub taken: u64,
+    pub accepted: u64,
     /// Packets from addresses or members that send too many.
-    pub flooded: u64,
+    pub rate_limited: u64,
     /// Packets that can't be read, or are of no version that is spoken.
-    pub unreadable: u64,
+    pub malformed: u64,
     /// Packets of strangers, or whose signature does not hold.
-    pub unsigned: u64,
+    pub unauthenticated: u64,
     /// Packets met before, or meant for another process.
     pub replayed: u64,
     /// Signatures that were checked.
-    pub checked: u64,
+    pub signatures_checked: u64,
 }
 
 /// A member, as this node sees it.
@@ -116,11 +116,11 @@
     /// Where it is reached.
     pub address: SocketAddr,
     /// How it stands.
-    pub standing: Standing,
+    pub liveness: Liveness,
     /// For how long it has stood so.
-    pub since: Micros,
+    pub liveness_age: Micros,
     /// Its place in the ring.
-    pub place: u32,
+    pub rank: u32,
     /// How far its word on servers is believed, from 0 to 1.
     pub credit: f64,
 }
@@ -131,7 +131,7 @@
     /// The server's id.
     pub server: u64,
     /// The doubt about it.
-    pub doubt: f64,
+    pub level: f64,
     /// Witnesses by name.
     pub witnesses: Vec<(String, Witness)>,
 }
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -134,12 +134,12 @@
     }
 
     /// A member's place among all, whoever is up.
-    pub fn place(&self, id: MemberId) -> Option<u32> {
+    pub fn rank(&self, id: MemberId) -> Option<u32> {
         self.order.iter().position(|other| *other == id).map(|place| place as u32)
     }
 
     /// Whether this member has a key that is this secret's.
-    pub fn holds(&self, id: MemberId, secret: &Secret) -> bool {
+    pub fn has_key(&self, id: MemberId, secret: &Secret) -> bool {
         let public = secret.0.verifying_key();
         self.known.get(&id).is_some_and(|known| known.keys.contains(&public))
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -8,31 +8,33 @@
 //! - `packet`: the form on the wire, its signature, versions.
 //! - `members`: who is there (SWIM with Lifeguard's refinements), by statements that their authors sign.
 //! - `probe`: whether a member answers, directly or through others.
-//! - `news`: what is worth telling next.
+//! - `dissemination`: what is worth telling next.
 //! - `evidence`: what others say of servers, what that weighs, and whom it is believed of.
-//! - `places`: the number of nodes and this node's place, changed gradually.
+//! - `position`: the number of nodes and this node's place, changed gradually.
 //! - `limits`: ceilings on what is sent, and on what is listened to.
 //!
 //! `docs/gossip-design.md` has the options weighed and the bounds derived.
 
+mod dissemination;
 mod evidence;
 mod gossip;
 mod keys;
 mod limits;
 mod members;
-mod news;
 mod packet;
-mod places;
+mod position;
 mod probe;
 pub mod sim;
 
 pub use cherryusher::{PeerSuspicion, ServerObservation};
-pub use evidence::{Witness, bound, needed};
-pub use gossip::{CARRIED_MOST, Figures, Gossip, Input, MemberView, Note, Output, Settings, SuspicionView};
+pub use evidence::{Witness, max_false_suspicion, witnesses_needed};
+pub use gossip::{
+    Counters, Gossip, Input, LogEvent, MAX_PAYLOAD_BYTES, MemberView, Output, Settings, SuspicionView,
+};
 pub use keys::{KeyError, KeyRing, MemberId, Secret};
-pub use members::Standing;
-pub use packet::{PACKET_MOST, Unreadable, VERSION, parse};
-pub use places::Fleet;
+pub use members::Liveness;
+pub use packet::{MAX_PACKET_BYTES, ParseError, VERSION, parse};
+pub use position::FleetPosition;
 
 /// A point in time, or a span of it, in microseconds.
 pub type Micros = u64;
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -22,7 +22,7 @@
 
 /// How a member stands with this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Liveness {
     /// It answers, or its statements are new.
     Alive,
     /// It did not answer, or others say so.
@@ -40,7 +40,7 @@
     pub(crate) signed: Signed,
     /// When the statement was made, as far as those tell who passed it on.
     pub(crate) made_at: Micros,
-    pub(crate) standing: Standing,
+    pub(crate) standing: Liveness,
     pub(crate) since: Micros,
     accusers: Vec<MemberId>,
     /// The highest version that it speaks, if it was heard.
@@ -102,9 +102,9 @@
             return false;
         }
         let standing = match signed.statement.stance {
-            Stance::Here => Standing::Alive,
-            Stance::Restarting => Standing::Restarting,
-            Stance::Leaving => Standing::Left,
+            Stance::Here => Liveness::Alive,
+            Stance::Restarting => Liveness::Restarting,
+            Stance::Leaving => Liveness::Left,
         };
         let made_at = now.saturating_sub(held);
         match self.all.get_mut(&signed.statement.author) {
@@ -139,12 +139,12 @@
         let fresh = member.signed.statement.instance == instance && member.window.take(instance, number);
         if fresh {
             member.speaks = speaks;
-            if member.standing == Standing::Suspect {
+            if member.standing == Liveness::Suspect {
                 member.accusers.clear();
             }
             // One that was dead is told by whom it was accused, so that its next statement brings it back for all.
-            if matches!(member.standing, Standing::Suspect | Standing::Dead) {
-                (member.standing, member.since) = (Standing::Alive, now);
+            if matches!(member.standing, Liveness::Suspect | Liveness::Dead) {
+                (member.standing, member.since) = (Liveness::Alive, now);
             }
         }
         fresh
@@ -157,10 +157,10 @@
         if number < member.signed.statement.number || accused == accuser {
             return false;
         }
-        if member.standing == Standing::Alive {
-            (member.standing, member.since) = (Standing::Suspect, now);
+        if member.standing == Liveness::Alive {
+            (member.standing, member.since) = (Liveness::Suspect, now);
         }
-        let new = member.standing == Standing::Suspect
+        let new = member.standing == Liveness::Suspect
             && member.accusers.len() < ACCUSERS_MOST
             && !member.accusers.contains(&accuser);
         member.accusers.extend(new.then_some(accuser));
@@ -183,19 +183,19 @@
 
     /// Those whose time for an answer is over; they are dead from now on.
     pub(crate) fn expire(&mut self, now: Micros, period: Micros) -> Vec<MemberId> {
-        if !self.all.values().any(|member| member.standing == Standing::Suspect) {
+        if !self.all.values().any(|member| member.standing == Liveness::Suspect) {
             return Vec::new();
         }
         // This node, and those that answer.
-        let able = 1 + self.all.values().filter(|member| member.standing == Standing::Alive).count();
+        let able = 1 + self.all.values().filter(|member| member.standing == Liveness::Alive).count();
         let over = |member: &Member| {
             let patience = self.patience(member.accusers.len(), able, period);
-            member.standing == Standing::Suspect && now.saturating_sub(member.since) >= patience
+            member.standing == Liveness::Suspect && now.saturating_sub(member.since) >= patience
         };
         let dead: Vec<MemberId> = self.all.iter().filter(|(_, m)| over(m)).map(|(id, _)| *id).collect();
         for id in &dead {
             if let Some(member) = self.all.get_mut(id) {
-                (member.standing, member.since) = (Standing::Dead, now);
+                (member.standing, member.since) = (Liveness::Dead, now);
             }
         }
         dead
@@ -203,23 +203,23 @@
 
     /// Those that answer, or may yet.
     pub(crate) fn present(&self) -> impl Iterator<Item = MemberId> + '_ {
-        let here = |m: &Member| matches!(m.standing, Standing::Alive | Standing::Suspect);
+        let here = |m: &Member| matches!(m.standing, Liveness::Alive | Liveness::Suspect);
         self.all.iter().filter(move |(_, m)| here(m)).map(|(id, _)| *id)
     }
 
     /// Those whose part nobody else may have: who is there, and who will be back in a moment.
     pub(crate) fn counted(&self, now: Micros) -> usize {
         let counts = |m: &&Member| match m.standing {
-            Standing::Alive | Standing::Suspect => true,
-            Standing::Restarting => now.saturating_sub(m.since) < KEPT,
-            Standing::Dead | Standing::Left => false,
+            Liveness::Alive | Liveness::Suspect => true,
+            Liveness::Restarting => now.saturating_sub(m.since) < KEPT,
+            Liveness::Dead | Liveness::Left => false,
         };
         self.all.values().filter(counts).count()
     }
 
     /// This node stood still: nobody had a chance to answer it in that time.
     pub(crate) fn shift(&mut self, by: Micros) {
-        self.all.values_mut().filter(|m| m.standing == Standing::Suspect).for_each(|m| m.since += by);
+        self.all.values_mut().filter(|m| m.standing == Liveness::Suspect).for_each(|m| m.since += by);
     }
 
     /// Forgets those who may not take part any more.
@@ -304,7 +304,7 @@
             }
             let nodes = members.all.len() + 1;
             for doubt in Evidence::default().weigh(seconds * 1_000_000, &members, &[]) {
-                prop_assert!(doubt.level <= crate::bound(liars, nodes) + 1e-9);
+                prop_assert!(doubt.level <= crate::max_false_suspicion(liars, nodes) + 1e-9);
             }
         }
     }
--- a/crates/gossip/src/packet.rs
+++ b/crates/gossip/src/packet.rs
@@ -10,7 +10,7 @@
 use crate::keys::{KeyHint, KeyRing, MemberId, Secret};
 
 /// The longest packet: what fits one Ethernet frame, with room for tunnels.
-pub const PACKET_MOST: usize = 1200;
+pub const MAX_PACKET_BYTES: usize = 1200;
 /// The highest version of the form that this build speaks.
 pub const VERSION: u8 = 2;
 /// The lowest version that this build still speaks; what is sent to a stranger is in this one.
@@ -37,19 +37,19 @@
 
 /// Why a packet can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum ParseError {
     /// It is longer than a packet may be, or too short for one.
     #[error("its length is none that a packet has")]
     Length,
     /// It does not begin as packets do.
     #[error("it is no gossip packet")]
-    Stranger,
+    BadMagic,
     /// It is in a version that this build does not speak.
     #[error("it is in version {0}")]
-    Version(u8),
+    UnsupportedVersion(u8),
     /// Its parts can't be told apart, or one holds more than it may.
     #[error("its parts can't be read")]
-    Form,
+    Malformed,
 }
 
 /// The same in all versions, but for what follows it.
@@ -228,17 +228,17 @@
 /// # Errors
 ///
 /// It is none of a version that this build speaks, or some part of it is longer than it may be.
-pub fn parse(bytes: &[u8]) -> Result<Packet, Unreadable> {
-    if bytes.len() > PACKET_MOST || bytes.len() < MAGIC.len() + SIGNATURE {
-        return Err(Unreadable::Length);
+pub fn parse(bytes: &[u8]) -> Result<Packet, ParseError> {
+    if bytes.len() > MAX_PACKET_BYTES || bytes.len() < MAGIC.len() + SIGNATURE {
+        return Err(ParseError::Length);
     }
     let signed = &bytes[..bytes.len() - SIGNATURE];
-    let rest = signed.strip_prefix(&MAGIC).ok_or(Unreadable::Stranger)?;
-    let (header, rest) = postcard::take_from_bytes::<Header>(rest).map_err(|_| Unreadable::Form)?;
+    let rest = signed.strip_prefix(&MAGIC).ok_or(ParseError::BadMagic)?;
+    let (header, rest) = postcard::take_from_bytes::<Header>(rest).map_err(|_| ParseError::Malformed)?;
     if !(VERSION_LEAST..=VERSION).contains(&header.version) {
-        return Err(Unreadable::Version(header.version));
+        return Err(ParseError::UnsupportedVersion(header.version));
     }
-    let (body, rest) = postcard::take_from_bytes::<Body>(rest).map_err(|_| Unreadable::Form)?;
+    let (body, rest) = postcard::take_from_bytes::<Body>(rest).map_err(|_| ParseError::Malformed)?;
     let named = match &body.message {
         Message::Digest { known, .. } => known.len(),
         Message::Want(ids) => ids.len(),
@@ -246,7 +246,7 @@
         _ => 0,
     };
     if named > NAMED_MOST || body.accusations.len() > ACCUSATIONS_MOST || !rest.is_empty() {
-        return Err(Unreadable::Form);
+        return Err(ParseError::Malformed);
     }
     Ok(Packet { header, body })
 }
@@ -265,7 +265,7 @@
         let mut bytes = postcard::to_extend(&self.body, bytes).ok()?;
         let signature = secret.sign(&[PACKET_DOMAIN, &bytes].concat());
         bytes.extend_from_slice(&signature);
-        (bytes.len() <= PACKET_MOST).then_some(bytes)
+        (bytes.len() <= MAX_PACKET_BYTES).then_some(bytes)
     }
 
     /// Whether these bytes, that it was read from, are its author's.
--- a/crates/gossip/src/places.rs
+++ b/crates/gossip/src/position.rs
@@ -4,7 +4,7 @@
 //! goes. The number follows who is there: up at once, since smaller parts never add up to too much; down only when fewer
 //! have been there for some time, and by steps. It never falls below half of the most that were there lately, nor below
 //! half of what is configured. So in a partition each node takes at most twice its part, and both sides together take at
-//! most twice what all nodes may: the bound is stated, and as many nodes as are cut off from each other can't break it.
+//! most twice what all nodes may: the max_false_suspicion is stated, and as many nodes as are cut off from each other can't break it.
 
 use crate::Micros;
 
@@ -17,11 +17,11 @@
 
 /// What a node takes its part of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fleet {
+pub struct FleetPosition {
     /// How many nodes share the work.
     pub nodes: u32,
     /// This node's place; below the number of names in the ring, whatever `nodes` is.
-    pub place: u32,
+    pub rank: u32,
 }
 
 pub(crate) struct Places {
--- a/crates/gossip/src/sim.rs
+++ b/crates/gossip/src/sim.rs
@@ -7,7 +7,8 @@
 
 use crate::limits::HEADERS;
 use crate::{
-    Fleet, Gossip, Input, KeyRing, MemberId, Micros, Note, Output, Secret, ServerObservation, Settings,
+    FleetPosition, Gossip, Input, KeyRing, LogEvent, MemberId, Micros, Output, Secret, ServerObservation,
+    Settings,
 };
 
 /// How often nodes look at their servers.
@@ -15,18 +16,18 @@
 
 /// What the network does.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// The part of packets that get lost.
     pub loss: f64,
     /// The part that come twice.
-    pub doubled: f64,
+    pub duplication: f64,
     /// How long a packet takes, at least and at most; so they overtake each other.
     pub delay: (Micros, Micros),
 }
 
-impl Default for Weather {
-    fn default() -> Weather {
-        Weather { loss: 0.0, doubled: 0.0, delay: (300, 1_000) }
+impl Default for NetworkConditions {
+    fn default() -> NetworkConditions {
+        NetworkConditions { loss: 0.0, duplication: 0.0, delay: (300, 1_000) }
     }
 }
 
@@ -35,17 +36,17 @@
     /// Its state machine, while its process runs.
     pub gossip: Option<Gossip>,
     /// What it last heard of servers.
-    pub doubts: BTreeMap<u64, f64>,
+    pub suspicions: BTreeMap<u64, f64>,
     /// What it reckons with.
-    pub fleet: Option<Fleet>,
+    pub position: Option<FleetPosition>,
     /// What it logged, and when.
-    pub notes: Vec<(Micros, Note)>,
+    pub log_events: Vec<(Micros, LogEvent)>,
     /// How far its clock is ahead of the others'.
-    pub ahead: Micros,
+    pub clock_ahead: Micros,
     /// The most bytes that it sent in a second of the clock.
-    pub peak: u64,
+    pub peak_bytes_per_second: u64,
     /// Bytes that it sent, over all its processes.
-    pub bytes: u64,
+    pub bytes_sent: u64,
     second: (u64, u64),
     paused_until: Micros,
     starts: u64,
@@ -59,22 +60,22 @@
 }
 
 /// What a node sees of servers by itself at some time.
-pub type See<'a> = &'a dyn Fn(usize, Micros) -> Vec<ServerObservation>;
+pub type Observe<'a> = &'a dyn Fn(usize, Micros) -> Vec<ServerObservation>;
 
 /// The network and all on it.
 pub struct Net {
     /// The nodes.
     pub nodes: Vec<Node>,
     /// What the network does now.
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     /// Whether packets from one node to another are dropped.
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
+    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     /// The time.
     pub now: Micros,
     /// All packets that were sent, if wanted: from, to, bytes.
-    pub tap: Option<Vec<(usize, usize, Vec<u8>)>>,
+    pub recorded: Option<Vec<(usize, usize, Vec<u8>)>>,
     /// What nodes had carried to each other and nobody has taken up yet: to whom, from which process, bytes.
-    pub carried: Vec<(usize, MemberId, u64, Vec<u8>)>,
+    pub payloads: Vec<(usize, MemberId, u64, Vec<u8>)>,
     settings: Box<dyn Fn(usize) -> Settings>,
     ring: String,
     secrets: Vec<[u8; 32]>,
@@ -102,23 +103,23 @@
                 address: address(i),
                 // Three, and one for every fifty of a large fleet.
                 seeds: (0..(count / 50).max(3).min(count)).map(address).collect(),
-                period: 300_000,
-                ceiling: 16 * 1024,
-                nodes: count as u32,
+                probe_period: 300_000,
+                max_bytes_per_second: 16 * 1024,
+                configured_nodes: count as u32,
                 seed: seed.wrapping_mul(1_000_003).wrapping_add(i as u64),
-                number: 1,
+                first_statement_number: 1,
             };
             change(i, &mut settings);
             settings
         };
         let node = |_| Node {
             gossip: None,
-            doubts: BTreeMap::new(),
-            fleet: None,
-            notes: Vec::new(),
-            ahead: 0,
-            peak: 0,
-            bytes: 0,
+            suspicions: BTreeMap::new(),
+            position: None,
+            log_events: Vec::new(),
+            clock_ahead: 0,
+            peak_bytes_per_second: 0,
+            bytes_sent: 0,
             second: (0, 0),
             paused_until: 0,
             starts: 0,
@@ -127,11 +128,11 @@
         Net {
             ring: secrets.iter().enumerate().map(line).collect(),
             nodes: (0..count).map(node).collect(),
-            weather: Weather::default(),
-            cut: Box::new(|_, _| false),
+            conditions: NetworkConditions::default(),
+            is_cut: Box::new(|_, _| false),
             now: 1_000_000,
-            tap: None,
-            carried: Vec::new(),
+            recorded: None,
+            payloads: Vec::new(),
             settings: Box::new(settings),
             secrets,
             queue: BinaryHeap::new(),
@@ -157,10 +158,10 @@
         let starts = &mut self.nodes[node].starts;
         *starts += 1;
         // As the clock would have it: higher with each start.
-        settings.number += *starts * 1_000;
+        settings.first_statement_number += *starts * 1_000;
         settings.seed ^= *starts << 48;
         self.nodes[node].gossip =
-            Gossip::new(settings, self.ring(), self.secret(node), self.now + self.nodes[node].ahead);
+            Gossip::new(settings, self.ring(), self.secret(node), self.now + self.nodes[node].clock_ahead);
         let at = self.now + self.random.u64(..LOOK);
         self.at(at, Event::Look(node));
         self.wake(node);
@@ -182,9 +183,9 @@
     }
 
     /// Hands a node something that it has to do.
-    pub fn tell(&mut self, node: usize, input: Input<'_>) {
+    pub fn input(&mut self, node: usize, input: Input<'_>) {
         let mut out = Vec::new();
-        let now = self.now + self.nodes[node].ahead;
+        let now = self.now + self.nodes[node].clock_ahead;
         if let Some(gossip) = &mut self.nodes[node].gossip {
             gossip.handle(now, input, &mut out);
         }
@@ -203,8 +204,10 @@
     }
 
     fn wake(&mut self, node: usize) {
-        let ahead = self.nodes[node].ahead;
-        let Some(next) = self.nodes[node].gossip.as_ref().map(|gossip| gossip.next() - ahead) else { return };
+        let ahead = self.nodes[node].clock_ahead;
+        let Some(next) = self.nodes[node].gossip.as_ref().map(|gossip| gossip.next_wakeup() - ahead) else {
+            return;
+        };
         if next < self.nodes[node].wakes || self.nodes[node].wakes <= self.now {
             self.nodes[node].wakes = next;
             self.at(next, Event::Wake(node));
@@ -212,7 +215,7 @@
     }
 
     /// Runs until then.
-    pub fn run_until(&mut self, end: Micros, see: See<'_>) {
+    pub fn run_until(&mut self, end: Micros, see: Observe<'_>) {
         while let Some(Reverse((at, id))) = self.queue.peek().copied().filter(|Reverse((at, _))| *at <= end) {
             self.queue.pop();
             self.now = at.max(self.now);
@@ -225,10 +228,10 @@
                 continue;
             }
             match event {
-                Event::Packet(node, from, bytes) => self.tell(node, Input::Packet(from, &bytes)),
-                Event::Wake(node) => self.tell(node, Input::Tick),
+                Event::Packet(node, from, bytes) => self.input(node, Input::Packet(from, &bytes)),
+                Event::Wake(node) => self.input(node, Input::Tick),
                 Event::Look(node) if self.nodes[node].gossip.is_some() => {
-                    self.tell(node, Input::Sightings(see(node, self.now)));
+                    self.input(node, Input::Observations(see(node, self.now)));
                     self.at(self.now + LOOK, Event::Look(node));
                 }
                 Event::Look(_) => {}
@@ -241,12 +244,14 @@
         for output in out {
             match output {
                 Output::Send(to, bytes) => self.send(node, to, bytes),
-                Output::Doubts(doubts) => {
-                    self.nodes[node].doubts = doubts.into_iter().map(|d| (d.server, d.level)).collect();
+                Output::Suspicions(doubts) => {
+                    self.nodes[node].suspicions = doubts.into_iter().map(|d| (d.server, d.level)).collect();
+                }
+                Output::PayloadReceived(from, instance, bytes) => {
+                    self.payloads.push((node, from, instance, bytes))
                 }
-                Output::Carried(from, instance, bytes) => self.carried.push((node, from, instance, bytes)),
-                Output::Fleet(fleet) => self.nodes[node].fleet = Some(fleet),
-                Output::Note(note) => self.nodes[node].notes.push((self.now, note)),
+                Output::FleetPosition(fleet) => self.nodes[node].position = Some(fleet),
+                Output::LogEvent(note) => self.nodes[node].log_events.push((self.now, note)),
             }
         }
         self.wake(node);
@@ -255,22 +260,22 @@
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let size = (bytes.len() + HEADERS) as u64;
         let node = &mut self.nodes[from];
-        node.bytes += size;
+        node.bytes_sent += size;
         let second = self.now / 1_000_000;
         node.second = (second, if node.second.0 == second { node.second.1 + size } else { size });
-        node.peak = node.peak.max(node.second.1);
+        node.peak_bytes_per_second = node.peak_bytes_per_second.max(node.second.1);
         let SocketAddr::V4(to) = to else { return };
         let to = u32::from(*to.ip()).wrapping_sub(0x0a00_0001) as usize;
         if to >= self.nodes.len() {
             return;
         }
-        if let Some(tap) = &mut self.tap {
+        if let Some(tap) = &mut self.recorded {
             tap.push((from, to, bytes.clone()));
         }
-        let copies = 1 + usize::from(self.random.f64() < self.weather.doubled);
+        let copies = 1 + usize::from(self.random.f64() < self.conditions.duplication);
         for _ in 0..copies {
-            if self.random.f64() >= self.weather.loss && !(self.cut)(from, to) {
-                let (least, most) = self.weather.delay;
+            if self.random.f64() >= self.conditions.loss && !(self.is_cut)(from, to) {
+                let (least, most) = self.conditions.delay;
                 let at = self.now + self.random.u64(least..=most);
                 self.at(at, Event::Packet(to, address(from), bytes.clone()));
             }
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many nodes in memory: who is there, what they know of servers, and what trouble does to that.
 
-use dunelink_gossip::sim::{Net, Weather, address};
-use dunelink_gossip::{Input, Micros, Note, ServerObservation, Standing, bound};
+use dunelink_gossip::sim::{Net, NetworkConditions, address};
+use dunelink_gossip::{Input, Liveness, LogEvent, Micros, ServerObservation, max_false_suspicion};
 
 const S: Micros = 1_000_000;
 const SERVER: u64 = 7;
@@ -16,18 +16,22 @@
 }
 
 fn doubt(net: &Net, node: usize) -> f64 {
-    net.nodes[node].doubts.get(&SERVER).copied().unwrap_or(0.0)
+    net.nodes[node].suspicions.get(&SERVER).copied().unwrap_or(0.0)
 }
 
 /// How many others each node that runs holds to be there.
 fn present(net: &Net) -> Vec<usize> {
-    let alive = |m: &dunelink_gossip::MemberView| m.standing == Standing::Alive;
+    let alive = |m: &dunelink_gossip::MemberView| m.liveness == Liveness::Alive;
     let running = net.nodes.iter().filter_map(|node| node.gossip.as_ref());
     running.map(|gossip| gossip.members().iter().filter(|m| alive(m)).count()).collect()
 }
 
 fn downs(net: &Net) -> usize {
-    net.nodes.iter().flat_map(|node| &node.notes).filter(|(_, note)| matches!(note, Note::Down(_))).count()
+    net.nodes
+        .iter()
+        .flat_map(|node| &node.log_events)
+        .filter(|(_, note)| matches!(note, LogEvent::MemberDown(_)))
+        .count()
 }
 
 fn started(count: usize, seed: u64) -> Net {
@@ -53,13 +57,13 @@
     assert!(doubt(&net, 4) > 0.99, "it is said again while it lasts");
     net.run_until(22 * S, &stalls);
     assert!((0..5).all(|node| doubt(&net, node) == 0.0), "recovery spreads as fast");
-    assert!(net.nodes.iter().all(|node| node.peak <= 16 * 1024));
+    assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 16 * 1024));
 }
 
 #[test]
 fn a_clock_that_is_hours_off_changes_nothing() {
     let mut net = Net::new(5, 15, |_, _| {});
-    net.nodes[0].ahead = 7 * 3_600 * S;
+    net.nodes[0].clock_ahead = 7 * 3_600 * S;
     net.start_all();
     net.run_until(10 * S, &well);
     let stalls = |node: usize, _: Micros| if node < 3 { vec![seen(SERVER, 1.0, 0)] } else { Vec::new() };
@@ -90,9 +94,9 @@
         for tenth in 100..400 {
             net.run_until(tenth * S / 10, &lies);
             for node in liars..nodes {
-                let doubt = net.nodes[node].doubts.values().copied().fold(0.0, f64::max);
+                let doubt = net.nodes[node].suspicions.values().copied().fold(0.0, f64::max);
                 worst = worst.max(doubt);
-                assert!(doubt <= bound(liars, nodes) + 1e-9, "{liars} of {nodes}: {doubt}");
+                assert!(doubt <= max_false_suspicion(liars, nodes) + 1e-9, "{liars} of {nodes}: {doubt}");
             }
         }
         assert!(worst > 0.0, "the lies have reached them");
@@ -105,10 +109,10 @@
 #[test]
 fn loss_doubling_and_overtaking_take_nobody_out() {
     let mut net = started(10, 3);
-    net.weather = Weather { loss: 0.3, doubled: 0.2, delay: (300, 40_000) };
+    net.conditions = NetworkConditions { loss: 0.3, duplication: 0.2, delay: (300, 40_000) };
     net.run_until(130 * S, &well);
     assert_eq!(downs(&net), 0);
-    assert!(net.nodes.iter().all(|node| node.peak <= 16 * 1024));
+    assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 16 * 1024));
     let stalls = |node: usize, _: Micros| if node < 8 { vec![seen(SERVER, 1.0, 0)] } else { Vec::new() };
     net.run_until(133 * S, &stalls);
     assert!(doubt(&net, 9) > 0.5, "{}", doubt(&net, 9));
@@ -117,7 +121,7 @@
 #[test]
 fn a_way_that_is_cut_in_one_direction_takes_nobody_out() {
     let mut net = started(5, 4);
-    net.cut = Box::new(|from, to| from == 0 && to == 1);
+    net.is_cut = Box::new(|from, to| from == 0 && to == 1);
     net.run_until(60 * S, &well);
     assert_eq!((present(&net), downs(&net)), (vec![4; 5], 0));
 }
@@ -125,17 +129,17 @@
 #[test]
 fn both_sides_of_a_partition_go_on_within_their_bound_and_find_each_other_again() {
     let mut net = started(12, 5);
-    net.cut = Box::new(|from, to| (from < 4) != (to < 4));
+    net.is_cut = Box::new(|from, to| (from < 4) != (to < 4));
     for second in 11..71 {
         net.run_until(second * S, &well);
-        let taken: f64 = net.nodes.iter().map(|node| 1.0 / f64::from(node.fleet.unwrap().nodes)).sum();
+        let taken: f64 = net.nodes.iter().map(|node| 1.0 / f64::from(node.position.unwrap().nodes)).sum();
         assert!(taken <= 2.0 + 1e-9, "all take {taken} times what they may after {second} s");
     }
     assert_eq!(present(&net), [vec![3; 4], vec![7; 8]].concat());
-    net.cut = Box::new(|_, _| false);
+    net.is_cut = Box::new(|_, _| false);
     net.run_until(100 * S, &well);
     assert_eq!(present(&net), vec![11; 12]);
-    assert!(net.nodes.iter().all(|node| node.fleet.unwrap().nodes == 12));
+    assert!(net.nodes.iter().all(|node| node.position.unwrap().nodes == 12));
 }
 
 #[test]
@@ -146,9 +150,9 @@
     assert_eq!(present(&net)[2], 5, "right after it woke");
     net.run_until(40 * S, &well);
     assert_eq!(present(&net), vec![5; 6]);
-    let notes = &net.nodes[2].notes;
-    assert!(notes.iter().any(|(_, note)| matches!(note, Note::StoodStill(_))), "{notes:?}");
-    assert!(!notes.iter().any(|(_, note)| matches!(note, Note::Down(_))), "{notes:?}");
+    let notes = &net.nodes[2].log_events;
+    assert!(notes.iter().any(|(_, note)| matches!(note, LogEvent::ProcessPaused(_))), "{notes:?}");
+    assert!(!notes.iter().any(|(_, note)| matches!(note, LogEvent::MemberDown(_))), "{notes:?}");
 }
 
 #[test]
@@ -157,10 +161,10 @@
     net.kill(1);
     net.run_until(25 * S, &well);
     assert_eq!(present(&net), vec![3; 4]);
-    let of = |net: &Net, node: usize| net.nodes[node].fleet.unwrap();
+    let of = |net: &Net, node: usize| net.nodes[node].position.unwrap();
     net.run_until(40 * S, &well);
     assert_eq!([0, 2, 3, 4].map(|node| of(&net, node).nodes), [4; 4]);
-    assert_eq!([0, 2, 3, 4].map(|node| of(&net, node).place), [0, 2, 3, 4], "places stay");
+    assert_eq!([0, 2, 3, 4].map(|node| of(&net, node).rank), [0, 2, 3, 4], "places stay");
     net.start(1);
     net.run_until(45 * S, &well);
     assert_eq!((present(&net), of(&net, 0).nodes), (vec![4; 5], 5));
@@ -169,13 +173,13 @@
 #[test]
 fn a_restart_that_is_announced_keeps_its_part_and_one_for_good_does_not() {
     let mut net = started(4, 8);
-    net.tell(1, Input::Leave { restarts: true });
-    net.tell(2, Input::Leave { restarts: false });
+    net.input(1, Input::Leave { restarts: true });
+    net.input(2, Input::Leave { restarts: false });
     net.run_until(net.now + S / 10, &well);
     net.kill(1);
     net.kill(2);
     net.run_until(40 * S, &well);
-    assert_eq!(net.nodes[0].fleet.unwrap().nodes, 3, "the one that restarts is counted");
+    assert_eq!(net.nodes[0].position.unwrap().nodes, 3, "the one that restarts is counted");
     assert_eq!(downs(&net), 0, "both had said so");
     net.start(1);
     net.run_until(45 * S, &well);
@@ -190,30 +194,30 @@
     net.start_all();
     net.run_until(41 * S, &well);
     assert_eq!(present(&net), vec![39; 40]);
-    assert!(net.nodes.iter().all(|node| node.peak <= 16 * 1024));
+    assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 16 * 1024));
 }
 
 #[test]
 fn many_that_know_only_the_same_few_find_each_other_within_a_low_ceiling() {
-    let mut net = Net::new(60, 14, |_, settings| settings.ceiling = 8192);
+    let mut net = Net::new(60, 14, |_, settings| settings.max_bytes_per_second = 8192);
     net.start_all();
     net.run_until(45 * S, &well);
     assert_eq!(present(&net), vec![59; 60]);
-    assert!(net.nodes.iter().all(|node| node.peak <= 8192));
+    assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 8192));
 }
 
 #[test]
 fn what_was_recorded_is_not_taken_again() {
     let mut net = Net::new(3, 10, |_, _| {});
-    net.tap = Some(Vec::new());
+    net.recorded = Some(Vec::new());
     net.start_all();
     net.run_until(10 * S, &well);
-    let recorded = net.tap.take().unwrap();
+    let recorded = net.recorded.take().unwrap();
     // Yesterday's packets, to processes that run on, and to one that is new.
     net.kill(2);
     net.start(2);
     net.run_until(15 * S, &well);
-    let figures = |net: &Net, node: usize| net.nodes[node].gossip.as_ref().unwrap().figures();
+    let figures = |net: &Net, node: usize| net.nodes[node].gossip.as_ref().unwrap().counters();
     let quiet = 1_000;
     let mut last = Vec::new();
     for node in 0..3 {
@@ -228,7 +232,7 @@
             );
         }
         let after = figures(&net, node);
-        assert_eq!(before.taken, after.taken, "node {node}");
+        assert_eq!(before.accepted, after.accepted, "node {node}");
         last.push(after.replayed - before.replayed);
     }
     assert!(last.iter().all(|replayed| *replayed > 5), "{last:?}");
@@ -237,9 +241,9 @@
 #[test]
 fn a_packet_that_was_changed_or_signed_by_another_key_leaves_no_trace() {
     let mut net = started(2, 11);
-    net.tap = Some(Vec::new());
+    net.recorded = Some(Vec::new());
     net.run_until(11 * S, &well);
-    let (from, to, bytes) = net.tap.take().unwrap().into_iter().next_back().unwrap();
+    let (from, to, bytes) = net.recorded.take().unwrap().into_iter().next_back().unwrap();
     let members = net.nodes[to].gossip.as_ref().unwrap().members();
     for at in 0..bytes.len() {
         let mut bytes = bytes.clone();
@@ -247,14 +251,14 @@
         // Time passes, so that not the flood's limit turns them away.
         net.run_until(net.now + S / 50, &well);
         let gossip = net.nodes[to].gossip.as_mut().unwrap();
-        let before = gossip.figures();
+        let before = gossip.counters();
         let now = net.now;
         gossip.handle(now, Input::Packet(address(from), &bytes), &mut Vec::new());
-        let after = gossip.figures();
-        assert_eq!(after.taken, before.taken, "byte {at}");
+        let after = gossip.counters();
+        assert_eq!(after.accepted, before.accepted, "byte {at}");
         assert!(
-            after.unreadable + after.unsigned + after.replayed
-                > before.unreadable + before.unsigned + before.replayed
+            after.malformed + after.unauthenticated + after.replayed
+                > before.malformed + before.unauthenticated + before.replayed
         );
     }
     let now: Vec<_> = net.nodes[to].gossip.as_ref().unwrap().members().into_iter().map(|m| m.name).collect();
@@ -271,19 +275,19 @@
     let only = format!("n0 {}\n{}", new.public_hex(), others());
     let ring = |text: &str| KeyRing::parse(text).unwrap();
     for node in 0..3 {
-        net.tell(node, Input::Keys(ring(&both), net.secret(node)));
+        net.input(node, Input::Keys(ring(&both), net.secret(node)));
     }
     net.run_until(20 * S, &well);
-    net.tell(0, Input::Keys(ring(&both), Secret::from_seed([9; 32])));
+    net.input(0, Input::Keys(ring(&both), Secret::from_seed([9; 32])));
     net.run_until(30 * S, &well);
     for node in 0..3 {
         let secret = if node == 0 { Secret::from_seed([9; 32]) } else { net.secret(node) };
-        net.tell(node, Input::Keys(ring(&only), secret));
+        net.input(node, Input::Keys(ring(&only), secret));
     }
     net.run_until(60 * S, &well);
     assert_eq!((present(&net), downs(&net)), (vec![2; 3], 0));
     // One that goes on with the old key is not heard any more.
-    net.tell(0, Input::Keys(ring(&both), net.secret(0)));
+    net.input(0, Input::Keys(ring(&both), net.secret(0)));
     net.run_until(90 * S, &well);
     assert_eq!(present(&net)[1..], [1, 1]);
 }
@@ -300,17 +304,18 @@
         name: "n0".into(),
         address: address(1),
         seeds: vec![address(2)],
-        period: 500_000,
-        ceiling: 16 * 1024,
-        nodes: 3,
+        probe_period: 500_000,
+        max_bytes_per_second: 16 * 1024,
+        configured_nodes: 3,
         seed: 99,
-        number: 5_000,
+        first_statement_number: 5_000,
     };
     settings.seed += 1;
     net.nodes[1].gossip = dunelink_gossip::Gossip::new(settings, net.ring(), net.secret(0), net.now);
-    net.tell(1, Input::Tick);
+    net.input(1, Input::Tick);
     net.run_until(40 * S, &well);
-    let shared = |node: usize| net.nodes[node].notes.iter().any(|(_, note)| *note == Note::NameShared);
+    let shared =
+        |node: usize| net.nodes[node].log_events.iter().any(|(_, note)| *note == LogEvent::DuplicateName);
     assert!(shared(0) || shared(1));
 }
 
@@ -324,7 +329,7 @@
         let dead = |net: &Net| {
             let others = net.nodes.iter().filter_map(|node| node.gossip.as_ref());
             let of = |gossip: &dunelink_gossip::Gossip| gossip.members().into_iter().find(|m| m.name == name);
-            others.map(of).all(|seen| seen.is_some_and(|m| m.standing == Standing::Dead))
+            others.map(of).all(|seen| seen.is_some_and(|m| m.liveness == Liveness::Dead))
         };
         while !dead(net) && net.now - began < 10 * S {
             net.run_until(net.now + S / 20, &well);
@@ -340,7 +345,7 @@
 /// Detection, and what a node that joins knows 3 s later.
 fn is_missed(nodes: usize, victims: &[usize]) {
     let mut net = Net::new(nodes, 16, |_, _| {});
-    net.weather = Weather { loss: 0.01, ..Weather::default() };
+    net.conditions = NetworkConditions { loss: 0.01, ..NetworkConditions::default() };
     net.start_all();
     net.run_until(30 * S, &well);
     let took = until_dead(&mut net, victims);
@@ -369,7 +374,7 @@
 #[test]
 fn a_twentieth_of_all_packets_lost_takes_no_healthy_node_out() {
     let mut net = started(10, 17);
-    net.weather = Weather { loss: 0.05, ..Weather::default() };
+    net.conditions = NetworkConditions { loss: 0.05, ..NetworkConditions::default() };
     // A hundred node minutes; the thousand are played by `dunelink-bench gossip`.
     net.run_until(610 * S, &well);
     assert_eq!(downs(&net), 0);
@@ -378,14 +383,14 @@
 /// How long many that start at once, and know the same few, need to find each other.
 fn found_after(count: usize, seed: u64, most: Micros) -> Micros {
     let mut net = Net::new(count, seed, |_, _| {});
-    net.weather = Weather { loss: 0.01, ..Weather::default() };
+    net.conditions = NetworkConditions { loss: 0.01, ..NetworkConditions::default() };
     net.start_all();
     let began = net.now;
     while present(&net) != vec![count - 1; count] {
         assert!(net.now - began < most, "{count} nodes, seed {seed}: {:?}", present(&net));
         net.run_until(net.now + S / 4, &well);
     }
-    assert!(net.nodes.iter().all(|node| node.peak <= 16 * 1024));
+    assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 16 * 1024));
     net.now - began
 }
 
--- a/crates/gossip/tests/packets.rs
+++ b/crates/gossip/tests/packets.rs
@@ -1,15 +1,15 @@
 //! What comes over the wire: the fuzz target's corpus, and whatever chance brings.
 
 use dunelink_gossip::sim::{Net, address};
-use dunelink_gossip::{Input, KeyRing, PACKET_MOST, Secret, ServerObservation, Unreadable, parse};
+use dunelink_gossip::{Input, KeyRing, MAX_PACKET_BYTES, ParseError, Secret, ServerObservation, parse};
 use proptest::prelude::*;
 use testkit::corpus;
 
 /// Real packets of all kinds, by two nodes that find each other, lose sight of each other and suspect servers.
 fn packets() -> Vec<Vec<u8>> {
     let mut net = Net::new(4, 21, |_, _| {});
-    net.tap = Some(Vec::new());
-    net.cut = Box::new(|from, to| from == 0 && to == 1);
+    net.recorded = Some(Vec::new());
+    net.is_cut = Box::new(|from, to| from == 0 && to == 1);
     net.start_all();
     let seen = |node: usize, now| {
         let strength = if now % 3_000_000 < 1_500_000 { 1.0 } else { 0.0 };
@@ -21,13 +21,13 @@
         }]
     };
     net.run_until(10_000_000, &seen);
-    net.tap.take().unwrap().into_iter().map(|(_, _, bytes)| bytes).collect()
+    net.recorded.take().unwrap().into_iter().map(|(_, _, bytes)| bytes).collect()
 }
 
 #[test]
 fn real_packets_are_read_and_no_longer_than_they_may_be() {
     let packets = packets();
-    assert!(packets.len() > 200 && packets.iter().all(|bytes| bytes.len() <= PACKET_MOST));
+    assert!(packets.len() > 200 && packets.iter().all(|bytes| bytes.len() <= MAX_PACKET_BYTES));
     assert!(packets.iter().all(|bytes| parse(bytes).is_ok()));
     // Cut short anywhere, they are not.
     let longest = packets.iter().max_by_key(|bytes| bytes.len()).unwrap();
@@ -43,15 +43,15 @@
 #[test]
 fn strangers_versions_and_lengths_are_told_apart() {
     let packet = packets().swap_remove(0);
-    assert_eq!(parse(&[0; PACKET_MOST + 1]), Err(Unreadable::Length));
-    assert_eq!(parse(&[0; 10]), Err(Unreadable::Length));
+    assert_eq!(parse(&[0; MAX_PACKET_BYTES + 1]), Err(ParseError::Length));
+    assert_eq!(parse(&[0; 10]), Err(ParseError::Length));
     let with = |at: usize, byte: u8| {
         let mut packet = packet.clone();
         packet[at] = byte;
         parse(&packet)
     };
-    assert_eq!(with(0, b'x'), Err(Unreadable::Stranger));
-    assert_eq!(with(2, 9), Err(Unreadable::Version(9)));
+    assert_eq!(with(0, b'x'), Err(ParseError::BadMagic));
+    assert_eq!(with(2, 9), Err(ParseError::UnsupportedVersion(9)));
 }
 
 #[test]
@@ -79,10 +79,10 @@
         let real = b"dg\x01\x01";
         let mixed: Vec<u8> = real.iter().copied().chain(bytes.iter().copied()).take(keep + bytes.len()).collect();
         for bytes in [&bytes, &mixed] {
-            net.tell(0, Input::Packet(address(1), bytes));
+            net.input(0, Input::Packet(address(1), bytes));
         }
         let gossip = net.nodes[0].gossip.as_ref().unwrap();
-        prop_assert_eq!(gossip.figures().taken, 0);
+        prop_assert_eq!(gossip.counters().accepted, 0);
         prop_assert!(gossip.members().is_empty());
     }
 }
--- a/crates/lab/src/world/talk.rs
+++ b/crates/lab/src/world/talk.rs
@@ -59,11 +59,11 @@
             name: format!("n{node}"),
             address: address(node),
             seeds: (0..SEEDS.max(count / 50).min(count)).map(address).collect(),
-            period: PERIOD,
-            ceiling: e.nodes.gossip_ceiling,
-            nodes: e.nodes.count,
+            probe_period: PERIOD,
+            max_bytes_per_second: e.nodes.gossip_ceiling,
+            configured_nodes: e.nodes.count,
             seed: seed.wrapping_mul(1_000_003).wrapping_add(node as u64),
-            number: 1,
+            first_statement_number: 1,
         };
         let keys = KeyRing::parse(&ring).ok()?;
         let gossip = Gossip::new(settings, keys, Secret::from_seed(*secret), BEGIN)?;
@@ -85,7 +85,7 @@
     pub(super) fn sees(&mut self, node: usize) {
         let shown = self.clock(node);
         let seen = self.nodes[node].sightings(shown);
-        self.talk(node, Input::Sightings(seen));
+        self.talk(node, Input::Observations(seen));
         if self.now < self.ends {
             self.agenda.put(self.now + LOOK, Due::Sees(node));
         }
@@ -114,14 +114,14 @@
                         self.agenda.put(self.now + way, Due::Packet(to, node, bytes));
                     }
                 }
-                Output::Doubts(doubts) => self.tell(node, Event::PeerSuspicions(doubts)),
-                Output::Fleet(fleet) => {
-                    self.tell(node, Event::FleetChanged { balancers: fleet.nodes, rank: fleet.place });
+                Output::Suspicions(doubts) => self.tell(node, Event::PeerSuspicions(doubts)),
+                Output::FleetPosition(fleet) => {
+                    self.tell(node, Event::FleetChanged { balancers: fleet.nodes, rank: fleet.rank });
                 }
-                Output::Carried(..) | Output::Note(_) => {}
+                Output::PayloadReceived(..) | Output::LogEvent(_) => {}
             }
         }
-        let wait = self.talks[node].gossip.next().saturating_sub(shown).max(1000);
+        let wait = self.talks[node].gossip.next_wakeup().saturating_sub(shown).max(1000);
         if self.now < self.ends {
             self.talks[node].wakes = self.now + wait;
             self.agenda.put(self.now + wait, Due::Looks(node));
@@ -142,10 +142,10 @@
             return None;
         }
         let seconds = (self.now - BEGIN).max(1) as f64 / 1e6;
-        let bytes: u64 = self.talks.iter().map(|talk| talk.gossip.figures().sent_bytes).sum();
+        let bytes: u64 = self.talks.iter().map(|talk| talk.gossip.counters().bytes_sent).sum();
         let mut present: HashMap<usize, usize> = HashMap::new();
         for talk in &self.talks {
-            *present.entry(talk.gossip.there().len()).or_default() += 1;
+            *present.entry(talk.gossip.alive_processes().len()).or_default() += 1;
         }
         let least = present.keys().min().copied().unwrap_or(0);
         Some(Talked { bytes: bytes as f64 / count as f64 / seconds, least })
--- a/crates/reach/src/lib.rs
+++ b/crates/reach/src/lib.rs
@@ -15,14 +15,14 @@
 mod matrix;
 mod row;
 
-pub use health::{Health, Input, Output, Settings};
-pub use matrix::{Matrix, Stance};
-pub use row::{Row, WINDOW, ZONE_MOST, ZONES_MOST, ZoneReach};
+pub use health::{HealthMonitor, Input, Output, Settings};
+pub use matrix::{Condition, ReachMatrix};
+pub use row::{MAX_ZONE_BYTES, MAX_ZONES, REQUEST_WINDOW, Row, ZoneReachability};
 
 pub use dunelink_view::{Micros, Name, Process};
 
 /// How often a node tells its row in a small fleet.
-pub const BEAT: Micros = 1_000_000;
+pub const ROW_INTERVAL: Micros = 1_000_000;
 /// Members to each of whom a row goes once a beat. In a larger fleet rows come less often, so that what all rows take of
 /// a node's ceiling stays the same.
 const TOLD: usize = 8;
@@ -30,6 +30,6 @@
 const SILENCE: Micros = 7;
 
 /// How often a node tells its row in a fleet of so many members.
-pub fn beat(members: usize) -> Micros {
-    BEAT * members.div_ceil(TOLD).max(1) as Micros
+pub fn row_interval(members: usize) -> Micros {
+    ROW_INTERVAL * members.div_ceil(TOLD).max(1) as Micros
 }
--- a/crates/reach/src/matrix.rs
+++ b/crates/reach/src/matrix.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use crate::row::Row;
-use crate::{Micros, Name, Process, SILENCE, beat};
+use crate::{Micros, Name, Process, SILENCE, row_interval};
 
 /// The part of a node's servers that is silent, at one that does not reach them and at others that do; and servers
 /// that it must have tried.
@@ -20,55 +20,55 @@
 
 /// What a node is, as against the fleet. The first that fits counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stance {
+pub enum Condition {
     /// As well off as the others, as far as can be told.
-    Well,
+    Healthy,
     /// Nobody hears it and it hears nobody, or less than half do.
     CutOff,
     /// Its peers hear it, and it hears less than half of them.
-    Deaf,
+    ReceivesNothing,
     /// It hears its peers, and less than half of them hear it.
-    Mute,
+    NotReceived,
     /// It stands still again and again.
     Stalls,
     /// It does not reach servers that others reach: in this zone, or in none if the name is empty.
     NoServers(String),
     /// More of its requests fail than of others'.
-    Fails,
+    FailsRequests,
     /// It does not hear the list that others hear. That alone is no reason to send it nothing.
-    NoList,
+    NoServerList,
     /// No row of it has come, though others hear it.
-    Unheard,
+    NoRow,
 }
 
-impl fmt::Display for Stance {
+impl fmt::Display for Condition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Stance::Well => f.write_str("well"),
-            Stance::CutOff => f.write_str("cut off"),
-            Stance::Deaf => f.write_str("hears nobody"),
-            Stance::Mute => f.write_str("heard by nobody"),
-            Stance::Stalls => f.write_str("stalls"),
-            Stance::NoServers(zone) if zone.is_empty() => f.write_str("reaches no servers"),
-            Stance::NoServers(zone) => write!(f, "reaches no servers in {zone}"),
-            Stance::Fails => f.write_str("fails its clients"),
-            Stance::NoList => f.write_str("hears no list"),
-            Stance::Unheard => f.write_str("not heard here"),
+            Condition::Healthy => f.write_str("well"),
+            Condition::CutOff => f.write_str("cut off"),
+            Condition::ReceivesNothing => f.write_str("hears nobody"),
+            Condition::NotReceived => f.write_str("heard by nobody"),
+            Condition::Stalls => f.write_str("stalls"),
+            Condition::NoServers(zone) if zone.is_empty() => f.write_str("reaches no servers"),
+            Condition::NoServers(zone) => write!(f, "reaches no servers in {zone}"),
+            Condition::FailsRequests => f.write_str("fails its clients"),
+            Condition::NoServerList => f.write_str("hears no list"),
+            Condition::NoRow => f.write_str("not heard here"),
         }
     }
 }
 
-impl Stance {
+impl Condition {
     /// Whether clients are better off at another node.
-    pub fn is_worse(&self) -> bool {
-        !matches!(self, Stance::Well | Stance::NoList | Stance::Unheard | Stance::CutOff)
-            && !matches!(self, Stance::NoServers(zone) if !zone.is_empty())
+    pub fn is_worse_than_fleet(&self) -> bool {
+        !matches!(self, Condition::Healthy | Condition::NoServerList | Condition::NoRow | Condition::CutOff)
+            && !matches!(self, Condition::NoServers(zone) if !zone.is_empty())
     }
 }
 
 /// The rows that this node has.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Matrix {
+pub struct ReachMatrix {
     me: Name,
     members: Vec<Name>,
     own: Row,
@@ -85,10 +85,15 @@
     f64::from(of) / (f64::from(of) + f64::from(rest)).max(1.0)
 }
 
-impl Matrix {
+impl ReachMatrix {
     /// A node that knows of nobody yet.
-    pub fn new(me: Name) -> Matrix {
-        Matrix { me, members: Vec::new(), own: Row { ready: true, ..Row::default() }, rows: BTreeMap::new() }
+    pub fn new(me: Name) -> ReachMatrix {
+        ReachMatrix {
+            me,
+            members: Vec::new(),
+            own: Row { ready: true, ..Row::default() },
+            rows: BTreeMap::new(),
+        }
     }
 
     /// This node's own row.
@@ -97,7 +102,7 @@
     }
 
     pub(crate) fn set_own(&mut self, now: Micros, mut row: Row) {
-        row.hears = self.fresh(now).map(|(name, _)| name).collect();
+        row.receives_from = self.recent_rows(now).map(|(name, _)| name).collect();
         self.own = row;
     }
 
@@ -120,8 +125,8 @@
     }
 
     /// The others' rows that came lately.
-    pub fn fresh(&self, now: Micros) -> impl Iterator<Item = (Name, &Row)> {
-        let silence = beat(self.members.len()) * SILENCE / 2;
+    pub fn recent_rows(&self, now: Micros) -> impl Iterator<Item = (Name, &Row)> {
+        let silence = row_interval(self.members.len()) * SILENCE / 2;
         let fresh = move |at: Micros| now.saturating_sub(at) <= silence;
         self.rows.iter().filter(move |(_, (_, at, _))| fresh(*at)).map(|(name, (.., row))| (*name, row))
     }
@@ -131,72 +136,74 @@
         if name == self.me {
             return Some(&self.own);
         }
-        self.fresh(now).find(|(other, _)| *other == name).map(|(_, row)| row)
+        self.recent_rows(now).find(|(other, _)| *other == name).map(|(_, row)| row)
     }
 
     /// Whether one hears the other, as it says itself; nothing if it has said nothing lately.
-    pub fn hears(&self, now: Micros, who: Name, whom: Name) -> Option<bool> {
-        self.row(now, who).map(|row| row.hears.contains(&whom))
+    pub fn receives_from(&self, now: Micros, who: Name, whom: Name) -> Option<bool> {
+        self.row(now, who).map(|row| row.receives_from.contains(&whom))
     }
 
     /// Ways that are open in one direction only: from whom to whom nothing comes, while the other way it does.
-    pub fn one_way(&self, now: Micros) -> Vec<(Name, Name)> {
-        let names: Vec<Name> = self.fresh(now).map(|(name, _)| name).chain([self.me]).collect();
+    pub fn one_way_links(&self, now: Micros) -> Vec<(Name, Name)> {
+        let names: Vec<Name> = self.recent_rows(now).map(|(name, _)| name).chain([self.me]).collect();
         let pairs = names.iter().flat_map(|from| names.iter().map(move |to| (*from, *to)));
         let broken = |(from, to): &(Name, Name)| {
             from != to
-                && self.hears(now, *to, *from) == Some(false)
-                && self.hears(now, *from, *to) == Some(true)
+                && self.receives_from(now, *to, *from) == Some(false)
+                && self.receives_from(now, *from, *to) == Some(true)
         };
         pairs.filter(broken).collect()
     }
 
     /// What a node is, by all rows.
-    pub fn stance(&self, now: Micros, name: Name) -> Stance {
+    pub fn condition(&self, now: Micros, name: Name) -> Condition {
         let others: Vec<(Name, &Row)> =
-            self.fresh(now).chain([(self.me, &self.own)]).filter(|(other, _)| *other != name).collect();
-        let heard_by = others.iter().filter(|(_, row)| row.hears.contains(&name)).count();
+            self.recent_rows(now).chain([(self.me, &self.own)]).filter(|(other, _)| *other != name).collect();
+        let heard_by = others.iter().filter(|(_, row)| row.receives_from.contains(&name)).count();
         let all = self.members.iter().filter(|member| **member != name).count();
         let Some(row) = self.row(now, name) else {
-            let by_others = others.iter().any(|(other, row)| *other != self.me && row.hears.contains(&name));
-            return if by_others { Stance::Unheard } else { Stance::CutOff };
+            let by_others =
+                others.iter().any(|(other, row)| *other != self.me && row.receives_from.contains(&name));
+            return if by_others { Condition::NoRow } else { Condition::CutOff };
         };
         if others.is_empty() {
-            return Stance::CutOff;
+            return Condition::CutOff;
         }
-        let hears = row.hears.iter().filter(|other| **other != name && self.members.contains(other)).count();
+        let hears =
+            row.receives_from.iter().filter(|other| **other != name && self.members.contains(other)).count();
         // Those that are somewhere around, by whoever is heard. Where that is no half either, it is a cut.
         let around = |member: &&Name| {
             **member != name
-                && others.iter().any(|(other, row)| other == *member || row.hears.contains(member))
+                && others.iter().any(|(other, row)| other == *member || row.receives_from.contains(member))
         };
         let around = self.members.iter().filter(around).count();
         match (2 * heard_by >= others.len(), 2 * hears >= all) {
             (true, true) => {}
-            (true, false) if 2 * around >= all => return Stance::Deaf,
-            (false, true) => return Stance::Mute,
-            (_, false) => return Stance::CutOff,
+            (true, false) if 2 * around >= all => return Condition::ReceivesNothing,
+            (false, true) => return Condition::NotReceived,
+            (_, false) => return Condition::CutOff,
         }
         let rows: Vec<&Row> = others.iter().map(|(_, row)| *row).collect();
-        let still = median(rows.iter().map(|row| row.stalled).collect()).unwrap_or(0);
-        if row.stalled >= STALLS.0 && still <= STALLS.1 {
-            return Stance::Stalls;
+        let still = median(rows.iter().map(|row| row.stalled_permille).collect()).unwrap_or(0);
+        if row.stalled_permille >= STALLS.0 && still <= STALLS.1 {
+            return Condition::Stalls;
         }
         if let Some(zone) = unreached(row, &rows) {
-            return Stance::NoServers(zone);
+            return Condition::NoServers(zone);
         }
         let fails = |row: &Row| part(row.failed, row.served);
         let enough = |row: &Row| row.served.saturating_add(row.failed) >= ENDED_LEAST;
         let ended: Vec<f64> = rows.iter().filter(|row| enough(row)).map(|r| fails(r)).collect();
         let more = median(ended).is_some_and(|others| fails(row) > others + FAILS);
         if enough(row) && more {
-            return Stance::Fails;
+            return Condition::FailsRequests;
         }
-        let hear_it = rows.iter().filter(|row| row.list_ms.is_some_and(|ms| ms <= LIST_MS.1)).count();
-        if row.list_ms.is_none_or(|ms| ms >= LIST_MS.0) && 2 * hear_it > rows.len() {
-            return Stance::NoList;
+        let hear_it = rows.iter().filter(|row| row.list_age_ms.is_some_and(|ms| ms <= LIST_MS.1)).count();
+        if row.list_age_ms.is_none_or(|ms| ms >= LIST_MS.0) && 2 * hear_it > rows.len() {
+            return Condition::NoServerList;
         }
-        Stance::Well
+        Condition::Healthy
     }
 }
 
@@ -214,7 +221,7 @@
     }
     let of = |row: &Row, zone: &str| {
         let reach = row.zones.iter().find(|reach| reach.zone == zone);
-        reach.map_or((0, 0), |reach| (u32::from(reach.answer), u32::from(reach.silent)))
+        reach.map_or((0, 0), |reach| (u32::from(reach.answering), u32::from(reach.silent)))
     };
     let zones = row.zones.iter().map(|reach| reach.zone.as_str());
     let mut zones = zones.filter(|zone| {
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -8,11 +8,11 @@
 
 mod align;
 mod line;
-mod story;
+mod merge;
 
 pub use align::offsets;
-pub use line::{Event, LINE_MOST, parse};
-pub use story::{Doubt, Log, Story, merge};
+pub use line::{Event, MAX_LINE_BYTES, parse};
+pub use merge::{Contradiction, Log, MergedLog, merge};
 
 /// A span of time in microseconds; negative is earlier.
 pub type Micros = i64;
--- a/crates/timeline/src/line.rs
+++ b/crates/timeline/src/line.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 
 /// Longer lines are none that a node writes.
-pub const LINE_MOST: usize = 64 * 1024;
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
 /// What a node noted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 /// ```
 pub fn parse(line: &str) -> Option<Event> {
     let line = line.trim();
-    if line.len() > LINE_MOST {
+    if line.len() > MAX_LINE_BYTES {
         return None;
     }
     if line.starts_with('{') { json(line) } else { text(line) }
--- a/crates/timeline/src/story.rs
+++ b/crates/timeline/src/merge.rs
@@ -19,7 +19,7 @@
     /// Its events, in the order of the file.
     pub events: Vec<Event>,
     /// Lines that are no event.
-    pub unread: usize,
+    pub unparsed_lines: usize,
 }
 
 impl Log {
@@ -29,7 +29,7 @@
         for line in lines.into_iter().filter(|line| !line.trim().is_empty()) {
             match parse(line) {
                 Some(event) => log.events.push(event),
-                None => log.unread += 1,
+                None => log.unparsed_lines += 1,
             }
         }
         if let Some(node) = log.events.iter().find_map(|event| event.field("node")) {
@@ -52,34 +52,36 @@
 
 /// Something that must not be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct Contradiction {
     /// When it showed, on the first log's clock.
     pub at: Micros,
     /// What it is.
-    pub what: String,
+    pub description: String,
 }
 
 /// Many logs as one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Story {
+pub struct MergedLog {
     /// Events by time on the first log's clock, and which log each is from.
     pub events: Vec<(Micros, usize, Event)>,
     /// How each log's clock was moved; nothing for one that could not be placed.
-    pub moved: Vec<Option<Micros>>,
+    pub clock_offsets: Vec<Option<Micros>>,
     /// What can't be, if all logs tell the truth.
-    pub doubts: Vec<Doubt>,
+    pub contradictions: Vec<Contradiction>,
 }
 
-impl Story {
+impl MergedLog {
     /// Logs whose clock differs from the first one's, or could not be compared.
-    pub fn apart<'a>(&'a self, logs: &'a [Log]) -> impl Iterator<Item = (&'a str, Option<Micros>)> {
+    pub fn skewed_logs<'a>(&'a self, logs: &'a [Log]) -> impl Iterator<Item = (&'a str, Option<Micros>)> {
         let names = logs.iter().map(|log| log.name.as_str());
-        names.zip(self.moved.iter().copied()).filter(|(_, moved)| moved.is_none_or(|by| by.abs() >= APART))
+        names
+            .zip(self.clock_offsets.iter().copied())
+            .filter(|(_, moved)| moved.is_none_or(|by| by.abs() >= APART))
     }
 }
 
 /// Merges logs; with `align` they are put on the first one's clock where they can be.
-pub fn merge(logs: &[Log], align: bool) -> Story {
+pub fn merge(logs: &[Log], align: bool) -> MergedLog {
     let moved = match align {
         true => offsets(&logs.iter().map(Log::moments).collect::<Vec<_>>()),
         false => vec![Some(0); logs.len()],
@@ -92,7 +94,7 @@
     // Those of one log stay in its order.
     events.sort_by_key(|(time, ..)| *time);
     let doubts = doubts(&events, logs);
-    Story { events, moved, doubts }
+    MergedLog { events, clock_offsets: moved, contradictions: doubts }
 }
 
 /// For how long something was held by one process.
@@ -105,7 +107,7 @@
 }
 
 /// What the fleet promises, held against the story: one view an epoch, one holder at a time.
-fn doubts(events: &[(Micros, usize, Event)], logs: &[Log]) -> Vec<Doubt> {
+fn doubts(events: &[(Micros, usize, Event)], logs: &[Log]) -> Vec<Contradiction> {
     let mut doubts = Vec::new();
     let mut views: BTreeMap<&str, (&str, usize)> = BTreeMap::new();
     let mut holds: BTreeMap<&str, Vec<Hold>> = BTreeMap::new();
@@ -127,7 +129,7 @@
                         name(whose),
                         name(*log)
                     );
-                    doubts.push(Doubt { at: *at, what });
+                    doubts.push(Contradiction { at: *at, description: what });
                 }
             }
             ("lease", ..) => {
@@ -156,7 +158,7 @@
                         name(other.log),
                         both / 1000
                     );
-                    doubts.push(Doubt { at: one.from.max(other.from), what });
+                    doubts.push(Contradiction { at: one.from.max(other.from), description: what });
                 }
             }
         }
--- a/crates/timeline/tests/stories.rs
+++ b/crates/timeline/tests/stories.rs
@@ -41,12 +41,12 @@
     // The second and the third share nothing with each other that the first has not.
     let logs = [log("a", &views(0, "n0")), log("b", &views(7_000, "n1")), log("c", &[line(9_000, "starts")])];
     let story = merge(&logs, true);
-    assert_eq!(story.moved, [Some(0), Some(-7_000_000), None]);
-    assert_eq!(story.apart(&logs).collect::<Vec<_>>(), [("n1", Some(-7_000_000)), ("c", None)]);
+    assert_eq!(story.clock_offsets, [Some(0), Some(-7_000_000), None]);
+    assert_eq!(story.skewed_logs(&logs).collect::<Vec<_>>(), [("n1", Some(-7_000_000)), ("c", None)]);
     let order: Vec<(usize, &str)> =
         story.events.iter().filter_map(|(_, log, event)| Some((*log, event.field("epoch")?))).collect();
     assert_eq!(order[..4], [(0, "1.1"), (1, "1.1"), (0, "1.2"), (1, "1.2")]);
-    assert_eq!(merge(&logs, false).moved, [Some(0); 3]);
+    assert_eq!(merge(&logs, false).clock_offsets, [Some(0); 3]);
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let one = [view(1000, "n0", 1, "n0,n1"), lease(1100, "n0", true, ""), lease(5000, "n0", false, "")];
     let two = [view(1010, "n1", 1, "n1"), lease(3000, "n1", true, ""), lease(6000, "n1", false, "")];
     let story = merge(&[log("a", &one), log("b", &two)], true);
-    let told: Vec<&str> = story.doubts.iter().map(|doubt| doubt.what.as_str()).collect();
+    let told: Vec<&str> = story.contradictions.iter().map(|doubt| doubt.description.as_str()).collect();
     assert_eq!(told, ["epoch 1.1 is n0,n1 at n0 and n1 at n1", "chair is held by n0 and n1 for 2010 ms"]);
 }
 
@@ -66,7 +66,7 @@
     let paused = vec![lease(1000, "n0", true, ""), lease(12_000, "n0", false, " ago_ms=9500")];
     for one in [killed, paused] {
         let story = merge(&[log("a", &one), log("b", &two)], false);
-        assert_eq!(story.doubts, [], "{one:?}");
+        assert_eq!(story.contradictions, [], "{one:?}");
     }
 }
 
@@ -111,6 +111,6 @@
     for bytes in kept {
         let text = String::from_utf8_lossy(&bytes);
         let log = Log::read("x", text.lines());
-        assert_eq!(merge(&[log.clone(), log], true).moved[0], Some(0));
+        assert_eq!(merge(&[log.clone(), log], true).clock_offsets[0], Some(0));
     }
 }
--- a/crates/view/src/council.rs
+++ b/crates/view/src/coordinator.rs
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
-use crate::evict::{Evictions, Refusal};
-use crate::lease::{Answer, Ask, Bounds, Grantor, Holder, Resource};
-use crate::parts::Parts;
-use crate::process::{Name, Names, Process};
+use crate::eviction::{Evictions, Refusal};
+use crate::lease::{Grantor, LeaseBounds, LeaseHolder, LeaseRequest, LeaseResponse, Resource};
+use crate::limit_share::LimitShare;
+use crate::partition::{PartitionSide, Reachability};
+use crate::process::{ElectorNames, Name, Process};
 use crate::register::{Ballot, Message, Register};
-use crate::side::{Side, Sides};
 use crate::view::{Change, View};
 
 /// The resource that lets an elector propose: it spares duels, nothing rests on it.
@@ -25,19 +25,23 @@
 
 /// What nodes say to each other of all this.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Wire {
+pub enum FleetMessage {
     /// Of views.
     Register(Message),
     /// Of leases, and which view its author knows: who holds its name by an older one may have to take less.
-    Ask(Ask, Ballot, u64),
+    #[serde(rename = "Ask")]
+    LeaseRequest(LeaseRequest, Ballot, u64),
     /// The answer.
-    Answer(Answer),
+    #[serde(rename = "Answer")]
+    LeaseResponse(LeaseResponse),
     /// Which view its author knows, as a sign of life; who knows a newer one tells it.
     Hello(Ballot, u64),
     /// The same, as an answer.
-    Here(Ballot, u64),
+    #[serde(rename = "Here")]
+    HelloReply(Ballot, u64),
     /// Something that its author wants decided.
-    Want(Change),
+    #[serde(rename = "Want")]
+    Propose(Change),
 }
 
 /// What a node is told once.
@@ -46,11 +50,11 @@
     /// Its process.
     pub me: Process,
     /// The electors' names, the same at all nodes.
-    pub names: Names,
+    pub elector_names: ElectorNames,
     /// Leases and clocks.
-    pub bounds: Bounds,
+    pub lease_bounds: LeaseBounds,
     /// How many nodes there are meant to be.
-    pub nodes: usize,
+    pub configured_nodes: usize,
     /// For random waits.
     pub seed: u64,
 }
@@ -61,74 +65,74 @@
     /// Time has passed.
     Tick,
     /// A process said something, and it was that process.
-    Heard(Process, Wire),
+    Received(Process, FleetMessage),
     /// The other processes that are there, as far as this node knows by itself.
-    There(Vec<Process>),
-    /// An operator wants something decided; [`Council::may`] says before whether it can be.
-    Want(Change),
+    AliveProcesses(Vec<Process>),
+    /// An operator wants something decided; [`Coordinator::may`] says before whether it can be.
+    Propose(Change),
     /// This node wants to step aside, or does not any more.
-    Aside(bool),
+    WantUnready(bool),
 }
 
 /// What a node may hold alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum LeaseKind {
     /// Its name, and with it its part of what the fleet may.
-    Name,
+    NodeName,
     /// The right to propose views.
-    Chair,
+    Proposer,
     /// The right to say that it is not ready.
-    Aside,
+    Unready,
 }
 
 /// What is to be done, or was found.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Say this to whoever bears a name.
-    Send(Name, Wire),
+    Send(Name, FleetMessage),
     /// A view is decided.
     Decided(View),
     /// This node is on another side of a cut than before.
-    Side(Side),
+    PartitionSide(PartitionSide),
     /// This node holds something from now on, or has not held it for some time: it may have stood still since.
-    Lease(Held, bool, Micros),
+    Lease(LeaseKind, bool, Micros),
     /// What was wanted can't be decided: it would change nothing, or there is no room for it.
-    Dropped(Change),
+    Rejected(Change),
     /// What part of the fleet's limits this node takes from now on.
-    Part(f64),
+    LimitShare(f64),
 }
 
 /// How a node stands with the rest of the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct NodeStatus {
     /// The newest view that it knows.
     pub view: Option<View>,
     /// Its side.
-    pub side: Side,
+    pub side: PartitionSide,
     /// For how long it still holds its name; 0 if it does not.
-    pub name_for: Micros,
+    pub name_lease_left: Micros,
     /// Whether it proposes.
-    pub chair: bool,
+    pub holds_proposer_lease: bool,
     /// Whether it is the one that may say that it is not ready.
-    pub aside: bool,
+    pub holds_unready_lease: bool,
     /// The electors that it has heard lately, itself among them if it is one.
-    pub heard: Vec<Name>,
+    pub reachable_electors: Vec<Name>,
     /// What part of the fleet's limits it takes.
-    pub part: f64,
+    pub limit_share: f64,
 }
 
 /// One node's part.
-pub struct Council {
+pub struct Coordinator {
     settings: Settings,
     register: Register,
     grantor: Option<Grantor>,
-    name: Holder,
-    chair: Holder,
-    aside: Holder,
+    name: LeaseHolder,
+    chair: LeaseHolder,
+    aside: LeaseHolder,
     wants_aside: bool,
     evictions: Evictions,
-    sides: Sides,
-    parts: Parts,
+    sides: Reachability,
+    parts: LimitShare,
     there: BTreeMap<Process, Micros>,
     wanted: Vec<Change>,
     began: Micros,
@@ -137,7 +141,7 @@
     patient: Micros,
     shy: Micros,
     shy_aside: Micros,
-    side: Side,
+    side: PartitionSide,
     /// Whether it held its name, the chair and the right to step aside when it last looked.
     holds: [bool; 3],
     part: f64,
@@ -151,21 +155,22 @@
     name | 1 << 63
 }
 
-impl Council {
+impl Coordinator {
     /// A process that starts now.
-    pub fn new(settings: Settings, now: Micros) -> Council {
-        let Settings { me, names, bounds, nodes, seed } = settings.clone();
+    pub fn new(settings: Settings, now: Micros) -> Coordinator {
+        let Settings { me, elector_names: names, lease_bounds: bounds, configured_nodes: nodes, seed } =
+            settings.clone();
         let silence = bounds.lease;
-        Council {
+        Coordinator {
             register: Register::new(me, names.clone()),
             grantor: names.contains(me.name).then(|| Grantor::new(bounds, now)),
-            name: Holder::new(bounds, names.clone(), resource(me.name)),
-            chair: Holder::new(bounds, names.clone(), CHAIR),
-            aside: Holder::new(bounds, names.clone(), ASIDE),
+            name: LeaseHolder::new(bounds, names.clone(), resource(me.name)),
+            chair: LeaseHolder::new(bounds, names.clone(), CHAIR),
+            aside: LeaseHolder::new(bounds, names.clone(), ASIDE),
             wants_aside: false,
             evictions: Evictions::default(),
-            sides: Sides::new(me.name, names, silence),
-            parts: Parts::new(nodes),
+            sides: Reachability::new(me.name, names, silence),
+            parts: LimitShare::new(nodes),
             there: BTreeMap::new(),
             wanted: Vec::new(),
             began: now,
@@ -173,7 +178,7 @@
             patient: 0,
             shy: 0,
             shy_aside: 0,
-            side: Side::Alone,
+            side: PartitionSide::Alone,
             holds: [false; 3],
             part: 0.0,
             member_since: None,
@@ -183,7 +188,7 @@
     }
 
     fn beat(&self) -> Micros {
-        self.settings.bounds.lease / BEATS
+        self.settings.lease_bounds.lease / BEATS
     }
 
     /// A number below `most` (xorshift, Marsaglia, 2003).
@@ -195,8 +200,9 @@
     }
 
     /// When it wants to be looked at next.
-    pub fn next(&self, now: Micros) -> Micros {
-        let over = self.held().map(|(_, holder)| holder.until()).into_iter().filter(|until| *until > now);
+    pub fn next_wakeup(&self, now: Micros) -> Micros {
+        let over =
+            self.held().map(|(_, holder)| holder.expires_at()).into_iter().filter(|until| *until > now);
         over.fold(self.beat_at, Micros::min)
     }
 
@@ -205,16 +211,19 @@
         self.look(now, out);
         match input {
             Input::Tick => {}
-            Input::Heard(from, wire) => self.hear(now, from, wire, out),
-            Input::There(others) => {
-                others.iter().chain([&self.settings.me]).for_each(|process| self.register.runs(*process));
+            Input::Received(from, wire) => self.hear(now, from, wire, out),
+            Input::AliveProcesses(others) => {
+                others
+                    .iter()
+                    .chain([&self.settings.me])
+                    .for_each(|process| self.register.set_running(*process));
                 let seen = |process: Process| (process, now);
                 self.there.extend(others.into_iter().map(seen));
-                let kept = self.settings.bounds.kept();
+                let kept = self.settings.lease_bounds.grantor_duration();
                 self.there.retain(|_, at| now.saturating_sub(*at) <= 2 * kept);
             }
-            Input::Want(change) => self.want(change, out),
-            Input::Aside(wanted) => self.step_aside(now, wanted, out),
+            Input::Propose(change) => self.want(change, out),
+            Input::WantUnready(wanted) => self.step_aside(now, wanted, out),
         }
         if now >= self.beat_at {
             self.beat_at = now + self.beat() + self.random(self.beat() / 4);
@@ -229,20 +238,24 @@
     }
 
     /// How it stands.
-    pub fn standing(&self, now: Micros) -> Standing {
-        Standing {
+    pub fn status(&self, now: Micros) -> NodeStatus {
+        NodeStatus {
             view: self.register.view().cloned(),
             side: self.sides.side(now),
-            name_for: self.name.until().saturating_sub(now),
-            chair: self.chair.holds(now),
-            aside: self.aside.holds(now),
-            heard: self.sides.electors(now).collect(),
-            part: self.part,
+            name_lease_left: self.name.expires_at().saturating_sub(now),
+            holds_proposer_lease: self.chair.is_held(now),
+            holds_unready_lease: self.aside.is_held(now),
+            reachable_electors: self.sides.reachable_electors(now).collect(),
+            limit_share: self.part,
         }
     }
 
-    fn held(&self) -> [(Held, &Holder); 3] {
-        [(Held::Name, &self.name), (Held::Chair, &self.chair), (Held::Aside, &self.aside)]
+    fn held(&self) -> [(LeaseKind, &LeaseHolder); 3] {
+        [
+            (LeaseKind::NodeName, &self.name),
+            (LeaseKind::Proposer, &self.chair),
+            (LeaseKind::Unready, &self.aside),
+        ]
     }
 
     /// Whether something can be decided, as far as this node knows.
@@ -250,12 +263,12 @@
     /// # Errors
     ///
     /// Why not.
-    pub fn may(&self, change: &Change) -> Result<(), Refusal> {
+    pub fn validate(&self, change: &Change) -> Result<(), Refusal> {
         let view = self.register.view().ok_or(Refusal::NoView)?;
-        if !self.settings.names.contains(self.settings.me.name) && Evictions::is_one(change) {
-            return Err(Refusal::NoElector);
+        if !self.settings.elector_names.contains(self.settings.me.name) && Evictions::is_eviction(change) {
+            return Err(Refusal::NotElector);
         }
-        Evictions::may(change, view, &self.settings.names, self.settings.nodes)
+        Evictions::may(change, view, &self.settings.elector_names, self.settings.configured_nodes)
     }
 
     /// Takes the right to step aside while it is wanted, and gives it back at once.
@@ -268,7 +281,7 @@
 
     /// Finds what has changed with time alone.
     fn look(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let held = self.held().map(|(what, holder)| (what, holder.holds(now), holder.until()));
+        let held = self.held().map(|(what, holder)| (what, holder.is_held(now), holder.expires_at()));
         let name = held[0].1;
         for (before, (what, holds, until)) in self.holds.iter_mut().zip(held) {
             if std::mem::replace(before, holds) != holds {
@@ -279,12 +292,12 @@
         }
         let side = self.sides.side(now);
         if std::mem::replace(&mut self.side, side) != side {
-            out.push(Output::Side(side));
+            out.push(Output::PartitionSide(side));
         }
         let members = self.members_with(now, name);
-        let part = self.parts.update(now, members, self.settings.nodes);
+        let part = self.parts.update(now, members, self.settings.configured_nodes);
         if std::mem::replace(&mut self.part, part) != part {
-            out.push(Output::Part(part));
+            out.push(Output::LimitShare(part));
         }
     }
 
@@ -293,13 +306,13 @@
     /// nobody: nobody was a member before.
     fn members_with(&mut self, now: Micros, name: bool) -> Option<usize> {
         let me = self.settings.me;
-        let view = self.register.view().filter(|view| name && !self.register.is_over(view));
+        let view = self.register.view().filter(|view| name && !self.register.has_lost_majority(view));
         let view = view.filter(|view| view.members.get(&me.name) == Some(&me.instance));
         let Some((members, first)) = view.map(|view| (view.members.len(), view.epoch == 1)) else {
             self.member_since = None;
             return None;
         };
-        let kept = self.settings.bounds.kept();
+        let kept = self.settings.lease_bounds.grantor_duration();
         let since = *self.member_since.get_or_insert(if first { 0 } else { now });
         (since == 0 || now.saturating_sub(since) >= kept).then_some(members)
     }
@@ -308,35 +321,41 @@
         self.register.view().map_or_else(Default::default, |view| (view.generation, view.epoch))
     }
 
-    fn to_electors(&self, wire: &Wire, out: &mut Vec<Output>) {
-        out.extend(self.settings.names.iter().map(|name| Output::Send(name, wire.clone())));
+    fn to_electors(&self, wire: &FleetMessage, out: &mut Vec<Output>) {
+        out.extend(self.settings.elector_names.iter().map(|name| Output::Send(name, wire.clone())));
     }
 
-    fn ask_electors(&self, ask: Ask, out: &mut Vec<Output>) {
+    fn ask_electors(&self, ask: LeaseRequest, out: &mut Vec<Output>) {
         let (generation, epoch) = self.known();
-        self.to_electors(&Wire::Ask(ask, generation, epoch), out);
+        self.to_electors(&FleetMessage::LeaseRequest(ask, generation, epoch), out);
     }
 
     fn say(messages: Vec<(Name, Message)>, out: &mut Vec<Output>) {
-        out.extend(messages.into_iter().map(|(to, message)| Output::Send(to, Wire::Register(message))));
+        out.extend(
+            messages.into_iter().map(|(to, message)| Output::Send(to, FleetMessage::Register(message))),
+        );
     }
 
-    fn hear(&mut self, now: Micros, from: Process, wire: Wire, out: &mut Vec<Output>) {
-        let answers = matches!(wire, Wire::Answer(_) | Wire::Here(..) | Wire::Register(_));
+    fn hear(&mut self, now: Micros, from: Process, wire: FleetMessage, out: &mut Vec<Output>) {
+        let answers = matches!(
+            wire,
+            FleetMessage::LeaseResponse(_) | FleetMessage::HelloReply(..) | FleetMessage::Register(_)
+        );
         // Only an answer shows that the way is open in both directions.
         if answers {
-            self.sides.heard(now, from.name);
+            self.sides.record_contact(now, from.name);
         }
         match wire {
             // Views are the electors' alone, and who is a member is not for others to say.
-            Wire::Register(_) if !self.settings.names.contains(from.name) => {}
-            Wire::Want(Change::Admit(_) | Change::Remove(_) | Change::Move(..)) => {}
+            FleetMessage::Register(_) if !self.settings.elector_names.contains(from.name) => {}
+            FleetMessage::Propose(Change::Admit(_) | Change::Remove(_) | Change::Move(..)) => {}
             // Nor who is out: that is for the operators at electors.
-            Wire::Want(change) if Evictions::is_one(&change) && !self.settings.names.contains(from.name) => {}
-            Wire::Register(message) => {
+            FleetMessage::Propose(change)
+                if Evictions::is_eviction(&change) && !self.settings.elector_names.contains(from.name) => {}
+            FleetMessage::Register(message) => {
                 let mut say = Vec::new();
-                let decided = self.register.hear(from, message, &mut say);
-                Council::say(say, out);
+                let decided = self.register.handle(from, message, &mut say);
+                Coordinator::say(say, out);
                 if let Some(view) = decided {
                     // All others hear it from who is asked, or ask for it.
                     self.wanted.retain(|change| !is_done(change, &view));
@@ -344,39 +363,41 @@
                     self.evictions.see(now, &view);
                     out.push(Output::Decided(view));
                     // Many come back at once when a cut heals: what is left to decide waits for no beat.
-                    if self.chair.holds(now) && self.grantor.is_some() {
+                    if self.chair.is_held(now) && self.grantor.is_some() {
                         self.propose(now, out);
                     }
                 }
             }
-            Wire::Ask(ask, generation, epoch) => {
+            FleetMessage::LeaseRequest(ask, generation, epoch) => {
                 let old = self.is_old(from, &ask, generation, epoch);
                 if let Some(grantor) = &mut self.grantor {
-                    let refusal = Answer { resource: ask.resource, number: ask.number, granted: false };
-                    let answer = if old { refusal } else { grantor.hear(now, from, ask) };
-                    out.push(Output::Send(from.name, Wire::Answer(answer)));
+                    let refusal =
+                        LeaseResponse { resource: ask.resource, number: ask.number, granted: false };
+                    let answer = if old { refusal } else { grantor.handle(now, from, ask) };
+                    out.push(Output::Send(from.name, FleetMessage::LeaseResponse(answer)));
                 }
             }
-            Wire::Answer(answer) => {
-                self.name.hear(from, answer);
-                self.chair.hear(from, answer);
-                self.aside.hear(from, answer);
+            FleetMessage::LeaseResponse(answer) => {
+                self.name.handle(from, answer);
+                self.chair.handle(from, answer);
+                self.aside.handle(from, answer);
                 if !answer.granted {
                     self.give_back(now, answer.resource, out);
                 }
             }
-            Wire::Hello(generation, epoch) => {
+            FleetMessage::Hello(generation, epoch) => {
                 let (known, at) = self.known();
-                out.push(Output::Send(from.name, Wire::Here(known, at)));
+                out.push(Output::Send(from.name, FleetMessage::HelloReply(known, at)));
                 let Some(view) = self.register.view() else { return };
-                let older = if generation == known { epoch < at } else { !self.register.is_over(view) };
+                let older =
+                    if generation == known { epoch < at } else { !self.register.has_lost_majority(view) };
                 if older {
                     let told = Message::Decided(self.register.ballot(), view.clone());
-                    out.push(Output::Send(from.name, Wire::Register(told)));
+                    out.push(Output::Send(from.name, FleetMessage::Register(told)));
                 }
             }
-            Wire::Here(..) => {}
-            Wire::Want(change) => self.want(change, out),
+            FleetMessage::HelloReply(..) => {}
+            FleetMessage::Propose(change) => self.want(change, out),
         }
     }
 
@@ -390,7 +411,7 @@
             _ => return,
         };
         // What was given back is refused, too.
-        if now < *until || holder.holds(now) {
+        if now < *until || holder.is_held(now) {
             return;
         }
         *until = shy;
@@ -400,8 +421,8 @@
 
     /// Whether a process wants to hold its name on by a view before the newest: others may have come in since, and it
     /// would take more than its part is now. It is told the newest, and asks again.
-    fn is_old(&self, from: Process, ask: &Ask, generation: Ballot, epoch: u64) -> bool {
-        let Some((newest, at)) = self.register.newest() else { return false };
+    fn is_old(&self, from: Process, ask: &LeaseRequest, generation: Ballot, epoch: u64) -> bool {
+        let Some((newest, at)) = self.register.newest_epoch() else { return false };
         let knows_none = epoch == 0;
         let of_name = ask.resource == resource(from.name) && !ask.release;
         of_name && !knows_none && (generation != newest || epoch < at)
@@ -413,27 +434,27 @@
             return;
         }
         self.wanted.push(change.clone());
-        self.to_electors(&Wire::Want(change), out);
+        self.to_electors(&FleetMessage::Propose(change), out);
     }
 
     fn work(&mut self, now: Micros, out: &mut Vec<Output>) {
         let (generation, epoch) = self.known();
-        self.to_electors(&Wire::Hello(generation, epoch), out);
-        let ask = self.name.ask(now);
+        self.to_electors(&FleetMessage::Hello(generation, epoch), out);
+        let ask = self.name.request(now);
         self.ask_electors(ask, out);
         if self.wants_aside && now >= self.shy_aside {
-            let ask = self.aside.ask(now);
+            let ask = self.aside.request(now);
             self.ask_electors(ask, out);
         }
         let Some(grantor) = &self.grantor else { return };
-        if grantor.grants(now) {
-            self.register.waited();
+        if grantor.is_granting(now) {
+            self.register.allow_founding();
         }
         if now >= self.shy {
-            let ask = self.chair.ask(now);
+            let ask = self.chair.request(now);
             self.ask_electors(ask, out);
         }
-        if self.chair.holds(now) && now >= self.patient {
+        if self.chair.is_held(now) && now >= self.patient {
             self.propose(now, out);
         }
     }
@@ -441,18 +462,18 @@
     /// What the chair has to have decided: first that all which are there are members, then what others want.
     fn propose(&mut self, now: Micros, out: &mut Vec<Output>) {
         // What can decide nothing any more is passed over, and founded anew.
-        let change = match self.register.view().filter(|view| !self.register.is_over(view)) {
+        let change = match self.register.view().filter(|view| !self.register.has_lost_majority(view)) {
             None => None,
             Some(view) => {
-                let (view, names) = (view.clone(), &self.settings.names);
+                let (view, names) = (view.clone(), &self.settings.elector_names);
                 let is_elector =
                     |change: &Change| matches!(change, Change::Admit(p) if names.contains(p.name));
                 // What can't be decided must not be in the way of what can.
                 let useless = |change: &mut Change| {
-                    view.next(change, is_elector(change)).is_none()
-                        || Evictions::may(change, &view, names, self.settings.nodes).is_err()
+                    view.apply(change, is_elector(change)).is_none()
+                        || Evictions::may(change, &view, names, self.settings.configured_nodes).is_err()
                 };
-                out.extend(self.wanted.extract_if(.., useless).map(Output::Dropped));
+                out.extend(self.wanted.extract_if(.., useless).map(Output::Rejected));
                 let wanted = || self.evictions.over(now, &view).or_else(|| self.wanted.first().cloned());
                 match self.membership(now, &view).or_else(wanted) {
                     Some(change) => Some(change),
@@ -463,12 +484,12 @@
         self.patient = now + 2 * self.beat();
         let mut say = Vec::new();
         self.register.propose(change, &mut say);
-        Council::say(say, out);
+        Coordinator::say(say, out);
     }
 
     /// Who is there comes in, who is gone or out goes; all at once that changes nothing of who votes, else one.
     fn membership(&self, now: Micros, view: &View) -> Option<Change> {
-        let (bounds, members) = (self.settings.bounds, &view.members);
+        let (bounds, members) = (self.settings.lease_bounds, &view.members);
         let me = self.settings.me;
         let lately = |at: &Micros| now.saturating_sub(*at) <= self.beat();
         let there = self.there.iter().filter(|(_, at)| lately(at)).map(|(process, _)| *process);
@@ -478,17 +499,17 @@
             old.is_none_or(|old| self.gone(now, old) >= bounds.lease)
         };
         let new = |p: &Process| {
-            members.get(&p.name) != Some(&p.instance) && !Evictions::has(view, p.name) && over(p)
+            members.get(&p.name) != Some(&p.instance) && !Evictions::is_evicted(view, p.name) && over(p)
         };
         let votes = |p: &Process| {
-            self.settings.names.contains(p.name) && view.electors.get(&p.name) != Some(&p.instance)
+            self.settings.elector_names.contains(p.name) && view.electors.get(&p.name) != Some(&p.instance)
         };
         let (voters, come): (Vec<Process>, Vec<Process>) = there.chain([me]).filter(new).partition(votes);
         // Its lease is over on everyone's clock.
         let gone = |process: &Process| {
-            Evictions::has(view, process.name)
+            Evictions::is_evicted(view, process.name)
                 || *process != me
-                    && self.gone(now, *process) > bounds.kept()
+                    && self.gone(now, *process) > bounds.grantor_duration()
                     && !come.iter().any(|new| new.name == process.name)
         };
         let here = members.iter().map(|(name, instance)| Process { name: *name, instance: *instance });
--- a/crates/view/src/lease.rs
+++ b/crates/view/src/lease.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
-use crate::process::{Names, Process};
+use crate::process::{ElectorNames, Process};
 
 /// What can be held: a number that all nodes derive from its name in the same way.
 pub type Resource = u64;
@@ -20,26 +20,26 @@
 
 /// How long leases last, and how true clocks are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Bounds {
+pub struct LeaseBounds {
     /// How long a lease lasts.
     pub lease: Micros,
     /// By how many millionths a clock may be fast or slow.
-    pub drift: u64,
+    pub drift_ppm: u64,
 }
 
-impl Bounds {
+impl LeaseBounds {
     fn drifted(&self) -> Micros {
-        (self.lease * self.drift).div_ceil(1_000_000)
+        (self.lease * self.drift_ppm).div_ceil(1_000_000)
     }
 
     /// For how long who holds it may act on it, on its own clock, from when it asked.
-    pub fn held(&self) -> Micros {
+    pub fn holder_duration(&self) -> Micros {
         self.lease.saturating_sub(self.drifted())
     }
 
     /// For how long an elector keeps it for its holder, on its own clock, from when it granted. In true time that is
     /// at least a lease, and a holder's part at most one.
-    pub fn kept(&self) -> Micros {
+    pub fn grantor_duration(&self) -> Micros {
         // lease / (1 - drift), and a microsecond for what is rounded.
         self.lease + 2 * self.drifted() + 1
     }
@@ -47,7 +47,7 @@
 
 /// Asks an elector for a resource, or for more of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// What.
     pub resource: Resource,
     /// Tells the answer's question: goes up with each.
@@ -58,7 +58,7 @@
 
 /// What an elector answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Answer {
+pub struct LeaseResponse {
     /// What was asked for.
     pub resource: Resource,
     /// In which question.
@@ -70,7 +70,7 @@
 /// An elector's part.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grantor {
-    bounds: Bounds,
+    bounds: LeaseBounds,
     /// From when on it grants.
     from: Micros,
     grants: BTreeMap<Resource, (Process, Micros)>,
@@ -80,20 +80,20 @@
 
 impl Grantor {
     /// An elector that starts now.
-    pub fn new(bounds: Bounds, now: Micros) -> Grantor {
-        let from = now + bounds.kept();
+    pub fn new(bounds: LeaseBounds, now: Micros) -> Grantor {
+        let from = now + bounds.grantor_duration();
         Grantor { bounds, from, grants: BTreeMap::new(), heard: BTreeMap::new() }
     }
 
     /// Whether it grants: all that its name granted before is over.
-    pub fn grants(&self, now: Micros) -> bool {
+    pub fn is_granting(&self, now: Micros) -> bool {
         now >= self.from
     }
 
     /// Answers a question.
-    pub fn hear(&mut self, now: Micros, from: Process, ask: Ask) -> Answer {
-        let answer = |granted| Answer { resource: ask.resource, number: ask.number, granted };
-        if !self.grants(now) {
+    pub fn handle(&mut self, now: Micros, from: Process, ask: LeaseRequest) -> LeaseResponse {
+        let answer = |granted| LeaseResponse { resource: ask.resource, number: ask.number, granted };
+        if !self.is_granting(now) {
             return answer(false);
         }
         let heard = self.heard.get(&(from, ask.resource)).copied();
@@ -117,7 +117,7 @@
             self.grants.remove(&ask.resource);
             return answer(false);
         }
-        self.grants.insert(ask.resource, (from, now + self.bounds.kept()));
+        self.grants.insert(ask.resource, (from, now + self.bounds.grantor_duration()));
         answer(true)
     }
 
@@ -129,9 +129,9 @@
 
 /// What a process holds of one resource, or tries to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
-    bounds: Bounds,
-    names: Names,
+pub struct LeaseHolder {
+    bounds: LeaseBounds,
+    names: ElectorNames,
     resource: Resource,
     number: u64,
     asked_at: Micros,
@@ -139,28 +139,28 @@
     until: Micros,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// One that holds nothing.
-    pub fn new(bounds: Bounds, names: Names, resource: Resource) -> Holder {
-        Holder { bounds, names, resource, number: 0, asked_at: 0, granted: BTreeSet::new(), until: 0 }
+    pub fn new(bounds: LeaseBounds, names: ElectorNames, resource: Resource) -> LeaseHolder {
+        LeaseHolder { bounds, names, resource, number: 0, asked_at: 0, granted: BTreeSet::new(), until: 0 }
     }
 
     /// Asks all electors, at first or for more time.
-    pub fn ask(&mut self, now: Micros) -> Ask {
+    pub fn request(&mut self, now: Micros) -> LeaseRequest {
         self.number += 1;
         self.asked_at = now;
         self.granted.clear();
-        Ask { resource: self.resource, number: self.number, release: false }
+        LeaseRequest { resource: self.resource, number: self.number, release: false }
     }
 
     /// Gives it back: from now on it holds nothing.
-    pub fn release(&mut self, now: Micros) -> Ask {
+    pub fn release(&mut self, now: Micros) -> LeaseRequest {
         self.until = 0;
-        Ask { release: true, ..self.ask(now) }
+        LeaseRequest { release: true, ..self.request(now) }
     }
 
     /// Takes in an elector's answer; whether it holds the resource by that from now on, or for longer.
-    pub fn hear(&mut self, from: Process, answer: Answer) -> bool {
+    pub fn handle(&mut self, from: Process, answer: LeaseResponse) -> bool {
         let of_this = answer.resource == self.resource && answer.number == self.number;
         if !of_this || !answer.granted || !self.names.contains(from.name) {
             return false;
@@ -170,19 +170,19 @@
         self.granted.insert(from);
         let enough = self.granted.len() >= self.names.majority();
         if enough {
-            self.until = self.until.max(self.asked_at + self.bounds.held());
+            self.until = self.until.max(self.asked_at + self.bounds.holder_duration());
         }
         enough
     }
 
     /// Whether it may act on the resource at this moment. Asked anew before each act: after a pause the answer is
     /// another.
-    pub fn holds(&self, now: Micros) -> bool {
+    pub fn is_held(&self, now: Micros) -> bool {
         now < self.until
     }
 
     /// When it stops holding, if nothing more is granted.
-    pub fn until(&self) -> Micros {
+    pub fn expires_at(&self) -> Micros {
         self.until
     }
 }
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -10,30 +10,30 @@
 //! - `register`: how a majority decides a view (CASPaxos, Rystsov, 2018, with electors that change as in joint
 //!   consensus, Ongaro, 2014).
 //! - `lease`: who holds what, until when, on whose clock (Gray and Cheriton, 1989, from a majority).
-//! - `side`: on which side of a cut a node is.
-//! - `parts`: what part of the fleet's limits a node takes by its lease.
-//! - `evict`: nodes that operators have put out of the fleet for a time.
-//! - `council`: all of these on one rhythm, as a node runs them.
+//! - `partition`: on which side of a cut a node is.
+//! - `limit_share`: what part of the fleet's limits a node takes by its lease.
+//! - `eviction`: nodes that operators have put out of the fleet for a time.
+//! - `coordinator`: all of these on one rhythm, as a node runs them.
 //!
 //! `docs/view-design.md` has the options weighed and what is proven of them.
 
-mod council;
-mod evict;
+mod coordinator;
+mod eviction;
 mod lease;
-mod parts;
+mod limit_share;
+mod partition;
 mod process;
 mod register;
-mod side;
 mod view;
 
-pub use council::{Council, Held, Input, Output, Settings, Standing, Wire};
-pub use evict::{Evictions, REASON_MOST, Refusal, SECONDS_MOST};
-pub use lease::{Answer, Ask, Bounds, Grantor, Holder, Resource};
-pub use parts::{FLOOR, MOST, Parts};
-pub use process::{Electors, Instance, Name, Names, Process};
+pub use coordinator::{Coordinator, FleetMessage, Input, LeaseKind, NodeStatus, Output, Settings};
+pub use eviction::{Evictions, MAX_EVICTION_SECONDS, MAX_REASON_BYTES, Refusal};
+pub use lease::{Grantor, LeaseBounds, LeaseHolder, LeaseRequest, LeaseResponse, Resource};
+pub use limit_share::{LimitShare, MAX_TOTAL_SHARE, MIN_TOTAL_SHARE};
+pub use partition::{PartitionSide, Reachability};
+pub use process::{ElectorNames, Electors, Instance, Name, Process};
 pub use register::{Accepted, Ballot, Message, Register};
-pub use side::{Side, Sides};
-pub use view::{Change, Generation, MEMBERS_MOST, Step, View};
+pub use view::{Change, Generation, MAX_MEMBERS, View, ViewDelta};
 
 /// A point in time, or a span of it, in microseconds.
 pub type Micros = u64;
--- a/crates/view/src/process.rs
+++ b/crates/view/src/process.rs
@@ -1,4 +1,4 @@
-//! Names, the processes that bear them, and majorities.
+//! ElectorNames, the processes that bear them, and majorities.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,12 +23,12 @@
 
 /// The names of the electors: what the configuration says, the same at all nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Names(BTreeSet<Name>);
+pub struct ElectorNames(BTreeSet<Name>);
 
-impl Names {
+impl ElectorNames {
     /// These names.
-    pub fn new(names: impl IntoIterator<Item = Name>) -> Names {
-        Names(names.into_iter().collect())
+    pub fn new(names: impl IntoIterator<Item = Name>) -> ElectorNames {
+        ElectorNames(names.into_iter().collect())
     }
 
     /// Whether it is one of them.
@@ -48,14 +48,22 @@
 
     /// Whether electors can decide nothing any more: so many of their names are known to be borne by other processes, or
     /// by none of them, that what is left is no majority.
-    pub fn are_gone<'a>(&self, electors: &Electors, running: impl IntoIterator<Item = &'a Process>) -> bool {
+    pub fn is_majority_lost<'a>(
+        &self,
+        electors: &Electors,
+        running: impl IntoIterator<Item = &'a Process>,
+    ) -> bool {
         let other = |p: &&Process| self.contains(p.name) && electors.get(&p.name) != Some(&p.instance);
         let names: BTreeSet<Name> = running.into_iter().filter(other).map(|process| process.name).collect();
         self.0.len() - names.len() < self.majority()
     }
 
     /// Whether those that voted are a majority of names, counting only processes that are electors.
-    pub fn decide<'a>(&self, electors: &Electors, voted: impl IntoIterator<Item = &'a Process>) -> bool {
+    pub fn has_majority<'a>(
+        &self,
+        electors: &Electors,
+        voted: impl IntoIterator<Item = &'a Process>,
+    ) -> bool {
         let counts = |p: &&Process| self.contains(p.name) && electors.get(&p.name) == Some(&p.instance);
         let names: BTreeSet<Name> = voted.into_iter().filter(counts).map(|process| process.name).collect();
         names.len() >= self.majority()
--- a/crates/view/src/register.rs
+++ b/crates/view/src/register.rs
@@ -16,7 +16,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::process::{Electors, Instance, Name, Names, Process};
+use crate::process::{ElectorNames, Electors, Instance, Name, Process};
 use crate::view::{Change, Generation, View};
 
 /// Orders proposals; of two of one round, by who made them.
@@ -25,7 +25,8 @@
     /// Goes up with each try.
     pub round: u64,
     /// Who tries.
-    pub by: Process,
+    #[serde(rename = "by")]
+    pub proposer: Process,
 }
 
 /// The view that an elector has accepted last.
@@ -77,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Register {
     me: Process,
-    names: Names,
+    names: ElectorNames,
     /// Whether this process has run for longer than any lease that its name may have granted before lasts.
     waited: bool,
     promised: Ballot,
@@ -92,7 +93,7 @@
 
 impl Register {
     /// A process that starts and knows nothing.
-    pub fn new(me: Process, names: Names) -> Register {
+    pub fn new(me: Process, names: ElectorNames) -> Register {
         let promised = Ballot::default();
         Register {
             me,
@@ -108,27 +109,27 @@
     }
 
     /// This process has run for longer than any lease lasts: it may found a view.
-    pub fn waited(&mut self) {
+    pub fn allow_founding(&mut self) {
         self.waited = true;
     }
 
     /// This process bears its name now: there was none of that name later.
-    pub fn runs(&mut self, process: Process) {
+    pub fn set_running(&mut self, process: Process) {
         if self.names.contains(process.name) {
             self.running.insert(process.name, process.instance);
         }
     }
 
     /// Whether a generation can decide nothing any more, by the processes that are known to run.
-    pub fn is_over(&self, view: &View) -> bool {
+    pub fn has_lost_majority(&self, view: &View) -> bool {
         let running =
             self.running.iter().map(|(name, instance)| Process { name: *name, instance: *instance });
         let running: Vec<Process> = running.collect();
-        self.names.are_gone(&view.electors, &running)
+        self.names.is_majority_lost(&view.electors, &running)
     }
 
     /// The newest view that it has accepted, or knows: whose generation and epoch.
-    pub fn newest(&self) -> Option<(Generation, u64)> {
+    pub fn newest_epoch(&self) -> Option<(Generation, u64)> {
         let accepted = self.accepted.as_ref().map(|accepted| (accepted.view.generation, accepted.view.epoch));
         let decided = self.decided.as_ref().map(|view| (view.generation, view.epoch));
         match (accepted, decided) {
@@ -148,13 +149,13 @@
     }
 
     /// Whether it has a ballot under way.
-    pub fn proposes(&self) -> bool {
+    pub fn is_proposing(&self) -> bool {
         self.proposal.is_some()
     }
 
     /// Begins a ballot for a change, or to finish or learn what is decided. One that is under way is given up.
     pub fn propose(&mut self, change: Option<Change>, out: &mut Vec<(u64, Message)>) {
-        let ballot = Ballot { round: self.promised.round.saturating_add(1), by: self.me };
+        let ballot = Ballot { round: self.promised.round.saturating_add(1), proposer: self.me };
         // Whole: with the one whom it promised last in it, who may be above this one, it would refuse itself.
         self.promised = ballot;
         self.proposal = Some(Proposal { ballot, change, phase: Phase::Preparing(BTreeMap::new()) });
@@ -167,7 +168,7 @@
 
     /// Takes in what a process says; appends what is to be said, and to whom. A view that is newly known to be decided
     /// is returned.
-    pub fn hear(&mut self, from: Process, message: Message, out: &mut Vec<(u64, Message)>) -> Option<View> {
+    pub fn handle(&mut self, from: Process, message: Message, out: &mut Vec<(u64, Message)>) -> Option<View> {
         let (Message::Prepare(ballot)
         | Message::Promise(ballot, _)
         | Message::Accept(ballot, _)
@@ -236,13 +237,13 @@
             };
             let electors =
                 known.view.electors.iter().filter(votes).map(|(name, instance)| (*name, *instance));
-            !self.names.are_gone(&electors.collect(), promises.keys())
+            !self.names.is_majority_lost(&electors.collect(), promises.keys())
         };
         let newest = promises.values().flatten().filter(lives).max_by_key(|accepted| accepted.ballot);
         let Some(newest) = newest else {
             // Nobody knows a view that could still decide.
             let electors: Electors = promises.keys().map(|p| (p.name, p.instance)).collect();
-            if self.names.decide(&electors, promises.keys()) {
+            if self.names.has_majority(&electors, promises.keys()) {
                 let view = View::found(ballot, electors);
                 self.accepting(view, out);
             }
@@ -250,8 +251,8 @@
         };
         let view = &newest.view;
         let decided = promises.values().flatten().any(|known| known.decided && known.view == *view);
-        let by_own = self.names.decide(&view.electors, promises.keys());
-        let by_before = decided || self.names.decide(&view.before, promises.keys());
+        let by_own = self.names.has_majority(&view.electors, promises.keys());
+        let by_before = decided || self.names.has_majority(&view.previous_electors, promises.keys());
         if !by_own || !by_before {
             return;
         }
@@ -264,7 +265,7 @@
         let is_gone = |p: &Process| promises.keys().any(|q| q.name == p.name && q.instance != p.instance);
         let ends = decided || view.newcomers().all(|p| knows_it(&p) || is_gone(&p));
         let change = proposal.change.as_ref().filter(|_| ends);
-        let next = change.and_then(|change| view.next(change, is_elector(change)));
+        let next = change.and_then(|change| view.apply(change, is_elector(change)));
         let view = next.unwrap_or_else(|| view.clone());
         self.accepting(view, out);
     }
@@ -280,7 +281,8 @@
         let proposal = self.proposal.as_mut().filter(|proposal| proposal.ballot == ballot)?;
         let Phase::Accepting { view, votes } = &mut proposal.phase else { return None };
         votes.insert(from);
-        let by_all = self.names.decide(&view.electors, &*votes) && self.names.decide(&view.before, &*votes);
+        let by_all = self.names.has_majority(&view.electors, &*votes)
+            && self.names.has_majority(&view.previous_electors, &*votes);
         if !by_all || !view.newcomers().all(|process| votes.contains(&process)) {
             return None;
         }
@@ -304,7 +306,7 @@
         let later = match &self.decided {
             None => true,
             Some(known) if known.generation == view.generation => known.epoch < view.epoch,
-            Some(known) => self.is_over(known) && !self.is_over(&view),
+            Some(known) => self.has_lost_majority(known) && !self.has_lost_majority(&view),
         };
         if !later {
             return None;
--- a/crates/view/src/view.rs
+++ b/crates/view/src/view.rs
@@ -10,7 +10,7 @@
 /// Bytes of all facts of a view: with its members it has to fit one packet.
 const FACTS_MOST: usize = 256;
 /// Members that a view holds at most.
-pub const MEMBERS_MOST: usize = 16;
+pub const MAX_MEMBERS: usize = 16;
 
 /// Views that follow from one founding. There is a second founding only once a majority of the first one's electors
 /// is gone for good, so that it can decide nothing any more.
@@ -26,7 +26,8 @@
     /// Who votes on what follows.
     pub electors: Electors,
     /// Who voted on this one.
-    pub before: Electors,
+    #[serde(rename = "before")]
+    pub previous_electors: Electors,
     /// The members' processes.
     pub members: Electors,
     /// Small decisions of other kinds, by name.
@@ -51,13 +52,13 @@
 
 /// What led from one view to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ViewDelta {
     /// It is the first that is known, or of another generation.
-    Found,
+    Founded,
     /// A process came in.
-    Came(Process),
+    Joined(Process),
     /// A process went out.
-    Went(Process),
+    Left(Process),
     /// A fact holds from now on, or holds otherwise.
     Set(String),
     /// A fact does not hold any more.
@@ -66,20 +67,20 @@
 
 impl View {
     /// What is new since another view; several steps, if views between were missed.
-    pub fn since(&self, before: Option<&View>) -> Vec<Step> {
+    pub fn changes_since(&self, before: Option<&View>) -> Vec<ViewDelta> {
         let Some(before) = before.filter(|before| before.generation == self.generation) else {
-            return vec![Step::Found];
+            return vec![ViewDelta::Founded];
         };
         let not_in = |one: &Electors, other: &Electors| -> Vec<Process> {
             let new = one.iter().filter(|(name, instance)| other.get(name) != Some(instance));
             new.map(|(name, instance)| Process { name: *name, instance: *instance }).collect()
         };
-        let came = not_in(&self.members, &before.members).into_iter().map(Step::Came);
-        let went = not_in(&before.members, &self.members).into_iter().map(Step::Went);
+        let came = not_in(&self.members, &before.members).into_iter().map(ViewDelta::Joined);
+        let went = not_in(&before.members, &self.members).into_iter().map(ViewDelta::Left);
         let set = self.facts.iter().filter(|(key, value)| before.facts.get(*key) != Some(value));
         let cleared = before.facts.keys().filter(|key| !self.facts.contains_key(*key));
-        let set = set.map(|(key, _)| Step::Set(key.clone()));
-        came.chain(went).chain(set).chain(cleared.map(|key| Step::Cleared(key.clone()))).collect()
+        let set = set.map(|(key, _)| ViewDelta::Set(key.clone()));
+        came.chain(went).chain(set).chain(cleared.map(|key| ViewDelta::Cleared(key.clone()))).collect()
     }
 
     /// The first view of a generation.
@@ -87,7 +88,7 @@
         View {
             generation,
             epoch: 1,
-            before: electors.clone(),
+            previous_electors: electors.clone(),
             members: electors.clone(),
             electors,
             facts: BTreeMap::new(),
@@ -96,13 +97,14 @@
 
     /// Who has to accept it in any case, besides a majority: whoever votes for the first time. Who is counted on knows it.
     pub(crate) fn newcomers(&self) -> impl Iterator<Item = Process> + '_ {
-        let new =
-            |(name, instance): &(&u64, &u64)| self.epoch == 1 || self.before.get(name) != Some(instance);
+        let new = |(name, instance): &(&u64, &u64)| {
+            self.epoch == 1 || self.previous_electors.get(name) != Some(instance)
+        };
         self.electors.iter().filter(new).map(|(name, instance)| Process { name: *name, instance: *instance })
     }
 
     /// The view that follows by a change; nothing if it changes nothing, or there is no room for it.
-    pub fn next(&self, change: &Change, is_elector: bool) -> Option<View> {
+    pub fn apply(&self, change: &Change, is_elector: bool) -> Option<View> {
         let mut next = self.clone();
         match change {
             Change::Admit(process) => {
@@ -127,12 +129,12 @@
             }
         }
         let facts: usize = next.facts.iter().map(|(key, value)| key.len() + value.len() + 2).sum();
-        let fits = facts <= FACTS_MOST && next.members.len() <= MEMBERS_MOST;
+        let fits = facts <= FACTS_MOST && next.members.len() <= MAX_MEMBERS;
         if !fits || next == *self {
             return None;
         }
         next.epoch += 1;
-        next.before = self.electors.clone();
+        next.previous_electors = self.electors.clone();
         Some(next)
     }
 }
--- a/crates/view/tests/leases.rs
+++ b/crates/view/tests/leases.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use dunelink_view::{Answer, Ask, Bounds, Grantor, Holder, Names, Process};
+use dunelink_view::{ElectorNames, Grantor, LeaseBounds, LeaseHolder, LeaseRequest, LeaseResponse, Process};
 use stateright::{Checker, Expectation, Model, Property};
 
 /// What is done wrong on purpose.
@@ -30,7 +30,7 @@
 const HOLDERS: usize = 2;
 /// The length of a step of true time, in microseconds of a true clock.
 const STEP: u64 = 10;
-const BOUNDS: Bounds = Bounds { lease: 40, drift: 100_000 };
+const BOUNDS: LeaseBounds = LeaseBounds { lease: 40, drift_ppm: 100_000 };
 const RESOURCE: u64 = 7;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -40,9 +40,9 @@
     /// How far each clock goes in a step: electors first.
     rates: Vec<u64>,
     grantors: Vec<(u64, Grantor)>,
-    holders: Vec<Holder>,
-    asks: BTreeSet<(usize, Ask)>,
-    answers: BTreeSet<(usize, Process, Answer)>,
+    holders: Vec<LeaseHolder>,
+    asks: BTreeSet<(usize, LeaseRequest)>,
+    answers: BTreeSet<(usize, Process, LeaseResponse)>,
     asked: u8,
     restarts: u8,
     /// Who was granted something at all.
@@ -51,13 +51,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Act {
-    Step,
+    ViewDelta,
     Question(usize),
     Release(usize),
     Restart(usize),
     /// A question comes to an elector.
-    Asks(usize, Ask, usize),
-    Answers(usize, Process, Answer),
+    Asks(usize, LeaseRequest, usize),
+    Answers(usize, Process, LeaseResponse),
 }
 
 struct Leases {
@@ -68,17 +68,17 @@
 }
 
 impl Leases {
-    fn bounds(&self) -> Bounds {
+    fn bounds(&self) -> LeaseBounds {
         match self.mistake {
-            Mistake::NoDrift => Bounds { drift: 0, ..BOUNDS },
+            Mistake::NoDrift => LeaseBounds { drift_ppm: 0, ..BOUNDS },
             _ => BOUNDS,
         }
     }
 
-    fn names(&self, holder: usize) -> Names {
+    fn names(&self, holder: usize) -> ElectorNames {
         match self.mistake {
-            Mistake::OneIsEnough => Names::new([holder as u64]),
-            _ => Names::new(0..ELECTORS),
+            Mistake::OneIsEnough => ElectorNames::new([holder as u64]),
+            _ => ElectorNames::new(0..ELECTORS),
         }
     }
 
@@ -94,7 +94,7 @@
     fn holds(&self, state: &State, holder: usize) -> bool {
         match self.mistake {
             Mistake::NeverOver => state.ever[holder],
-            _ => state.holders[holder].holds(Leases::holder_clock(state, holder)),
+            _ => state.holders[holder].is_held(Leases::holder_clock(state, holder)),
         }
     }
 }
@@ -113,7 +113,9 @@
             rates: rates(bits),
             // They started long ago.
             grantors: (0..ELECTORS).map(|_| (1, Grantor::new(self.bounds(), 0))).collect(),
-            holders: (0..HOLDERS).map(|at| Holder::new(self.bounds(), self.names(at), RESOURCE)).collect(),
+            holders: (0..HOLDERS)
+                .map(|at| LeaseHolder::new(self.bounds(), self.names(at), RESOURCE))
+                .collect(),
             asks: BTreeSet::new(),
             answers: BTreeSet::new(),
             asked: 0,
@@ -125,7 +127,7 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Act>) {
         if state.time < self.steps {
-            actions.push(Act::Step);
+            actions.push(Act::ViewDelta);
         }
         if state.asked < self.asked {
             actions.extend((0..HOLDERS).map(Act::Question));
@@ -144,10 +146,10 @@
     fn next_state(&self, state: &State, action: Act) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Act::Step => next.time += 1,
+            Act::ViewDelta => next.time += 1,
             Act::Question(holder) => {
                 next.asked += 1;
-                let ask = next.holders[holder].ask(Leases::holder_clock(state, holder));
+                let ask = next.holders[holder].request(Leases::holder_clock(state, holder));
                 next.asks.insert((holder, ask));
             }
             Act::Release(holder) => {
@@ -166,10 +168,10 @@
                 let now = Leases::clock(state, elector);
                 let from = Process { name: 100 + holder as u64, instance: 1 };
                 let (instance, grantor) = &mut next.grantors[elector];
-                if self.mistake == Mistake::GrantsToAll && grantor.grants(now) {
+                if self.mistake == Mistake::GrantsToAll && grantor.is_granting(now) {
                     *grantor = Grantor::new(self.bounds(), 0);
                 }
-                let answer = grantor.hear(now, from, ask);
+                let answer = grantor.handle(now, from, ask);
                 let elector = Process { name: elector as u64, instance: *instance };
                 next.answers.insert((holder, elector, answer));
             }
@@ -181,13 +183,13 @@
                     answer.number = number.unwrap_or(answer.number);
                 }
                 let mut late = next.holders[holder].clone();
-                let granted = next.holders[holder].hear(from, answer);
+                let granted = next.holders[holder].handle(from, answer);
                 if granted && self.mistake == Mistake::FromTheAnswer {
                     // As if it had asked only now.
-                    late.ask(now);
+                    late.request(now);
                     for elector in 0..ELECTORS {
                         let of = Process { name: elector, instance: 1 };
-                        late.hear(of, Answer { number: answer.number + 1, ..answer });
+                        late.handle(of, LeaseResponse { number: answer.number + 1, ..answer });
                     }
                     next.holders[holder] = late;
                 }
@@ -234,7 +236,7 @@
             model.actions(&state, &mut actions);
             let kind = dice.u8(..20);
             actions.retain(|act| match act {
-                Act::Step => kind < 4,
+                Act::ViewDelta => kind < 4,
                 Act::Question(_) => kind == 4 || kind == 5,
                 Act::Release(_) => kind == 6,
                 Act::Restart(_) => kind == 7,
