--- a/crates/view/tests/views.rs
+++ b/crates/view/tests/views.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dunelink_view::{Change, Message, Name, Names, Process, Register, View};
+use dunelink_view::{Change, ElectorNames, Message, Name, Process, Register, View};
 use stateright::{Checker, Model, Property};
 
 /// What is done wrong on purpose.
@@ -82,14 +82,14 @@
 
 const NAMES: [Name; 3] = [1, 2, 3];
 
-fn names() -> Names {
-    Names::new(NAMES)
+fn names() -> ElectorNames {
+    ElectorNames::new(NAMES)
 }
 
 impl Fleet {
-    fn names_of(&self, at: usize) -> Names {
+    fn names_of(&self, at: usize) -> ElectorNames {
         match self.mistake == Mistake::OtherNames && at == 0 {
-            true => Names::new([1]),
+            true => ElectorNames::new([1]),
             false => names(),
         }
     }
@@ -99,7 +99,7 @@
         match (self.mistake, message) {
             (Mistake::AcceptedNotTold, Message::Promise(_, accepted)) => *accepted = None,
             (Mistake::TakenForDecided, Message::Promise(_, Some(accepted))) => accepted.decided = true,
-            (Mistake::NotJoint, Message::Accept(_, view)) => view.before = view.electors.clone(),
+            (Mistake::NotJoint, Message::Accept(_, view)) => view.previous_electors = view.electors.clone(),
             _ => {}
         }
     }
@@ -108,7 +108,7 @@
     fn deliver(&self, state: &mut State, from: Process, message: Message, at: usize) -> Vec<Message> {
         let before = state.processes[at].clone();
         let mut out = Vec::new();
-        let decided = state.processes[at].hear(from, message.clone(), &mut out);
+        let decided = state.processes[at].handle(from, message.clone(), &mut out);
         let forgets = match message {
             Message::Prepare(_) => self.mistake == Mistake::PromiseForgotten,
             Message::Accept(..) => self.mistake == Mistake::AcceptForgotten,
@@ -136,7 +136,7 @@
                 _ => answers.push(message),
             }
         }
-        if !state.processes[at].proposes() {
+        if !state.processes[at].is_proposing() {
             state.asks[at] = None;
         }
         answers
@@ -150,7 +150,7 @@
     fn init_states(&self) -> Vec<State> {
         let process = |(at, name): (usize, &Name)| {
             let mut register = Register::new(Process { name: *name, instance: 1 }, self.names_of(at));
-            register.waited();
+            register.allow_founding();
             register
         };
         vec![State {
@@ -202,7 +202,7 @@
                 // Whom it reaches, it knows.
                 for other in (0..NAMES.len()).filter(|other| some & 1 << other != 0) {
                     let runs = process(&next, other);
-                    next.processes[at].runs(runs);
+                    next.processes[at].set_running(runs);
                 }
                 for other in (0..NAMES.len()).filter(|other| some & 1 << other != 0) {
                     let said = self.deliver(&mut next, me, message.clone(), other);
@@ -214,7 +214,7 @@
                     let new = view
                         .electors
                         .iter()
-                        .filter(|(name, instance)| view.before.get(name) != Some(instance));
+                        .filter(|(name, instance)| view.previous_electors.get(name) != Some(instance));
                     let process =
                         |(name, instance): (&Name, &u64)| Process { name: *name, instance: *instance };
                     answers.extend(new.map(process).map(|process| (process, Message::Accepts(*ballot))));
@@ -231,7 +231,7 @@
                 }
                 next.processes[at] = Register::new(process(&next, at), self.names_of(at));
                 // As long as leases last, it could not found; any other order is one in which it is not asked.
-                next.processes[at].waited();
+                next.processes[at].allow_founding();
                 next.asks[at] = None;
             }
             Act::Try(at, change) => {
--- a/fuzz/fuzz_targets/log_line.rs
+++ b/fuzz/fuzz_targets/log_line.rs
@@ -9,5 +9,5 @@
     let story = merge(&[log.clone(), log], true);
     assert!(story.events.is_sorted_by_key(|(at, ..)| *at));
     // One log can't speak against itself.
-    assert!(story.moved[0] == Some(0));
+    assert!(story.clock_offsets[0] == Some(0));
 });
