--- a/crates/dunelinkd/tests/fleet/half.rs
+++ b/crates/dunelinkd/tests/fleet/half.rs
@@ -72,7 +72,7 @@
         assert!(!done && told.contains(why), "{told}");
     }
     let (done, told) = command(&rig, 0, &["restore", "n1"]);
-    assert!(!done && told.contains("it is not out"), "{told}");
+    assert!(!done && told.contains("the node is not evicted"), "{told}");
     let (done, told) = command(&rig, 0, &["restore", "n3"]);
     assert!(done, "{told}");
     whole(&rig, &ALL, 5);
--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -1,5 +1,5 @@
-//! What is worth telling next: each new statement is told a number of times that grows with the logarithm of the number
-//! of nodes, those that were told least first; what adds nothing to what others said is told once.
+//! What is worth telling next: each new statement is told a number of times that grows with the logarithm of
+//! the number of nodes, those that were told least first; what adds nothing to what others said is told once.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -60,8 +60,8 @@
         self.hot.keys().copied()
     }
 
-    /// Up to `space` bytes of statements that were told least; `size` tells what each takes, if it is still known,
-    /// and `useful` how many tellings it is worth.
+    /// Up to `space` bytes of statements that were told least; `size` tells what each takes, if it is still
+    /// known, and `useful` how many tellings it is worth.
     pub(crate) fn pick(
         &mut self,
         mut space: usize,
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,10 +1,10 @@
 //! What others say of servers, what that weighs, and whom it is believed of.
 //!
-//! A witness's word is its newest statement: merging is taking the one with the higher number, so order and repetition
-//! do not matter. A word weighs by its strength, by its age, and by the witness's credit, and a witness has only so
-//! much strength to spend on all servers together. The doubt about a server is the sum of that over its witnesses, as a
-//! part of what is needed for the most doubt; one witness adds at most `1 / needed`. What doubt does to a server is the
-//! decision module's matter.
+//! A witness's word is its newest statement: merging is taking the one with the higher number, so order and
+//! repetition do not matter. A word weighs by its strength, by its age, and by the witness's credit, and a
+//! witness has only so much strength to spend on all servers together. The doubt about a server is the sum of
+//! that over its witnesses, as a part of what is needed for the most doubt; one witness adds at most `1 /
+//! needed`. What doubt does to a server is the decision module's matter.
 
 use std::collections::BTreeMap;
 
@@ -53,8 +53,8 @@
     pub weight: f64,
 }
 
-/// How many witnesses at full weight make for the most doubt, among so many nodes. It grows with the logarithm, so that
-/// few liars of many count for little, and a stall is known by all after some seconds.
+/// How many witnesses at full weight make for the most doubt, among so many nodes. It grows with the
+/// logarithm, so that few liars of many count for little, and a stall is known by all after some seconds.
 pub fn witnesses_needed(nodes: usize) -> f64 {
     ((nodes + 1) as f64).log2().ceil().clamp(2.0, 8.0)
 }
@@ -151,8 +151,8 @@
         words.iter().map(|(server, w)| PeerSuspicion { server: *server, level: doubt(w) }).collect()
     }
 
-    /// What this node should say of servers now, if that differs from what it said. What enough others say already is
-    /// not said too, so that a stall which all nodes see costs no more than one that few see.
+    /// What this node should say of servers now, if that differs from what it said. What enough others say
+    /// already is not said too, so that a stall which all nodes see costs no more than one that few see.
     pub(crate) fn say(
         &mut self,
         now: Micros,
--- a/crates/gossip/src/gossip/mod.rs
+++ b/crates/gossip/src/gossip/mod.rs
@@ -45,7 +45,8 @@
 const SUMS_LEAST: usize = 32;
 /// An answer that holds all there was, and fewer, is worth more sums in the next question.
 const FEW: usize = 8;
-/// A node that starts learns who is there before it asks whether they are; after this time it does so in any case.
+/// A node that starts learns who is there before it asks whether they are; after this time it does so in any
+/// case.
 const LEARNS: Micros = 30_000_000;
 /// Bytes of news that go with probes and answers meanwhile.
 const BESIDE: usize = 250;
@@ -61,8 +62,8 @@
 const STOOD_STILL: Micros = 3;
 /// Packets a second that one address, and one member, are listened to.
 const LISTEN: f64 = 200.0;
-/// The part of the ceiling that is for news; the rest is for probes and answers. Neither can take the other's: whom
-/// many ask at once still tells them of others, and who has much to tell still answers.
+/// The part of the ceiling that is for news; the rest is for probes and answers. Neither can take the
+/// other's: whom many ask at once still tells them of others, and who has much to tell still answers.
 const FOR_NEWS: f64 = 0.6;
 /// What a packet with nothing but news takes beside them, at most, with the headers of UDP and IP.
 const FRAME: usize = 200;
@@ -104,7 +105,8 @@
     sync_at: Micros,
     sync_from: MemberId,
     asked_from: MemberId,
-    /// Whether there were answers since it last began with the first part of the ring, and anything new in them.
+    /// Whether there were answers since it last began with the first part of the ring, and anything new in
+    /// them.
     round: (bool, bool),
     /// How many more times round with nothing new it takes until it asks less often.
     eager: u8,
@@ -279,8 +281,8 @@
         self.note(0, id, LogEvent::MemberUp(self.name(id)));
     }
 
-    /// Hands on what is carried as the ceiling has room. Several packets for each of many members come at once, more
-    /// than may go at once; what got lost for that would be asked for again, and lost again.
+    /// Hands on what is carried as the ceiling has room. Several packets for each of many members come at
+    /// once, more than may go at once; what got lost for that would be asked for again, and lost again.
     fn carry(&mut self) {
         while let Some((at, _, bytes)) = self.carried.front() {
             let (size, late) = (bytes.len() + FRAME, self.now.saturating_sub(*at) > CARRIED_LATE);
@@ -336,8 +338,8 @@
         self.eager > 0 && self.now.saturating_sub(self.began) < LEARNS
     }
 
-    /// Whether something is worth telling now. Who still learns who is there leaves that to those who ask: all push
-    /// the same then, and what is asked for would have to wait.
+    /// Whether something is worth telling now. Who still learns who is there leaves that to those who ask:
+    /// all push the same then, and what is asked for would have to wait.
     fn has_news(&self) -> bool {
         let quiet = self.eager == 0 && !self.news.is_crowded();
         self.news.is_hot() && (quiet || self.news.is_urgent() || self.refutes())
--- a/crates/gossip/src/gossip/receive.rs
+++ b/crates/gossip/src/gossip/receive.rs
@@ -28,7 +28,8 @@
             return;
         }
         let hello = matches!(packet.body.message, Message::Join | Message::Welcome);
-        // What names another process was recorded, or is from one that does not know this one yet: it costs no state.
+        // What names another process was recorded, or is from one that does not know this one yet: it costs
+        // no state.
         let for_me = to_instance == self.instance;
         if !for_me && !hello && from == self.me {
             self.figures.replayed += 1;
@@ -49,7 +50,8 @@
             return self.twin(instance, &packet);
         }
         if !for_me {
-            // Who knocks is told of to those that knock next: its statement is its own and counts whenever it came.
+            // Who knocks is told of to those that knock next: its statement is its own and counts whenever it
+            // came.
             if let (Message::Join, [own]) = (&packet.body.message, &packet.body.news[..])
                 && own.signed.statement.author == from
             {
@@ -116,8 +118,8 @@
         }
     }
 
-    /// Takes in a statement, if its author signed it and it is newer than what is known; whether it was. What is news
-    /// is told on; what was asked for is not.
+    /// Takes in a statement, if its author signed it and it is newer than what is known; whether it was. What
+    /// is news is told on; what was asked for is not.
     pub(super) fn take(&mut self, carried: &Carried, is_news: bool) -> bool {
         let signed = &carried.signed;
         let Statement { author, number, instance, ref suspicions, .. } = signed.statement;
@@ -146,8 +148,8 @@
             return false;
         }
         self.news.settled(author);
-        // One that answers an accusation is news to all, however it was heard. Where all is new, it is asked for, and who
-        // has just begun has nothing that others would not have.
+        // One that answers an accusation is news to all, however it was heard. Where all is new, it is asked
+        // for, and who has just begun has nothing that others would not have.
         if is_news && !self.news.is_crowded() && !self.learns() || before == Some(Liveness::Suspect) {
             self.news.heat(author);
         }
@@ -220,7 +222,8 @@
         }
     }
 
-    /// Another member's answer, signed by that member: that it holds a number drawn by this node shows that it is new.
+    /// Another member's answer, signed by that member: that it holds a number drawn by this node shows that
+    /// it is new.
     pub(super) fn proof(&mut self, bytes: &[u8]) {
         let Ok(packet) = parse(bytes) else { return };
         let (from, Message::Ack(number)) = (packet.header.from, &packet.body.message) else { return };
--- a/crates/gossip/src/gossip/send.rs
+++ b/crates/gossip/src/gossip/send.rs
@@ -21,7 +21,8 @@
         Some(Carried { held_ms, signed: member.signed.clone() })
     }
 
-    /// Sends a message to a member, with this node's own statement if so, and as much news as there is room for.
+    /// Sends a message to a member, with this node's own statement if so, and as much news as there is room
+    /// for.
     pub(super) fn tell(&mut self, to: MemberId, message: Message, own: bool, news: bool) -> bool {
         let Some(member) = self.members.all.get(&to) else { return false };
         let Statement { address, instance, .. } = member.signed.statement;
@@ -77,8 +78,8 @@
         let all_news =
             matches!(packet.body.message, Message::News | Message::Digest { .. } | Message::Want(_));
         let base = size + HEADERS;
-        // Probes and answers may take of what is for news, not the other way: who is silent is accused. What is carried
-        // takes of theirs only where much of it is left.
+        // Probes and answers may take of what is for news, not the other way: who is silent is accused. What
+        // is carried takes of theirs only where much of it is left.
         let is_carried = matches!(packet.body.message, Message::Carried(_));
         let spare = self.for_probes.left(self.now) >= base as f64 + self.for_probes.depth() / 2.0;
         let fits = !all_news && !is_carried && self.affords((base, 0))
--- a/crates/gossip/src/gossip/types.rs
+++ b/crates/gossip/src/gossip/types.rs
@@ -30,8 +30,8 @@
     pub configured_nodes: u32,
     /// For random numbers, and for telling this process from the one before: never the same twice.
     pub seed: u64,
-    /// The number of its first statement: higher than any that its name had before. One that is not is raised once
-    /// others say what they know.
+    /// The number of its first statement: higher than any that its name had before. One that is not is raised
+    /// once others say what they know.
     pub first_statement_number: u64,
 }
 
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -61,8 +61,8 @@
 }
 
 impl KeyRing {
-    /// Reads a ring: a line for each key, `NAME PUBLIC-KEY-IN-HEX`; `#` begins a comment. A name that comes again has
-    /// one more key. A name's place is where it comes first, so new names belong at the end.
+    /// Reads a ring: a line for each key, `NAME PUBLIC-KEY-IN-HEX`; `#` begins a comment. A name that comes
+    /// again has one more key. A name's place is where it comes first, so new names belong at the end.
     ///
     /// ```
     /// # use dunelink_gossip::{KeyRing, Secret};
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,8 +1,8 @@
 //! Gossip between nodes: who is there, and which servers they suspect.
 //!
-//! Everything here is a state machine without I/O: [`Gossip::handle`] takes what happened and the time, and appends
-//! what is to be done. An adapter owns the UDP socket and the clock. Times are microseconds on the node's own clock,
-//! which only moves forward; no time of another node is ever read, only ages.
+//! Everything here is a state machine without I/O: [`Gossip::handle`] takes what happened and the time, and
+//! appends what is to be done. An adapter owns the UDP socket and the clock. Times are microseconds on the
+//! node's own clock, which only moves forward; no time of another node is ever read, only ages.
 //!
 //! - `keys`: who may take part, and with which Ed25519 keys.
 //! - `packet`: the form on the wire, its signature, versions.
--- a/crates/gossip/src/limits.rs
+++ b/crates/gossip/src/limits.rs
@@ -7,8 +7,8 @@
 
 /// What UDP and IPv4 add to each packet.
 pub(crate) const HEADERS: usize = 28;
-/// The part of a second's ceiling that may go at once; the rest comes at a constant rate, so that no second has more
-/// than the ceiling.
+/// The part of a second's ceiling that may go at once; the rest comes at a constant rate, so that no second
+/// has more than the ceiling.
 const BURST: f64 = 0.2;
 /// Sources that are told apart.
 const SOURCES_MOST: usize = 1024;
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -1,9 +1,10 @@
-//! Who is there: SWIM (Das, Gupta, Motivala, 2002) with refinements of Lifeguard (Dadgar, Phillips, Currey, 2018).
+//! Who is there: SWIM (Das, Gupta, Motivala, 2002) with refinements of Lifeguard (Dadgar, Phillips, Currey,
+//! 2018).
 //!
-//! A member is known by the newest statement that it has signed itself. Nobody can say for another that it is there,
-//! and nobody can say of another that it is gone: an accusation only starts a time within which the accused may answer
-//! with a newer statement. The more accuse it independently, the shorter that time is; it is never under a least that
-//! an answer needs to come round.
+//! A member is known by the newest statement that it has signed itself. Nobody can say for another that it is
+//! there, and nobody can say of another that it is gone: an accusation only starts a time within which the
+//! accused may answer with a newer statement. The more accuse it independently, the shorter that time is; it
+//! is never under a least that an answer needs to come round.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,8 @@
 const ACCUSERS_MOST: usize = 3;
 /// The longest time for an answer, as a multiple of the least.
 const LONGEST: f64 = 3.0;
-/// The least time for an answer, in probing periods, for ten members, and what comes on top with each power of ten.
+/// The least time for an answer, in probing periods, for ten members, and what comes on top with each power
+/// of ten.
 const LEAST: (f64, f64) = (3.0, 0.45);
 /// For how long the part of one that restarts is kept.
 const KEPT: Micros = 60_000_000;
@@ -125,8 +127,8 @@
         true
     }
 
-    /// Whether a packet of a member is new and of the process that its newest statement names. It is heard then, so
-    /// it is there.
+    /// Whether a packet of a member is new and of the process that its newest statement names. It is heard
+    /// then, so it is there.
     pub(crate) fn hear(
         &mut self,
         now: Micros,
@@ -142,7 +144,8 @@
             if member.standing == Liveness::Suspect {
                 member.accusers.clear();
             }
-            // One that was dead is told by whom it was accused, so that its next statement brings it back for all.
+            // One that was dead is told by whom it was accused, so that its next statement brings it back for
+            // all.
             if matches!(member.standing, Liveness::Suspect | Liveness::Dead) {
                 (member.standing, member.since) = (Liveness::Alive, now);
             }
@@ -172,7 +175,8 @@
         self.all.get(&accused).into_iter().flat_map(|member| member.accusers.iter().copied())
     }
 
-    /// For how long a suspect may answer: from the longest, with one accuser of several that could accuse, to the least.
+    /// For how long a suspect may answer: from the longest, with one accuser of several that could accuse, to
+    /// the least.
     fn patience(&self, accusers: usize, able: usize, period: Micros) -> Micros {
         let size = (self.all.len().max(10) as f64 / 10.0).log10();
         let least = (LEAST.0 + LEAST.1 * size) * period as f64;
--- a/crates/gossip/src/packet.rs
+++ b/crates/gossip/src/packet.rs
@@ -1,6 +1,6 @@
-//! The form on the wire. A packet is `dg`, a header, a message, news, and its author's Ed25519 signature over all of
-//! that. News are statements, each signed by the member that it is about, so that who passes them on can hold them
-//! back but not change them.
+//! The form on the wire. A packet is `dg`, a header, a message, news, and its author's Ed25519 signature over
+//! all of that. News are statements, each signed by the member that it is about, so that who passes them on
+//! can hold them back but not change them.
 
 use std::net::SocketAddr;
 
@@ -62,8 +62,8 @@
     pub(crate) key: KeyHint,
     /// The author's process: a random number.
     pub(crate) instance: u64,
-    /// The process that it is meant for; 0 where the author knows none. What was recorded yesterday names one that is
-    /// gone, or bears a number that was met.
+    /// The process that it is meant for; 0 where the author knows none. What was recorded yesterday names one
+    /// that is gone, or bears a number that was met.
     pub(crate) to_instance: u64,
     /// Goes up with each packet of a process.
     pub(crate) number: u64,
@@ -90,10 +90,11 @@
     Digest { from: MemberId, to: MemberId, known: Vec<(MemberId, u64)> },
     /// Statements that are wanted.
     Want(Vec<MemberId>),
-    /// Sums of the statements that the author knows of members from one to the other, salted anew each time: the
-    /// statements with other sums are wanted.
+    /// Sums of the statements that the author knows of members from one to the other, salted anew each time:
+    /// the statements with other sums are wanted.
     Sums { from: MemberId, to: MemberId, salt: u64, known: Vec<u16> },
-    /// Statements that were asked for, and whether there are more. They are no news, and not passed on as such.
+    /// Statements that were asked for, and whether there are more. They are no news, and not passed on as
+    /// such.
     Given { more: bool },
     /// Something that gossip hands on without reading it.
     Carried(Vec<u8>),
@@ -160,8 +161,8 @@
             && ring.verify(author, key, &self.statement.bytes(), &signature)
     }
 
-    /// Which of two statements of one member counts: the higher number; of two with one number, which an honest
-    /// member never makes, the same one at all nodes.
+    /// Which of two statements of one member counts: the higher number; of two with one number, which an
+    /// honest member never makes, the same one at all nodes.
     pub(crate) fn order(&self) -> (u64, [[u8; 32]; 2]) {
         (self.statement.number, self.signature)
     }
--- a/crates/gossip/src/position.rs
+++ b/crates/gossip/src/position.rs
@@ -1,10 +1,11 @@
 //! The number of nodes that share the work, and this node's place among them.
 //!
-//! The place is the name's place in the ring: it stays whoever is up, so that slices do not move when another node
-//! goes. The number follows who is there: up at once, since smaller parts never add up to too much; down only when fewer
-//! have been there for some time, and by steps. It never falls below half of the most that were there lately, nor below
-//! half of what is configured. So in a partition each node takes at most twice its part, and both sides together take at
-//! most twice what all nodes may: the max_false_suspicion is stated, and as many nodes as are cut off from each other can't break it.
+//! The place is the name's place in the ring: it stays whoever is up, so that slices do not move when another
+//! node goes. The number follows who is there: up at once, since smaller parts never add up to too much; down
+//! only when fewer have been there for some time, and by steps. It never falls below half of the most that
+//! were there lately, nor below half of what is configured. So in a partition each node takes at most twice
+//! its part, and both sides together take at most twice what all nodes may: the max_false_suspicion is
+//! stated, and as many nodes as are cut off from each other can't break it.
 
 use crate::Micros;
 
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -1,5 +1,5 @@
-//! Whether a member answers: asked directly, then through others (SWIM), with patience that grows while this node
-//! itself seems to be slow (Lifeguard's local health).
+//! Whether a member answers: asked directly, then through others (SWIM), with patience that grows while this
+//! node itself seems to be slow (Lifeguard's local health).
 
 use std::collections::VecDeque;
 
@@ -105,7 +105,8 @@
         self.checks.iter().map(|check| check.due(patience)).fold(current, Micros::min)
     }
 
-    /// Others accuse a member: it is asked out of turn, so that there are more who know. Nothing if it is being asked.
+    /// Others accuse a member: it is asked out of turn, so that there are more who know. Nothing if it is
+    /// being asked.
     pub(crate) fn check(&mut self, now: Micros, target: MemberId, number: u64) -> Option<Step> {
         let known = self.checks.iter().chain(&self.current).any(|probe| probe.target == target);
         if known || self.checks.len() >= CHECKS_MOST {
--- a/crates/gossip/src/sim.rs
+++ b/crates/gossip/src/sim.rs
@@ -1,5 +1,5 @@
-//! Many nodes in memory, on a network that loses, doubles, delays and cuts off, in simulated time. The same seed gives
-//! the same run. For tests and measurements.
+//! Many nodes in memory, on a network that loses, doubles, delays and cuts off, in simulated time. The same
+//! seed gives the same run. For tests and measurements.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/crates/gossip/tests/packets.rs
+++ b/crates/gossip/tests/packets.rs
@@ -5,7 +5,8 @@
 use proptest::prelude::*;
 use testkit::corpus;
 
-/// Real packets of all kinds, by two nodes that find each other, lose sight of each other and suspect servers.
+/// Real packets of all kinds, by two nodes that find each other, lose sight of each other and suspect
+/// servers.
 fn packets() -> Vec<Vec<u8>> {
     let mut net = Net::new(4, 21, |_, _| {});
     net.recorded = Some(Vec::new());
--- a/crates/reach/src/health.rs
+++ b/crates/reach/src/health.rs
@@ -1,5 +1,5 @@
-//! How a node takes its own stance: it says that it is not ready while it is worse off than the fleet, alone in that,
-//! and while enough others are ready.
+//! How a node takes its own stance: it says that it is not ready while it is worse off than the fleet, alone
+//! in that, and while enough others are ready.
 
 use crate::matrix::{Condition, ReachMatrix};
 use crate::row::{Lately, MAX_ZONES, Row, ZoneReachability, cut};
@@ -17,8 +17,8 @@
     pub me: Process,
     /// Its zone; empty if it has none.
     pub zone: String,
-    /// The part of the fleet, and of its zone, that is ready without it at least when it says that it is not; over 1 it
-    /// never does.
+    /// The part of the fleet, and of its zone, that is ready without it at least when it says that it is not;
+    /// over 1 it never does.
     pub min_ready_fraction: f64,
 }
 
@@ -29,8 +29,8 @@
     Tick,
     /// A process told its row.
     Received(Process, Row),
-    /// What this node has seen of servers by zone, the list (milliseconds since it was heard), and, as sums since the
-    /// start, requests that were served, that failed, and milliseconds in which it stood still.
+    /// What this node has seen of servers by zone, the list (milliseconds since it was heard), and, as sums
+    /// since the start, requests that were served, that failed, and milliseconds in which it stood still.
     OwnMeasurements(Vec<ZoneReachability>, Option<u32>, [u64; 3]),
     /// The members of the fleet's view, this node among them if it is one; nobody else's row counts.
     Members(Vec<Name>),
--- a/crates/reach/src/matrix.rs
+++ b/crates/reach/src/matrix.rs
@@ -6,8 +6,8 @@
 use crate::row::Row;
 use crate::{Micros, Name, Process, SILENCE, row_interval};
 
-/// The part of a node's servers that is silent, at one that does not reach them and at others that do; and servers
-/// that it must have tried.
+/// The part of a node's servers that is silent, at one that does not reach them and at others that do; and
+/// servers that it must have tried.
 const SILENT: (f64, f64) = (0.8, 0.3);
 const TRIED_LEAST: u32 = 3;
 /// By how much more of its requests fail than at the others, and of how many at least.
@@ -144,7 +144,8 @@
         self.row(now, who).map(|row| row.receives_from.contains(&whom))
     }
 
-    /// Ways that are open in one direction only: from whom to whom nothing comes, while the other way it does.
+    /// Ways that are open in one direction only: from whom to whom nothing comes, while the other way it
+    /// does.
     pub fn one_way_links(&self, now: Micros) -> Vec<(Name, Name)> {
         let names: Vec<Name> = self.recent_rows(now).map(|(name, _)| name).chain([self.me]).collect();
         let pairs = names.iter().flat_map(|from| names.iter().map(move |to| (*from, *to)));
--- a/crates/reach/tests/stances.rs
+++ b/crates/reach/tests/stances.rs
@@ -6,7 +6,8 @@
 };
 use proptest::prelude::*;
 
-/// Nodes in simulated time that tell each other their rows, but where they are cut off; leases as a test gives them.
+/// Nodes in simulated time that tell each other their rows, but where they are cut off; leases as a test
+/// gives them.
 struct Net {
     nodes: Vec<HealthMonitor>,
     /// What each sees of servers by zone, the list's silence, and of requests and standing still a second.
--- a/crates/timeline/src/align.rs
+++ b/crates/timeline/src/align.rs
@@ -7,11 +7,11 @@
 /// Moments by what makes them one moment for all, such as the epoch of a view.
 type Moments = BTreeMap<String, Micros>;
 
-/// By how much to move each log's times so that they are on the first one's clock. Those that share no moment with
-/// others that could be moved, directly or through others, are left as they are: `None`.
+/// By how much to move each log's times so that they are on the first one's clock. Those that share no moment
+/// with others that could be moved, directly or through others, are left as they are: `None`.
 ///
-/// Two logs' difference is the median over the moments that they share, so that one late node or one odd moment moves
-/// nothing.
+/// Two logs' difference is the median over the moments that they share, so that one late node or one odd
+/// moment moves nothing.
 pub fn offsets(logs: &[Moments]) -> Vec<Option<Micros>> {
     let mut offsets: Vec<Option<Micros>> = vec![None; logs.len()];
     if let Some(first) = offsets.first_mut() {
--- a/crates/timeline/src/line.rs
+++ b/crates/timeline/src/line.rs
@@ -121,7 +121,8 @@
         let (value, after) = rest.split_once(' ').unwrap_or((rest, ""));
         return Some((name, value.to_owned(), after));
     }
-    // As a string in JSON, as far as that goes: what is quoted ends at a quote that no backslash stands before.
+    // As a string in JSON, as far as that goes: what is quoted ends at a quote that no backslash stands
+    // before.
     let mut escaped = false;
     let end = rest.char_indices().skip(1).find(|(_, c)| {
         let ends = *c == '"' && !escaped;
--- a/crates/timeline/src/merge.rs
+++ b/crates/timeline/src/merge.rs
@@ -113,8 +113,8 @@
     let mut holds: BTreeMap<&str, Vec<Hold>> = BTreeMap::new();
     let name = |log: usize| logs[log].name.as_str();
     for (at, log, event) in events {
-        // Who loses something says so at once while it runs: what it has not lost by its last word it held until then.
-        // What a process of its name held before is over when it starts.
+        // Who loses something says so at once while it runs: what it has not lost by its last word it held
+        // until then. What a process of its name held before is over when it starts.
         let starts = event.message == "starts";
         for hold in holds.values_mut().flatten().filter(|hold| hold.log == *log && !hold.over) {
             hold.to = if starts { hold.to } else { *at };
--- a/crates/view/src/coordinator.rs
+++ b/crates/view/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! One node's part in what the fleet decides: who is asked when, and what is made of the answers. It plugs the register,
-//! the leases and the sides together, on one rhythm.
+//! One node's part in the fleet's decisions: it combines the register, the leases and the partition detection
+//! on one timer, sends their requests and acts on the responses.
 
 use std::collections::BTreeMap;
 
@@ -14,531 +14,554 @@
 use crate::register::{Ballot, Message, Register};
 use crate::view::{Change, View};
 
-/// The resource that lets an elector propose: it spares duels, nothing rests on it.
-const CHAIR: Resource = 0;
-/// The resource that lets a node say that it is not ready: one at a time does.
-const ASIDE: Resource = 1;
-/// Beats in a lease.
-const BEATS: u64 = 4;
-/// Changes that wait for the chair at most.
-const WANTED_MOST: usize = 64;
-
-/// What nodes say to each other of all this.
+/// The lease that allows an elector to propose views. It only avoids competing proposals; safety does not
+/// depend on it.
+const PROPOSER_LEASE: Resource = 0;
+/// The lease that allows a node to report that it is not ready: one node at a time does.
+const UNREADY_LEASE: Resource = 1;
+/// Heartbeats per lease duration.
+const HEARTBEATS_PER_LEASE: u64 = 4;
+/// The largest number of changes that wait for the proposer.
+const MAX_PENDING_CHANGES: usize = 64;
+
+/// What the coordinators of two nodes send to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FleetMessage {
-    /// Of views.
+    /// For deciding views.
     Register(Message),
-    /// Of leases, and which view its author knows: who holds its name by an older one may have to take less.
+    /// A lease request, with generation and epoch of the view that its sender knows: a node that renews its
+    /// name lease under an old view may have to take a smaller share.
     #[serde(rename = "Ask")]
     LeaseRequest(LeaseRequest, Ballot, u64),
-    /// The answer.
+    /// The response to a lease request.
     #[serde(rename = "Answer")]
     LeaseResponse(LeaseResponse),
-    /// Which view its author knows, as a sign of life; who knows a newer one tells it.
+    /// A heartbeat with generation and epoch of the view that its sender knows; a receiver with a newer view
+    /// sends that view back.
     Hello(Ballot, u64),
-    /// The same, as an answer.
+    /// The response to `Hello`, with the same fields.
     #[serde(rename = "Here")]
     HelloReply(Ballot, u64),
-    /// Something that its author wants decided.
+    /// A change that its sender proposes.
     #[serde(rename = "Want")]
     Propose(Change),
 }
 
-/// What a node is told once.
+/// Fixed settings of one node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its process.
+    /// This node's process.
     pub me: Process,
     /// The electors' names, the same at all nodes.
     pub elector_names: ElectorNames,
-    /// Leases and clocks.
+    /// Lease duration and clock accuracy.
     pub lease_bounds: LeaseBounds,
-    /// How many nodes there are meant to be.
+    /// The configured number of nodes of the fleet.
     pub configured_nodes: usize,
-    /// For random waits.
+    /// The seed for random delays.
     pub seed: u64,
 }
 
-/// What happened.
+/// An event for the coordinator.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A process said something, and it was that process.
+    /// A message from a process whose identity has been verified.
     Received(Process, FleetMessage),
-    /// The other processes that are there, as far as this node knows by itself.
+    /// The other processes that this node sees as alive.
     AliveProcesses(Vec<Process>),
-    /// An operator wants something decided; [`Coordinator::may`] says before whether it can be.
+    /// A change that an operator proposes; [`Coordinator::validate`] tells beforehand whether it can be
+    /// decided.
     Propose(Change),
-    /// This node wants to step aside, or does not any more.
+    /// Whether this node wants the right to report that it is not ready.
     WantUnready(bool),
 }
 
-/// What a node may hold alone.
+/// The leases that a node can hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseKind {
-    /// Its name, and with it its part of what the fleet may.
+    /// The lease on the node's own name, which entitles it to its share of the fleet's limits.
     NodeName,
     /// The right to propose views.
     Proposer,
-    /// The right to say that it is not ready.
+    /// The right to report that the node is not ready.
     Unready,
 }
 
-/// What is to be done, or was found.
+/// An action for the caller, or a notification.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Say this to whoever bears a name.
+    /// Send this message to the process that runs under a name.
     Send(Name, FleetMessage),
-    /// A view is decided.
+    /// A view was decided.
     Decided(View),
-    /// This node is on another side of a cut than before.
+    /// The side of a network partition that this node is on has changed.
     PartitionSide(PartitionSide),
-    /// This node holds something from now on, or has not held it for some time: it may have stood still since.
+    /// A lease was acquired (`true`) or lost (`false`), and how many microseconds ago it was lost: more than
+    /// 0 if the process was paused when it expired.
     Lease(LeaseKind, bool, Micros),
-    /// What was wanted can't be decided: it would change nothing, or there is no room for it.
+    /// A proposed change was rejected: it has no effect, or it cannot be decided.
     Rejected(Change),
-    /// What part of the fleet's limits this node takes from now on.
+    /// The share of the fleet's limits that this node takes from now on.
     LimitShare(f64),
 }
 
-/// How a node stands with the rest of the fleet.
+/// A node's state towards the rest of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// The newest view that it knows.
+    /// The newest decided view that it knows.
     pub view: Option<View>,
-    /// Its side.
+    /// The side of a network partition that it is on.
     pub side: PartitionSide,
-    /// For how long it still holds its name; 0 if it does not.
+    /// The remaining time of its name lease; 0 if it does not hold it.
     pub name_lease_left: Micros,
-    /// Whether it proposes.
+    /// Whether it holds the lease to propose views.
     pub holds_proposer_lease: bool,
-    /// Whether it is the one that may say that it is not ready.
+    /// Whether it holds the lease to report that it is not ready.
     pub holds_unready_lease: bool,
-    /// The electors that it has heard lately, itself among them if it is one.
+    /// The electors that answered recently, including itself if it is one.
     pub reachable_electors: Vec<Name>,
-    /// What part of the fleet's limits it takes.
+    /// The share of the fleet's limits that it takes.
     pub limit_share: f64,
 }
 
-/// One node's part.
+/// The coordinator of one node.
 pub struct Coordinator {
     settings: Settings,
     register: Register,
     grantor: Option<Grantor>,
     name: LeaseHolder,
-    chair: LeaseHolder,
-    aside: LeaseHolder,
-    wants_aside: bool,
+    proposer_lease: LeaseHolder,
+    unready_lease: LeaseHolder,
+    wants_unready: bool,
     evictions: Evictions,
-    sides: Reachability,
-    parts: LimitShare,
-    there: BTreeMap<Process, Micros>,
-    wanted: Vec<Change>,
-    began: Micros,
-    beat_at: Micros,
-    /// Until when a ballot that is under way is left alone, and the chair is left to another.
-    patient: Micros,
-    shy: Micros,
-    shy_aside: Micros,
+    reachability: Reachability,
+    limit_share: LimitShare,
+    last_seen: BTreeMap<Process, Micros>,
+    pending_changes: Vec<Change>,
+    started_at: Micros,
+    heartbeat_at: Micros,
+    /// No new proposal before this time: a ballot in progress gets time to complete.
+    propose_not_before: Micros,
+    proposer_backoff_until: Micros,
+    unready_backoff_until: Micros,
     side: PartitionSide,
-    /// Whether it held its name, the chair and the right to step aside when it last looked.
-    holds: [bool; 3],
-    part: f64,
-    /// Since when this process is a member that holds its name; 0 where it need not wait.
+    /// Whether the name, proposer and unready leases (in this order) were held at the last check.
+    was_held: [bool; 3],
+    share: f64,
+    /// Since when this process has been a member that holds its name lease; 0 if it need not wait.
     member_since: Option<Micros>,
-    dice: u64,
+    random_state: u64,
 }
 
-/// The resource that a name is.
+/// The resource of the lease on a node's name.
 fn resource(name: Name) -> Resource {
     name | 1 << 63
 }
 
 impl Coordinator {
-    /// A process that starts now.
+    /// A process that starts at `now`.
     pub fn new(settings: Settings, now: Micros) -> Coordinator {
         let Settings { me, elector_names: names, lease_bounds: bounds, configured_nodes: nodes, seed } =
             settings.clone();
-        let silence = bounds.lease;
+        let contact_timeout = bounds.lease;
         Coordinator {
             register: Register::new(me, names.clone()),
             grantor: names.contains(me.name).then(|| Grantor::new(bounds, now)),
             name: LeaseHolder::new(bounds, names.clone(), resource(me.name)),
-            chair: LeaseHolder::new(bounds, names.clone(), CHAIR),
-            aside: LeaseHolder::new(bounds, names.clone(), ASIDE),
-            wants_aside: false,
+            proposer_lease: LeaseHolder::new(bounds, names.clone(), PROPOSER_LEASE),
+            unready_lease: LeaseHolder::new(bounds, names.clone(), UNREADY_LEASE),
+            wants_unready: false,
             evictions: Evictions::default(),
-            sides: Reachability::new(me.name, names, silence),
-            parts: LimitShare::new(nodes),
-            there: BTreeMap::new(),
-            wanted: Vec::new(),
-            began: now,
-            beat_at: now,
-            patient: 0,
-            shy: 0,
-            shy_aside: 0,
+            reachability: Reachability::new(me.name, names, contact_timeout),
+            limit_share: LimitShare::new(nodes),
+            last_seen: BTreeMap::new(),
+            pending_changes: Vec::new(),
+            started_at: now,
+            heartbeat_at: now,
+            propose_not_before: 0,
+            proposer_backoff_until: 0,
+            unready_backoff_until: 0,
             side: PartitionSide::Alone,
-            holds: [false; 3],
-            part: 0.0,
+            was_held: [false; 3],
+            share: 0.0,
             member_since: None,
-            dice: seed | 1,
+            random_state: seed | 1,
             settings,
         }
     }
 
-    fn beat(&self) -> Micros {
-        self.settings.lease_bounds.lease / BEATS
+    fn heartbeat_interval(&self) -> Micros {
+        self.settings.lease_bounds.lease / HEARTBEATS_PER_LEASE
     }
 
-    /// A number below `most` (xorshift, Marsaglia, 2003).
+    /// A random number below `most` (xorshift, Marsaglia, 2003).
     fn random(&mut self, most: u64) -> u64 {
-        self.dice ^= self.dice << 13;
-        self.dice ^= self.dice >> 7;
-        self.dice ^= self.dice << 17;
-        self.dice % most.max(1)
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        self.random_state % most.max(1)
     }
 
-    /// When it wants to be looked at next.
+    /// When [`Self::handle`] should be called next, even if no event has happened.
     pub fn next_wakeup(&self, now: Micros) -> Micros {
-        let over =
-            self.held().map(|(_, holder)| holder.expires_at()).into_iter().filter(|until| *until > now);
-        over.fold(self.beat_at, Micros::min)
+        let expirations = self
+            .lease_states()
+            .map(|(_, holder)| holder.expires_at())
+            .into_iter()
+            .filter(|until| *until > now);
+        expirations.fold(self.heartbeat_at, Micros::min)
     }
 
-    /// Takes in what happened, and appends what is to be done. What this node no longer holds comes first.
+    /// Handles an event and appends the resulting outputs. Leases that have expired are reported first.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        self.look(now, out);
+        self.report_changes(now, out);
         match input {
             Input::Tick => {}
-            Input::Received(from, wire) => self.hear(now, from, wire, out),
+            Input::Received(from, message) => self.handle_message(now, from, message, out),
             Input::AliveProcesses(others) => {
                 others
                     .iter()
                     .chain([&self.settings.me])
                     .for_each(|process| self.register.set_running(*process));
                 let seen = |process: Process| (process, now);
-                self.there.extend(others.into_iter().map(seen));
-                let kept = self.settings.lease_bounds.grantor_duration();
-                self.there.retain(|_, at| now.saturating_sub(*at) <= 2 * kept);
+                self.last_seen.extend(others.into_iter().map(seen));
+                let grant_duration = self.settings.lease_bounds.grantor_duration();
+                self.last_seen.retain(|_, at| now.saturating_sub(*at) <= 2 * grant_duration);
             }
-            Input::Propose(change) => self.want(change, out),
-            Input::WantUnready(wanted) => self.step_aside(now, wanted, out),
+            Input::Propose(change) => self.add_pending_change(change, out),
+            Input::WantUnready(wanted) => self.set_wants_unready(now, wanted, out),
         }
-        if now >= self.beat_at {
-            self.beat_at = now + self.beat() + self.random(self.beat() / 4);
-            self.work(now, out);
+        if now >= self.heartbeat_at {
+            self.heartbeat_at = now + self.heartbeat_interval() + self.random(self.heartbeat_interval() / 4);
+            self.heartbeat(now, out);
         }
-        self.look(now, out);
+        self.report_changes(now, out);
     }
 
-    /// The newest view that it knows.
+    /// The newest decided view that this node knows.
     pub fn view(&self) -> Option<&View> {
         self.register.view()
     }
 
-    /// How it stands.
+    /// The node's state at `now`.
     pub fn status(&self, now: Micros) -> NodeStatus {
         NodeStatus {
             view: self.register.view().cloned(),
-            side: self.sides.side(now),
+            side: self.reachability.side(now),
             name_lease_left: self.name.expires_at().saturating_sub(now),
-            holds_proposer_lease: self.chair.is_held(now),
-            holds_unready_lease: self.aside.is_held(now),
-            reachable_electors: self.sides.reachable_electors(now).collect(),
-            limit_share: self.part,
+            holds_proposer_lease: self.proposer_lease.is_held(now),
+            holds_unready_lease: self.unready_lease.is_held(now),
+            reachable_electors: self.reachability.reachable_electors(now).collect(),
+            limit_share: self.share,
         }
     }
 
-    fn held(&self) -> [(LeaseKind, &LeaseHolder); 3] {
+    fn lease_states(&self) -> [(LeaseKind, &LeaseHolder); 3] {
         [
             (LeaseKind::NodeName, &self.name),
-            (LeaseKind::Proposer, &self.chair),
-            (LeaseKind::Unready, &self.aside),
+            (LeaseKind::Proposer, &self.proposer_lease),
+            (LeaseKind::Unready, &self.unready_lease),
         ]
     }
 
-    /// Whether something can be decided, as far as this node knows.
+    /// Whether a change can be decided, as far as this node knows.
     ///
     /// # Errors
     ///
-    /// Why not.
+    /// The reason why it cannot.
     pub fn validate(&self, change: &Change) -> Result<(), Refusal> {
         let view = self.register.view().ok_or(Refusal::NoView)?;
         if !self.settings.elector_names.contains(self.settings.me.name) && Evictions::is_eviction(change) {
             return Err(Refusal::NotElector);
         }
-        Evictions::may(change, view, &self.settings.elector_names, self.settings.configured_nodes)
+        Evictions::validate(change, view, &self.settings.elector_names, self.settings.configured_nodes)
     }
 
-    /// Takes the right to step aside while it is wanted, and gives it back at once.
-    fn step_aside(&mut self, now: Micros, wanted: bool, out: &mut Vec<Output>) {
-        if std::mem::replace(&mut self.wants_aside, wanted) && !wanted {
-            let ask = self.aside.release(now);
-            self.ask_electors(ask, out);
+    /// Starts requesting the unready lease, or releases it at once when it is no longer wanted.
+    fn set_wants_unready(&mut self, now: Micros, wanted: bool, out: &mut Vec<Output>) {
+        if std::mem::replace(&mut self.wants_unready, wanted) && !wanted {
+            let ask = self.unready_lease.release(now);
+            self.send_lease_request(ask, out);
         }
     }
 
-    /// Finds what has changed with time alone.
-    fn look(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let held = self.held().map(|(what, holder)| (what, holder.is_held(now), holder.expires_at()));
-        let name = held[0].1;
-        for (before, (what, holds, until)) in self.holds.iter_mut().zip(held) {
-            if std::mem::replace(before, holds) != holds {
-                // What was given back ends now.
-                let ago = if holds || until == 0 { 0 } else { now.saturating_sub(until) };
-                out.push(Output::Lease(what, holds, ago));
+    /// Reports what has changed: leases, partition side and limit share.
+    fn report_changes(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let lease_states =
+            self.lease_states().map(|(lease, holder)| (lease, holder.is_held(now), holder.expires_at()));
+        let holds_name = lease_states[0].1;
+        for (before, (lease, held, until)) in self.was_held.iter_mut().zip(lease_states) {
+            if std::mem::replace(before, held) != held {
+                // A released lease ends now.
+                let lost_ago = if held || until == 0 { 0 } else { now.saturating_sub(until) };
+                out.push(Output::Lease(lease, held, lost_ago));
             }
         }
-        let side = self.sides.side(now);
+        let side = self.reachability.side(now);
         if std::mem::replace(&mut self.side, side) != side {
             out.push(Output::PartitionSide(side));
         }
-        let members = self.members_with(now, name);
-        let part = self.parts.update(now, members, self.settings.configured_nodes);
-        if std::mem::replace(&mut self.part, part) != part {
-            out.push(Output::LimitShare(part));
+        let members = self.members_to_share_with(now, holds_name);
+        let share = self.limit_share.update(now, members, self.settings.configured_nodes);
+        if std::mem::replace(&mut self.share, share) != share {
+            out.push(Output::LimitShare(share));
         }
     }
 
-    /// How many members share the work, if this process is one that may take a whole part: a member that holds its name,
-    /// and has for as long as others may still hold theirs by a view without it. Who founded the first view waits for
-    /// nobody: nobody was a member before.
-    fn members_with(&mut self, now: Micros, name: bool) -> Option<usize> {
+    /// The number of members that share the limits, if this process may take a full share: it is a member,
+    /// holds its name lease, and has done so for as long as other nodes may still hold leases under a view
+    /// without it. The founders of the first view need not wait, as there were no members before.
+    fn members_to_share_with(&mut self, now: Micros, holds_name: bool) -> Option<usize> {
         let me = self.settings.me;
-        let view = self.register.view().filter(|view| name && !self.register.has_lost_majority(view));
+        let view = self.register.view().filter(|view| holds_name && !self.register.has_lost_majority(view));
         let view = view.filter(|view| view.members.get(&me.name) == Some(&me.instance));
-        let Some((members, first)) = view.map(|view| (view.members.len(), view.epoch == 1)) else {
+        let Some((members, is_first)) = view.map(|view| (view.members.len(), view.epoch == 1)) else {
             self.member_since = None;
             return None;
         };
-        let kept = self.settings.lease_bounds.grantor_duration();
-        let since = *self.member_since.get_or_insert(if first { 0 } else { now });
-        (since == 0 || now.saturating_sub(since) >= kept).then_some(members)
+        let grant_duration = self.settings.lease_bounds.grantor_duration();
+        let since = *self.member_since.get_or_insert(if is_first { 0 } else { now });
+        (since == 0 || now.saturating_sub(since) >= grant_duration).then_some(members)
     }
 
-    fn known(&self) -> (Ballot, u64) {
+    fn known_epoch(&self) -> (Ballot, u64) {
         self.register.view().map_or_else(Default::default, |view| (view.generation, view.epoch))
     }
 
-    fn to_electors(&self, wire: &FleetMessage, out: &mut Vec<Output>) {
-        out.extend(self.settings.elector_names.iter().map(|name| Output::Send(name, wire.clone())));
+    fn send_to_electors(&self, message: &FleetMessage, out: &mut Vec<Output>) {
+        out.extend(self.settings.elector_names.iter().map(|name| Output::Send(name, message.clone())));
     }
 
-    fn ask_electors(&self, ask: LeaseRequest, out: &mut Vec<Output>) {
-        let (generation, epoch) = self.known();
-        self.to_electors(&FleetMessage::LeaseRequest(ask, generation, epoch), out);
+    fn send_lease_request(&self, ask: LeaseRequest, out: &mut Vec<Output>) {
+        let (generation, epoch) = self.known_epoch();
+        self.send_to_electors(&FleetMessage::LeaseRequest(ask, generation, epoch), out);
     }
 
-    fn say(messages: Vec<(Name, Message)>, out: &mut Vec<Output>) {
+    fn send_register_messages(messages: Vec<(Name, Message)>, out: &mut Vec<Output>) {
         out.extend(
             messages.into_iter().map(|(to, message)| Output::Send(to, FleetMessage::Register(message))),
         );
     }
 
-    fn hear(&mut self, now: Micros, from: Process, wire: FleetMessage, out: &mut Vec<Output>) {
-        let answers = matches!(
-            wire,
+    fn handle_message(&mut self, now: Micros, from: Process, message: FleetMessage, out: &mut Vec<Output>) {
+        let is_response = matches!(
+            message,
             FleetMessage::LeaseResponse(_) | FleetMessage::HelloReply(..) | FleetMessage::Register(_)
         );
-        // Only an answer shows that the way is open in both directions.
-        if answers {
-            self.sides.record_contact(now, from.name);
+        // Only a response shows that the path is open in both directions.
+        if is_response {
+            self.reachability.record_contact(now, from.name);
         }
-        match wire {
-            // Views are the electors' alone, and who is a member is not for others to say.
+        match message {
+            // Only electors decide views, and only the proposer itself changes the members.
             FleetMessage::Register(_) if !self.settings.elector_names.contains(from.name) => {}
             FleetMessage::Propose(Change::Admit(_) | Change::Remove(_) | Change::Move(..)) => {}
-            // Nor who is out: that is for the operators at electors.
+            // Evictions are accepted only from electors, where operators request them.
             FleetMessage::Propose(change)
                 if Evictions::is_eviction(&change) && !self.settings.elector_names.contains(from.name) => {}
             FleetMessage::Register(message) => {
-                let mut say = Vec::new();
-                let decided = self.register.handle(from, message, &mut say);
-                Coordinator::say(say, out);
+                let mut outgoing = Vec::new();
+                let decided = self.register.handle(from, message, &mut outgoing);
+                Coordinator::send_register_messages(outgoing, out);
                 if let Some(view) = decided {
-                    // All others hear it from who is asked, or ask for it.
-                    self.wanted.retain(|change| !is_done(change, &view));
-                    self.patient = now;
-                    self.evictions.see(now, &view);
+                    // All other nodes learn the view from the elector they ask, or request it.
+                    self.pending_changes.retain(|change| !is_applied(change, &view));
+                    self.propose_not_before = now;
+                    self.evictions.record_view(now, &view);
                     out.push(Output::Decided(view));
-                    // Many come back at once when a cut heals: what is left to decide waits for no beat.
-                    if self.chair.is_held(now) && self.grantor.is_some() {
+                    // When a partition heals, many nodes rejoin at once: the remaining changes do not wait
+                    // for the next heartbeat.
+                    if self.proposer_lease.is_held(now) && self.grantor.is_some() {
                         self.propose(now, out);
                     }
                 }
             }
             FleetMessage::LeaseRequest(ask, generation, epoch) => {
-                let old = self.is_old(from, &ask, generation, epoch);
+                let is_outdated = self.is_outdated_renewal(from, &ask, generation, epoch);
                 if let Some(grantor) = &mut self.grantor {
                     let refusal =
                         LeaseResponse { resource: ask.resource, number: ask.number, granted: false };
-                    let answer = if old { refusal } else { grantor.handle(now, from, ask) };
+                    let answer = if is_outdated { refusal } else { grantor.handle(now, from, ask) };
                     out.push(Output::Send(from.name, FleetMessage::LeaseResponse(answer)));
                 }
             }
             FleetMessage::LeaseResponse(answer) => {
                 self.name.handle(from, answer);
-                self.chair.handle(from, answer);
-                self.aside.handle(from, answer);
+                self.proposer_lease.handle(from, answer);
+                self.unready_lease.handle(from, answer);
                 if !answer.granted {
-                    self.give_back(now, answer.resource, out);
+                    self.release_partial_grants(now, answer.resource, out);
                 }
             }
             FleetMessage::Hello(generation, epoch) => {
-                let (known, at) = self.known();
-                out.push(Output::Send(from.name, FleetMessage::HelloReply(known, at)));
+                let (known_generation, known_epoch) = self.known_epoch();
+                out.push(Output::Send(from.name, FleetMessage::HelloReply(known_generation, known_epoch)));
                 let Some(view) = self.register.view() else { return };
-                let older =
-                    if generation == known { epoch < at } else { !self.register.has_lost_majority(view) };
+                let older = if generation == known_generation {
+                    epoch < known_epoch
+                } else {
+                    !self.register.has_lost_majority(view)
+                };
                 if older {
-                    let told = Message::Decided(self.register.ballot(), view.clone());
-                    out.push(Output::Send(from.name, FleetMessage::Register(told)));
+                    let decided = Message::Decided(self.register.ballot(), view.clone());
+                    out.push(Output::Send(from.name, FleetMessage::Register(decided)));
                 }
             }
             FleetMessage::HelloReply(..) => {}
-            FleetMessage::Propose(change) => self.want(change, out),
+            FleetMessage::Propose(change) => self.add_pending_change(change, out),
         }
     }
 
-    /// Another has what this node asked for, or asks for it too: what some electors have granted is given back. Kept by
-    /// several, nobody would have a majority for a lease.
-    fn give_back(&mut self, now: Micros, resource: Resource, out: &mut Vec<Output>) {
-        let shy = now + self.beat() / 4 + self.random(2 * self.beat());
+    /// Another process holds the lease or competes for it: releases the grants that this node already has. If
+    /// several processes kept partial grants, none of them would get a majority.
+    fn release_partial_grants(&mut self, now: Micros, resource: Resource, out: &mut Vec<Output>) {
+        let backoff_until = now + self.heartbeat_interval() / 4 + self.random(2 * self.heartbeat_interval());
         let (holder, until) = match resource {
-            CHAIR => (&mut self.chair, &mut self.shy),
-            ASIDE if self.wants_aside => (&mut self.aside, &mut self.shy_aside),
+            PROPOSER_LEASE => (&mut self.proposer_lease, &mut self.proposer_backoff_until),
+            UNREADY_LEASE if self.wants_unready => (&mut self.unready_lease, &mut self.unready_backoff_until),
             _ => return,
         };
-        // What was given back is refused, too.
+        // The response to a release is a refusal, too.
         if now < *until || holder.is_held(now) {
             return;
         }
-        *until = shy;
+        *until = backoff_until;
         let ask = holder.release(now);
-        self.ask_electors(ask, out);
+        self.send_lease_request(ask, out);
     }
 
-    /// Whether a process wants to hold its name on by a view before the newest: others may have come in since, and it
-    /// would take more than its part is now. It is told the newest, and asks again.
-    fn is_old(&self, from: Process, ask: &LeaseRequest, generation: Ballot, epoch: u64) -> bool {
-        let Some((newest, at)) = self.register.newest_epoch() else { return false };
-        let knows_none = epoch == 0;
-        let of_name = ask.resource == resource(from.name) && !ask.release;
-        of_name && !knows_none && (generation != newest || epoch < at)
+    /// Whether a process wants to renew its name lease under an old view: members may have joined since, so
+    /// that its share would now be too large. It learns the newest view and requests again.
+    fn is_outdated_renewal(&self, from: Process, ask: &LeaseRequest, generation: Ballot, epoch: u64) -> bool {
+        let Some((newest_generation, newest_epoch)) = self.register.newest_epoch() else { return false };
+        let knows_no_view = epoch == 0;
+        let is_name_request = ask.resource == resource(from.name) && !ask.release;
+        is_name_request && !knows_no_view && (generation != newest_generation || epoch < newest_epoch)
     }
 
-    /// Kept until it is decided; the chair proposes it.
-    fn want(&mut self, change: Change, out: &mut Vec<Output>) {
-        if self.wanted.len() >= WANTED_MOST || self.wanted.contains(&change) {
+    /// Keeps a proposed change until it is decided; the holder of the proposer lease proposes it.
+    fn add_pending_change(&mut self, change: Change, out: &mut Vec<Output>) {
+        if self.pending_changes.len() >= MAX_PENDING_CHANGES || self.pending_changes.contains(&change) {
             return;
         }
-        self.wanted.push(change.clone());
-        self.to_electors(&FleetMessage::Propose(change), out);
+        self.pending_changes.push(change.clone());
+        self.send_to_electors(&FleetMessage::Propose(change), out);
     }
 
-    fn work(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let (generation, epoch) = self.known();
-        self.to_electors(&FleetMessage::Hello(generation, epoch), out);
+    fn heartbeat(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let (generation, epoch) = self.known_epoch();
+        self.send_to_electors(&FleetMessage::Hello(generation, epoch), out);
         let ask = self.name.request(now);
-        self.ask_electors(ask, out);
-        if self.wants_aside && now >= self.shy_aside {
-            let ask = self.aside.request(now);
-            self.ask_electors(ask, out);
+        self.send_lease_request(ask, out);
+        if self.wants_unready && now >= self.unready_backoff_until {
+            let ask = self.unready_lease.request(now);
+            self.send_lease_request(ask, out);
         }
         let Some(grantor) = &self.grantor else { return };
         if grantor.is_granting(now) {
             self.register.allow_founding();
         }
-        if now >= self.shy {
-            let ask = self.chair.request(now);
-            self.ask_electors(ask, out);
+        if now >= self.proposer_backoff_until {
+            let ask = self.proposer_lease.request(now);
+            self.send_lease_request(ask, out);
         }
-        if self.chair.is_held(now) && now >= self.patient {
+        if self.proposer_lease.is_held(now) && now >= self.propose_not_before {
             self.propose(now, out);
         }
     }
 
-    /// What the chair has to have decided: first that all which are there are members, then what others want.
+    /// Proposes the next change: first changes of the members, then expired evictions, then changes that
+    /// others asked for.
     fn propose(&mut self, now: Micros, out: &mut Vec<Output>) {
-        // What can decide nothing any more is passed over, and founded anew.
+        // A generation that has lost its majority is replaced by founding a new one.
         let change = match self.register.view().filter(|view| !self.register.has_lost_majority(view)) {
             None => None,
             Some(view) => {
                 let (view, names) = (view.clone(), &self.settings.elector_names);
                 let is_elector =
                     |change: &Change| matches!(change, Change::Admit(p) if names.contains(p.name));
-                // What can't be decided must not be in the way of what can.
-                let useless = |change: &mut Change| {
+                // Changes that can't be decided must not block those that can.
+                let cannot_be_decided = |change: &mut Change| {
                     view.apply(change, is_elector(change)).is_none()
-                        || Evictions::may(change, &view, names, self.settings.configured_nodes).is_err()
+                        || Evictions::validate(change, &view, names, self.settings.configured_nodes).is_err()
                 };
-                out.extend(self.wanted.extract_if(.., useless).map(Output::Rejected));
-                let wanted = || self.evictions.over(now, &view).or_else(|| self.wanted.first().cloned());
-                match self.membership(now, &view).or_else(wanted) {
+                out.extend(self.pending_changes.extract_if(.., cannot_be_decided).map(Output::Rejected));
+                let next_change =
+                    || self.evictions.expired(now, &view).or_else(|| self.pending_changes.first().cloned());
+                match self.membership(now, &view).or_else(next_change) {
                     Some(change) => Some(change),
                     None => return,
                 }
             }
         };
-        self.patient = now + 2 * self.beat();
-        let mut say = Vec::new();
-        self.register.propose(change, &mut say);
-        Coordinator::say(say, out);
+        self.propose_not_before = now + 2 * self.heartbeat_interval();
+        let mut outgoing = Vec::new();
+        self.register.propose(change, &mut outgoing);
+        Coordinator::send_register_messages(outgoing, out);
     }
 
-    /// Who is there comes in, who is gone or out goes; all at once that changes nothing of who votes, else one.
+    /// The next membership change: processes that are alive join, processes that are gone or evicted leave.
+    /// All changes that leave the electors as they are go into one view; new electors join one at a time.
     fn membership(&self, now: Micros, view: &View) -> Option<Change> {
         let (bounds, members) = (self.settings.lease_bounds, &view.members);
         let me = self.settings.me;
-        let lately = |at: &Micros| now.saturating_sub(*at) <= self.beat();
-        let there = self.there.iter().filter(|(_, at)| lately(at)).map(|(process, _)| *process);
-        // One of its name before it may hold that still: it is let in once that is over, or this one says so.
-        let over = |new: &Process| {
+        let is_recent = |at: &Micros| now.saturating_sub(*at) <= self.heartbeat_interval();
+        let alive = self.last_seen.iter().filter(|(_, at)| is_recent(at)).map(|(process, _)| *process);
+        // An earlier process of the same name may still hold its lease: the new process joins once that lease
+        // has expired or been released.
+        let old_lease_expired = |new: &Process| {
             let old = members.get(&new.name).map(|instance| Process { name: new.name, instance: *instance });
-            old.is_none_or(|old| self.gone(now, old) >= bounds.lease)
+            old.is_none_or(|old| self.absent_for(now, old) >= bounds.lease)
         };
         let new = |p: &Process| {
-            members.get(&p.name) != Some(&p.instance) && !Evictions::is_evicted(view, p.name) && over(p)
+            members.get(&p.name) != Some(&p.instance)
+                && !Evictions::is_evicted(view, p.name)
+                && old_lease_expired(p)
         };
-        let votes = |p: &Process| {
+        let becomes_elector = |p: &Process| {
             self.settings.elector_names.contains(p.name) && view.electors.get(&p.name) != Some(&p.instance)
         };
-        let (voters, come): (Vec<Process>, Vec<Process>) = there.chain([me]).filter(new).partition(votes);
-        // Its lease is over on everyone's clock.
-        let gone = |process: &Process| {
+        let (new_electors, joining): (Vec<Process>, Vec<Process>) =
+            alive.chain([me]).filter(new).partition(becomes_elector);
+        // Its lease has expired on every clock.
+        let should_leave = |process: &Process| {
             Evictions::is_evicted(view, process.name)
                 || *process != me
-                    && self.gone(now, *process) > bounds.grantor_duration()
-                    && !come.iter().any(|new| new.name == process.name)
+                    && self.absent_for(now, *process) > bounds.grantor_duration()
+                    && !joining.iter().any(|new| new.name == process.name)
         };
-        let here = members.iter().map(|(name, instance)| Process { name: *name, instance: *instance });
-        let go: Vec<Process> = here.filter(gone).collect();
-        if come.is_empty() && go.is_empty() {
-            return voters.first().copied().map(Change::Admit);
+        let current_members =
+            members.iter().map(|(name, instance)| Process { name: *name, instance: *instance });
+        let leaving: Vec<Process> = current_members.filter(should_leave).collect();
+        if joining.is_empty() && leaving.is_empty() {
+            return new_electors.first().copied().map(Change::Admit);
         }
-        Some(Change::Move(come, go))
+        Some(Change::Move(joining, leaving))
     }
 
-    /// For how long a process was not there, as far as this one can know. Who still has its name from this elector is.
-    fn gone(&self, now: Micros, process: Process) -> Micros {
-        let held = self.grantor.as_ref().and_then(|grantor| grantor.holder(now, resource(process.name)));
-        match held == Some(process) {
+    /// How long a process has been absent, as far as this node can know; 0 while this elector's grant of its
+    /// name lease lasts.
+    fn absent_for(&self, now: Micros, process: Process) -> Micros {
+        let grant_holder =
+            self.grantor.as_ref().and_then(|grantor| grantor.holder(now, resource(process.name)));
+        match grant_holder == Some(process) {
             true => 0,
-            false => now.saturating_sub(self.there.get(&process).copied().unwrap_or(self.began)),
+            false => now.saturating_sub(self.last_seen.get(&process).copied().unwrap_or(self.started_at)),
         }
     }
 }
 
-fn is_done(change: &Change, view: &View) -> bool {
+fn is_applied(change: &Change, view: &View) -> bool {
     match change {
         Change::Admit(p) => view.members.get(&p.name) == Some(&p.instance),
         Change::Remove(p) => view.members.get(&p.name) != Some(&p.instance),
         Change::Set(key, value) => view.facts.get(key) == Some(value),
         Change::Clear(key) => !view.facts.contains_key(key),
-        Change::Move(come, go) => {
+        Change::Move(joining, leaving) => {
             let has = |p: &Process| view.members.get(&p.name) == Some(&p.instance);
-            come.iter().all(has) && !go.iter().any(has)
+            joining.iter().all(has) && !leaving.iter().any(has)
         }
     }
 }
--- a/crates/view/src/lease.rs
+++ b/crates/view/src/lease.rs
@@ -1,9 +1,10 @@
-//! Leases from a majority of electors: at most one process holds a resource at any time, whatever clocks, pauses and
-//! networks do, as long as clocks run at most so much faster or slower than true time.
+//! Leases granted by a majority of electors: at most one process holds a resource at any time, whatever
+//! clocks, pauses and the network do, as long as the drift of all clocks stays within a known bound.
 //!
-//! Who asks counts from the moment it asked, on its own clock, and stops early; an elector counts from the moment it
-//! granted, and remembers longer. An elector that starts has forgotten what it granted: it grants nothing until every
-//! lease that its name may have granted is over.
+//! The holder counts the lease from the moment of its request, on its own clock, and stops early; an elector
+//! counts from the moment of its grant, and remembers the grant for longer. An elector that starts has lost
+//! its grants: it grants nothing until every lease that the previous process of its name may have granted has
+//! expired.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,122 +13,131 @@
 use crate::Micros;
 use crate::process::{ElectorNames, Process};
 
-/// What can be held: a number that all nodes derive from its name in the same way.
+/// What a lease is for: a number that all nodes derive in the same way from the resource's name.
 pub type Resource = u64;
 
-/// Resources that an elector remembers at most.
-const GRANTS_MOST: usize = 16_384;
+/// The largest number of resources that an elector remembers grants for.
+const MAX_GRANTS: usize = 16_384;
 
-/// How long leases last, and how true clocks are.
+/// How long leases last, and how accurate clocks are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseBounds {
-    /// How long a lease lasts.
+    /// The duration of a lease.
     pub lease: Micros,
-    /// By how many millionths a clock may be fast or slow.
+    /// The largest error of a clock's rate, in parts per million, fast or slow.
     pub drift_ppm: u64,
 }
 
 impl LeaseBounds {
-    fn drifted(&self) -> Micros {
+    fn drift(&self) -> Micros {
         (self.lease * self.drift_ppm).div_ceil(1_000_000)
     }
 
-    /// For how long who holds it may act on it, on its own clock, from when it asked.
+    /// How long the holder may rely on a lease, on its own clock, from the moment of its request.
     pub fn holder_duration(&self) -> Micros {
-        self.lease.saturating_sub(self.drifted())
+        self.lease.saturating_sub(self.drift())
     }
 
-    /// For how long an elector keeps it for its holder, on its own clock, from when it granted. In true time that is
-    /// at least a lease, and a holder's part at most one.
+    /// How long an elector reserves a resource for its holder, on its own clock, from the moment of its
+    /// grant. In true time this is at least the lease duration, and [`Self::holder_duration`] is at most
+    /// that.
     pub fn grantor_duration(&self) -> Micros {
-        // lease / (1 - drift), and a microsecond for what is rounded.
-        self.lease + 2 * self.drifted() + 1
+        // lease / (1 - drift), and one microsecond for rounding.
+        self.lease + 2 * self.drift() + 1
     }
 }
 
-/// Asks an elector for a resource, or for more of it.
+/// Requests, renews or releases a lease at an elector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// What.
+    /// The resource that the lease is for.
     pub resource: Resource,
-    /// Tells the answer's question: goes up with each.
+    /// Matches a response to its request: the holder increases it with each request.
     pub number: u64,
-    /// Whether it is given back instead.
+    /// Whether the lease is released instead of requested.
     pub release: bool,
 }
 
-/// What an elector answers.
+/// An elector's response to a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// What was asked for.
+    /// The resource that was requested.
     pub resource: Resource,
-    /// In which question.
+    /// The number of the request.
     pub number: u64,
-    /// Whether it is granted; if not, another has it, or the elector has just started.
+    /// Whether the lease is granted. It is refused while another process holds it, and for some time after
+    /// the elector has started. A release is always answered with `false`.
     pub granted: bool,
 }
 
-/// An elector's part.
+/// The elector's side of leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grantor {
     bounds: LeaseBounds,
-    /// From when on it grants.
-    from: Micros,
+    /// The elector grants nothing before this time.
+    grants_from: Micros,
     grants: BTreeMap<Resource, (Process, Micros)>,
-    /// The highest question of each that it has answered: what comes late is not taken.
-    heard: BTreeMap<(Process, Resource), u64>,
+    /// The highest request number answered for each process and resource: requests that arrive late are
+    /// refused.
+    answered: BTreeMap<(Process, Resource), u64>,
 }
 
 impl Grantor {
-    /// An elector that starts now.
+    /// An elector whose process starts at `now`.
     pub fn new(bounds: LeaseBounds, now: Micros) -> Grantor {
-        let from = now + bounds.grantor_duration();
-        Grantor { bounds, from, grants: BTreeMap::new(), heard: BTreeMap::new() }
+        let grants_from = now + bounds.grantor_duration();
+        Grantor { bounds, grants_from, grants: BTreeMap::new(), answered: BTreeMap::new() }
     }
 
-    /// Whether it grants: all that its name granted before is over.
+    /// Whether the elector grants leases: everything that the previous process of its name granted has
+    /// expired.
     pub fn is_granting(&self, now: Micros) -> bool {
-        now >= self.from
+        now >= self.grants_from
     }
 
-    /// Answers a question.
-    pub fn handle(&mut self, now: Micros, from: Process, ask: LeaseRequest) -> LeaseResponse {
-        let answer = |granted| LeaseResponse { resource: ask.resource, number: ask.number, granted };
+    /// Answers a request.
+    pub fn handle(&mut self, now: Micros, from: Process, lease_request: LeaseRequest) -> LeaseResponse {
+        let answer = |granted| LeaseResponse {
+            resource: lease_request.resource,
+            number: lease_request.number,
+            granted,
+        };
         if !self.is_granting(now) {
             return answer(false);
         }
-        let heard = self.heard.get(&(from, ask.resource)).copied();
-        if heard.is_some_and(|heard| ask.number < heard) {
+        let answered = self.answered.get(&(from, lease_request.resource)).copied();
+        if answered.is_some_and(|answered| lease_request.number < answered) {
             return answer(false);
         }
-        let other = self.grants.get(&ask.resource).filter(|(to, until)| *to != from && now < *until);
-        if other.is_some() {
+        let held_by_other =
+            self.grants.get(&lease_request.resource).filter(|(to, expiry)| *to != from && now < *expiry);
+        if held_by_other.is_some() {
             return answer(false);
         }
-        if !self.grants.contains_key(&ask.resource) && self.grants.len() >= GRANTS_MOST {
-            self.grants.retain(|_, (_, until)| now < *until);
+        if !self.grants.contains_key(&lease_request.resource) && self.grants.len() >= MAX_GRANTS {
+            self.grants.retain(|_, (_, expiry)| now < *expiry);
             let grants = &self.grants;
-            self.heard.retain(|(to, resource), _| grants.get(resource).is_some_and(|(by, _)| by == to));
-            if self.grants.len() >= GRANTS_MOST {
+            self.answered.retain(|(to, resource), _| grants.get(resource).is_some_and(|(by, _)| by == to));
+            if self.grants.len() >= MAX_GRANTS {
                 return answer(false);
             }
         }
-        self.heard.insert((from, ask.resource), ask.number);
-        if ask.release {
-            self.grants.remove(&ask.resource);
+        self.answered.insert((from, lease_request.resource), lease_request.number);
+        if lease_request.release {
+            self.grants.remove(&lease_request.resource);
             return answer(false);
         }
-        self.grants.insert(ask.resource, (from, now + self.bounds.grantor_duration()));
+        self.grants.insert(lease_request.resource, (from, now + self.bounds.grantor_duration()));
         answer(true)
     }
 
-    /// Who it has granted a resource to, if that is not over.
+    /// The process that this elector has granted a resource to, if the grant has not expired.
     pub fn holder(&self, now: Micros, resource: Resource) -> Option<Process> {
-        self.grants.get(&resource).filter(|(_, until)| now < *until).map(|(to, _)| *to)
+        self.grants.get(&resource).filter(|(_, expiry)| now < *expiry).map(|(to, _)| *to)
     }
 }
 
-/// What a process holds of one resource, or tries to.
+/// The holder's side of the lease on one resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     bounds: LeaseBounds,
@@ -136,16 +146,16 @@
     number: u64,
     asked_at: Micros,
     granted: BTreeSet<Process>,
-    until: Micros,
+    expiry: Micros,
 }
 
 impl LeaseHolder {
-    /// One that holds nothing.
+    /// A process that does not hold the resource.
     pub fn new(bounds: LeaseBounds, names: ElectorNames, resource: Resource) -> LeaseHolder {
-        LeaseHolder { bounds, names, resource, number: 0, asked_at: 0, granted: BTreeSet::new(), until: 0 }
+        LeaseHolder { bounds, names, resource, number: 0, asked_at: 0, granted: BTreeSet::new(), expiry: 0 }
     }
 
-    /// Asks all electors, at first or for more time.
+    /// Creates a request to all electors, for a new lease or for a renewal.
     pub fn request(&mut self, now: Micros) -> LeaseRequest {
         self.number += 1;
         self.asked_at = now;
@@ -153,36 +163,36 @@
         LeaseRequest { resource: self.resource, number: self.number, release: false }
     }
 
-    /// Gives it back: from now on it holds nothing.
+    /// Creates a release; the lease is not held any more from now on.
     pub fn release(&mut self, now: Micros) -> LeaseRequest {
-        self.until = 0;
+        self.expiry = 0;
         LeaseRequest { release: true, ..self.request(now) }
     }
 
-    /// Takes in an elector's answer; whether it holds the resource by that from now on, or for longer.
+    /// Takes in an elector's response; returns whether a majority has granted the request by now.
     pub fn handle(&mut self, from: Process, answer: LeaseResponse) -> bool {
-        let of_this = answer.resource == self.resource && answer.number == self.number;
-        if !of_this || !answer.granted || !self.names.contains(from.name) {
+        let is_current = answer.resource == self.resource && answer.number == self.number;
+        if !is_current || !answer.granted || !self.names.contains(from.name) {
             return false;
         }
-        // One vote a name, whichever of its processes gives it.
+        // One vote for each name, whichever of its processes it comes from.
         self.granted.retain(|process| process.name != from.name);
         self.granted.insert(from);
-        let enough = self.granted.len() >= self.names.majority();
-        if enough {
-            self.until = self.until.max(self.asked_at + self.bounds.holder_duration());
+        let has_majority = self.granted.len() >= self.names.majority();
+        if has_majority {
+            self.expiry = self.expiry.max(self.asked_at + self.bounds.holder_duration());
         }
-        enough
+        has_majority
     }
 
-    /// Whether it may act on the resource at this moment. Asked anew before each act: after a pause the answer is
-    /// another.
+    /// Whether the lease is held at `now`. Check it again before each action that relies on it: after a pause
+    /// the lease may have expired.
     pub fn is_held(&self, now: Micros) -> bool {
-        now < self.until
+        now < self.expiry
     }
 
-    /// When it stops holding, if nothing more is granted.
+    /// When the lease expires unless it is renewed; 0 after a release.
     pub fn expires_at(&self) -> Micros {
-        self.until
+        self.expiry
     }
 }
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -1,21 +1,21 @@
-//! What the fleet decides as one, whoever is cut off from whom: views, each with an epoch, and leases.
+//! Agreement within the fleet under network partitions: membership views, each with an epoch, and leases.
 //!
-//! Both rest on a few *electors*: names that the configuration gives, the same at all nodes. What a majority of them
-//! has agreed to is decided; two majorities share a name, so that nothing else can be. Nothing is written to a disk: a
-//! process that starts has forgotten what its name promised, and is told apart from the one before by its *instance*.
-//! Everything here is a state machine without I/O; times are microseconds of the node's own monotonic clock.
+//! Both rest on a few *electors*: node names from the configuration, the same at all nodes. A decision needs
+//! a majority of them, and as two majorities always share a name, two conflicting decisions cannot both be
+//! made. Nothing is written to disk: a process that starts has lost the promises of the previous process of
+//! its name, and its *instance* tells the two apart. Everything here is a state machine without I/O; times
+//! are microseconds of the node's own monotonic clock.
 //!
-//! - `process`: names, instances, majorities.
-//! - `view`: what is decided, and how one view follows from another.
-//! - `register`: how a majority decides a view (CASPaxos, Rystsov, 2018, with electors that change as in joint
-//!   consensus, Ongaro, 2014).
-//! - `lease`: who holds what, until when, on whose clock (Gray and Cheriton, 1989, from a majority).
-//! - `partition`: on which side of a cut a node is.
-//! - `limit_share`: what part of the fleet's limits a node takes by its lease.
-//! - `eviction`: nodes that operators have put out of the fleet for a time.
-//! - `coordinator`: all of these on one rhythm, as a node runs them.
-//!
-//! `docs/view-design.md` has the options weighed and what is proven of them.
+//! - `process`: names, instances and majorities.
+//! - `view`: the decided state, and how one view follows from another.
+//! - `register`: how a majority decides a view (CASPaxos, Rystsov, 2018, with changes of the electors by
+//!   joint consensus, Ongaro, 2014).
+//! - `lease`: who holds which resource, until when, on whose clock (Gray and Cheriton, 1989, granted by a
+//!   majority).
+//! - `partition`: the side of a network partition that a node is on.
+//! - `limit_share`: the share of the fleet's limits that a node takes while it holds its lease.
+//! - `eviction`: nodes that operators have temporarily excluded from the fleet.
+//! - `coordinator`: runs all of these at one node, on a common timer.
 
 mod coordinator;
 mod eviction;
@@ -35,5 +35,5 @@
 pub use register::{Accepted, Ballot, Message, Register};
 pub use view::{Change, Generation, MAX_MEMBERS, View, ViewDelta};
 
-/// A point in time, or a span of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/view/src/limit_share.rs
+++ b/crates/view/src/limit_share.rs
@@ -1,41 +1,44 @@
-//! What part of the fleet's limits a node takes. It follows its lease: without one it keeps a floor, so that it never
-//! stops serving, and all sides of any cut together stay within [`MAX_TOTAL_SHARE`] of what the fleet may.
+//! The share of the fleet's limits that a node takes. The share follows the node's lease: without a lease the
+//! node keeps a small minimum, so that it never stops serving. In any network partition, the shares of all
+//! sides together stay within [`MAX_TOTAL_SHARE`] of the fleet's limits.
 
 use crate::Micros;
 
-/// What a node without a lease takes, of what is one node's.
+/// The share of all nodes without a lease together, as a fraction of the fleet's limits; each node takes its
+/// equal part of it.
 pub const MIN_TOTAL_SHARE: f64 = 0.1;
-/// What all nodes together take at most, of what the fleet may: those with leases a whole, the others their floors.
+/// An upper bound for the sum of all nodes' shares: the nodes with leases take the whole, all others the
+/// minimum.
 pub const MAX_TOTAL_SHARE: f64 = 1.0 + MIN_TOTAL_SHARE;
-/// How long between two steps up, and how many steps lead from nothing to a whole part.
-const STEP: Micros = 500_000;
-const STEPS: f64 = 4.0;
+/// The least time between two increases, and the number of increases from nothing to a full share.
+const INCREASE_INTERVAL: Micros = 500_000;
+const INCREASES: f64 = 4.0;
 
-/// The part of one node.
+/// The share of one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitShare {
-    part: f64,
-    stepped_at: Micros,
+    share: f64,
+    increased_at: Micros,
 }
 
 impl LimitShare {
-    /// A node that starts, of so many that there are meant to be: it has the floor.
+    /// A node that starts, in a fleet of `configured` nodes: it takes the minimum.
     pub fn new(configured: usize) -> LimitShare {
-        LimitShare { part: MIN_TOTAL_SHARE / configured.max(1) as f64, stepped_at: 0 }
+        LimitShare { share: MIN_TOTAL_SHARE / configured.max(1) as f64, increased_at: 0 }
     }
 
-    /// The part to take now: `members` of the view that this node holds a lease under, or nothing where it holds none.
-    /// It shrinks at once and grows by steps.
+    /// The share to take now. `members` is the number of members of the view that this node holds a lease
+    /// under, `None` without a lease. The share shrinks immediately and grows in steps.
     pub fn update(&mut self, now: Micros, members: Option<usize>, configured: usize) -> f64 {
-        let floor = MIN_TOTAL_SHARE / configured.max(1) as f64;
-        let target = members.map_or(floor, |members| 1.0 / members.max(1) as f64);
-        if target <= self.part {
-            self.part = target;
-        } else if now.saturating_sub(self.stepped_at) >= STEP {
-            self.part = (self.part + target / STEPS).min(target);
-            self.stepped_at = now;
+        let minimum = MIN_TOTAL_SHARE / configured.max(1) as f64;
+        let target = members.map_or(minimum, |members| 1.0 / members.max(1) as f64);
+        if target <= self.share {
+            self.share = target;
+        } else if now.saturating_sub(self.increased_at) >= INCREASE_INTERVAL {
+            self.share = (self.share + target / INCREASES).min(target);
+            self.increased_at = now;
         }
-        self.part
+        self.share
     }
 }
 
@@ -44,12 +47,13 @@
     use super::*;
 
     #[test]
-    fn it_grows_by_steps_and_shrinks_at_once() {
-        let mut parts = LimitShare::new(5);
-        let told: Vec<f64> = (1..=6).map(|step| parts.update(step * STEP, Some(5), 5)).collect();
-        assert!(told.windows(2).all(|pair| pair[1] - pair[0] <= 0.2 / STEPS + 1e-9), "{told:?}");
-        assert_eq!(told[5], 0.2);
-        assert_eq!(parts.update(7 * STEP, Some(10), 5), 0.1);
-        assert_eq!(parts.update(7 * STEP + 1, None, 5), MIN_TOTAL_SHARE / 5.0);
+    fn grows_in_steps_and_shrinks_at_once() {
+        let mut limit = LimitShare::new(5);
+        let shares: Vec<f64> =
+            (1..=6).map(|step| limit.update(step * INCREASE_INTERVAL, Some(5), 5)).collect();
+        assert!(shares.windows(2).all(|pair| pair[1] - pair[0] <= 0.2 / INCREASES + 1e-9), "{shares:?}");
+        assert_eq!(shares[5], 0.2);
+        assert_eq!(limit.update(7 * INCREASE_INTERVAL, Some(10), 5), 0.1);
+        assert_eq!(limit.update(7 * INCREASE_INTERVAL + 1, None, 5), MIN_TOTAL_SHARE / 5.0);
     }
 }
--- a/crates/view/src/register.rs
+++ b/crates/view/src/register.rs
@@ -1,16 +1,18 @@
-//! How a majority decides a view. A register in the manner of CASPaxos: who wants a change asks electors for a promise,
-//! takes the view that was accepted last among their answers, and has its successor accepted. No leader is needed for
-//! safety; a chair spares duels.
+//! How a majority decides a view: a replicated register in the manner of CASPaxos. The proposer of a change
+//! asks the electors for a promise, takes the view that was accepted last among their answers, and asks them
+//! to accept its successor. Safety needs no leader; the proposer lease only avoids competing proposals.
 //!
-//! *Restarts from nothing.* Votes are counted by process, not by name. One that starts is no elector until a view that
-//! the others have decided says so; what its name has promised before is never counted again, so that nobody votes
-//! twice for having forgotten; and it has to accept that view itself, so that nobody is counted on who does not know
-//! it. Where electors differ between a view and the one it follows from, a majority of both has
-//! to accept it, and as long as it is not known to be decided, a majority of both has to promise.
+//! *Restart without stored state.* Votes are counted by process, not by name. A process that starts is no
+//! elector until the others decide a view that names it as one. Promises made earlier under its name are
+//! never counted again, so that no process votes twice because it lost its state. It also has to accept that
+//! view itself, so that no process is counted as an elector before it knows the view. Where the electors of a
+//! view differ from those of the view before, a majority of both has to accept the new view, and until the
+//! new view is known to be decided, a majority of both has to promise.
 //!
-//! *Founding.* Only processes that know of no view and have run for longer than any lease lasts may found one, as a
-//! majority of the names; all that found it have to accept it. A majority of names borne by other processes leaves an
-//! older generation without one, for good: it is passed over then, and whoever held it takes the new one.
+//! *Founding.* Only processes that know of no view and have run for longer than any lease lasts may found a
+//! generation, as a majority of the elector names; all founders have to accept the first view. Once a
+//! majority of the names belongs to other processes, an older generation has lost its majority forever: it is
+//! superseded, and processes that knew it take the new one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,44 +21,44 @@
 use crate::process::{ElectorNames, Electors, Instance, Name, Process};
 use crate::view::{Change, Generation, View};
 
-/// Orders proposals; of two of one round, by who made them.
+/// Orders proposals: by round, then by proposer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Goes up with each try.
+    /// Grows with each attempt.
     pub round: u64,
-    /// Who tries.
+    /// The process that makes the proposal.
     #[serde(rename = "by")]
     pub proposer: Process,
 }
 
-/// The view that an elector has accepted last.
+/// The view that an elector accepted last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Accepted {
-    /// In which ballot.
+    /// The ballot in which it was accepted.
     pub ballot: Ballot,
-    /// The view.
+    /// The accepted view.
     pub view: View,
-    /// Whether it knows that a majority has.
+    /// Whether the elector knows that a majority accepted it.
     pub decided: bool,
 }
 
-/// By how much a ballot's round may be above those that were met.
-const LEAP: u64 = 1 << 32;
+/// The largest step from the highest round known to the round of a message.
+const MAX_ROUND_JUMP: u64 = 1 << 32;
 
-/// What processes say to each other.
+/// What processes send to each other to decide a view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks to take part in no ballot below this one.
+    /// Asks for a promise to take part in no ballot below this one.
     Prepare(Ballot),
-    /// It does so, and has accepted this.
+    /// The promise, with the view that the sender accepted last, if any.
     Promise(Ballot, Option<Accepted>),
     /// Asks to accept this view.
     Accept(Ballot, View),
-    /// It has.
+    /// The sender accepted the view of this ballot.
     Accepts(Ballot),
-    /// It takes part in a higher ballot, which this is.
+    /// Rejects a ballot: the sender takes part in this higher one.
     Refuses(Ballot),
-    /// This view is decided.
+    /// This view was decided in this ballot.
     Decided(Ballot, View),
 }
 
@@ -66,7 +68,7 @@
     Accepting { view: View, votes: BTreeSet<Process> },
 }
 
-/// A ballot of this process.
+/// The ballot that this process currently proposes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proposal {
     ballot: Ballot,
@@ -74,31 +76,32 @@
     phase: Phase,
 }
 
-/// One process's part in deciding views.
+/// One process's state for deciding views.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Register {
     me: Process,
     names: ElectorNames,
-    /// Whether this process has run for longer than any lease that its name may have granted before lasts.
-    waited: bool,
+    /// Whether every lease that the previous process of this name may have granted has expired, so that this
+    /// process may vote on founding a view.
+    may_found: bool,
     promised: Ballot,
     accepted: Option<Accepted>,
     decided: Option<View>,
-    /// In which ballot that was.
+    /// The ballot in which `decided` was accepted or learned.
     ballot: Ballot,
-    /// Which process bears a name now, as far as is known.
+    /// The process that currently runs under each elector name, as far as known.
     running: BTreeMap<Name, Instance>,
     proposal: Option<Proposal>,
 }
 
 impl Register {
-    /// A process that starts and knows nothing.
+    /// A process that starts without any state.
     pub fn new(me: Process, names: ElectorNames) -> Register {
         let promised = Ballot::default();
         Register {
             me,
             names,
-            waited: false,
+            may_found: false,
             promised,
             accepted: None,
             decided: None,
@@ -108,19 +111,19 @@
         }
     }
 
-    /// This process has run for longer than any lease lasts: it may found a view.
+    /// Call this once the process has run for longer than any lease lasts: from then on it may found a view.
     pub fn allow_founding(&mut self) {
-        self.waited = true;
+        self.may_found = true;
     }
 
-    /// This process bears its name now: there was none of that name later.
+    /// Records that this process runs under its name, in place of any earlier one.
     pub fn set_running(&mut self, process: Process) {
         if self.names.contains(process.name) {
             self.running.insert(process.name, process.instance);
         }
     }
 
-    /// Whether a generation can decide nothing any more, by the processes that are known to run.
+    /// Whether the view's generation can decide nothing any more, by the processes known to run.
     pub fn has_lost_majority(&self, view: &View) -> bool {
         let running =
             self.running.iter().map(|(name, instance)| Process { name: *name, instance: *instance });
@@ -128,7 +131,7 @@
         self.names.is_majority_lost(&view.electors, &running)
     }
 
-    /// The newest view that it has accepted, or knows: whose generation and epoch.
+    /// Generation and epoch of the newest view that this process accepted or knows to be decided.
     pub fn newest_epoch(&self) -> Option<(Generation, u64)> {
         let accepted = self.accepted.as_ref().map(|accepted| (accepted.view.generation, accepted.view.epoch));
         let decided = self.decided.as_ref().map(|view| (view.generation, view.epoch));
@@ -138,25 +141,27 @@
         }
     }
 
-    /// The newest view that it knows to be decided.
+    /// The newest view known to be decided.
     pub fn view(&self) -> Option<&View> {
         self.decided.as_ref()
     }
 
-    /// The ballot in which it has accepted, or learned, the view that it holds.
+    /// The ballot in which [`Self::view`] was accepted or learned.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Whether it has a ballot under way.
+    /// Whether a proposal of this process is in progress.
     pub fn is_proposing(&self) -> bool {
         self.proposal.is_some()
     }
 
-    /// Begins a ballot for a change, or to finish or learn what is decided. One that is under way is given up.
+    /// Starts a ballot for a change; without a change it only completes or learns what is already decided. A
+    /// proposal in progress is abandoned.
     pub fn propose(&mut self, change: Option<Change>, out: &mut Vec<(u64, Message)>) {
         let ballot = Ballot { round: self.promised.round.saturating_add(1), proposer: self.me };
-        // Whole: with the one whom it promised last in it, who may be above this one, it would refuse itself.
+        // The whole ballot, not only its round: an earlier promise to a proposer with a higher number would
+        // make this process reject its own ballot.
         self.promised = ballot;
         self.proposal = Some(Proposal { ballot, change, phase: Phase::Preparing(BTreeMap::new()) });
         self.to_all(&Message::Prepare(ballot), out);
@@ -166,8 +171,8 @@
         out.extend(self.names.iter().map(|name| (name, message.clone())));
     }
 
-    /// Takes in what a process says; appends what is to be said, and to whom. A view that is newly known to be decided
-    /// is returned.
+    /// Handles a message; appends the messages to send with their receivers. Returns a view that has just
+    /// become known as decided.
     pub fn handle(&mut self, from: Process, message: Message, out: &mut Vec<(u64, Message)>) -> Option<View> {
         let (Message::Prepare(ballot)
         | Message::Promise(ballot, _)
@@ -175,8 +180,8 @@
         | Message::Accepts(ballot)
         | Message::Refuses(ballot)
         | Message::Decided(ballot, _)) = &message;
-        // Ballots go up by one: with a number near the end of all numbers a liar would stop all that follow.
-        if ballot.round > self.promised.round.saturating_add(LEAP) {
+        // Ballots grow by one: a message with a round near the maximum would block all later ballots.
+        if ballot.round > self.promised.round.saturating_add(MAX_ROUND_JUMP) {
             return None;
         }
         match message {
@@ -187,7 +192,8 @@
             Message::Accept(ballot, view) if self.may_vote(ballot) => {
                 self.promised = ballot;
                 // What is known to be decided stays so under a higher ballot.
-                let decided = self.accepted.as_ref().is_some_and(|known| known.decided && known.view == view);
+                let decided =
+                    self.accepted.as_ref().is_some_and(|current| current.decided && current.view == view);
                 self.accepted = Some(Accepted { ballot, view, decided });
                 out.push((from.name, Message::Accepts(ballot)));
             }
@@ -196,27 +202,28 @@
                     out.push((from.name, Message::Refuses(self.promised)));
                 }
             }
-            Message::Promise(ballot, accepted) => self.promise(from, ballot, accepted, out),
-            Message::Accepts(ballot) => return self.vote(from, ballot, out),
+            Message::Promise(ballot, accepted) => self.handle_promise(from, ballot, accepted, out),
+            Message::Accepts(ballot) => return self.handle_vote(from, ballot, out),
             Message::Refuses(ballot) => {
                 self.promised.round = self.promised.round.max(ballot.round);
                 if self.proposal.as_ref().is_some_and(|proposal| proposal.ballot < ballot) {
                     self.proposal = None;
                 }
             }
-            Message::Decided(ballot, view) => return self.learn(ballot, view),
+            Message::Decided(ballot, view) => return self.record_decided(ballot, view),
         }
         None
     }
 
-    /// Whether this process takes part in a ballot: as an elector of the view that it has, or as one that may found.
+    /// Whether this process votes in a ballot: as an elector that has accepted a view, or as a possible
+    /// founder.
     fn may_vote(&self, ballot: Ballot) -> bool {
         ballot >= self.promised
-            && (self.accepted.is_some() || self.waited)
+            && (self.accepted.is_some() || self.may_found)
             && self.names.contains(self.me.name)
     }
 
-    fn promise(
+    fn handle_promise(
         &mut self,
         from: Process,
         ballot: Ballot,
@@ -228,76 +235,83 @@
         };
         let Phase::Preparing(promises) = &mut proposal.phase else { return };
         promises.insert(from, accepted);
-        // Who has accepted nothing is no elector of anything decided: all who are new in a view accept it.
-        let blank: Vec<Process> =
+        // A process that has accepted nothing is no elector of any decided view, as all new electors of a
+        // view accept it.
+        let without_view: Vec<Process> =
             promises.iter().filter(|(_, accepted)| accepted.is_none()).map(|(process, _)| *process).collect();
-        let lives = |known: &&Accepted| {
+        let can_still_decide = |current: &&Accepted| {
             let votes = |(name, instance): &(&Name, &Instance)| {
-                !blank.contains(&Process { name: **name, instance: **instance })
+                !without_view.contains(&Process { name: **name, instance: **instance })
             };
             let electors =
-                known.view.electors.iter().filter(votes).map(|(name, instance)| (*name, *instance));
+                current.view.electors.iter().filter(votes).map(|(name, instance)| (*name, *instance));
             !self.names.is_majority_lost(&electors.collect(), promises.keys())
         };
-        let newest = promises.values().flatten().filter(lives).max_by_key(|accepted| accepted.ballot);
+        let newest =
+            promises.values().flatten().filter(can_still_decide).max_by_key(|accepted| accepted.ballot);
         let Some(newest) = newest else {
-            // Nobody knows a view that could still decide.
+            // No view is known whose generation can still decide: found a new one.
             let electors: Electors = promises.keys().map(|p| (p.name, p.instance)).collect();
             if self.names.has_majority(&electors, promises.keys()) {
-                let view = View::found(ballot, electors);
-                self.accepting(view, out);
+                let view = View::founding(ballot, electors);
+                self.start_accepting(view, out);
             }
             return;
         };
         let view = &newest.view;
-        let decided = promises.values().flatten().any(|known| known.decided && known.view == *view);
-        let by_own = self.names.has_majority(&view.electors, promises.keys());
-        let by_before = decided || self.names.has_majority(&view.previous_electors, promises.keys());
-        if !by_own || !by_before {
+        let decided = promises.values().flatten().any(|current| current.decided && current.view == *view);
+        let promised_by_electors = self.names.has_majority(&view.electors, promises.keys());
+        let promised_by_previous =
+            decided || self.names.has_majority(&view.previous_electors, promises.keys());
+        if !promised_by_electors || !promised_by_previous {
             return;
         }
         let is_elector = |change: &Change| matches!(change, Change::Admit(p) if self.names.contains(p.name));
-        // What is not known to be decided is brought to its end first, with all who are new in it: a view that followed it
-        // would not ask them, and one that knows of nothing could found beside it. Those that are gone can do neither.
-        let knows_it = |p: &Process| {
-            promises.get(p).is_some_and(|accepted| accepted.as_ref().is_some_and(|known| known.view == *view))
+        // A view that is not known to be decided is completed first, including acceptance by all its new
+        // electors: a view that followed it would not ask them, and one of them that knows no view could
+        // found another generation. Processes that are gone can do neither and are not waited for.
+        let accepted_view = |p: &Process| {
+            promises
+                .get(p)
+                .is_some_and(|accepted| accepted.as_ref().is_some_and(|current| current.view == *view))
         };
-        let is_gone = |p: &Process| promises.keys().any(|q| q.name == p.name && q.instance != p.instance);
-        let ends = decided || view.newcomers().all(|p| knows_it(&p) || is_gone(&p));
-        let change = proposal.change.as_ref().filter(|_| ends);
+        let is_replaced = |p: &Process| promises.keys().any(|q| q.name == p.name && q.instance != p.instance);
+        let is_complete = decided || view.newcomers().all(|p| accepted_view(&p) || is_replaced(&p));
+        let change = proposal.change.as_ref().filter(|_| is_complete);
         let next = change.and_then(|change| view.apply(change, is_elector(change)));
         let view = next.unwrap_or_else(|| view.clone());
-        self.accepting(view, out);
+        self.start_accepting(view, out);
     }
 
-    fn accepting(&mut self, view: View, out: &mut Vec<(u64, Message)>) {
+    fn start_accepting(&mut self, view: View, out: &mut Vec<(u64, Message)>) {
         let Some(proposal) = &mut self.proposal else { return };
         proposal.phase = Phase::Accepting { view: view.clone(), votes: BTreeSet::new() };
         let message = Message::Accept(proposal.ballot, view);
         self.to_all(&message, out);
     }
 
-    fn vote(&mut self, from: Process, ballot: Ballot, out: &mut Vec<(u64, Message)>) -> Option<View> {
+    fn handle_vote(&mut self, from: Process, ballot: Ballot, out: &mut Vec<(u64, Message)>) -> Option<View> {
         let proposal = self.proposal.as_mut().filter(|proposal| proposal.ballot == ballot)?;
         let Phase::Accepting { view, votes } = &mut proposal.phase else { return None };
         votes.insert(from);
-        let by_all = self.names.has_majority(&view.electors, &*votes)
+        let has_both_majorities = self.names.has_majority(&view.electors, &*votes)
             && self.names.has_majority(&view.previous_electors, &*votes);
-        if !by_all || !view.newcomers().all(|process| votes.contains(&process)) {
+        if !has_both_majorities || !view.newcomers().all(|process| votes.contains(&process)) {
             return None;
         }
         let view = view.clone();
         self.proposal = None;
         self.to_all(&Message::Decided(ballot, view.clone()), out);
-        self.learn(ballot, view)
+        self.record_decided(ballot, view)
     }
 
-    /// A view is decided. An elector takes it as accepted: who is admitted begins to vote with it.
-    fn learn(&mut self, ballot: Ballot, view: View) -> Option<View> {
+    /// Records a decided view. An elector also takes it as accepted: a process that has just been admitted
+    /// votes with it.
+    fn record_decided(&mut self, ballot: Ballot, view: View) -> Option<View> {
         let is_elector = view.electors.get(&self.me.name) == Some(&self.me.instance);
-        let newer = self.accepted.as_ref().is_none_or(|known| known.ballot < ballot);
+        let newer = self.accepted.as_ref().is_none_or(|current| current.ballot < ballot);
         match &mut self.accepted {
-            Some(known) if known.view == view => known.decided = true,
+            Some(current) if current.view == view => current.decided = true,
             _ if newer && is_elector && ballot >= self.promised => {
                 self.accepted = Some(Accepted { ballot, view: view.clone(), decided: true });
             }
@@ -305,8 +319,8 @@
         }
         let later = match &self.decided {
             None => true,
-            Some(known) if known.generation == view.generation => known.epoch < view.epoch,
-            Some(known) => self.has_lost_majority(known) && !self.has_lost_majority(&view),
+            Some(current) if current.generation == view.generation => current.epoch < view.epoch,
+            Some(current) => self.has_lost_majority(current) && !self.has_lost_majority(&view),
         };
         if !later {
             return None;
--- a/crates/view/src/view.rs
+++ b/crates/view/src/view.rs
@@ -1,4 +1,4 @@
-//! What is decided: who votes, who is a member, and small named facts.
+//! The decided state: who votes, who is a member, and small named facts.
 
 use std::collections::BTreeMap;
 
@@ -7,84 +7,88 @@
 use crate::process::{Electors, Process};
 use crate::register::Ballot;
 
-/// Bytes of all facts of a view: with its members it has to fit one packet.
-const FACTS_MOST: usize = 256;
-/// Members that a view holds at most.
+/// The total size of all facts of a view: facts and members together have to fit one packet.
+const MAX_FACTS_BYTES: usize = 256;
+/// The largest number of members of a view.
 pub const MAX_MEMBERS: usize = 16;
 
-/// Views that follow from one founding. There is a second founding only once a majority of the first one's electors
-/// is gone for good, so that it can decide nothing any more.
+/// Identifies all views that follow from one founding view. A second founding is possible only once a
+/// majority of the first one's electors is gone for good, so that the first generation can decide nothing any
+/// more.
 pub type Generation = Ballot;
 
-/// What the fleet has decided: one for each epoch of a generation.
+/// The decided state of the fleet: one view for each epoch of a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// The founding that it comes from.
+    /// The ballot that founded this generation.
     pub generation: Generation,
-    /// Its number in the generation, from 1; one up with each decision.
+    /// The view's number within the generation: it starts at 1 and grows by one with each decision.
     pub epoch: u64,
-    /// Who votes on what follows.
+    /// The processes that vote on the next view.
     pub electors: Electors,
-    /// Who voted on this one.
+    /// The processes that voted on this view.
     #[serde(rename = "before")]
     pub previous_electors: Electors,
-    /// The members' processes.
+    /// The processes that are members of the fleet.
     pub members: Electors,
-    /// Small decisions of other kinds, by name.
+    /// Small decisions of other kinds, such as evictions: key and value.
     pub facts: BTreeMap<String, String>,
 }
 
-/// One step from a view to the next.
+/// A change that turns one view into the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// A process is a member from now on, and an elector if its name is one; one of its name before it is neither.
+    /// Adds a process as a member, and as an elector if its name is an elector's. It replaces an earlier
+    /// process of the same name in both roles.
     Admit(Process),
-    /// A process is no member any more. As an elector it stays until another of its name is admitted, so that the
-    /// number of votes needed never shrinks.
+    /// Removes a process from the members. As an elector it stays until another process of its name is
+    /// admitted, so that the number of votes needed never shrinks.
     Remove(Process),
-    /// A fact holds.
+    /// Sets a fact: key and value.
     Set(String, String),
-    /// It does not hold any more.
+    /// Deletes the fact with this key.
     Clear(String),
-    /// These processes come in, and those go out, none of which changes who votes: so many at a time can.
+    /// Adds the first list of processes as members and removes the second. It does not change the electors,
+    /// so that any number of processes can move at once.
     Move(Vec<Process>, Vec<Process>),
 }
 
-/// What led from one view to another.
+/// One difference between two views.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewDelta {
-    /// It is the first that is known, or of another generation.
+    /// There is no earlier view to compare with, or the earlier view belongs to another generation.
     Founded,
-    /// A process came in.
+    /// A process became a member.
     Joined(Process),
-    /// A process went out.
+    /// A process is no longer a member.
     Left(Process),
-    /// A fact holds from now on, or holds otherwise.
+    /// The fact with this key was added or has a new value.
     Set(String),
-    /// A fact does not hold any more.
+    /// The fact with this key was deleted.
     Cleared(String),
 }
 
 impl View {
-    /// What is new since another view; several steps, if views between were missed.
+    /// The differences from an earlier view to this one; if views in between were missed, these are the
+    /// differences of several changes.
     pub fn changes_since(&self, before: Option<&View>) -> Vec<ViewDelta> {
         let Some(before) = before.filter(|before| before.generation == self.generation) else {
             return vec![ViewDelta::Founded];
         };
-        let not_in = |one: &Electors, other: &Electors| -> Vec<Process> {
-            let new = one.iter().filter(|(name, instance)| other.get(name) != Some(instance));
+        let missing_from = |processes: &Electors, reference: &Electors| -> Vec<Process> {
+            let new = processes.iter().filter(|(name, instance)| reference.get(name) != Some(instance));
             new.map(|(name, instance)| Process { name: *name, instance: *instance }).collect()
         };
-        let came = not_in(&self.members, &before.members).into_iter().map(ViewDelta::Joined);
-        let went = not_in(&before.members, &self.members).into_iter().map(ViewDelta::Left);
+        let joined = missing_from(&self.members, &before.members).into_iter().map(ViewDelta::Joined);
+        let left = missing_from(&before.members, &self.members).into_iter().map(ViewDelta::Left);
         let set = self.facts.iter().filter(|(key, value)| before.facts.get(*key) != Some(value));
         let cleared = before.facts.keys().filter(|key| !self.facts.contains_key(*key));
         let set = set.map(|(key, _)| ViewDelta::Set(key.clone()));
-        came.chain(went).chain(set).chain(cleared.map(|key| ViewDelta::Cleared(key.clone()))).collect()
+        joined.chain(left).chain(set).chain(cleared.map(|key| ViewDelta::Cleared(key.clone()))).collect()
     }
 
     /// The first view of a generation.
-    pub(crate) fn found(generation: Generation, electors: Electors) -> View {
+    pub(crate) fn founding(generation: Generation, electors: Electors) -> View {
         View {
             generation,
             epoch: 1,
@@ -95,7 +99,8 @@
         }
     }
 
-    /// Who has to accept it in any case, besides a majority: whoever votes for the first time. Who is counted on knows it.
+    /// The processes that have to accept this view in addition to a majority: those that vote for the first
+    /// time. Without this, a process could be counted as an elector before it knows the view.
     pub(crate) fn newcomers(&self) -> impl Iterator<Item = Process> + '_ {
         let new = |(name, instance): &(&u64, &u64)| {
             self.epoch == 1 || self.previous_electors.get(name) != Some(instance)
@@ -103,7 +108,8 @@
         self.electors.iter().filter(new).map(|(name, instance)| Process { name: *name, instance: *instance })
     }
 
-    /// The view that follows by a change; nothing if it changes nothing, or there is no room for it.
+    /// The view that results from a change. `None` if the change has no effect, or if members or facts would
+    /// exceed their limits.
     pub fn apply(&self, change: &Change, is_elector: bool) -> Option<View> {
         let mut next = self.clone();
         match change {
@@ -121,15 +127,17 @@
                 next.facts.insert(key.clone(), value.clone());
             }
             Change::Clear(key) => drop(next.facts.remove(key)),
-            Change::Move(come, go) => {
-                let gone = |process: &&Process| self.members.get(&process.name) == Some(&process.instance);
-                let go: Vec<u64> = go.iter().filter(gone).map(|process| process.name).collect();
-                next.members.retain(|name, _| !go.contains(name));
-                next.members.extend(come.iter().map(|process| (process.name, process.instance)));
+            Change::Move(joining, leaving) => {
+                let is_member =
+                    |process: &&Process| self.members.get(&process.name) == Some(&process.instance);
+                let leaving: Vec<u64> =
+                    leaving.iter().filter(is_member).map(|process| process.name).collect();
+                next.members.retain(|name, _| !leaving.contains(name));
+                next.members.extend(joining.iter().map(|process| (process.name, process.instance)));
             }
         }
-        let facts: usize = next.facts.iter().map(|(key, value)| key.len() + value.len() + 2).sum();
-        let fits = facts <= FACTS_MOST && next.members.len() <= MAX_MEMBERS;
+        let facts_bytes: usize = next.facts.iter().map(|(key, value)| key.len() + value.len() + 2).sum();
+        let fits = facts_bytes <= MAX_FACTS_BYTES && next.members.len() <= MAX_MEMBERS;
         if !fits || next == *self {
             return None;
         }
--- a/crates/view/tests/council.rs
+++ b/crates/view/tests/council.rs
@@ -1,4 +1,5 @@
-//! Councils of a fleet in memory and simulated time: that views come about, whatever order they start and ask in.
+//! Coordinators of a fleet in memory and simulated time: a view is decided in whatever order the nodes start
+//! and send.
 
 use dunelink_view::{
     Change, Coordinator, ElectorNames, Evictions, Input, LeaseBounds, LeaseKind, Micros, Output,
@@ -8,18 +9,18 @@
 const NAMES: [u64; 5] = [1, 2, 3, 4, 5];
 const S: Micros = 1_000_000;
 
-struct Net {
+struct SimulatedFleet {
     councils: Vec<Coordinator>,
-    /// Who can't reach whom.
-    cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// Whether messages from the first node to the second are dropped.
+    is_cut: Box<dyn Fn(usize, usize) -> bool>,
     now: Micros,
-    dice: fastrand::Rng,
-    under_way: Vec<(Micros, usize, usize, dunelink_view::FleetMessage)>,
-    chairs: Vec<bool>,
+    rng: fastrand::Rng,
+    in_flight: Vec<(Micros, usize, usize, dunelink_view::FleetMessage)>,
+    proposers: Vec<bool>,
 }
 
-impl Net {
-    fn new(seed: u64) -> Net {
+impl SimulatedFleet {
+    fn new(seed: u64) -> SimulatedFleet {
         let council = |name: &u64| {
             let settings = Settings {
                 me: Process { name: *name, instance: seed * 31 + name },
@@ -30,31 +31,34 @@
             };
             Coordinator::new(settings, 0)
         };
-        Net {
+        SimulatedFleet {
             councils: NAMES.iter().map(council).collect(),
-            cut: Box::new(|_, _| false),
+            is_cut: Box::new(|_, _| false),
             now: 0,
-            dice: fastrand::Rng::with_seed(seed),
-            under_way: Vec::new(),
-            chairs: vec![false; NAMES.len()],
+            rng: fastrand::Rng::with_seed(seed),
+            in_flight: Vec::new(),
+            proposers: vec![false; NAMES.len()],
         }
     }
 
-    fn tell(&mut self, at: usize, input: Input, seed: u64) {
+    fn input(&mut self, at: usize, input: Input, seed: u64) {
         let mut out = Vec::new();
         self.councils[at].handle(self.now, input, &mut out);
         for output in out {
             match output {
-                Output::Send(name, wire) => {
+                Output::Send(name, message) => {
                     let to = NAMES.iter().position(|other| *other == name).unwrap();
-                    if !(self.cut)(at, to) {
-                        let delay = if to == at { 0 } else { self.dice.u64(200..3_000) };
-                        self.under_way.push((self.now + delay, at, to, wire));
+                    if !(self.is_cut)(at, to) {
+                        let delay = if to == at { 0 } else { self.rng.u64(200..3_000) };
+                        self.in_flight.push((self.now + delay, at, to, message));
                     }
                 }
                 Output::Lease(LeaseKind::Proposer, held, _) => {
-                    self.chairs[at] = held;
-                    assert!(self.chairs.iter().filter(|held| **held).count() <= 1, "seed {seed}: two chairs");
+                    self.proposers[at] = held;
+                    assert!(
+                        self.proposers.iter().filter(|held| **held).count() <= 1,
+                        "seed {seed}: two proposers"
+                    );
                 }
                 _ => {}
             }
@@ -65,153 +69,154 @@
         let end = self.now + span;
         while self.now < end {
             self.now += 1_000;
-            let (due, later) = self.under_way.drain(..).partition(|(at, ..)| *at <= self.now);
-            self.under_way = later;
+            let (due, later) = self.in_flight.drain(..).partition(|(at, ..)| *at <= self.now);
+            self.in_flight = later;
             let due: Vec<_> = due;
-            for (_, from, to, wire) in due {
+            for (_, from, to, message) in due {
                 let process = Process { name: NAMES[from], instance: seed * 31 + NAMES[from] };
-                self.tell(to, Input::Received(process, wire), seed);
+                self.input(to, Input::Received(process, message), seed);
             }
             for at in 0..NAMES.len() {
                 let process =
                     |other: usize| Process { name: NAMES[other], instance: seed * 31 + NAMES[other] };
                 if self.now.is_multiple_of(200_000) {
-                    let there = (0..NAMES.len()).filter(|other| !(self.cut)(*other, at) && *other != at);
-                    self.tell(at, Input::AliveProcesses(there.map(process).collect()), seed);
+                    let there = (0..NAMES.len()).filter(|other| !(self.is_cut)(*other, at) && *other != at);
+                    self.input(at, Input::AliveProcesses(there.map(process).collect()), seed);
                 } else {
-                    self.tell(at, Input::Tick, seed);
+                    self.input(at, Input::Tick, seed);
                 }
             }
         }
     }
 }
 
-/// All electors wait for the same time and ask at once: the chair must not stay split among them.
+/// All electors wait equally long after their start and then request the proposer lease at the same time: the
+/// grants must not stay split among them.
 #[test]
-fn a_view_of_all_comes_about_soon_and_again_after_a_cut() {
+fn all_nodes_join_one_view_at_start_and_after_a_partition() {
     for seed in 1..=40 {
-        let mut net = Net::new(seed);
+        let mut net = SimulatedFleet::new(seed);
         net.run(10 * S, seed);
         for council in &net.councils {
-            let stands = council.status(net.now);
-            assert_eq!(stands.view.map(|view| view.members.len()), Some(5), "seed {seed}");
+            let status = council.status(net.now);
+            assert_eq!(status.view.map(|view| view.members.len()), Some(5), "seed {seed}");
             assert!(
-                stands.name_lease_left > 0 && (stands.limit_share - 0.2).abs() < 1e-9,
+                status.name_lease_left > 0 && (status.limit_share - 0.2).abs() < 1e-9,
                 "seed {seed}: {}",
-                stands.limit_share
+                status.limit_share
             );
         }
-        net.cut = Box::new(|from, to| (from < 2) != (to < 2));
+        net.is_cut = Box::new(|from, to| (from < 2) != (to < 2));
         net.run(6 * S, seed);
-        let stands: Vec<_> = net.councils.iter().map(|council| council.status(net.now)).collect();
+        let status: Vec<_> = net.councils.iter().map(|council| council.status(net.now)).collect();
         assert!(
-            stands[..2].iter().all(|s| s.side == PartitionSide::Minority && s.name_lease_left == 0),
+            status[..2].iter().all(|s| s.side == PartitionSide::Minority && s.name_lease_left == 0),
             "seed {seed}"
         );
-        assert!(stands[2..].iter().all(|s| s.view.as_ref().unwrap().members.len() == 3), "seed {seed}");
+        assert!(status[2..].iter().all(|s| s.view.as_ref().unwrap().members.len() == 3), "seed {seed}");
         assert!(
-            stands.iter().map(|s| s.limit_share).sum::<f64>() <= dunelink_view::MAX_TOTAL_SHARE,
+            status.iter().map(|s| s.limit_share).sum::<f64>() <= dunelink_view::MAX_TOTAL_SHARE,
             "seed {seed}"
         );
-        net.cut = Box::new(|_, _| false);
+        net.is_cut = Box::new(|_, _| false);
         net.run(5 * S, seed);
-        let whole = net.councils.iter().all(|c| c.status(net.now).view.unwrap().members.len() == 5);
-        assert!(whole, "seed {seed}");
+        let all_joined = net.councils.iter().all(|c| c.status(net.now).view.unwrap().members.len() == 5);
+        assert!(all_joined, "seed {seed}");
     }
 }
 
-fn name_of(at: usize) -> u64 {
+fn node_name(at: usize) -> u64 {
     NAMES[at]
 }
 
-fn members(net: &Net, at: usize) -> Vec<u64> {
+fn members(net: &SimulatedFleet, at: usize) -> Vec<u64> {
     net.councils[at].status(net.now).view.map(|view| view.members.into_keys().collect()).unwrap_or_default()
 }
 
 #[test]
-fn who_is_put_out_holds_nothing_and_comes_back_when_the_time_is_over() {
+fn evicted_node_loses_its_share_and_returns_after_its_time() {
     for seed in 1..=10 {
-        let mut net = Net::new(seed);
+        let mut net = SimulatedFleet::new(seed);
         net.run(7 * S, seed);
-        net.tell(2, Input::Propose(Evictions::evict(name_of(4), 6, "disk")), seed);
+        net.input(2, Input::Propose(Evictions::evict(node_name(4), 6, "disk")), seed);
         net.run(3 * S, seed);
         for at in 0..5 {
             assert_eq!(members(&net, at), NAMES[..4], "seed {seed}");
             let view = net.councils[at].status(net.now).view.unwrap();
             assert_eq!(Evictions::evicted(&view).collect::<Vec<_>>(), [(5, 6, "disk")]);
-            assert_eq!(view.electors.len(), 5, "it still votes");
+            assert_eq!(view.electors.len(), 5, "an evicted elector still votes");
         }
         assert!(
             net.councils[4].status(net.now).limit_share <= dunelink_view::MIN_TOTAL_SHARE,
-            "its part is the floor"
+            "an evicted node takes the minimum share"
         );
         net.run(6 * S, seed);
-        assert_eq!(members(&net, 0), NAMES, "seed {seed}: back by the chair's clock");
-        net.tell(1, Input::Propose(Evictions::evict(name_of(0), 600, "")), seed);
+        assert_eq!(members(&net, 0), NAMES, "seed {seed}: returned by the proposer's clock");
+        net.input(1, Input::Propose(Evictions::evict(node_name(0), 600, "")), seed);
         net.run(2 * S, seed);
         assert_eq!(members(&net, 3), NAMES[1..]);
-        net.tell(3, Input::Propose(Evictions::restore(name_of(0))), seed);
+        net.input(3, Input::Propose(Evictions::restore(node_name(0))), seed);
         net.run(3 * S, seed);
         assert_eq!(members(&net, 3), NAMES);
     }
 }
 
 #[test]
-fn what_can_not_be_decided_is_refused_with_the_reason_and_stands_in_nobodys_way() {
+fn undecidable_changes_are_refused_and_block_no_others() {
     let seed = 3;
-    let mut net = Net::new(seed);
+    let mut net = SimulatedFleet::new(seed);
     assert_eq!(net.councils[0].validate(&Evictions::restore(1)), Err(Refusal::NoView));
     net.run(7 * S, seed);
-    let may = |net: &Net, change: &Change| net.councils[0].validate(change);
+    let may = |net: &SimulatedFleet, change: &Change| net.councils[0].validate(change);
     assert_eq!(may(&net, &Evictions::restore(1)), Err(Refusal::NotEvicted));
     assert_eq!(may(&net, &Evictions::evict(1, 0, "")), Err(Refusal::InvalidEviction));
     assert_eq!(may(&net, &Evictions::evict(1, 5, &"x".repeat(41))), Err(Refusal::InvalidEviction));
     for name in [1, 2] {
         assert_eq!(may(&net, &Evictions::evict(name, 600, "")), Ok(()));
-        net.tell(0, Input::Propose(Evictions::evict(name, 600, "")), seed);
+        net.input(0, Input::Propose(Evictions::evict(name, 600, "")), seed);
         net.run(2 * S, seed);
     }
     assert_eq!(may(&net, &Evictions::evict(3, 5, "")), Err(Refusal::TooFewLeft));
-    // Who does not ask first is told, and what is wanted after that is decided all the same.
-    net.tell(0, Input::Propose(Evictions::evict(3, 600, "")), seed);
-    net.tell(0, Input::Propose(Change::Set("a".into(), "b".into())), seed);
+    // Without validation the change is rejected, and changes proposed after it are still decided.
+    net.input(0, Input::Propose(Evictions::evict(3, 600, "")), seed);
+    net.input(0, Input::Propose(Change::Set("a".into(), "b".into())), seed);
     net.run(3 * S, seed);
     let view = net.councils[3].status(net.now).view.unwrap();
     assert_eq!((members(&net, 3), view.facts.get("a").map(String::as_str)), (NAMES[2..].to_vec(), Some("b")));
 }
 
 #[test]
-fn one_at_a_time_steps_aside() {
+fn one_node_at_a_time_holds_the_unready_lease() {
     for seed in 1..=20 {
-        let mut net = Net::new(seed);
+        let mut net = SimulatedFleet::new(seed);
         net.run(7 * S, seed);
-        (0..3).for_each(|at| net.tell(at, Input::WantUnready(true), seed));
-        let aside = |net: &Net| {
+        (0..3).for_each(|at| net.input(at, Input::WantUnready(true), seed));
+        let unready_holders = |net: &SimulatedFleet| {
             let held = net.councils.iter().enumerate().filter(|(_, c)| c.status(net.now).holds_unready_lease);
             held.map(|(at, _)| at).collect::<Vec<_>>()
         };
-        let mut met = std::collections::BTreeSet::new();
-        // Each gets it in its turn, once the one before gives it back.
+        let mut served = std::collections::BTreeSet::new();
+        // Each node gets the lease in turn, once the holder before it has released it.
         for _ in 0..3 {
             net.run(6 * S, seed);
-            let held = aside(&net);
+            let held = unready_holders(&net);
             assert_eq!(held.len(), 1, "seed {seed}: {held:?}");
-            met.insert(held[0]);
-            net.tell(held[0], Input::WantUnready(false), seed);
-            assert_eq!(aside(&net), [0; 0]);
+            served.insert(held[0]);
+            net.input(held[0], Input::WantUnready(false), seed);
+            assert_eq!(unready_holders(&net), [0; 0]);
         }
-        assert_eq!(met.len(), 3, "seed {seed}");
+        assert_eq!(served.len(), 3, "seed {seed}");
     }
 }
 
 #[test]
-fn a_view_tells_what_is_new_in_it() {
+fn changes_since_lists_the_differences_of_two_views() {
     let seed = 5;
-    let mut net = Net::new(seed);
+    let mut net = SimulatedFleet::new(seed);
     net.run(7 * S, seed);
     let before = net.councils[0].status(net.now).view.unwrap();
     assert_eq!(before.changes_since(None), [ViewDelta::Founded]);
-    net.tell(0, Input::Propose(Evictions::evict(5, 600, "x")), seed);
+    net.input(0, Input::Propose(Evictions::evict(5, 600, "x")), seed);
     net.run(3 * S, seed);
     let after = net.councils[0].status(net.now).view.unwrap();
     let process = Process { name: 5, instance: seed * 31 + 5 };
@@ -226,36 +231,36 @@
 }
 
 #[test]
-fn many_come_and_go_by_one_view_that_changes_nothing_of_who_votes() {
+fn one_view_moves_many_members_without_changing_electors() {
     let seed = 4;
-    let mut net = Net::new(seed);
+    let mut net = SimulatedFleet::new(seed);
     net.run(7 * S, seed);
     let before = net.councils[0].status(net.now).view.unwrap();
     let process = |name: u64| Process { name, instance: 77 };
     let gone = |name: u64| Process { name, instance: before.members[&name] };
     let after =
         before.apply(&Change::Move(vec![process(8), process(9)], vec![gone(4), process(5)]), false).unwrap();
-    // What names another process than the one that is a member takes nobody out.
+    // Removing a process that is not the current member of its name has no effect.
     assert_eq!(after.members.keys().copied().collect::<Vec<_>>(), [1, 2, 3, 5, 8, 9]);
     assert_eq!(
         (&after.electors, &after.previous_electors, after.epoch),
         (&before.electors, &before.electors, before.epoch + 1)
     );
-    // Two that were cut off come back by one.
-    net.cut = Box::new(|from, to| (from < 2) != (to < 2));
+    // Two nodes that were partitioned return with a single view.
+    net.is_cut = Box::new(|from, to| (from < 2) != (to < 2));
     net.run(6 * S, seed);
-    let few = net.councils[3].status(net.now).view.unwrap();
-    assert_eq!(few.members.len(), 3);
-    net.cut = Box::new(|_, _| false);
+    let minority_view = net.councils[3].status(net.now).view.unwrap();
+    assert_eq!(minority_view.members.len(), 3);
+    net.is_cut = Box::new(|_, _| false);
     net.run(3 * S, seed);
     let all = net.councils[3].status(net.now).view.unwrap();
-    assert_eq!((all.members.len(), all.epoch), (5, few.epoch + 1));
+    assert_eq!((all.members.len(), all.epoch), (5, minority_view.epoch + 1));
 }
 
 #[test]
-fn what_fuzzing_kept_makes_a_council_hold_nothing() {
+fn fuzzing_corpus_grants_no_leases() {
     let bounds = LeaseBounds { lease: 2 * S, drift_ppm: 500 };
-    let mut words = 0;
+    let mut message_count = 0;
     for bytes in testkit::corpus("fleet_words").iter().filter(|bytes| !bytes.is_empty()) {
         let from = Process { name: u64::from(bytes[0] % 5), instance: u64::from(bytes[0] / 5) };
         let Ok(wires) = postcard::from_bytes::<Vec<dunelink_view::FleetMessage>>(&bytes[1..]) else {
@@ -273,9 +278,9 @@
             0,
         );
         let (mut now, mut out) = (3 * S, Vec::new());
-        for wire in wires {
-            words += 1;
-            council.handle(now, Input::Received(from, wire), &mut out);
+        for message in wires {
+            message_count += 1;
+            council.handle(now, Input::Received(from, message), &mut out);
             now += S / 10;
             council.handle(now, Input::Tick, &mut out);
         }
@@ -284,12 +289,12 @@
             !standing.holds_proposer_lease && standing.name_lease_left == 0 && standing.limit_share <= 1.0
         );
     }
-    assert!(words > 0, "some of them are words");
+    assert!(message_count > 0, "some corpus entries parse as messages");
 }
 
-/// Who proposes after one with a higher number did must not be refused by its own promise.
+/// A process that proposes after one with a higher number must not be rejected by its own promise.
 #[test]
-fn whoever_proposes_last_the_next_may_be_anyone() {
+fn any_process_can_propose_after_any_other() {
     let process = |name: u64| Process { name, instance: 40 + name };
     let names = ElectorNames::new([1, 2, 3]);
     let mut registers: Vec<Register> =
@@ -298,13 +303,13 @@
     let mut propose = |by: usize, change: Option<Change>| {
         let mut out = Vec::new();
         registers[by].propose(change, &mut out);
-        let mut under_way: Vec<(usize, u64, _)> =
+        let mut in_flight: Vec<(usize, u64, _)> =
             out.into_iter().map(|(to, message)| (by, to, message)).collect();
-        while !under_way.is_empty() {
-            for (from, to, message) in std::mem::take(&mut under_way) {
+        while !in_flight.is_empty() {
+            for (from, to, message) in std::mem::take(&mut in_flight) {
                 let (at, mut out) = (to as usize - 1, Vec::new());
                 registers[at].handle(process(from as u64 + 1), message, &mut out);
-                under_way.extend(out.into_iter().map(|(to, message)| (at, to, message)));
+                in_flight.extend(out.into_iter().map(|(to, message)| (at, to, message)));
             }
         }
         registers.iter().map(|register| register.view().map(|view| view.epoch)).collect::<Vec<_>>()
--- a/crates/view/tests/leases.rs
+++ b/crates/view/tests/leases.rs
@@ -1,88 +1,88 @@
-//! Every order of events of leases: clocks that drift, electors that start again from nothing, answers that are lost,
-//! doubled and late, holders that stand still. The crate's own state machines are what runs.
+//! Model checking of leases over every order of events: clocks drift, electors restart without state,
+//! responses are lost, duplicated and delayed, holders pause. The model runs the crate's own state machines.
 
 use std::collections::BTreeSet;
 
 use dunelink_view::{ElectorNames, Grantor, LeaseBounds, LeaseHolder, LeaseRequest, LeaseResponse, Process};
 use stateright::{Checker, Expectation, Model, Property};
 
-/// What is done wrong on purpose.
+/// A fault that is injected into the protocol; the checker has to find each of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mistake {
+enum Fault {
     None,
-    /// A holder counts from the answer on, not from its question.
-    FromTheAnswer,
-    /// An elector that starts grants at once.
-    NoWait,
-    /// Nobody allows for drift.
+    /// A holder counts the lease from the response instead of from its request.
+    CountedFromResponse,
+    /// An elector grants leases immediately after its start.
+    NoWaitAfterStart,
+    /// Clock drift is ignored.
     NoDrift,
-    /// An answer to an older question counts.
-    OldAnswers,
-    /// A holder does not look at the clock once it has been granted something.
-    NeverOver,
-    /// Each holder asks one elector alone, not the same one.
-    OneIsEnough,
-    /// An elector forgets to whom it granted when it grants again.
-    GrantsToAll,
+    /// A response to an older request counts.
+    OldResponseCounts,
+    /// A holder never checks whether its lease has expired.
+    NeverExpires,
+    /// Each holder asks only a single elector, a different one each.
+    SingleElector,
+    /// An elector forgets earlier grants with each request.
+    ForgetsGrants,
 }
 
 const ELECTORS: u64 = 3;
 const HOLDERS: usize = 2;
-/// The length of a step of true time, in microseconds of a true clock.
+/// Microseconds of a drift-free clock in one step of true time.
 const STEP: u64 = 10;
 const BOUNDS: LeaseBounds = LeaseBounds { lease: 40, drift_ppm: 100_000 };
 const RESOURCE: u64 = 7;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Steps of true time.
+    /// True time, in steps.
     time: u64,
-    /// How far each clock goes in a step: electors first.
+    /// Microseconds that each clock advances in one step: the electors' clocks, then the holders'.
     rates: Vec<u64>,
     grantors: Vec<(u64, Grantor)>,
     holders: Vec<LeaseHolder>,
-    asks: BTreeSet<(usize, LeaseRequest)>,
-    answers: BTreeSet<(usize, Process, LeaseResponse)>,
-    asked: u8,
+    requests: BTreeSet<(usize, LeaseRequest)>,
+    responses: BTreeSet<(usize, Process, LeaseResponse)>,
+    request_count: u8,
     restarts: u8,
-    /// Who was granted something at all.
-    ever: Vec<bool>,
+    /// Whether each holder has ever held the lease.
+    ever_held: Vec<bool>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
+enum Action {
     ViewDelta,
-    Question(usize),
+    Request(usize),
     Release(usize),
     Restart(usize),
-    /// A question comes to an elector.
-    Asks(usize, LeaseRequest, usize),
-    Answers(usize, Process, LeaseResponse),
+    /// A request arrives at an elector: holder, request, elector.
+    DeliverRequest(usize, LeaseRequest, usize),
+    DeliverResponse(usize, Process, LeaseResponse),
 }
 
 struct Leases {
-    mistake: Mistake,
+    fault: Fault,
     steps: u64,
-    asked: u8,
+    request_count: u8,
     restarts: u8,
 }
 
 impl Leases {
     fn bounds(&self) -> LeaseBounds {
-        match self.mistake {
-            Mistake::NoDrift => LeaseBounds { drift_ppm: 0, ..BOUNDS },
+        match self.fault {
+            Fault::NoDrift => LeaseBounds { drift_ppm: 0, ..BOUNDS },
             _ => BOUNDS,
         }
     }
 
     fn names(&self, holder: usize) -> ElectorNames {
-        match self.mistake {
-            Mistake::OneIsEnough => ElectorNames::new([holder as u64]),
+        match self.fault {
+            Fault::SingleElector => ElectorNames::new([holder as u64]),
             _ => ElectorNames::new(0..ELECTORS),
         }
     }
 
-    /// The clock of an elector, or of a holder behind them.
+    /// The time on a clock; the electors come first, then the holders.
     fn clock(state: &State, which: usize) -> u64 {
         1_000 + state.time * state.rates[which]
     }
@@ -92,8 +92,8 @@
     }
 
     fn holds(&self, state: &State, holder: usize) -> bool {
-        match self.mistake {
-            Mistake::NeverOver => state.ever[holder],
+        match self.fault {
+            Fault::NeverExpires => state.ever_held[holder],
             _ => state.holders[holder].is_held(Leases::holder_clock(state, holder)),
         }
     }
@@ -101,99 +101,109 @@
 
 impl Model for Leases {
     type State = State;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // Each clock as fast, or as slow, as it may be.
+        // Each clock runs as fast or as slowly as the drift bound allows, in all combinations.
         let clocks = ELECTORS as usize + HOLDERS;
         let rates =
             |bits: u32| (0..clocks).map(|at| if bits >> at & 1 == 1 { STEP + 1 } else { STEP - 1 }).collect();
         let state = |bits| State {
             time: 0,
             rates: rates(bits),
-            // They started long ago.
+            // The electors started long before the test.
             grantors: (0..ELECTORS).map(|_| (1, Grantor::new(self.bounds(), 0))).collect(),
             holders: (0..HOLDERS)
                 .map(|at| LeaseHolder::new(self.bounds(), self.names(at), RESOURCE))
                 .collect(),
-            asks: BTreeSet::new(),
-            answers: BTreeSet::new(),
-            asked: 0,
+            requests: BTreeSet::new(),
+            responses: BTreeSet::new(),
+            request_count: 0,
             restarts: 0,
-            ever: vec![false; HOLDERS],
+            ever_held: vec![false; HOLDERS],
         };
         (0..1 << clocks).map(state).collect()
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Act>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.time < self.steps {
-            actions.push(Act::ViewDelta);
+            actions.push(Action::ViewDelta);
         }
-        if state.asked < self.asked {
-            actions.extend((0..HOLDERS).map(Act::Question));
-            actions.extend((0..HOLDERS).filter(|holder| state.ever[*holder]).map(Act::Release));
+        if state.request_count < self.request_count {
+            actions.extend((0..HOLDERS).map(Action::Request));
+            actions.extend((0..HOLDERS).filter(|holder| state.ever_held[*holder]).map(Action::Release));
         }
         if state.restarts < self.restarts {
-            actions.extend((0..ELECTORS as usize).map(Act::Restart));
+            actions.extend((0..ELECTORS as usize).map(Action::Restart));
         }
-        for (holder, ask) in &state.asks {
-            actions.extend((0..ELECTORS as usize).map(|elector| Act::Asks(*holder, *ask, elector)));
+        for (holder, request) in &state.requests {
+            actions.extend(
+                (0..ELECTORS as usize).map(|elector| Action::DeliverRequest(*holder, *request, elector)),
+            );
         }
-        actions
-            .extend(state.answers.iter().map(|(holder, from, answer)| Act::Answers(*holder, *from, *answer)));
+        actions.extend(
+            state
+                .responses
+                .iter()
+                .map(|(holder, from, response)| Action::DeliverResponse(*holder, *from, *response)),
+        );
     }
 
-    fn next_state(&self, state: &State, action: Act) -> Option<State> {
+    fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Act::ViewDelta => next.time += 1,
-            Act::Question(holder) => {
-                next.asked += 1;
-                let ask = next.holders[holder].request(Leases::holder_clock(state, holder));
-                next.asks.insert((holder, ask));
+            Action::ViewDelta => next.time += 1,
+            Action::Request(holder) => {
+                next.request_count += 1;
+                let request = next.holders[holder].request(Leases::holder_clock(state, holder));
+                next.requests.insert((holder, request));
             }
-            Act::Release(holder) => {
-                next.asked += 1;
-                let ask = next.holders[holder].release(Leases::holder_clock(state, holder));
-                next.ever[holder] = false;
-                next.asks.insert((holder, ask));
+            Action::Release(holder) => {
+                next.request_count += 1;
+                let request = next.holders[holder].release(Leases::holder_clock(state, holder));
+                next.ever_held[holder] = false;
+                next.requests.insert((holder, request));
             }
-            Act::Restart(elector) => {
+            Action::Restart(elector) => {
                 next.restarts += 1;
                 let now = Leases::clock(state, elector);
-                let began = if self.mistake == Mistake::NoWait { 0 } else { now };
+                let began = if self.fault == Fault::NoWaitAfterStart { 0 } else { now };
                 next.grantors[elector] = (state.grantors[elector].0 + 1, Grantor::new(self.bounds(), began));
             }
-            Act::Asks(holder, ask, elector) => {
+            Action::DeliverRequest(holder, request, elector) => {
                 let now = Leases::clock(state, elector);
                 let from = Process { name: 100 + holder as u64, instance: 1 };
                 let (instance, grantor) = &mut next.grantors[elector];
-                if self.mistake == Mistake::GrantsToAll && grantor.is_granting(now) {
+                if self.fault == Fault::ForgetsGrants && grantor.is_granting(now) {
                     *grantor = Grantor::new(self.bounds(), 0);
                 }
-                let answer = grantor.handle(now, from, ask);
+                let response = grantor.handle(now, from, request);
                 let elector = Process { name: elector as u64, instance: *instance };
-                next.answers.insert((holder, elector, answer));
+                next.responses.insert((holder, elector, response));
             }
-            Act::Answers(holder, from, mut answer) => {
+            Action::DeliverResponse(holder, from, mut response) => {
                 let now = Leases::holder_clock(state, holder);
-                if self.mistake == Mistake::OldAnswers {
-                    let number =
-                        state.asks.iter().filter(|(of, _)| *of == holder).map(|(_, ask)| ask.number).max();
-                    answer.number = number.unwrap_or(answer.number);
+                if self.fault == Fault::OldResponseCounts {
+                    let number = state
+                        .requests
+                        .iter()
+                        .filter(|(of, _)| *of == holder)
+                        .map(|(_, request)| request.number)
+                        .max();
+                    response.number = number.unwrap_or(response.number);
                 }
-                let mut late = next.holders[holder].clone();
-                let granted = next.holders[holder].handle(from, answer);
-                if granted && self.mistake == Mistake::FromTheAnswer {
-                    // As if it had asked only now.
-                    late.request(now);
+                let mut delayed = next.holders[holder].clone();
+                let granted = next.holders[holder].handle(from, response);
+                if granted && self.fault == Fault::CountedFromResponse {
+                    // As if it had sent its request only now.
+                    delayed.request(now);
                     for elector in 0..ELECTORS {
                         let of = Process { name: elector, instance: 1 };
-                        late.handle(of, LeaseResponse { number: answer.number + 1, ..answer });
+                        delayed.handle(of, LeaseResponse { number: response.number + 1, ..response });
                     }
-                    next.holders[holder] = late;
+                    next.holders[holder] = delayed;
                 }
-                next.ever[holder] |= granted;
+                next.ever_held[holder] |= granted;
             }
         }
         (next != *state).then_some(next)
@@ -205,16 +215,16 @@
                 (0..HOLDERS).filter(|holder| model.holds(state, *holder)).count() <= 1
             }),
             Property::sometimes("the other holds it later", |model: &Leases, state: &State| {
-                state.ever[0] && state.ever[1] && model.holds(state, 1)
+                state.ever_held[0] && state.ever_held[1] && model.holds(state, 1)
             }),
         ]
     }
 }
 
 #[test]
-fn at_most_one_holds_a_resource_at_any_time() {
+fn at_most_one_holder_at_any_time() {
     let threads = std::thread::available_parallelism().map_or(2, |threads| threads.get().min(6));
-    let model = Leases { mistake: Mistake::None, steps: 6, asked: 2, restarts: 1 };
+    let model = Leases { fault: Fault::None, steps: 6, request_count: 2, restarts: 1 };
     let checker = model.checker().threads(threads).target_state_count(1_500_000).spawn_bfs().join();
     println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
     if let Some(path) = checker.discovery("one holder") {
@@ -222,61 +232,62 @@
     }
 }
 
-/// The same model by dice, far deeper.
-fn by_dice(mistake: Mistake, seeds: std::ops::Range<u64>) -> (Option<u64>, bool) {
-    let model = Leases { mistake, steps: 24, asked: 10, restarts: 3 };
+/// Random runs of the same model, far longer than exhaustive search allows. Returns the first seed that
+/// breaks a property, and whether the lease ever passed from one holder to the other.
+fn random_runs(fault: Fault, seeds: std::ops::Range<u64>) -> (Option<u64>, bool) {
+    let model = Leases { fault, steps: 24, request_count: 10, restarts: 3 };
     let properties = model.properties();
     let starts = model.init_states();
-    let mut handed_on = false;
+    let mut passed_on = false;
     for seed in seeds {
-        let mut dice = fastrand::Rng::with_seed(seed);
-        let mut state = starts[dice.usize(..starts.len())].clone();
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let mut state = starts[rng.usize(..starts.len())].clone();
         for _ in 0..140 {
             let mut actions = Vec::new();
             model.actions(&state, &mut actions);
-            let kind = dice.u8(..20);
+            let kind = rng.u8(..20);
             actions.retain(|act| match act {
-                Act::ViewDelta => kind < 4,
-                Act::Question(_) => kind == 4 || kind == 5,
-                Act::Release(_) => kind == 6,
-                Act::Restart(_) => kind == 7,
-                Act::Asks(..) => (8..14).contains(&kind),
-                Act::Answers(..) => kind >= 14,
+                Action::ViewDelta => kind < 4,
+                Action::Request(_) => kind == 4 || kind == 5,
+                Action::Release(_) => kind == 6,
+                Action::Restart(_) => kind == 7,
+                Action::DeliverRequest(..) => (8..14).contains(&kind),
+                Action::DeliverResponse(..) => kind >= 14,
             });
-            let Some(action) = dice.choice(actions) else { continue };
+            let Some(action) = rng.choice(actions) else { continue };
             let Some(next) = model.next_state(&state, action) else { continue };
             state = next;
             for property in &properties {
                 let holds = (property.condition)(&model, &state);
                 match property.expectation {
-                    Expectation::Always if !holds => return (Some(seed), handed_on),
-                    Expectation::Sometimes => handed_on |= holds,
+                    Expectation::Always if !holds => return (Some(seed), passed_on),
+                    Expectation::Sometimes => passed_on |= holds,
                     _ => {}
                 }
             }
         }
     }
-    (None, handed_on)
+    (None, passed_on)
 }
 
 #[test]
-fn long_runs_by_dice_keep_it_and_the_resource_goes_on() {
-    assert_eq!(by_dice(Mistake::None, 0..6_000), (None, true));
+fn random_long_runs_keep_one_holder_and_pass_the_lease_on() {
+    assert_eq!(random_runs(Fault::None, 0..6_000), (None, true));
 }
 
 #[test]
-fn each_mistake_in_leases_is_found() {
-    for mistake in [
-        Mistake::FromTheAnswer,
-        Mistake::NoWait,
-        Mistake::NoDrift,
-        Mistake::OldAnswers,
-        Mistake::NeverOver,
-        Mistake::OneIsEnough,
-        Mistake::GrantsToAll,
+fn each_injected_fault_is_detected() {
+    for fault in [
+        Fault::CountedFromResponse,
+        Fault::NoWaitAfterStart,
+        Fault::NoDrift,
+        Fault::OldResponseCounts,
+        Fault::NeverExpires,
+        Fault::SingleElector,
+        Fault::ForgetsGrants,
     ] {
-        let found = by_dice(mistake, 0..60_000).0;
-        println!("{mistake:?}: {found:?}");
-        assert!(found.is_some(), "{mistake:?} goes unnoticed");
+        let found = random_runs(fault, 0..60_000).0;
+        println!("{fault:?}: {found:?}");
+        assert!(found.is_some(), "{fault:?} is not detected");
     }
 }
--- a/crates/view/tests/views.rs
+++ b/crates/view/tests/views.rs
@@ -1,51 +1,51 @@
-//! Every order of events of a small fleet that decides views: messages lost, doubled and overtaking, processes that
-//! start again from nothing. The crate's own state machine is what runs.
+//! Model checking of view decisions in a small fleet over every order of events: messages are lost,
+//! duplicated and reordered, processes restart without state. The model runs the crate's own state machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunelink_view::{Change, ElectorNames, Message, Name, Process, Register, View};
 use stateright::{Checker, Model, Property};
 
-/// What is done wrong on purpose.
+/// A fault that is injected into the protocol; the checker has to find each of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mistake {
+enum Fault {
     None,
-    /// A process that starts again is taken for the one before.
+    /// A restarted process keeps the instance of the process before.
     SameInstance,
-    /// A promise is given and not kept.
+    /// A process forgets its promises.
     PromiseForgotten,
-    /// A view is accepted and not kept.
+    /// A process forgets the view that it accepted.
     AcceptForgotten,
-    /// What was accepted is not told with a promise.
-    AcceptedNotTold,
-    /// All that was accepted is said to be decided.
-    TakenForDecided,
-    /// A change of electors asks the new ones alone.
-    NotJoint,
-    /// A process that is admitted counts as if it had accepted that.
-    UnknownToNewcomer,
-    /// One node is configured with other names than the rest.
-    OtherNames,
+    /// A promise does not include the accepted view.
+    AcceptedNotReported,
+    /// Every accepted view is reported as decided.
+    AcceptedReportedDecided,
+    /// A change of electors needs a majority of the new electors only.
+    NewElectorsOnly,
+    /// A newly admitted elector counts as having accepted the view.
+    NewcomerNotAsked,
+    /// One node is configured with different elector names.
+    DifferentNames,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     processes: Vec<Register>,
     instances: Vec<u64>,
-    /// What each asks all others in the ballot that it has under way.
-    asks: Vec<Option<Message>>,
-    /// What may come late, or once more, to anyone: views to accept, and decided ones.
-    late: BTreeSet<(Process, Sent)>,
-    decided: BTreeSet<Told>,
+    /// The request of each process's ballot in progress.
+    requests: Vec<Option<Message>>,
+    /// Messages that may arrive at any process late or repeatedly: views to accept, and decided views.
+    late_messages: BTreeSet<(Process, SentMessage)>,
+    decided: BTreeSet<DecidedView>,
     restarts: u8,
-    tries: u8,
+    proposals: u8,
 }
 
-/// Orders what has no order of its own.
+/// Wrappers that order types without an order of their own, by their debug output.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Sent(Message);
+struct SentMessage(Message);
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Told(View);
+struct DecidedView(View);
 
 macro_rules! ordered {
     ($kind:ty) => {
@@ -61,23 +61,23 @@
         }
     };
 }
-ordered!(Sent);
-ordered!(Told);
+ordered!(SentMessage);
+ordered!(DecidedView);
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
+enum Action {
     Restart(usize),
-    Try(usize, Change),
-    /// What a process asks comes to some, by a bit for each name, and their answers come back. That an answer alone gets
-    /// lost is what `Late` does.
-    Ask(usize, u8),
-    Late(Process, Message, usize),
+    Propose(usize, Change),
+    /// A process's request arrives at a subset of processes (one bit for each), and their responses come
+    /// back. `Late` covers responses that are lost.
+    DeliverRequest(usize, u8),
+    DeliverLate(Process, Message, usize),
 }
 
 struct Fleet {
-    mistake: Mistake,
+    fault: Fault,
     restarts: u8,
-    tries: u8,
+    proposals: u8,
 }
 
 const NAMES: [Name; 3] = [1, 2, 3];
@@ -88,56 +88,58 @@
 
 impl Fleet {
     fn names_of(&self, at: usize) -> ElectorNames {
-        match self.mistake == Mistake::OtherNames && at == 0 {
+        match self.fault == Fault::DifferentNames && at == 0 {
             true => ElectorNames::new([1]),
             false => names(),
         }
     }
 
-    /// What a process says, with the mistake that is made.
-    fn slip(&self, message: &mut Message) {
-        match (self.mistake, message) {
-            (Mistake::AcceptedNotTold, Message::Promise(_, accepted)) => *accepted = None,
-            (Mistake::TakenForDecided, Message::Promise(_, Some(accepted))) => accepted.decided = true,
-            (Mistake::NotJoint, Message::Accept(_, view)) => view.previous_electors = view.electors.clone(),
+    /// Applies the injected fault to an outgoing message.
+    fn apply_fault(&self, message: &mut Message) {
+        match (self.fault, message) {
+            (Fault::AcceptedNotReported, Message::Promise(_, accepted)) => *accepted = None,
+            (Fault::AcceptedReportedDecided, Message::Promise(_, Some(accepted))) => accepted.decided = true,
+            (Fault::NewElectorsOnly, Message::Accept(_, view)) => {
+                view.previous_electors = view.electors.clone()
+            }
             _ => {}
         }
     }
 
-    /// Delivers a message, and takes down what is asked and decided by it; tells the answers.
+    /// Delivers a message and records the resulting requests and decisions; returns the responses.
     fn deliver(&self, state: &mut State, from: Process, message: Message, at: usize) -> Vec<Message> {
         let before = state.processes[at].clone();
         let mut out = Vec::new();
         let decided = state.processes[at].handle(from, message.clone(), &mut out);
-        let forgets = match message {
-            Message::Prepare(_) => self.mistake == Mistake::PromiseForgotten,
-            Message::Accept(..) => self.mistake == Mistake::AcceptForgotten,
+        let loses_state = match message {
+            Message::Prepare(_) => self.fault == Fault::PromiseForgotten,
+            Message::Accept(..) => self.fault == Fault::AcceptForgotten,
             _ => false,
         };
-        if forgets {
+        if loses_state {
             state.processes[at] = before;
         }
-        state.decided.extend(decided.map(Told));
-        self.said(state, at, out)
+        state.decided.extend(decided.map(DecidedView));
+        self.record_outgoing(state, at, out)
     }
 
-    fn said(&self, state: &mut State, at: usize, out: Vec<(Name, Message)>) -> Vec<Message> {
+    fn record_outgoing(&self, state: &mut State, at: usize, out: Vec<(Name, Message)>) -> Vec<Message> {
         let me = Process { name: NAMES[at], instance: state.instances[at] };
         let mut answers = Vec::new();
         for (_, mut message) in out {
-            self.slip(&mut message);
+            self.apply_fault(&mut message);
             match &message {
-                Message::Prepare(_) => state.asks[at] = Some(message),
+                Message::Prepare(_) => state.requests[at] = Some(message),
                 Message::Accept(..) => {
-                    state.asks[at] = Some(message.clone());
-                    state.late.insert((me, Sent(message)));
+                    state.requests[at] = Some(message.clone());
+                    state.late_messages.insert((me, SentMessage(message)));
                 }
-                Message::Decided(..) => drop(state.late.insert((me, Sent(message.clone())))),
+                Message::Decided(..) => drop(state.late_messages.insert((me, SentMessage(message.clone())))),
                 _ => answers.push(message),
             }
         }
         if !state.processes[at].is_proposing() {
-            state.asks[at] = None;
+            state.requests[at] = None;
         }
         answers
     }
@@ -145,7 +147,7 @@
 
 impl Model for Fleet {
     type State = State;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let process = |(at, name): (usize, &Name)| {
@@ -156,27 +158,27 @@
         vec![State {
             processes: NAMES.iter().enumerate().map(process).collect(),
             instances: vec![1; NAMES.len()],
-            asks: vec![None; NAMES.len()],
-            late: BTreeSet::new(),
+            requests: vec![None; NAMES.len()],
+            late_messages: BTreeSet::new(),
             decided: BTreeSet::new(),
             restarts: 0,
-            tries: 0,
+            proposals: 0,
         }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Act>) {
-        for (from, message) in &state.late {
-            actions.extend((0..NAMES.len()).map(|at| Act::Late(*from, message.0.clone(), at)));
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        for (from, message) in &state.late_messages {
+            actions.extend((0..NAMES.len()).map(|at| Action::DeliverLate(*from, message.0.clone(), at)));
         }
-        for at in (0..NAMES.len()).filter(|at| state.asks[*at].is_some()) {
-            actions.extend((1..8).map(|some| Act::Ask(at, some)));
+        for at in (0..NAMES.len()).filter(|at| state.requests[*at].is_some()) {
+            actions.extend((1..8).map(|some| Action::DeliverRequest(at, some)));
         }
         if state.restarts < self.restarts {
-            actions.extend((0..NAMES.len()).map(Act::Restart));
+            actions.extend((0..NAMES.len()).map(Action::Restart));
         }
-        if state.tries < self.tries {
+        if state.proposals < self.proposals {
             for at in 0..NAMES.len() {
-                // Each tries to have all that run now admitted, and leaves a mark of its own.
+                // Each process tries to admit a running process that is missing, or else sets a unique fact.
                 let known = state.processes[at].view().map(|view| view.electors.clone()).unwrap_or_default();
                 let missing = (0..NAMES.len())
                     .find(|other| known.get(&NAMES[*other]) != Some(&state.instances[*other]));
@@ -184,33 +186,32 @@
                     Some(other) if !known.is_empty() => {
                         Change::Admit(Process { name: NAMES[other], instance: state.instances[other] })
                     }
-                    _ => Change::Set(format!("by {at} in try {}", state.tries), String::new()),
+                    _ => Change::Set(format!("by {at} in try {}", state.proposals), String::new()),
                 };
-                actions.push(Act::Try(at, change));
+                actions.push(Action::Propose(at, change));
             }
         }
     }
 
-    fn next_state(&self, state: &State, action: Act) -> Option<State> {
+    fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         let process = |state: &State, at: usize| Process { name: NAMES[at], instance: state.instances[at] };
         match action {
-            Act::Ask(at, some) => {
+            Action::DeliverRequest(at, some) => {
                 let me = process(&next, at);
-                let message = next.asks[at].clone()?;
+                let message = next.requests[at].clone()?;
                 let mut answers = Vec::new();
-                // Whom it reaches, it knows.
+                // The sender knows which processes it reaches.
                 for other in (0..NAMES.len()).filter(|other| some & 1 << other != 0) {
                     let runs = process(&next, other);
                     next.processes[at].set_running(runs);
                 }
                 for other in (0..NAMES.len()).filter(|other| some & 1 << other != 0) {
-                    let said = self.deliver(&mut next, me, message.clone(), other);
+                    let record_outgoing = self.deliver(&mut next, me, message.clone(), other);
                     let from = process(&next, other);
-                    answers.extend(said.into_iter().map(|answer| (from, answer)));
+                    answers.extend(record_outgoing.into_iter().map(|answer| (from, answer)));
                 }
-                if let (Mistake::UnknownToNewcomer, Message::Accept(ballot, view)) = (self.mistake, &message)
-                {
+                if let (Fault::NewcomerNotAsked, Message::Accept(ballot, view)) = (self.fault, &message) {
                     let new = view
                         .electors
                         .iter()
@@ -223,22 +224,23 @@
                     self.deliver(&mut next, from, answer, at);
                 }
             }
-            Act::Late(from, message, at) => drop(self.deliver(&mut next, from, message, at)),
-            Act::Restart(at) => {
+            Action::DeliverLate(from, message, at) => drop(self.deliver(&mut next, from, message, at)),
+            Action::Restart(at) => {
                 next.restarts += 1;
-                if self.mistake != Mistake::SameInstance {
+                if self.fault != Fault::SameInstance {
                     next.instances[at] += 1;
                 }
                 next.processes[at] = Register::new(process(&next, at), self.names_of(at));
-                // As long as leases last, it could not found; any other order is one in which it is not asked.
+                // It may not found a view while old leases last; that case equals an order in which it
+                // receives no request.
                 next.processes[at].allow_founding();
-                next.asks[at] = None;
+                next.requests[at] = None;
             }
-            Act::Try(at, change) => {
-                next.tries += 1;
+            Action::Propose(at, change) => {
+                next.proposals += 1;
                 let mut out = Vec::new();
                 next.processes[at].propose(Some(change), &mut out);
-                self.said(&mut next, at, out);
+                self.record_outgoing(&mut next, at, out);
             }
         }
         (next != *state).then_some(next)
@@ -246,24 +248,27 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one view an epoch", |_: &Fleet, state: &State| {
+            Property::always("one view per epoch", |_: &Fleet, state: &State| {
                 let mut known = BTreeMap::new();
-                state.decided.iter().all(|Told(view)| {
+                state.decided.iter().all(|DecidedView(view)| {
                     let first = known.entry((view.generation, view.epoch)).or_insert(view);
                     *first == view
                 })
             }),
-            Property::always("nothing decided is lost", |_: &Fleet, state: &State| {
-                state.decided.iter().all(|Told(later)| {
-                    let before =
-                        |Told(view): &&Told| view.generation == later.generation && view.epoch <= later.epoch;
-                    let kept = |Told(view): &Told| view.facts.keys().all(|key| later.facts.contains_key(key));
-                    state.decided.iter().filter(before).all(kept)
+            Property::always("no decision is lost", |_: &Fleet, state: &State| {
+                state.decided.iter().all(|DecidedView(later)| {
+                    let before = |DecidedView(view): &&DecidedView| {
+                        view.generation == later.generation && view.epoch <= later.epoch
+                    };
+                    let is_kept = |DecidedView(view): &DecidedView| {
+                        view.facts.keys().all(|key| later.facts.contains_key(key))
+                    };
+                    state.decided.iter().filter(before).all(is_kept)
                 })
             }),
-            Property::always("one generation lives", |_: &Fleet, state: &State| {
+            Property::always("one generation with a majority", |_: &Fleet, state: &State| {
                 let mut newest: BTreeMap<_, &View> = BTreeMap::new();
-                for Told(view) in &state.decided {
+                for DecidedView(view) in &state.decided {
                     let known = newest.entry(view.generation).or_insert(view);
                     *known = if known.epoch < view.epoch { view } else { known };
                 }
@@ -274,64 +279,70 @@
                 newest.values().filter(runs).count() <= 1
             }),
             Property::sometimes("a second epoch", |_: &Fleet, state: &State| {
-                state.decided.iter().any(|Told(view)| view.epoch > 1)
+                state.decided.iter().any(|DecidedView(view)| view.epoch > 1)
             }),
         ]
     }
 }
 
-fn explore(mistake: Mistake, restarts: u8, tries: u8, most: usize) -> impl Checker<Fleet> {
+fn explore(fault: Fault, restarts: u8, proposals: u8, max_states: usize) -> impl Checker<Fleet> {
     let threads = std::thread::available_parallelism().map_or(2, |threads| threads.get().min(6));
-    Fleet { mistake, restarts, tries }.checker().threads(threads).target_state_count(most).spawn_bfs().join()
+    Fleet { fault, restarts, proposals }
+        .checker()
+        .threads(threads)
+        .target_state_count(max_states)
+        .spawn_bfs()
+        .join()
 }
 
-fn holds(restarts: u8, tries: u8, most: usize) {
-    let checker = explore(Mistake::None, restarts, tries, most);
+fn check_model(restarts: u8, proposals: u8, max_states: usize) {
+    let checker = explore(Fault::None, restarts, proposals, max_states);
     println!(
-        "{restarts} restarts, {tries} tries: {} states, {} unique",
+        "{restarts} restarts, {proposals} tries: {} states, {} unique",
         checker.state_count(),
         checker.unique_state_count()
     );
-    for broken in ["one view an epoch", "nothing decided is lost", "one generation lives"] {
+    for broken in ["one view per epoch", "no decision is lost", "one generation with a majority"] {
         if let Some(path) = checker.discovery(broken) {
             panic!("{broken}: {:#?}", path.into_actions());
         }
     }
-    assert!(checker.discovery("a second epoch").is_some(), "views follow each other");
+    assert!(checker.discovery("a second epoch").is_some(), "some run reaches a second epoch");
 }
 
 #[test]
-fn at_most_one_view_an_epoch_and_nothing_decided_is_lost() {
-    holds(1, 2, 2_000_000);
+fn one_view_per_epoch_and_no_decision_lost() {
+    check_model(1, 2, 2_000_000);
 }
 
-/// Further: `cargo test -p dunelink-view --release -- --ignored`.
+/// The same with more restarts and proposals: `cargo test -p dunelink-view --release -- --ignored`.
 #[test]
 #[ignore = "takes minutes and gigabytes"]
-fn the_same_further() {
-    holds(2, 3, 30_000_000);
+fn one_view_per_epoch_in_a_larger_model() {
+    check_model(2, 3, 30_000_000);
 }
 
-/// A run of the same model by dice, far deeper than every order can be looked at.
-fn by_dice(mistake: Mistake, seeds: std::ops::Range<u64>, steps: usize) -> Option<(u64, Vec<Act>)> {
-    let fleet = Fleet { mistake, restarts: 4, tries: 12 };
+/// Random runs of the same model, far longer than exhaustive search allows. Returns the first seed that
+/// breaks a property, with its actions.
+fn random_runs(fault: Fault, seeds: std::ops::Range<u64>, steps: usize) -> Option<(u64, Vec<Action>)> {
+    let fleet = Fleet { fault, restarts: 4, proposals: 12 };
     let properties = fleet.properties();
     for seed in seeds {
-        let mut dice = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let (mut state, mut path) = (fleet.init_states().remove(0), Vec::new());
         for _ in 0..steps {
             let mut actions = Vec::new();
             fleet.actions(&state, &mut actions);
-            // Asking comes first, then what is late; restarts and tries are rare.
-            let asks = actions.iter().filter(|act| matches!(act, Act::Ask(..))).count();
-            let kind = dice.u8(..10);
+            // Requests are most frequent, then late messages; restarts and proposals are rare.
+            let requests = actions.iter().filter(|act| matches!(act, Action::DeliverRequest(..))).count();
+            let kind = rng.u8(..10);
             actions.retain(|act| match act {
-                Act::Ask(..) => kind < 6 && asks > 0,
-                Act::Late(..) => kind == 6 || kind == 7 && asks == 0,
-                Act::Restart(_) => kind == 8,
-                Act::Try(..) => kind > 8 || asks == 0 && kind < 6,
+                Action::DeliverRequest(..) => kind < 6 && requests > 0,
+                Action::DeliverLate(..) => kind == 6 || kind == 7 && requests == 0,
+                Action::Restart(_) => kind == 8,
+                Action::Propose(..) => kind > 8 || requests == 0 && kind < 6,
             });
-            let Some(action) = dice.choice(actions) else { continue };
+            let Some(action) = rng.choice(actions) else { continue };
             let Some(next) = fleet.next_state(&state, action.clone()) else { continue };
             path.push(action);
             state = next;
@@ -347,26 +358,26 @@
 }
 
 #[test]
-fn long_runs_by_dice_keep_it_too() {
-    if let Some((seed, path)) = by_dice(Mistake::None, 0..2000, 60) {
+fn random_long_runs_keep_all_properties() {
+    if let Some((seed, path)) = random_runs(Fault::None, 0..2000, 60) {
         panic!("seed {seed}: {path:#?}");
     }
 }
 
 #[test]
-fn each_mistake_in_the_protocol_is_found() {
-    for mistake in [
-        Mistake::SameInstance,
-        Mistake::PromiseForgotten,
-        Mistake::AcceptForgotten,
-        Mistake::AcceptedNotTold,
-        Mistake::TakenForDecided,
-        Mistake::NotJoint,
-        Mistake::UnknownToNewcomer,
-        Mistake::OtherNames,
+fn each_injected_fault_is_detected() {
+    for fault in [
+        Fault::SameInstance,
+        Fault::PromiseForgotten,
+        Fault::AcceptForgotten,
+        Fault::AcceptedNotReported,
+        Fault::AcceptedReportedDecided,
+        Fault::NewElectorsOnly,
+        Fault::NewcomerNotAsked,
+        Fault::DifferentNames,
     ] {
-        let found = by_dice(mistake, 0..40_000, 60);
-        println!("{mistake:?}: {:?}", found.as_ref().map(|(seed, path)| (seed, path.len())));
-        assert!(found.is_some(), "{mistake:?} goes unnoticed");
+        let found = random_runs(fault, 0..40_000, 60);
+        println!("{fault:?}: {:?}", found.as_ref().map(|(seed, path)| (seed, path.len())));
+        assert!(found.is_some(), "{fault:?} is not detected");
     }
 }
