--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -1,109 +1,111 @@
-//! What is worth telling next: each new statement is told a number of times that grows with the logarithm of
-//! the number of nodes, those that were told least first; what adds nothing to what others said is told once.
+//! Which updates to send next: each new statement is sent a number of times that grows with the logarithm of
+//! the number of nodes, the least-sent ones first; statements that add nothing to what others reported are
+//! sent once.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::keys::MemberId;
 use crate::packet::Accusation;
 
-/// Tellings of a statement, as a multiple of the logarithm to base 2 of the number of nodes.
-const TELLINGS: f64 = 2.0;
-/// Accusations that are kept to be told.
-const ACCUSATIONS_KEPT: usize = 64;
+/// Transmissions of a statement, as a multiple of the base-2 logarithm of the number of nodes.
+const TRANSMISSION_FACTOR: f64 = 2.0;
+/// The largest number of accusations queued for sending.
+const MAX_QUEUED_ACCUSATIONS: usize = 64;
 
-/// Statements beyond which each is told no more than [`CROWDED`] times.
-const CROWD: usize = 48;
-/// How often, then.
-pub(crate) const CROWDED: u32 = 2;
-/// Tellings until an accusation is no longer urgent.
-const URGENT: u32 = 4;
+/// With more queued statements than this, each is sent at most [`MAX_TRANSMISSIONS_WHEN_FULL`] times.
+const FULL_QUEUE: usize = 48;
+/// Transmissions of each statement while the queue is full.
+pub(crate) const MAX_TRANSMISSIONS_WHEN_FULL: u32 = 2;
+/// An accusation is urgent until it has been sent this many times.
+const URGENT_TRANSMISSIONS: u32 = 4;
 
-/// How often news are told among so many nodes.
-pub(crate) fn tellings(nodes: usize) -> u32 {
-    (TELLINGS * ((nodes + 1) as f64).log2()).ceil().max(2.0) as u32
+/// How often each update is sent in a fleet of this many nodes.
+pub(crate) fn transmission_limit(nodes: usize) -> u32 {
+    (TRANSMISSION_FACTOR * ((nodes + 1) as f64).log2()).ceil().max(2.0) as u32
 }
 
 #[derive(Default)]
-pub(crate) struct News {
-    /// How often the statement of each was told.
-    hot: BTreeMap<MemberId, u32>,
+pub(crate) struct UpdateQueue {
+    /// The number of transmissions so far of each member's statement.
+    statements: BTreeMap<MemberId, u32>,
     accusations: VecDeque<(Accusation, u32)>,
 }
 
-impl News {
-    /// A statement is new.
-    pub(crate) fn heat(&mut self, id: MemberId) {
-        self.hot.insert(id, 0);
+impl UpdateQueue {
+    /// Queues a member's new statement.
+    pub(crate) fn push(&mut self, id: MemberId) {
+        self.statements.insert(id, 0);
     }
 
-    pub(crate) fn is_hot(&self) -> bool {
-        !self.hot.is_empty() || !self.accusations.is_empty()
+    pub(crate) fn has_updates(&self) -> bool {
+        !self.statements.is_empty() || !self.accusations.is_empty()
     }
 
-    /// Whether there is more than pushing is good for: who lacks it asks.
-    pub(crate) fn is_crowded(&self) -> bool {
-        self.hot.len() > CROWD
+    /// Whether more is queued than pushing can spread efficiently: nodes that lack statements request them.
+    pub(crate) fn is_full(&self) -> bool {
+        self.statements.len() > FULL_QUEUE
     }
 
-    /// Whether somebody is accused, and it was not told often yet.
+    /// Whether there is an accusation that was not sent often yet.
     pub(crate) fn is_urgent(&self) -> bool {
-        self.accusations.iter().any(|(_, told)| *told < URGENT)
+        self.accusations.iter().any(|(_, sent)| *sent < URGENT_TRANSMISSIONS)
     }
 
-    /// A member has answered, or is known to be gone: what it was accused of is over.
-    pub(crate) fn settled(&mut self, accused: MemberId) {
+    /// Drops accusations of a member that has responded or is known to be dead.
+    pub(crate) fn drop_accusations(&mut self, accused: MemberId) {
         self.accusations.retain(|(accusation, _)| accusation.accused != accused);
     }
 
-    /// Whose statements are new.
-    pub(crate) fn hot(&self) -> impl Iterator<Item = MemberId> + '_ {
-        self.hot.keys().copied()
+    /// The members whose statements are queued.
+    pub(crate) fn statements(&self) -> impl Iterator<Item = MemberId> + '_ {
+        self.statements.keys().copied()
     }
 
-    /// Up to `space` bytes of statements that were told least; `size` tells what each takes, if it is still
-    /// known, and `useful` how many tellings it is worth.
+    /// Picks up to `space` bytes of the least-sent statements. `size` returns the size of a member's
+    /// statement, `None` if it is no longer known; `useful` returns how often it should be sent in all.
     pub(crate) fn pick(
         &mut self,
         mut space: usize,
         size: impl Fn(MemberId) -> Option<usize>,
-        useful: impl Fn(MemberId) -> u32,
+        max_sent: impl Fn(MemberId) -> u32,
     ) -> Vec<MemberId> {
-        let mut order: Vec<(u32, MemberId)> = self.hot.iter().map(|(id, told)| (*told, *id)).collect();
-        order.sort_unstable();
+        let mut by_sent: Vec<(u32, MemberId)> =
+            self.statements.iter().map(|(id, sent)| (*sent, *id)).collect();
+        by_sent.sort_unstable();
         let mut picked = Vec::new();
-        for (told, id) in order {
+        for (sent, id) in by_sent {
             match size(id) {
                 Some(size) if size <= space => {
                     space -= size;
                     picked.push(id);
-                    if told + 1 >= useful(id) {
-                        self.hot.remove(&id);
+                    if sent + 1 >= max_sent(id) {
+                        self.statements.remove(&id);
                     } else {
-                        self.hot.insert(id, told + 1);
+                        self.statements.insert(id, sent + 1);
                     }
                 }
                 Some(_) => {}
-                None => drop(self.hot.remove(&id)),
+                None => drop(self.statements.remove(&id)),
             }
         }
         picked
     }
 
-    /// Somebody does not answer.
+    /// Queues an accusation.
     pub(crate) fn accuse(&mut self, accusation: Accusation) {
-        let same = |(known, _): &(Accusation, u32)| *known == accusation;
-        if !self.accusations.iter().any(same) {
-            self.accusations.truncate(ACCUSATIONS_KEPT - 1);
+        let is_same = |(known, _): &(Accusation, u32)| *known == accusation;
+        if !self.accusations.iter().any(is_same) {
+            self.accusations.truncate(MAX_QUEUED_ACCUSATIONS - 1);
             self.accusations.push_front((accusation, 0));
         }
     }
 
-    /// Up to so many accusations that were told least.
-    pub(crate) fn accusations(&mut self, most: usize, tellings: u32) -> Vec<Accusation> {
-        self.accusations.make_contiguous().sort_by_key(|(_, told)| *told);
-        let picked = self.accusations.iter_mut().take(most);
-        let picked = picked.map(|(accusation, told)| (*told += 1, *accusation).1).collect();
-        self.accusations.retain(|(_, told)| *told < tellings.div_ceil(2));
+    /// Returns up to `most` of the least-sent accusations.
+    pub(crate) fn accusations(&mut self, max_count: usize, transmission_limit: u32) -> Vec<Accusation> {
+        self.accusations.make_contiguous().sort_by_key(|(_, sent)| *sent);
+        let picked = self.accusations.iter_mut().take(max_count);
+        let picked = picked.map(|(accusation, sent)| (*sent += 1, *accusation).1).collect();
+        self.accusations.retain(|(_, sent)| *sent < transmission_limit.div_ceil(2));
         picked
     }
 }
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,10 +1,11 @@
-//! What others say of servers, what that weighs, and whom it is believed of.
+//! Suspicions that other nodes report about servers, and how much each counts.
 //!
-//! A witness's word is its newest statement: merging is taking the one with the higher number, so order and
-//! repetition do not matter. A word weighs by its strength, by its age, and by the witness's credit, and a
-//! witness has only so much strength to spend on all servers together. The doubt about a server is the sum of
-//! that over its witnesses, as a part of what is needed for the most doubt; one witness adds at most `1 /
-//! needed`. What doubt does to a server is the decision module's matter.
+//! A witness's report is its newest statement: merging takes the statement with the higher number, so that
+//! order and repetition do not matter. The weight of a report depends on its strength, its age and the
+//! witness's credit; the total strength that a witness can spend on all servers is limited. The suspicion of
+//! a server is the sum of the weights of all its witnesses, as a fraction of the weight needed for full
+//! suspicion; one witness adds at most `1 / witnesses_needed`. What a suspicion does to a server is up to the
+//! decision module.
 
 use std::collections::BTreeMap;
 
@@ -13,64 +14,68 @@
 use crate::Micros;
 use crate::keys::MemberId;
 use crate::members::Members;
-use crate::packet::{STRONGEST, SUSPICIONS_MOST, Suspicion};
+use crate::packet::{MAX_STRENGTH, MAX_SUSPICIONS, Suspicion};
 
-/// A word counts in full up to this age.
-const FRESH: Micros = 3_000_000;
-/// A word that was not renewed is forgotten at this age.
-pub(crate) const FORGOTTEN: Micros = 6_000_000;
-/// How often a word that still holds is said again.
-pub(crate) const RENEW: Micros = 2_000_000;
+/// Reports up to this age count in full.
+const FULL_WEIGHT_AGE: Micros = 3_000_000;
+/// Reports that were not renewed are dropped at this age.
+pub(crate) const SUSPICION_TTL: Micros = 6_000_000;
+/// How often a node repeats a suspicion that still holds.
+pub(crate) const RENEW_INTERVAL: Micros = 2_000_000;
 /// The least time between two statements of one member.
-pub(crate) const RESTATE: Micros = 200_000;
-/// The strength that a witness may spend on all servers together: that of two at full strength.
-const SPEND: f64 = 2.0;
-/// What a suspicion is worth telling from.
-const TOLD_FROM: f64 = 0.25;
-/// Own answers that prove a server healthy.
-const PROOF: u32 = 4;
-/// How fast a witness loses credit while own answers and the others find healthy what it accuses.
-const LOSES: f64 = 2_000_000.0;
-/// How fast it gets credit back.
-const REGAINS: f64 = 60_000_000.0;
-/// How fast, while this node itself finds what it says.
-const CONFIRMED: f64 = 5_000_000.0;
-/// No age of an honest member is longer: it would have been left out.
-const AGE_MOST: u16 = 10_000;
+pub(crate) const MIN_STATEMENT_INTERVAL: Micros = 200_000;
+/// The total strength that a witness may spend on all servers: two servers at full strength.
+const MAX_TOTAL_STRENGTH: f64 = 2.0;
+/// The least suspicion that is reported to other nodes.
+const MIN_REPORTED_SUSPICION: f64 = 0.25;
+/// The number of recent responses that prove to this node that a server is healthy.
+const HEALTHY_RESPONSES: u32 = 4;
+/// A witness's credit falls by a factor of e in this time (microseconds), while this node and the other
+/// witnesses find the servers healthy that it reports.
+const CREDIT_LOSS_US: f64 = 2_000_000.0;
+/// The time in microseconds in which a witness regains full credit without further evidence.
+const CREDIT_REGAIN_US: f64 = 60_000_000.0;
+/// The time in microseconds in which a witness regains full credit while this node observes the same
+/// suspicions.
+const CONFIRMED_CREDIT_REGAIN_US: f64 = 5_000_000.0;
+/// The largest age, in milliseconds, in an honest member's statement: older suspicions are left out of
+/// statements.
+const MAX_AGE_MS: u16 = 10_000;
 
-/// One witness's word, as it is weighed.
+/// One witness's report about a server, with its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Witness {
-    /// Who says it.
+    /// The member that reports it.
     pub witness: MemberId,
-    /// How sure it says that it is, from 0 to 1.
+    /// The strength of the suspicion that it reports, from 0 to 1.
     pub strength: f64,
-    /// How many requests it says that rests on.
+    /// The number of requests that its report is based on.
     pub sample_count: u16,
-    /// How long ago it was seen.
+    /// How long ago the witness observed it.
     pub age: Micros,
-    /// How much of it counts: its strength, its age, its witness's credit.
+    /// How much the report counts: strength, scaled by its age and the witness's credit.
     pub weight: f64,
 }
 
-/// How many witnesses at full weight make for the most doubt, among so many nodes. It grows with the
-/// logarithm, so that few liars of many count for little, and a stall is known by all after some seconds.
+/// How many witnesses at full weight make full suspicion, among this many nodes. It grows with the logarithm,
+/// so that a few false witnesses among many count for little, while a stall is known to all nodes after some
+/// seconds.
 pub fn witnesses_needed(nodes: usize) -> f64 {
     ((nodes + 1) as f64).log2().ceil().clamp(2.0, 8.0)
 }
 
-/// The most doubt that so many liars can cast on a healthy server among so many nodes.
+/// The largest suspicion of a healthy server that this many false witnesses can cause among this many nodes.
 pub fn max_false_suspicion(liars: usize, nodes: usize) -> f64 {
     (liars as f64 / witnesses_needed(nodes)).min(1.0)
 }
 
 #[derive(Default)]
 pub(crate) struct Evidence {
-    /// Of those whose credit is not full.
+    /// The credit of each witness whose credit is below 1.
     credit: BTreeMap<MemberId, f64>,
-    weighed_at: Micros,
-    said: Vec<Suspicion>,
-    said_at: Micros,
+    assessed_at: Micros,
+    last_reported: Vec<Suspicion>,
+    last_reported_at: Micros,
 }
 
 impl Evidence {
@@ -78,57 +83,59 @@
         self.credit.get(&witness).copied().unwrap_or(1.0)
     }
 
-    /// Whether a statement says what no honest member does.
-    pub(crate) fn makes_no_sense(suspicions: &[Suspicion]) -> bool {
-        suspicions.iter().any(|s| s.age_ms > AGE_MOST)
+    /// Whether a statement contains an age that no honest member sends.
+    pub(crate) fn has_invalid_age(suspicions: &[Suspicion]) -> bool {
+        suspicions.iter().any(|s| s.age_ms > MAX_AGE_MS)
     }
 
-    /// All words of others that still count, by server.
-    pub(crate) fn words(&self, now: Micros, members: &Members) -> BTreeMap<u64, Vec<Witness>> {
+    /// All current reports of other nodes, by server id.
+    pub(crate) fn reports(&self, now: Micros, members: &Members) -> BTreeMap<u64, Vec<Witness>> {
         let mut by_server: BTreeMap<u64, Vec<Witness>> = BTreeMap::new();
         for (id, member) in &members.all {
             let suspicions = &member.signed.statement.suspicions;
-            if Evidence::makes_no_sense(suspicions) {
+            if Evidence::has_invalid_age(suspicions) {
                 continue;
             }
-            let strength = |s: &Suspicion| f64::from(s.strength) / f64::from(STRONGEST);
-            let spent: f64 = suspicions.iter().map(strength).sum();
-            let scale = (SPEND / spent.max(SPEND)) * self.credit(*id);
+            let strength = |s: &Suspicion| f64::from(s.strength) / f64::from(MAX_STRENGTH);
+            let total_strength: f64 = suspicions.iter().map(strength).sum();
+            let scale = (MAX_TOTAL_STRENGTH / total_strength.max(MAX_TOTAL_STRENGTH)) * self.credit(*id);
             for s in suspicions {
                 let age = now.saturating_sub(member.made_at) + u64::from(s.age_ms) * 1000;
-                if age >= FORGOTTEN {
+                if age >= SUSPICION_TTL {
                     continue;
                 }
-                let fades = (FORGOTTEN - age) as f64 / (FORGOTTEN - FRESH) as f64;
-                let weight = scale * strength(s) * fades.min(1.0);
-                let (strength, rests_on) = (strength(s), s.rests_on);
-                let witness = Witness { witness: *id, strength, sample_count: rests_on, age, weight };
+                let age_factor = (SUSPICION_TTL - age) as f64 / (SUSPICION_TTL - FULL_WEIGHT_AGE) as f64;
+                let weight = scale * strength(s) * age_factor.min(1.0);
+                let (strength, sample_count) = (strength(s), s.sample_count);
+                let witness = Witness { witness: *id, strength, sample_count, age, weight };
                 by_server.entry(s.server).or_default().push(witness);
             }
         }
         by_server
     }
 
-    /// Weighs what others say, and gives or takes credit by what this node sees itself.
-    pub(crate) fn weigh(
+    /// Weighs the reports of other nodes, and adjusts the witnesses' credit by this node's own observations.
+    pub(crate) fn assess(
         &mut self,
         now: Micros,
         members: &Members,
         own: &[ServerObservation],
     ) -> Vec<PeerSuspicion> {
         let needed = witnesses_needed(members.all.len() + 1);
-        let words = self.words(now, members);
-        let passed = now.saturating_sub(self.weighed_at).min(FORGOTTEN) as f64;
-        self.weighed_at = now;
+        let reports = self.reports(now, members);
+        let elapsed = now.saturating_sub(self.assessed_at).min(SUSPICION_TTL) as f64;
+        self.assessed_at = now;
         let mut contradicted: BTreeMap<MemberId, bool> = BTreeMap::new();
-        for (server, witnesses) in &words {
+        for (server, witnesses) in &reports {
             let Some(seen) = own.iter().find(|seen| seen.server == *server) else { continue };
             let total: f64 = witnesses.iter().map(|w| w.weight).sum();
-            let healthy = seen.recent_answers >= PROOF && seen.suspicion < TOLD_FROM && total < needed;
+            let healthy = seen.recent_answers >= HEALTHY_RESPONSES
+                && seen.suspicion < MIN_REPORTED_SUSPICION
+                && total < needed;
             for witness in witnesses {
                 if healthy {
                     contradicted.insert(witness.witness, true);
-                } else if seen.suspicion >= TOLD_FROM {
+                } else if seen.suspicion >= MIN_REPORTED_SUSPICION {
                     contradicted.entry(witness.witness).or_insert(false);
                 }
             }
@@ -136,50 +143,55 @@
         for (witness, contradicted) in &contradicted {
             let credit = self.credit.entry(*witness).or_insert(1.0);
             *credit = match contradicted {
-                true => *credit * (-passed / LOSES).exp(),
-                false => *credit + passed / CONFIRMED,
+                true => *credit * (-elapsed / CREDIT_LOSS_US).exp(),
+                false => *credit + elapsed / CONFIRMED_CREDIT_REGAIN_US,
             };
         }
         for (witness, credit) in &mut self.credit {
             if !contradicted.contains_key(witness) {
-                *credit += passed / REGAINS;
+                *credit += elapsed / CREDIT_REGAIN_US;
             }
         }
         self.credit.retain(|_, credit| *credit < 1.0);
-        let doubt =
+        let suspicion_level =
             |witnesses: &[Witness]| (witnesses.iter().map(|w| w.weight).sum::<f64>() / needed).min(1.0);
-        words.iter().map(|(server, w)| PeerSuspicion { server: *server, level: doubt(w) }).collect()
+        reports
+            .iter()
+            .map(|(server, w)| PeerSuspicion { server: *server, level: suspicion_level(w) })
+            .collect()
     }
 
-    /// What this node should say of servers now, if that differs from what it said. What enough others say
-    /// already is not said too, so that a stall which all nodes see costs no more than one that few see.
-    pub(crate) fn say(
+    /// The suspicions that this node should report now, if they differ from its last statement or need
+    /// renewal. Suspicions that enough others report already are left out, so that a stall which all nodes
+    /// observe costs no more traffic than one that few observe.
+    pub(crate) fn report(
         &mut self,
         now: Micros,
         members: &Members,
         own: &[ServerObservation],
     ) -> Option<Vec<Suspicion>> {
-        if now.saturating_sub(self.said_at) < RESTATE {
+        if now.saturating_sub(self.last_reported_at) < MIN_STATEMENT_INTERVAL {
             return None;
         }
-        let words = self.words(now, members);
+        let reports = self.reports(now, members);
         let enough = 2.0 * witnesses_needed(members.all.len() + 1);
-        let known = |server: u64| {
-            let renewed = |w: &&Witness| w.age < FRESH;
-            words
+        let is_widely_reported = |server: u64| {
+            let is_fresh = |w: &&Witness| w.age < FULL_WEIGHT_AGE;
+            reports
                 .get(&server)
-                .is_some_and(|w| w.iter().filter(renewed).map(|w| w.weight).sum::<f64>() >= enough)
+                .is_some_and(|w| w.iter().filter(is_fresh).map(|w| w.weight).sum::<f64>() >= enough)
         };
-        let mut seen: Vec<&ServerObservation> = own.iter().filter(|s| s.suspicion >= TOLD_FROM).collect();
+        let mut seen: Vec<&ServerObservation> =
+            own.iter().filter(|s| s.suspicion >= MIN_REPORTED_SUSPICION).collect();
         seen.sort_by(|a, b| b.suspicion.total_cmp(&a.suspicion).then(a.server.cmp(&b.server)));
-        seen.truncate(SUSPICIONS_MOST);
-        let say: Vec<Suspicion> = seen
+        seen.truncate(MAX_SUSPICIONS);
+        let report: Vec<Suspicion> = seen
             .into_iter()
-            .filter(|s| !known(s.server))
+            .filter(|s| !is_widely_reported(s.server))
             .map(|s| Suspicion {
                 server: s.server,
-                strength: (s.suspicion.min(1.0) * f64::from(STRONGEST)) as u8,
-                rests_on: s.sample_count.min(u32::from(u16::MAX)) as u16,
+                strength: (s.suspicion.min(1.0) * f64::from(MAX_STRENGTH)) as u8,
+                sample_count: s.sample_count.min(u32::from(u16::MAX)) as u16,
                 age_ms: 0,
             })
             .collect();
@@ -188,14 +200,14 @@
             ids.sort_unstable();
             ids
         };
-        let renew = !say.is_empty() && now.saturating_sub(self.said_at) >= RENEW;
-        (servers(&say) != servers(&self.said) || renew).then(|| {
-            (self.said, self.said_at) = (say.clone(), now);
-            say
+        let needs_renewal = !report.is_empty() && now.saturating_sub(self.last_reported_at) >= RENEW_INTERVAL;
+        (servers(&report) != servers(&self.last_reported) || needs_renewal).then(|| {
+            (self.last_reported, self.last_reported_at) = (report.clone(), now);
+            report
         })
     }
 
-    /// Forgets those who may not take part any more.
+    /// Forgets members that may no longer take part.
     pub(crate) fn retain(&mut self, keep: impl Fn(MemberId) -> bool) {
         self.credit.retain(|id, _| keep(*id));
     }
--- a/crates/gossip/src/gossip/receive.rs
+++ b/crates/gossip/src/gossip/receive.rs
@@ -1,12 +1,12 @@
-//! What comes in, from the address that it came from to what it changes.
+//! Handling of received packets, from rate limits and signatures to their effects.
 
 use std::collections::HashSet;
 
 use super::*;
 
 impl Gossip {
-    pub(super) fn packet(&mut self, source: SocketAddr, bytes: &[u8]) {
-        if !self.sources.listens(self.now, source.ip()) {
+    pub(super) fn handle_packet(&mut self, source: SocketAddr, bytes: &[u8]) {
+        if !self.source_limits.accepts(self.now, source.ip()) {
             self.figures.rate_limited += 1;
             return;
         }
@@ -22,218 +22,230 @@
                 return;
             }
         };
-        let Header { from, instance, to_instance, number, speaks, .. } = packet.header;
+        let Header { from, instance, to_instance, number, max_version, .. } = packet.header;
         if !self.ring.contains(from) {
             self.figures.unauthenticated += 1;
             return;
         }
-        let hello = matches!(packet.body.message, Message::Join | Message::Welcome);
-        // What names another process was recorded, or is from one that does not know this one yet: it costs
-        // no state.
-        let for_me = to_instance == self.instance;
-        if !for_me && !hello && from == self.me {
+        let is_handshake = matches!(packet.body.message, Message::Join | Message::Welcome);
+        // A packet addressed to another process is a replay, or its sender does not know this process yet: it
+        // must not change the state.
+        let addressed_to_this_process = to_instance == self.instance;
+        if !addressed_to_this_process && !is_handshake && from == self.me {
             self.figures.replayed += 1;
             return;
         }
         self.figures.signatures_checked += 1;
-        if !packet.holds(bytes, &self.ring) {
+        if !packet.verify(bytes, &self.ring) {
             self.figures.unauthenticated += 1;
             return;
         }
         let now = self.now;
-        let bucket = self.by_member.entry(from).or_insert_with(|| Bucket::ceiling(LISTEN, now));
+        let bucket = self
+            .member_limits
+            .entry(from)
+            .or_insert_with(|| TokenBucket::per_second(MAX_PACKETS_PER_SECOND, now));
         if !bucket.take(now, 1.0) {
             self.figures.rate_limited += 1;
             return;
         }
         if from == self.me {
-            return self.twin(instance, &packet);
+            return self.handle_duplicate_name(instance, &packet);
         }
-        if !for_me {
-            // Who knocks is told of to those that knock next: its statement is its own and counts whenever it
-            // came.
-            if let (Message::Join, [own]) = (&packet.body.message, &packet.body.news[..])
+        if !addressed_to_this_process {
+            // The sender is introduced to members that join later: its statement is signed and valid whenever
+            // it was sent.
+            if let (Message::Join, [own]) = (&packet.body.message, &packet.body.updates[..])
                 && own.signed.statement.author == from
             {
-                self.take(own, true);
+                self.merge_statement(own, true);
             }
             self.figures.replayed += u64::from(!matches!(packet.body.message, Message::Join));
-            // It is told which process this is. The answer is shorter than what asks for it.
+            // Tells the sender which process this is. The response is shorter than the packet it answers.
             if !matches!(packet.body.message, Message::Welcome) {
-                self.tell_at(source, Some(from), instance, Message::Welcome, true, false);
+                self.send_message_to(source, Some(from), instance, Message::Welcome, true, false);
             }
             return;
         }
-        // Its own statement comes first: it may be the first that is heard of it, or of its new process.
-        for carried in &packet.body.news {
-            if carried.signed.statement.author == from {
-                self.take(carried, true);
+        // The sender's own statement comes first: this may be the first packet from it, or from its new
+        // process.
+        for relayed in &packet.body.updates {
+            if relayed.signed.statement.author == from {
+                self.merge_statement(relayed, true);
             }
         }
-        let gone = self.members.all.get(&from).is_some_and(|m| m.standing == Liveness::Dead);
-        if !self.members.hear(now, from, instance, number, speaks) {
+        let was_dead = self.members.all.get(&from).is_some_and(|m| m.liveness == Liveness::Dead);
+        if !self.members.record_packet(now, from, instance, number, max_version) {
             self.figures.replayed += 1;
             return;
         }
-        if gone {
-            // Where one is back, others may be.
-            self.join_at = self.join_at.min(now + self.random.u64(SYNC.1..SYNC.0 / 4));
-            self.note_up(from);
+        if was_dead {
+            // Where one member is back, others may be: for example, after a partition.
+            self.join_at = self.join_at.min(now + self.random.u64(SYNC_INTERVAL.1..SYNC_INTERVAL.0 / 4));
+            self.log_member_up(from);
         }
         self.figures.accepted += 1;
-        self.prober.heard(self.now);
-        let given = matches!(packet.body.message, Message::Given { .. } | Message::Welcome);
-        let more = !matches!(packet.body.message, Message::Given { more: false });
-        let new = packet.body.news.iter().filter(|carried| self.take(carried, !given)).count();
-        if given {
-            self.round = (true, self.round.1 || new > 0);
+        self.prober.record_packet(self.now);
+        let is_response = matches!(packet.body.message, Message::Response { .. } | Message::Welcome);
+        let more = !matches!(packet.body.message, Message::Response { more: false });
+        let new_count =
+            packet.body.updates.iter().filter(|relayed| self.merge_statement(relayed, !is_response)).count();
+        if is_response {
+            self.sync_pass = (true, self.sync_pass.1 || new_count > 0);
             if more {
-                // There is more of that part: whoever is asked next gives others of it.
-                self.sync_from = self.asked_from;
+                // There is more in this part: the next member that is asked returns other statements of it.
+                self.sync_from = self.requested_from;
             }
-            // As much is compared as there seems to be a packet's worth missing of.
-            self.sums = match more {
-                true => (self.sums / 2).max(SUMS_LEAST),
-                false if new < FEW => (2 * self.sums).min(SUMS_SENT),
-                false => self.sums,
+            // The number of checksums adapts so that about one packet of statements is missing in each part.
+            self.checksum_count = match more {
+                true => (self.checksum_count / 2).max(MIN_CHECKSUMS),
+                false if new_count < SMALL_RESPONSE => (2 * self.checksum_count).min(MAX_CHECKSUMS_SENT),
+                false => self.checksum_count,
             };
         }
-        if given && self.eager > 0 {
-            self.sync_at = self.sync_at.min(self.now + EAGER.0);
+        if is_response && self.eager_passes > 0 {
+            self.sync_at = self.sync_at.min(self.now + NEXT_SYNC_DELAY.0);
         }
         for accusation in &packet.body.accusations {
-            self.accused(*accusation);
+            self.handle_accusation(*accusation);
         }
-        self.answer(from, packet.body.message, bytes);
+        self.handle_message(from, packet.body.message, bytes);
     }
 
-    /// A packet or a statement of this node's own name that this process did not make.
-    pub(super) fn twin(&mut self, instance: u64, packet: &Packet) {
-        for carried in &packet.body.news {
-            self.take(carried, true);
+    /// Handles a packet or statement under this node's own name that this process did not make.
+    pub(super) fn handle_duplicate_name(&mut self, instance: u64, packet: &Packet) {
+        for relayed in &packet.body.updates {
+            self.merge_statement(relayed, true);
         }
         if instance != self.instance {
-            self.twins += 1;
-            self.note(2, self.me, LogEvent::DuplicateName);
+            self.duplicate_name_count += 1;
+            self.log_event(2, self.me, LogEvent::DuplicateName);
         }
     }
 
-    /// Takes in a statement, if its author signed it and it is newer than what is known; whether it was. What
-    /// is news is told on; what was asked for is not.
-    pub(super) fn take(&mut self, carried: &Carried, is_news: bool) -> bool {
-        let signed = &carried.signed;
+    /// Merges a statement if its author signed it and it is newer than the known one; returns whether it was.
+    /// Updates are passed on; statements that were requested are not.
+    pub(super) fn merge_statement(&mut self, relayed: &RelayedStatement, is_update: bool) -> bool {
+        let signed = &relayed.signed;
         let Statement { author, number, instance, ref suspicions, .. } = signed.statement;
         if author == self.me {
-            // Of a process before this one, or beside it: this one goes on above that.
-            let other = instance != self.instance && number >= self.own.statement.number;
-            if other && self.checked(signed) {
-                let Statement { stance, suspicions, .. } = self.own.statement.clone();
-                self.restate(stance, suspicions, number);
-                self.twins += 1;
-                if self.twins > 3 {
-                    self.note(2, self.me, LogEvent::DuplicateName);
+            // From an earlier process of this name, or a concurrent one: this process continues above its
+            // number.
+            let other = instance != self.instance && number >= self.own_statement.statement.number;
+            if other && self.verify_statement(signed) {
+                let Statement { lifecycle, suspicions, .. } = self.own_statement.statement.clone();
+                self.publish_statement(lifecycle, suspicions, number);
+                self.duplicate_name_count += 1;
+                if self.duplicate_name_count > 3 {
+                    self.log_event(2, self.me, LogEvent::DuplicateName);
                 }
             }
             return false;
         }
-        if !self.ring.contains(author) || !self.members.is_newer(signed) || !self.checked(signed) {
+        if !self.ring.contains(author) || !self.members.is_newer(signed) || !self.verify_statement(signed) {
             return false;
         }
-        if Evidence::makes_no_sense(suspicions) {
-            self.note(3, author, LogEvent::InvalidAges(self.name(author)));
+        if Evidence::has_invalid_age(suspicions) {
+            self.log_event(3, author, LogEvent::InvalidAges(self.name(author)));
         }
-        let standing = |members: &Members| members.all.get(&author).map(|m| m.standing);
-        let before = standing(&self.members);
-        if !self.members.take(self.now, signed.clone(), u64::from(carried.held_ms) * 1000) {
+        let liveness = |members: &Members| members.all.get(&author).map(|m| m.liveness);
+        let before = liveness(&self.members);
+        if !self.members.merge(self.now, signed.clone(), u64::from(relayed.relay_age_ms) * 1000) {
             return false;
         }
-        self.news.settled(author);
-        // One that answers an accusation is news to all, however it was heard. Where all is new, it is asked
-        // for, and who has just begun has nothing that others would not have.
-        if is_news && !self.news.is_crowded() && !self.learns() || before == Some(Liveness::Suspect) {
-            self.news.heat(author);
+        self.updates.drop_accusations(author);
+        // A refutation is passed on to all, however it was received. Other statements are not pushed while
+        // the queue is full, as nodes request what they lack, or while this node is bootstrapping, as it
+        // knows nothing that others lack.
+        if is_update && !self.updates.is_full() && !self.is_bootstrapping()
+            || before == Some(Liveness::Suspect)
+        {
+            self.updates.push(author);
         }
-        if before != Some(Liveness::Alive) && standing(&self.members) == Some(Liveness::Alive) {
-            self.note_up(author);
+        if before != Some(Liveness::Alive) && liveness(&self.members) == Some(Liveness::Alive) {
+            self.log_member_up(author);
         }
         true
     }
 
-    pub(super) fn checked(&mut self, signed: &Signed) -> bool {
+    pub(super) fn verify_statement(&mut self, signed: &SignedStatement) -> bool {
         self.figures.signatures_checked += 1;
-        signed.holds(&self.ring)
+        signed.verify(&self.ring)
     }
 
-    pub(super) fn accused(&mut self, accusation: Accusation) {
+    pub(super) fn handle_accusation(&mut self, accusation: Accusation) {
         if accusation.accused != self.me {
             if self.ring.contains(accusation.accuser) {
                 self.accuse(accusation);
             }
             return;
         }
-        let due = self.refuted_at == 0 || self.now.saturating_sub(self.refuted_at) >= REFUTE;
-        if accusation.number >= self.own.statement.number && due {
+        let may_refute =
+            self.refuted_at == 0 || self.now.saturating_sub(self.refuted_at) >= MIN_REFUTE_INTERVAL;
+        if accusation.number >= self.own_statement.statement.number && may_refute {
             self.refuted_at = self.now;
-            self.prober.own_health(false);
-            let Statement { stance, suspicions, .. } = self.own.statement.clone();
-            self.restate(stance, suspicions, 0);
-            self.round_at = self.round_at.min(self.now + AT_ONCE);
+            self.prober.record_own_health(false);
+            let Statement { lifecycle, suspicions, .. } = self.own_statement.statement.clone();
+            self.publish_statement(lifecycle, suspicions, 0);
+            self.gossip_at = self.gossip_at.min(self.now + URGENT_DELAY);
         }
     }
 
-    pub(super) fn answer(&mut self, from: MemberId, message: Message, bytes: &[u8]) {
+    pub(super) fn handle_message(&mut self, from: MemberId, message: Message, bytes: &[u8]) {
         match message {
-            // Who is known by it is asked at once, so that it knows this node too.
+            // Pings the member at once, so that it learns about this node, too.
             Message::Welcome => {
-                if self.members.all.get(&from).is_none_or(|member| member.speaks < SUMS_FROM) {
-                    self.sync_at = self.sync_at.min(self.now + SYNC.1);
+                if self.members.all.get(&from).is_none_or(|member| member.max_version < CHECKSUMS_VERSION) {
+                    self.sync_at = self.sync_at.min(self.now + SYNC_INTERVAL.1);
                     let number = self.random.u64(..);
-                    self.tell(from, Message::Ping { number, bare: false }, true, true);
+                    self.send_message(from, Message::Ping { number, bare: false }, true, true);
                 }
             }
-            Message::Ping { number, bare } => drop(self.tell(from, Message::Ack(number), false, !bare)),
+            Message::Ping { number, bare } => {
+                drop(self.send_message(from, Message::Ack(number), false, !bare))
+            }
             Message::Ack(number) => {
-                if let Some(asker) = self.prober.errand_done(from, number) {
-                    self.tell(asker, Message::Proof(bytes.to_vec()), false, false);
+                if let Some(asker) = self.prober.take_relayed_probe(from, number) {
+                    self.send_message(asker, Message::RelayedAck(bytes.to_vec()), false, false);
                 } else {
                     self.prober.answered(from, number);
                 }
             }
             Message::PingFor { target, number } => {
                 if self.members.all.contains_key(&target)
-                    && self.prober.errand(self.now, from, target, number)
+                    && self.prober.add_relayed_probe(self.now, from, target, number)
                 {
-                    self.tell(target, Message::Ping { number, bare: true }, true, false);
+                    self.send_message(target, Message::Ping { number, bare: true }, true, false);
                 }
             }
-            Message::Proof(bytes) => self.proof(&bytes),
-            // A stranger's knock was answered before.
-            Message::News | Message::Join | Message::Given { .. } => {}
-            Message::Digest { from: first, to: last, known } => self.compare(from, first, last, &known),
-            Message::Carried(bytes) => {
+            Message::RelayedAck(bytes) => self.handle_relayed_ack(&bytes),
+            // `Join` was answered before, the others have no further effect.
+            Message::Updates | Message::Join | Message::Response { .. } => {}
+            Message::Digest { from: first, to: last, known } => self.answer_digest(from, first, last, &known),
+            Message::Payload(bytes) => {
                 let instance =
                     self.members.all.get(&from).map_or(0, |member| member.signed.statement.instance);
                 self.out.push(Output::PayloadReceived(from, instance, bytes));
             }
-            Message::Want(ids) => self.give(from, ids),
-            Message::Sums { from: first, to: last, salt, known } => {
-                self.compare_sums(from, (first, last), salt, known);
+            Message::Request(ids) => self.send_statements(from, ids),
+            Message::Checksums { from: first, to: last, salt, known } => {
+                self.answer_checksums(from, (first, last), salt, known);
             }
         }
     }
 
-    /// Another member's answer, signed by that member: that it holds a number drawn by this node shows that
-    /// it is new.
-    pub(super) fn proof(&mut self, bytes: &[u8]) {
+    /// Handles another member's signed response, which a relay passed on: it contains a number drawn by this
+    /// node, which shows that it is recent.
+    pub(super) fn handle_relayed_ack(&mut self, bytes: &[u8]) {
         let Ok(packet) = parse(bytes) else { return };
         let (from, Message::Ack(number)) = (packet.header.from, &packet.body.message) else { return };
         self.figures.signatures_checked += 1;
-        if packet.holds(bytes, &self.ring) {
+        if packet.verify(bytes, &self.ring) {
             self.prober.answered(from, *number);
         }
     }
 
-    pub(super) fn compare(
+    pub(super) fn answer_digest(
         &mut self,
         from: MemberId,
         first: MemberId,
@@ -244,8 +256,9 @@
             return;
         }
         let theirs = |id: MemberId| known.iter().find(|(other, _)| *other == id).map(|(_, number)| *number);
-        let mut give: Vec<MemberId> = self.members.all.range(first..=last).map(|(id, _)| *id).collect();
-        give.retain(|id| {
+        let mut send_statements: Vec<MemberId> =
+            self.members.all.range(first..=last).map(|(id, _)| *id).collect();
+        send_statements.retain(|id| {
             let ours = self.members.all.get(id).map(|m| m.signed.statement.number);
             *id != from && theirs(*id) < ours
         });
@@ -257,20 +270,21 @@
             })
             .map(|(id, _)| *id)
             .collect();
-        // Not always the same first ones, if not all fit.
-        self.random.shuffle(&mut give);
-        let differs = !give.is_empty() || !want.is_empty();
-        self.give(from, give);
+        // A random order, so that a different part is sent each time if not all fit.
+        self.random.shuffle(&mut send_statements);
+        let differs = !send_statements.is_empty() || !want.is_empty();
+        self.send_statements(from, send_statements);
         if !want.is_empty() {
-            self.tell(from, Message::Want(want), false, false);
+            self.send_message(from, Message::Request(want), false, false);
         }
         if differs {
-            self.sync_at = self.sync_at.min(self.now + SYNC.1);
+            self.sync_at = self.sync_at.min(self.now + SYNC_INTERVAL.1);
         }
     }
 
-    /// Gives what the other lacks, by its sums; asks it soon if it has what this node lacks.
-    fn compare_sums(
+    /// Sends the statements that the other member lacks by its checksums, and synchronises soon if this node
+    /// lacks some.
+    fn answer_checksums(
         &mut self,
         from: MemberId,
         (first, last): (MemberId, MemberId),
@@ -281,21 +295,21 @@
             return;
         }
         let known: HashSet<u16> = known.into_iter().collect();
-        let (mut give, mut shared) = (Vec::new(), 0);
+        let (mut send_statements, mut shared) = (Vec::new(), 0);
         for (id, member) in self.members.all.range(first..=last).filter(|(id, _)| **id != from) {
-            if known.contains(&member.signed.sum(salt)) {
+            if known.contains(&member.signed.checksum(salt)) {
                 shared += 1;
             } else {
-                give.push(*id);
+                send_statements.push(*id);
             }
         }
-        // The other's own statement, and this node's, are among the sums.
-        let both = [from, self.me].iter().filter(|id| (first..=last).contains(id)).count();
-        if known.len() > shared + both {
-            self.sync_at = self.sync_at.min(self.now + SYNC.1);
+        // The checksums include the other member's own statement, and this node's.
+        let own_statements = [from, self.me].iter().filter(|id| (first..=last).contains(id)).count();
+        if known.len() > shared + own_statements {
+            self.sync_at = self.sync_at.min(self.now + SYNC_INTERVAL.1);
         }
-        // Not always the same first ones, if not all fit.
-        self.random.shuffle(&mut give);
-        self.give(from, give);
+        // A random order, so that a different part is sent each time if not all fit.
+        self.random.shuffle(&mut send_statements);
+        self.send_statements(from, send_statements);
     }
 }
--- a/crates/gossip/src/gossip/send.rs
+++ b/crates/gossip/src/gossip/send.rs
@@ -1,180 +1,197 @@
-//! What is sent: statements, and packets within the ceiling.
+//! Sending: statements, and packets within the rate limit.
 
 use super::*;
 
 impl Gossip {
-    /// Makes this node's statement anew, and tells it.
-    pub(super) fn restate(&mut self, stance: Stance, suspicions: Vec<Suspicion>, above: u64) {
-        let number = self.own.statement.number.max(above).saturating_add(1);
-        let statement =
-            Statement { key: self.secret.hint(), number, stance, suspicions, ..self.own.statement.clone() };
-        self.own = Signed::new(statement, &self.secret);
-        self.news.heat(self.me);
+    /// Replaces this node's statement and queues it as an update. Its number is above `above`.
+    pub(super) fn publish_statement(&mut self, lifecycle: Lifecycle, suspicions: Vec<Suspicion>, above: u64) {
+        let number = self.own_statement.statement.number.max(above).saturating_add(1);
+        let statement = Statement {
+            key: self.secret.hint(),
+            number,
+            lifecycle,
+            suspicions,
+            ..self.own_statement.statement.clone()
+        };
+        self.own_statement = SignedStatement::new(statement, &self.secret);
+        self.updates.push(self.me);
     }
 
-    pub(super) fn carried(&self, id: MemberId) -> Option<Carried> {
+    pub(super) fn relayed_statement(&self, id: MemberId) -> Option<RelayedStatement> {
         if id == self.me {
-            return Some(Carried { held_ms: 0, signed: self.own.clone() });
+            return Some(RelayedStatement { relay_age_ms: 0, signed: self.own_statement.clone() });
         }
         let member = self.members.all.get(&id)?;
-        let held_ms = millis(self.now.saturating_sub(member.made_at));
-        Some(Carried { held_ms, signed: member.signed.clone() })
+        let relay_age_ms = millis(self.now.saturating_sub(member.made_at));
+        Some(RelayedStatement { relay_age_ms, signed: member.signed.clone() })
     }
 
-    /// Sends a message to a member, with this node's own statement if so, and as much news as there is room
-    /// for.
-    pub(super) fn tell(&mut self, to: MemberId, message: Message, own: bool, news: bool) -> bool {
+    /// Sends a message to a member, with this node's own statement if `own` is set, and with as many updates
+    /// as fit if `updates` is set. Returns whether it was sent.
+    pub(super) fn send_message(&mut self, to: MemberId, message: Message, own: bool, updates: bool) -> bool {
         let Some(member) = self.members.all.get(&to) else { return false };
         let Statement { address, instance, .. } = member.signed.statement;
-        // Who was never heard may not know this node, and would not listen to it.
-        let own = own || !member.was_heard();
-        self.tell_at(address, Some(to), instance, message, own, news)
+        // A member that was never heard may not know this node, and would ignore the packet without its
+        // statement.
+        let own = own || !member.has_been_heard();
+        self.send_message_to(address, Some(to), instance, message, own, updates)
     }
 
-    /// The header of the next packet, for a process that speaks up to this version.
-    pub(super) fn header(&mut self, speaks: u8, to_instance: u64) -> Header {
-        self.packets += 1;
+    /// The header of the next packet, for a process that supports versions up to `max_version`.
+    pub(super) fn header(&mut self, max_version: u8, to_instance: u64) -> Header {
+        self.last_packet_number += 1;
         Header {
-            version: speaks.min(VERSION),
-            speaks: VERSION,
+            version: max_version.min(VERSION),
+            max_version: VERSION,
             from: self.me,
             key: self.secret.hint(),
             instance: self.instance,
             to_instance,
-            number: self.packets,
+            number: self.last_packet_number,
         }
     }
 
-    pub(super) fn tell_at(
+    pub(super) fn send_message_to(
         &mut self,
         address: SocketAddr,
         to: Option<MemberId>,
         to_instance: u64,
         message: Message,
         own: bool,
-        news: bool,
+        updates: bool,
     ) -> bool {
-        let speaks =
-            to.and_then(|to| self.members.all.get(&to)).map_or(VERSION_LEAST, |member| member.speaks);
-        let header = self.header(speaks, to_instance);
-        let mut body = Body { message, accusations: Vec::new(), news: Vec::new() };
-        body.news.extend(own.then(|| self.carried(self.me)).flatten());
+        let max_version =
+            to.and_then(|to| self.members.all.get(&to)).map_or(MIN_VERSION, |member| member.max_version);
+        let header = self.header(max_version, to_instance);
+        let mut body = Body { message, accusations: Vec::new(), updates: Vec::new() };
+        body.updates.extend(own.then(|| self.relayed_statement(self.me)).flatten());
         if body.message == Message::Welcome {
-            let others = self.some_present(INTRODUCED);
-            body.news
-                .extend(others.into_iter().filter(|id| Some(*id) != to).filter_map(|id| self.carried(id)));
+            let others = self.random_members(INTRODUCED_MEMBERS);
+            body.updates.extend(
+                others.into_iter().filter(|id| Some(*id) != to).filter_map(|id| self.relayed_statement(id)),
+            );
         }
         let nodes = self.members.all.len();
-        if let Some(to) = to.filter(|_| news) {
-            // Who is accused hears it first of all (Lifeguard's buddy system).
+        if let Some(to) = to.filter(|_| updates) {
+            // An accused member is the first to be informed (Lifeguard's buddy system).
             let number = self.members.all.get(&to).map_or(0, |member| member.signed.statement.number);
             let accused = |accuser| Accusation { accused: to, number, accuser };
             body.accusations.extend(self.members.accusers(to).map(accused).take(1));
-            let room = ACCUSATIONS_MOST - body.accusations.len();
-            body.accusations.extend(self.news.accusations(room, tellings(nodes)));
+            let room = MAX_ACCUSATIONS - body.accusations.len();
+            body.accusations.extend(self.updates.accusations(room, transmission_limit(nodes)));
         }
         let mut packet = Packet { header, body };
         let size = packet.size();
-        let all_news =
-            matches!(packet.body.message, Message::News | Message::Digest { .. } | Message::Want(_));
-        let base = size + HEADERS;
-        // Probes and answers may take of what is for news, not the other way: who is silent is accused. What
-        // is carried takes of theirs only where much of it is left.
-        let is_carried = matches!(packet.body.message, Message::Carried(_));
-        let spare = self.for_probes.left(self.now) >= base as f64 + self.for_probes.depth() / 2.0;
-        let fits = !all_news && !is_carried && self.affords((base, 0))
-            || self.affords((0, base))
-            || is_carried && spare && self.affords((base, 0));
+        let is_update_packet =
+            matches!(packet.body.message, Message::Updates | Message::Digest { .. } | Message::Request(_));
+        let min_size = size + UDP_HEADER_BYTES;
+        // Probes and their responses may use the update budget, but not the other way round: a member that
+        // does not answer is accused. Payloads may use the probe budget only while much of it is left.
+        let is_payload = matches!(packet.body.message, Message::Payload(_));
+        let probe_budget_spare =
+            self.probe_budget.left(self.now) >= min_size as f64 + self.probe_budget.capacity() / 2.0;
+        let fits = !is_update_packet && !is_payload && self.take_budget((min_size, 0))
+            || self.take_budget((0, min_size))
+            || is_payload && probe_budget_spare && self.take_budget((min_size, 0));
         if !fits {
             self.figures.throttled += 1;
             return false;
         }
-        if news && self.news.is_hot() {
-            let most = if self.eager > 0 { BESIDE } else { MAX_PACKET_BYTES };
-            let space =
-                MAX_PACKET_BYTES.saturating_sub(size).min(self.for_news.left(self.now) as usize).min(most);
-            for id in self.pick_news(space, to, own) {
-                packet.body.news.extend(self.carried(id));
+        if updates && self.updates.has_updates() {
+            let max_size = if self.eager_passes > 0 { MAX_PIGGYBACK_BYTES } else { MAX_PACKET_BYTES };
+            let space = MAX_PACKET_BYTES
+                .saturating_sub(size)
+                .min(self.update_budget.left(self.now) as usize)
+                .min(max_size);
+            for id in self.pick_updates(space, to, own) {
+                packet.body.updates.extend(self.relayed_statement(id));
             }
         }
-        let Some(bytes) = packet.seal(&self.secret) else { return false };
-        // What was picked fits what is left.
-        self.affords((0, bytes.len().saturating_sub(size)));
+        let Some(bytes) = packet.encode_signed(&self.secret) else { return false };
+        // The updates were picked to fit the budget that is left.
+        self.take_budget((0, bytes.len().saturating_sub(size)));
         self.send(address, bytes);
         true
     }
 
-    /// Takes bytes of probes and of news from the ceiling, if there are as many.
-    fn affords(&mut self, (probes, news): (usize, usize)) -> bool {
+    /// Takes bytes from the probe and update budgets, if both have enough.
+    fn take_budget(&mut self, (probes, updates): (usize, usize)) -> bool {
         let now = self.now;
-        let fits = self.for_probes.left(now) >= probes as f64 && self.for_news.left(now) >= news as f64;
+        let fits =
+            self.probe_budget.left(now) >= probes as f64 && self.update_budget.left(now) >= updates as f64;
         if fits {
-            self.for_probes.take(now, probes as f64);
-            self.for_news.take(now, news as f64);
+            self.probe_budget.take(now, probes as f64);
+            self.update_budget.take(now, updates as f64);
         }
         fits
     }
 
-    pub(super) fn pick_news(&mut self, space: usize, to: Option<MemberId>, own: bool) -> Vec<MemberId> {
-        let (members, me, mine) = (&self.members, self.me, self.own.size());
+    pub(super) fn pick_updates(&mut self, space: usize, to: Option<MemberId>, own: bool) -> Vec<MemberId> {
+        let (members, me, own_size) = (&self.members, self.me, self.own_statement.size());
         let size = |id: MemberId| match id == me {
-            true => Some(mine),
+            true => Some(own_size),
             false => members.all.get(&id).map(|member| member.signed.size()),
         };
         let nodes = members.all.len();
-        // What adds nothing to what enough others say is passed on once at most.
-        let suspects = self.news.hot().any(|id| {
+        // A statement that adds nothing to sufficiently many reports is passed on at most once.
+        let has_suspicions = self.updates.statements().any(|id| {
             members.all.get(&id).is_some_and(|member| !member.signed.statement.suspicions.is_empty())
         });
-        let words = if suspects { self.evidence.words(self.now, members) } else { BTreeMap::new() };
-        let enough = 2.0 * evidence::witnesses_needed(nodes + 1);
-        let said = |server: u64| words.get(&server).map_or(0.0, |w| w.iter().map(|w| w.weight).sum());
-        let most = if self.news.is_crowded() { CROWDED } else { tellings(nodes) };
+        let reports = if has_suspicions { self.evidence.reports(self.now, members) } else { BTreeMap::new() };
+        let enough_weight = 2.0 * evidence::witnesses_needed(nodes + 1);
+        let reported_weight =
+            |server: u64| reports.get(&server).map_or(0.0, |w| w.iter().map(|w| w.weight).sum());
+        let max_size =
+            if self.updates.is_full() { MAX_TRANSMISSIONS_WHEN_FULL } else { transmission_limit(nodes) };
         let useful = |id: MemberId| {
             let suspicions = members.all.get(&id).map_or(&[][..], |m| &m.signed.statement.suspicions);
-            let adds = suspicions.is_empty() || suspicions.iter().any(|s| said(s.server) < enough);
-            if adds || id == me { most } else { 1 }
+            let adds_evidence =
+                suspicions.is_empty() || suspicions.iter().any(|s| reported_weight(s.server) < enough_weight);
+            if adds_evidence || id == me { max_size } else { 1 }
         };
-        let mut picked = self.news.pick(space, size, useful);
+        let mut picked = self.updates.pick(space, size, useful);
         picked.retain(|id| Some(*id) != to && !(own && *id == me));
         picked
     }
 
     pub(super) fn send(&mut self, address: SocketAddr, bytes: Vec<u8>) {
         self.figures.packets_sent += 1;
-        self.figures.bytes_sent += (bytes.len() + HEADERS) as u64;
+        self.figures.bytes_sent += (bytes.len() + UDP_HEADER_BYTES) as u64;
         self.out.push(Output::Send(address, bytes));
     }
 
-    /// Sends what is known of these, as much as fits one packet and the ceiling.
-    pub(super) fn give(&mut self, to: MemberId, ids: Vec<MemberId>) {
-        let left = self.for_news.left(self.now);
-        let left = if self.learns() { left.max(self.for_probes.left(self.now)) } else { left };
-        let mut space = (left as usize).min(MAX_PACKET_BYTES).saturating_sub(FRAME);
-        let mut news = Vec::new();
+    /// Sends the statements of these members, as many as fit one packet and the budget.
+    pub(super) fn send_statements(&mut self, to: MemberId, ids: Vec<MemberId>) {
+        let left = self.update_budget.left(self.now);
+        let left = if self.is_bootstrapping() { left.max(self.probe_budget.left(self.now)) } else { left };
+        let mut space = (left as usize).min(MAX_PACKET_BYTES).saturating_sub(UPDATE_PACKET_OVERHEAD);
+        let mut updates = Vec::new();
         let wanted = ids.len();
-        for carried in ids.into_iter().filter_map(|id| self.carried(id)) {
-            let size = carried.signed.size();
+        for relayed in ids.into_iter().filter_map(|id| self.relayed_statement(id)) {
+            let size = relayed.signed.size();
             if size <= space {
                 space -= size;
-                news.push(carried);
+                updates.push(relayed);
             }
         }
-        // Who compares is also told that there is nothing.
+        // A member that sent checksums gets a response even if it lacks nothing.
         let Some(member) = self.members.all.get(&to) else { return };
-        if news.is_empty() && (wanted > 0 || member.speaks < SUMS_FROM) {
+        if updates.is_empty() && (wanted > 0 || member.max_version < CHECKSUMS_VERSION) {
             return;
         }
-        let (statement, speaks) = (&member.signed.statement, member.speaks);
+        let (statement, max_version) = (&member.signed.statement, member.max_version);
         let (address, to_instance) = (statement.address, statement.instance);
-        let header = self.header(speaks, to_instance);
-        let message =
-            if speaks >= SUMS_FROM { Message::Given { more: news.len() < wanted } } else { Message::News };
-        let body = Body { message, accusations: Vec::new(), news };
-        // Who asks nobody whether it is there yet has the part for that to give.
-        if let Some(bytes) = (Packet { header, body }).seal(&self.secret)
-            && (self.affords((0, bytes.len() + HEADERS))
-                || self.learns() && self.affords((bytes.len() + HEADERS, 0)))
+        let header = self.header(max_version, to_instance);
+        let message = if max_version >= CHECKSUMS_VERSION {
+            Message::Response { more: updates.len() < wanted }
+        } else {
+            Message::Updates
+        };
+        let body = Body { message, accusations: Vec::new(), updates };
+        // A bootstrapping node sends no probes yet, so that it can use their budget for statements.
+        if let Some(bytes) = (Packet { header, body }).encode_signed(&self.secret)
+            && (self.take_budget((0, bytes.len() + UDP_HEADER_BYTES))
+                || self.is_bootstrapping() && self.take_budget((bytes.len() + UDP_HEADER_BYTES, 0)))
         {
             self.send(address, bytes);
         }
--- a/crates/gossip/src/gossip/types.rs
+++ b/crates/gossip/src/gossip/types.rs
@@ -1,4 +1,4 @@
-//! What a node of gossip is told, says, and shows.
+//! Settings, inputs, outputs and views of a gossip node.
 
 use std::net::SocketAddr;
 
@@ -10,128 +10,129 @@
 use crate::members::Liveness;
 use crate::position::FleetPosition;
 
-/// Bytes that can be carried in one packet.
+/// The largest payload of one packet.
 pub const MAX_PAYLOAD_BYTES: usize = 1000;
 
-/// What a node is told once.
+/// Fixed settings of one node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name, which is in the ring.
+    /// The node's name, which has to be in the ring.
     pub name: String,
-    /// Where others reach it.
+    /// The address at which other members reach the node.
     pub address: SocketAddr,
-    /// Where it asks to be let in.
+    /// The addresses at which it tries to join.
     pub seeds: Vec<SocketAddr>,
-    /// How often a member is asked whether it is there.
+    /// The time between two regular probes.
     pub probe_period: Micros,
-    /// The most bytes that it sends in any second, headers of UDP and IP included.
+    /// The largest number of bytes sent in any second, including UDP and IP headers.
     pub max_bytes_per_second: u32,
-    /// How many nodes there are meant to be.
+    /// The configured number of nodes of the fleet.
     pub configured_nodes: u32,
-    /// For random numbers, and for telling this process from the one before: never the same twice.
+    /// The seed for random numbers, among them the number that identifies this process: it must differ at
+    /// each start.
     pub seed: u64,
-    /// The number of its first statement: higher than any that its name had before. One that is not is raised
-    /// once others say what they know.
+    /// The number of the first statement, which should be higher than any used earlier under this name. A
+    /// number that is too low is raised once other members report the known one.
     pub first_statement_number: u64,
 }
 
-/// What happened.
+/// An event for the gossip node.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A packet came.
+    /// A packet was received from this address.
     Packet(SocketAddr, &'a [u8]),
     /// Time has passed.
     Tick,
-    /// What this node has seen of servers lately, by itself: all of it.
+    /// All of this node's own recent observations of servers.
     Observations(Vec<ServerObservation>),
-    /// Bytes for a member's process that are none of gossip's business, at most [`MAX_PAYLOAD_BYTES`].
+    /// Bytes to deliver to a member's process, at most [`MAX_PAYLOAD_BYTES`].
     SendPayload(MemberId, Vec<u8>),
-    /// Other keys count from now on.
+    /// Replaces the key ring and this node's secret.
     Keys(KeyRing, Secret),
-    /// This node goes, for a moment or for good.
+    /// This node leaves, temporarily or permanently.
     Leave {
-        /// Whether it will be back in a moment.
+        /// Whether it will be back shortly.
         restarts: bool,
     },
 }
 
-/// What is to be done.
+/// An action for the adapter, or a notification.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a packet.
+    /// Send this packet to this address.
     Send(SocketAddr, Vec<u8>),
-    /// What others say of servers, weighed: all of it.
+    /// The weighed suspicions of other nodes, replacing all earlier ones.
     Suspicions(Vec<PeerSuspicion>),
-    /// The number of nodes or this node's place has changed.
+    /// The number of nodes or this node's rank has changed.
     FleetPosition(FleetPosition),
-    /// Bytes that a member's process, told by its instance, had carried here.
+    /// Bytes that a member's process sent: the member, the process's instance and the bytes.
     PayloadReceived(MemberId, u64, Vec<u8>),
-    /// Something for the log, never more than one of a kind in a minute for each member.
+    /// Something to log: at most one event of each kind per member and minute.
     LogEvent(LogEvent),
 }
 
-/// Something for the log.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A member is there.
+    /// A member is alive.
     MemberUp(String),
     /// A member does not answer any more.
     MemberDown(String),
-    /// Another process goes by this node's name.
+    /// Another process uses this node's name.
     DuplicateName,
-    /// A member tells ages that can't be.
+    /// A member's statement contains ages that are not possible.
     InvalidAges(String),
-    /// This process stood still for so long.
+    /// This process was paused for this long.
     ProcessPaused(Micros),
 }
 
-/// What was counted since the start.
+/// Counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Packets sent, and their bytes with the headers of UDP and IP.
+    /// Packets sent.
     pub packets_sent: u64,
-    /// Bytes of those.
+    /// Bytes sent, including UDP and IP headers.
     pub bytes_sent: u64,
-    /// Packets that the ceiling kept back.
+    /// Packets not sent because of the rate limit.
     pub throttled: u64,
-    /// Packets taken in.
+    /// Packets accepted.
     pub accepted: u64,
-    /// Packets from addresses or members that send too many.
+    /// Packets dropped because their address or member sent too many.
     pub rate_limited: u64,
-    /// Packets that can't be read, or are of no version that is spoken.
+    /// Packets that are malformed or in a version that is not supported.
     pub malformed: u64,
-    /// Packets of strangers, or whose signature does not hold.
+    /// Packets from unknown members or with an invalid signature.
     pub unauthenticated: u64,
-    /// Packets met before, or meant for another process.
+    /// Packets received before, or addressed to another process.
     pub replayed: u64,
-    /// Signatures that were checked.
+    /// Signatures checked.
     pub signatures_checked: u64,
 }
 
 /// A member, as this node sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it is reached.
+    /// The address at which it is reached.
     pub address: SocketAddr,
-    /// How it stands.
+    /// Its state.
     pub liveness: Liveness,
-    /// For how long it has stood so.
+    /// How long it has been in this state.
     pub liveness_age: Micros,
-    /// Its place in the ring.
+    /// Its position in the ring.
     pub rank: u32,
-    /// How far its word on servers is believed, from 0 to 1.
+    /// How much its reports about servers count, from 0 to 1.
     pub credit: f64,
 }
 
-/// A server that others suspect, and who does.
+/// A server that other nodes suspect, with their reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SuspicionView {
     /// The server's id.
     pub server: u64,
-    /// The doubt about it.
+    /// The strength of the suspicion, from 0 to 1.
     pub level: f64,
-    /// Witnesses by name.
+    /// The reports, each with its witness's name.
     pub witnesses: Vec<(String, Witness)>,
 }
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -1,4 +1,4 @@
-//! Who may take part. A member is a name; its keys may change while it stays who it is.
+//! The members that may take part. A member is identified by its name, so that its keys can be rotated.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Keys that one member may have at a time: the old and the new one while they are rotated, and one to spare.
-const KEYS_MOST: usize = 3;
-/// Members in a ring.
-const MEMBERS_MOST: usize = 4096;
+/// The largest number of keys of one member: the old and the new one during rotation, and one spare.
+const MAX_KEYS_PER_MEMBER: usize = 3;
+/// The largest number of members in a ring.
+const MAX_MEMBERS: usize = 4096;
 
-/// Names a member: the first eight bytes of its name's SHA-256.
+/// Identifies a member: the first eight bytes of its name's SHA-256.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// The id of this name.
+    /// The id of a name.
     pub fn of(name: &str) -> MemberId {
         let digest = Sha256::digest(name.as_bytes());
         MemberId(digest.iter().take(8).fold(0, |id, byte| id << 8 | u64::from(*byte)))
@@ -32,26 +32,26 @@
     [a, b, c, d]
 }
 
-/// Why keys can't be used. It never holds any part of a secret.
+/// Why a key file is invalid. It never contains any part of a secret.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {expected}")]
 pub struct KeyError {
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// What was expected there.
+    /// What was expected in that line.
     pub expected: &'static str,
 }
 
-struct Known {
+struct RingMember {
     name: String,
     keys: Vec<VerifyingKey>,
 }
 
-/// The members that may take part, in an order that is the same at all nodes.
+/// The members that may take part, in the same order at all nodes.
 #[derive(Default)]
 pub struct KeyRing {
     order: Vec<MemberId>,
-    known: HashMap<MemberId, Known>,
+    members: HashMap<MemberId, RingMember>,
 }
 
 impl fmt::Debug for KeyRing {
@@ -61,8 +61,9 @@
 }
 
 impl KeyRing {
-    /// Reads a ring: a line for each key, `NAME PUBLIC-KEY-IN-HEX`; `#` begins a comment. A name that comes
-    /// again has one more key. A name's place is where it comes first, so new names belong at the end.
+    /// Parses a ring: one line for each key, `NAME PUBLIC-KEY-IN-HEX`; `#` starts a comment. A repeated name
+    /// adds another key. A name's rank is the position of its first line, so that new names belong at the
+    /// end.
     ///
     /// ```
     /// # use dunelink_gossip::{KeyRing, Secret};
@@ -74,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// The first line that is no such thing, or that holds a key which anyone could sign for.
+    /// The first invalid line, or one with a weak key, for which anyone can forge signatures.
     pub fn parse(text: &str) -> Result<KeyRing, KeyError> {
         let mut ring = KeyRing::default();
         for (number, line) in text.lines().enumerate() {
@@ -94,64 +95,67 @@
                 return Err(error("expected a key that is not weak"));
             }
             let id = MemberId::of(name);
-            if !ring.known.contains_key(&id) {
-                if ring.order.len() == MEMBERS_MOST {
+            if !ring.members.contains_key(&id) {
+                if ring.order.len() == MAX_MEMBERS {
                     return Err(error("expected at most 4096 names"));
                 }
                 ring.order.push(id);
             }
-            let known =
-                ring.known.entry(id).or_insert_with(|| Known { name: name.to_owned(), keys: Vec::new() });
-            if known.name != name {
+            let members = ring
+                .members
+                .entry(id)
+                .or_insert_with(|| RingMember { name: name.to_owned(), keys: Vec::new() });
+            if members.name != name {
                 return Err(error("expected a name whose digest no other has"));
             }
-            if known.keys.len() == KEYS_MOST {
+            if members.keys.len() == MAX_KEYS_PER_MEMBER {
                 return Err(error("expected at most 3 keys for a name"));
             }
-            known.keys.push(key);
+            members.keys.push(key);
         }
         Ok(ring)
     }
 
-    /// How many members it has.
+    /// The number of members.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether it has none.
+    /// Whether the ring has no members.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
     /// A member's name.
     pub fn name(&self, id: MemberId) -> Option<&str> {
-        self.known.get(&id).map(|known| known.name.as_str())
+        self.members.get(&id).map(|members| members.name.as_str())
     }
 
-    /// Whether it may take part.
+    /// Whether a member may take part.
     pub fn contains(&self, id: MemberId) -> bool {
-        self.known.contains_key(&id)
+        self.members.contains_key(&id)
     }
 
-    /// A member's place among all, whoever is up.
+    /// A member's position among all members of the ring, whether they are alive or not.
     pub fn rank(&self, id: MemberId) -> Option<u32> {
         self.order.iter().position(|other| *other == id).map(|place| place as u32)
     }
 
-    /// Whether this member has a key that is this secret's.
+    /// Whether the secret's public key is one of the member's keys.
     pub fn has_key(&self, id: MemberId, secret: &Secret) -> bool {
         let public = secret.0.verifying_key();
-        self.known.get(&id).is_some_and(|known| known.keys.contains(&public))
+        self.members.get(&id).is_some_and(|members| members.keys.contains(&public))
     }
 
-    /// Whether the member signed that. At most one signature is checked, as the hint says which key it is.
+    /// Whether the member signed these bytes. The hint selects the key, so that at most one signature is
+    /// checked.
     pub(crate) fn verify(&self, id: MemberId, by: KeyHint, signed: &[u8], signature: &[u8; 64]) -> bool {
-        let key = self.known.get(&id).and_then(|known| known.keys.iter().find(|key| hint(key) == by));
+        let key = self.members.get(&id).and_then(|members| members.keys.iter().find(|key| hint(key) == by));
         key.is_some_and(|key| key.verify_strict(signed, &Signature::from_bytes(signature)).is_ok())
     }
 }
 
-/// What a member signs with.
+/// The secret key that a member signs with.
 pub struct Secret(Box<SigningKey>);
 
 impl fmt::Debug for Secret {
@@ -161,7 +165,7 @@
 }
 
 impl Secret {
-    /// Reads a secret: one line of 64 hexadecimal digits; `#` begins a comment.
+    /// Parses a secret: one line of 64 hexadecimal digits; `#` starts a comment.
     ///
     /// # Errors
     ///
@@ -184,12 +188,12 @@
         found.ok_or(KeyError { line: 1, expected: "expected a secret of 64 hexadecimal digits" })
     }
 
-    /// The secret that these random bytes are.
+    /// The secret key with these random bytes as its seed.
     pub fn from_seed(seed: [u8; 32]) -> Secret {
         Secret(Box::new(SigningKey::from_bytes(&seed)))
     }
 
-    /// Its public half, as it stands in a ring.
+    /// The public key in hexadecimal, as it appears in a ring.
     pub fn public_hex(&self) -> String {
         hex::encode(self.0.verifying_key().as_bytes())
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,19 +1,18 @@
-//! Gossip between nodes: who is there, and which servers they suspect.
+//! Gossip between nodes: which members are alive, and which servers they suspect.
 //!
-//! Everything here is a state machine without I/O: [`Gossip::handle`] takes what happened and the time, and
-//! appends what is to be done. An adapter owns the UDP socket and the clock. Times are microseconds on the
-//! node's own clock, which only moves forward; no time of another node is ever read, only ages.
+//! Everything here is a state machine without I/O: [`Gossip::handle`] takes an event and the time, and
+//! appends the resulting outputs. An adapter owns the UDP socket and the clock. Times are microseconds on the
+//! node's own clock, which only moves forward; another node's clock is never read, only ages are exchanged.
 //!
-//! - `keys`: who may take part, and with which Ed25519 keys.
-//! - `packet`: the form on the wire, its signature, versions.
-//! - `members`: who is there (SWIM with Lifeguard's refinements), by statements that their authors sign.
+//! - `keys`: the members that may take part, and their Ed25519 keys.
+//! - `packet`: wire format, signatures and versions.
+//! - `members`: the membership list (SWIM with Lifeguard's refinements), built from statements that their
+//!   authors sign.
 //! - `probe`: whether a member answers, directly or through others.
-//! - `dissemination`: what is worth telling next.
-//! - `evidence`: what others say of servers, what that weighs, and whom it is believed of.
-//! - `position`: the number of nodes and this node's place, changed gradually.
-//! - `limits`: ceilings on what is sent, and on what is listened to.
-//!
-//! `docs/gossip-design.md` has the options weighed and the bounds derived.
+//! - `dissemination`: which updates to send next.
+//! - `evidence`: what others report about servers, and how much it counts.
+//! - `position`: the number of nodes and this node's rank, changed gradually.
+//! - `limits`: limits on bytes sent and packets accepted.
 
 mod dissemination;
 mod evidence;
@@ -36,5 +35,5 @@
 pub use packet::{MAX_PACKET_BYTES, ParseError, VERSION, parse};
 pub use position::FleetPosition;
 
-/// A point in time, or a span of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/gossip/src/limits.rs
+++ b/crates/gossip/src/limits.rs
@@ -1,41 +1,41 @@
-//! Ceilings: on the bytes that a node sends, and on the packets that it listens to.
+//! Rate limits: on the bytes that a node sends, and on the packets that it accepts.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
 
 use crate::Micros;
 
-/// What UDP and IPv4 add to each packet.
-pub(crate) const HEADERS: usize = 28;
-/// The part of a second's ceiling that may go at once; the rest comes at a constant rate, so that no second
-/// has more than the ceiling.
-const BURST: f64 = 0.2;
-/// Sources that are told apart.
-const SOURCES_MOST: usize = 1024;
+/// Bytes that the UDP and IPv4 headers add to each packet.
+pub(crate) const UDP_HEADER_BYTES: usize = 28;
+/// The fraction of the per-second limit that may be sent at once; the rest is refilled at a constant rate, so
+/// that no interval of one second exceeds the limit.
+const BURST_FRACTION: f64 = 0.2;
+/// The largest number of source addresses with a limit of their own.
+const MAX_SOURCES: usize = 1024;
 
-/// A bucket of tokens.
+/// A token bucket.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     rate: f64,
-    depth: f64,
+    capacity: f64,
     tokens: f64,
-    at: Micros,
+    filled_at: Micros,
 }
 
-impl Bucket {
-    /// One that never lets more than `ceiling` through within any second.
-    pub(crate) fn ceiling(ceiling: f64, now: Micros) -> Bucket {
-        let depth = ceiling * BURST;
-        Bucket { rate: ceiling - depth, depth, tokens: depth, at: now }
+impl TokenBucket {
+    /// A bucket that never lets more than `ceiling` tokens through within any second.
+    pub(crate) fn per_second(per_second: f64, now: Micros) -> TokenBucket {
+        let capacity = per_second * BURST_FRACTION;
+        TokenBucket { rate: per_second - capacity, capacity, tokens: capacity, filled_at: now }
     }
 
     fn fill(&mut self, now: Micros) {
-        let gained = self.rate * now.saturating_sub(self.at) as f64 / 1e6;
-        self.tokens = (self.tokens + gained).min(self.depth);
-        self.at = self.at.max(now);
+        let refill = self.rate * now.saturating_sub(self.filled_at) as f64 / 1e6;
+        self.tokens = (self.tokens + refill).min(self.capacity);
+        self.filled_at = self.filled_at.max(now);
     }
 
-    /// Takes so much, if there is as much.
+    /// Takes this many tokens, if the bucket has them.
     pub(crate) fn take(&mut self, now: Micros, amount: f64) -> bool {
         self.fill(now);
         let enough = self.tokens >= amount;
@@ -43,41 +43,49 @@
         enough
     }
 
-    /// How much there is.
+    /// The number of tokens in the bucket.
     pub(crate) fn left(&mut self, now: Micros) -> f64 {
         self.fill(now);
         self.tokens
     }
 
-    pub(crate) fn depth(&self) -> f64 {
-        self.depth
+    pub(crate) fn capacity(&self) -> f64 {
+        self.capacity
     }
 }
 
-/// Who sends how much: a flood from one address is dropped before any signature is looked at.
-pub(crate) struct Sources {
-    each: f64,
-    buckets: HashMap<IpAddr, Bucket>,
-    /// For all that are not told apart.
-    others: Bucket,
+/// Limits the packets from each source address: a flood from one address is dropped before any signature is
+/// checked.
+pub(crate) struct SourceLimits {
+    packets_per_second: f64,
+    buckets: HashMap<IpAddr, TokenBucket>,
+    /// Shared by all sources without a bucket of their own.
+    shared: TokenBucket,
 }
 
-impl Sources {
-    pub(crate) fn new(each: f64, now: Micros) -> Sources {
-        Sources { each, buckets: HashMap::new(), others: Bucket::ceiling(each, now) }
+impl SourceLimits {
+    pub(crate) fn new(packets_per_second: f64, now: Micros) -> SourceLimits {
+        SourceLimits {
+            packets_per_second,
+            buckets: HashMap::new(),
+            shared: TokenBucket::per_second(packets_per_second, now),
+        }
     }
 
-    /// Whether one more packet from there is listened to.
-    pub(crate) fn listens(&mut self, now: Micros, from: IpAddr) -> bool {
-        if !self.buckets.contains_key(&from) && self.buckets.len() >= SOURCES_MOST {
-            // Those that have been silent for long are as good as new.
-            self.buckets.retain(|_, bucket| bucket.left(now) < bucket.depth());
-            if self.buckets.len() >= SOURCES_MOST {
-                return self.others.take(now, 1.0);
+    /// Whether one more packet from this address is accepted.
+    pub(crate) fn accepts(&mut self, now: Micros, from: IpAddr) -> bool {
+        if !self.buckets.contains_key(&from) && self.buckets.len() >= MAX_SOURCES {
+            // Sources whose buckets are full again need no bucket of their own.
+            self.buckets.retain(|_, bucket| bucket.left(now) < bucket.capacity());
+            if self.buckets.len() >= MAX_SOURCES {
+                return self.shared.take(now, 1.0);
             }
         }
-        let each = self.each;
-        self.buckets.entry(from).or_insert_with(|| Bucket::ceiling(each, now)).take(now, 1.0)
+        let packets_per_second = self.packets_per_second;
+        self.buckets
+            .entry(from)
+            .or_insert_with(|| TokenBucket::per_second(packets_per_second, now))
+            .take(now, 1.0)
     }
 }
 
@@ -86,8 +94,8 @@
     use super::*;
 
     #[test]
-    fn no_second_has_more_than_the_ceiling() {
-        let mut bucket = Bucket::ceiling(1000.0, 0);
+    fn never_exceeds_limit_in_any_second() {
+        let mut bucket = TokenBucket::per_second(1000.0, 0);
         let mut sent: Vec<(Micros, f64)> = Vec::new();
         for now in (0..5_000_000).step_by(1000) {
             while bucket.take(now, 40.0) {
@@ -95,20 +103,21 @@
             }
         }
         for (from, _) in &sent {
-            let second = sent.iter().filter(|(at, _)| at >= from && *at < from + 1_000_000);
+            let second =
+                sent.iter().filter(|(filled_at, _)| filled_at >= from && *filled_at < from + 1_000_000);
             assert!(second.map(|s| s.1).sum::<f64>() <= 1000.0);
         }
-        assert!(sent.len() as f64 * 40.0 > 3500.0, "it lets most of the ceiling through");
+        assert!(sent.len() as f64 * 40.0 > 3500.0, "most of the limit is usable");
     }
 
     #[test]
-    fn a_flood_from_many_addresses_costs_no_memory_and_a_loud_one_is_not_heard() {
-        let mut sources = Sources::new(100.0, 0);
-        let heard = (0..100_000_u32).filter(|i| sources.listens(1, IpAddr::V4((*i).into()))).count();
-        assert!(sources.buckets.len() <= SOURCES_MOST && heard <= SOURCES_MOST + 20);
-        let loud: IpAddr = [1, 2, 3, 4].into();
-        let mut sources = Sources::new(100.0, 0);
-        let heard = (0..10_000_u64).filter(|i| sources.listens(i * 100, loud)).count();
-        assert!((60..=100).contains(&heard), "{heard}");
+    fn floods_are_limited_by_source_with_bounded_memory() {
+        let mut source_limits = SourceLimits::new(100.0, 0);
+        let accepted = (0..100_000_u32).filter(|i| source_limits.accepts(1, IpAddr::V4((*i).into()))).count();
+        assert!(source_limits.buckets.len() <= MAX_SOURCES && accepted <= MAX_SOURCES + 20);
+        let flooding: IpAddr = [1, 2, 3, 4].into();
+        let mut source_limits = SourceLimits::new(100.0, 0);
+        let accepted = (0..10_000_u64).filter(|i| source_limits.accepts(i * 100, flooding)).count();
+        assert!((60..=100).contains(&accepted), "{accepted}");
     }
 }
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -1,232 +1,244 @@
-//! Who is there: SWIM (Das, Gupta, Motivala, 2002) with refinements of Lifeguard (Dadgar, Phillips, Currey,
-//! 2018).
+//! The membership list: SWIM (Das, Gupta, Motivala, 2002) with refinements of Lifeguard (Dadgar, Phillips,
+//! Currey, 2018).
 //!
-//! A member is known by the newest statement that it has signed itself. Nobody can say for another that it is
-//! there, and nobody can say of another that it is gone: an accusation only starts a time within which the
-//! accused may answer with a newer statement. The more accuse it independently, the shorter that time is; it
-//! is never under a least that an answer needs to come round.
+//! A member is known by the newest statement that it has signed itself. No other node can claim that a member
+//! is alive, nor that it is dead: an accusation only starts a timeout within which the accused can respond
+//! with a newer statement. More independent accusers shorten the timeout, down to a minimum that a response
+//! needs to spread.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 use crate::keys::MemberId;
-use crate::packet::{Signed, Stance};
+use crate::packet::{Lifecycle, SignedStatement};
 
-/// Accusers that shorten the time for an answer; more do not count.
-const ACCUSERS_MOST: usize = 3;
-/// The longest time for an answer, as a multiple of the least.
-const LONGEST: f64 = 3.0;
-/// The least time for an answer, in probing periods, for ten members, and what comes on top with each power
-/// of ten.
-const LEAST: (f64, f64) = (3.0, 0.45);
-/// For how long the part of one that restarts is kept.
-const KEPT: Micros = 60_000_000;
+/// The number of accusers that shorten the timeout; more have no effect.
+const MAX_ACCUSERS: usize = 3;
+/// The longest suspicion timeout, as a multiple of the shortest.
+const MAX_TIMEOUT_FACTOR: f64 = 3.0;
+/// The shortest suspicion timeout in probe periods: for ten members, and the increase for each power of ten.
+const MIN_TIMEOUT_PERIODS: (f64, f64) = (3.0, 0.45);
+/// How long the share of a restarting member is reserved.
+const RESTART_GRACE_TIME: Micros = 60_000_000;
 
-/// How a member stands with this node.
+/// The state of a member, as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It answers, or its statements are new.
+    /// It answers probes, or its statements are new.
     Alive,
-    /// It did not answer, or others say so.
+    /// It did not answer a probe, or others report so.
     Suspect,
-    /// It did not answer in time.
+    /// It did not respond within the suspicion timeout.
     Dead,
-    /// It said that it would go.
+    /// It announced that it leaves the fleet.
     Left,
-    /// It said that it would be back in a moment.
+    /// It announced that it restarts.
     Restarting,
 }
 
 #[derive(Debug)]
 pub(crate) struct Member {
-    pub(crate) signed: Signed,
-    /// When the statement was made, as far as those tell who passed it on.
+    pub(crate) signed: SignedStatement,
+    /// When the statement was made, by the ages that its relays reported.
     pub(crate) made_at: Micros,
-    pub(crate) standing: Liveness,
+    pub(crate) liveness: Liveness,
     pub(crate) since: Micros,
     accusers: Vec<MemberId>,
-    /// The highest version that it speaks, if it was heard.
-    pub(crate) speaks: u8,
-    window: Window,
+    /// The highest protocol version that it supports, once a packet of it was received.
+    pub(crate) max_version: u8,
+    window: ReplayWindow,
 }
 
 impl Member {
-    /// Whether any packet of its process came here.
-    pub(crate) fn was_heard(&self) -> bool {
+    /// Whether any packet of its current process was received.
+    pub(crate) fn has_been_heard(&self) -> bool {
         self.window.instance == self.signed.statement.instance
     }
 }
 
-/// Which of a process's packets were met: the highest number, and the 64 below it.
+/// Detects replayed packets of a process: the highest packet number received, and a bit for each of the 64
+/// numbers up to it.
 #[derive(Debug, Default)]
-struct Window {
+struct ReplayWindow {
     instance: u64,
     highest: u64,
-    met: u64,
+    seen: u64,
 }
 
-impl Window {
-    /// Whether it was not met yet.
-    fn take(&mut self, instance: u64, number: u64) -> bool {
+impl ReplayWindow {
+    /// Records a packet number; returns whether it is new.
+    fn record(&mut self, instance: u64, number: u64) -> bool {
         if self.instance != instance {
-            *self = Window { instance, highest: number, met: 1 };
+            *self = ReplayWindow { instance, highest: number, seen: 1 };
             return true;
         }
         if number > self.highest {
             let by = number - self.highest;
-            self.met = if by < 64 { self.met << by | 1 } else { 1 };
+            self.seen = if by < 64 { self.seen << by | 1 } else { 1 };
             self.highest = number;
             return true;
         }
         let bit = self.highest - number;
-        let new = bit < 64 && self.met & 1 << bit == 0;
-        self.met |= if new { 1 << bit } else { 0 };
+        let new = bit < 64 && self.seen & 1 << bit == 0;
+        self.seen |= if new { 1 << bit } else { 0 };
         new
     }
 }
 
-/// All that are known. It holds no more than the ring has names, since nobody else can sign.
+/// All known members. There are never more than names in the ring, since nobody else can sign statements.
 #[derive(Debug, Default)]
 pub(crate) struct Members {
     pub(crate) all: BTreeMap<MemberId, Member>,
 }
 
 impl Members {
-    /// Whether a statement counts more than what is known.
-    pub(crate) fn is_newer(&self, signed: &Signed) -> bool {
+    /// Whether a statement is newer than the known one of its author.
+    pub(crate) fn is_newer(&self, signed: &SignedStatement) -> bool {
         let known = self.all.get(&signed.statement.author);
-        known.is_none_or(|known| known.signed.order() < signed.order())
+        known.is_none_or(|known| known.signed.precedence() < signed.precedence())
     }
 
-    /// Takes in a statement that its author signed; whether that changed anything.
-    pub(crate) fn take(&mut self, now: Micros, signed: Signed, held: Micros) -> bool {
+    /// Merges a statement whose signature was verified; returns whether it was newer. `held` is the time
+    /// since the statement was made.
+    pub(crate) fn merge(&mut self, now: Micros, signed: SignedStatement, age: Micros) -> bool {
         if !self.is_newer(&signed) {
             return false;
         }
-        let standing = match signed.statement.stance {
-            Stance::Here => Liveness::Alive,
-            Stance::Restarting => Liveness::Restarting,
-            Stance::Leaving => Liveness::Left,
+        let liveness = match signed.statement.lifecycle {
+            Lifecycle::Running => Liveness::Alive,
+            Lifecycle::Restarting => Liveness::Restarting,
+            Lifecycle::Leaving => Liveness::Left,
         };
-        let made_at = now.saturating_sub(held);
+        let made_at = now.saturating_sub(age);
         match self.all.get_mut(&signed.statement.author) {
             Some(member) => {
-                if member.standing != standing {
-                    (member.standing, member.since) = (standing, now);
+                if member.liveness != liveness {
+                    (member.liveness, member.since) = (liveness, now);
                 }
                 (member.signed, member.made_at) = (signed, made_at);
                 member.accusers.clear();
             }
             None => {
-                let (speaks, window) = (crate::packet::VERSION_LEAST, Window::default());
-                let member =
-                    Member { signed, made_at, standing, since: now, accusers: Vec::new(), speaks, window };
+                let (max_version, window) = (crate::packet::MIN_VERSION, ReplayWindow::default());
+                let member = Member {
+                    signed,
+                    made_at,
+                    liveness,
+                    since: now,
+                    accusers: Vec::new(),
+                    max_version,
+                    window,
+                };
                 self.all.insert(member.signed.statement.author, member);
             }
         }
         true
     }
 
-    /// Whether a packet of a member is new and of the process that its newest statement names. It is heard
-    /// then, so it is there.
-    pub(crate) fn hear(
+    /// Records a packet received directly from a member; returns whether the packet is new and from the
+    /// process that the member's newest statement names. Such a packet shows that the member is alive.
+    pub(crate) fn record_packet(
         &mut self,
         now: Micros,
         from: MemberId,
         instance: u64,
         number: u64,
-        speaks: u8,
+        max_version: u8,
     ) -> bool {
         let Some(member) = self.all.get_mut(&from) else { return false };
-        let fresh = member.signed.statement.instance == instance && member.window.take(instance, number);
-        if fresh {
-            member.speaks = speaks;
-            if member.standing == Liveness::Suspect {
+        let is_new = member.signed.statement.instance == instance && member.window.record(instance, number);
+        if is_new {
+            member.max_version = max_version;
+            if member.liveness == Liveness::Suspect {
                 member.accusers.clear();
             }
-            // One that was dead is told by whom it was accused, so that its next statement brings it back for
-            // all.
-            if matches!(member.standing, Liveness::Suspect | Liveness::Dead) {
-                (member.standing, member.since) = (Liveness::Alive, now);
+            // A member that was considered dead is told who accused it, so that its next statement revives it
+            // at all nodes.
+            if matches!(member.liveness, Liveness::Suspect | Liveness::Dead) {
+                (member.liveness, member.since) = (Liveness::Alive, now);
             }
         }
-        fresh
+        is_new
     }
 
-    /// Somebody says that a member, as of this statement, does not answer. Whether that is new.
+    /// Records that `accuser` got no answer from a member whose statement had this number; returns whether
+    /// that is new.
     pub(crate) fn accuse(&mut self, now: Micros, accused: MemberId, number: u64, accuser: MemberId) -> bool {
         let Some(member) = self.all.get_mut(&accused) else { return false };
-        // Who accuses may know a newer statement than this node; an older one has been answered.
+        // The accuser may know a newer statement than this node; an accusation of an older one has been
+        // refuted.
         if number < member.signed.statement.number || accused == accuser {
             return false;
         }
-        if member.standing == Liveness::Alive {
-            (member.standing, member.since) = (Liveness::Suspect, now);
+        if member.liveness == Liveness::Alive {
+            (member.liveness, member.since) = (Liveness::Suspect, now);
         }
-        let new = member.standing == Liveness::Suspect
-            && member.accusers.len() < ACCUSERS_MOST
+        let new = member.liveness == Liveness::Suspect
+            && member.accusers.len() < MAX_ACCUSERS
             && !member.accusers.contains(&accuser);
         member.accusers.extend(new.then_some(accuser));
         new
     }
 
-    /// Who accuses a member.
+    /// The members that accuse this member.
     pub(crate) fn accusers(&self, accused: MemberId) -> impl Iterator<Item = MemberId> + '_ {
         self.all.get(&accused).into_iter().flat_map(|member| member.accusers.iter().copied())
     }
 
-    /// For how long a suspect may answer: from the longest, with one accuser of several that could accuse, to
-    /// the least.
-    fn patience(&self, accusers: usize, able: usize, period: Micros) -> Micros {
+    /// The suspicion timeout: longest with one accuser when several members could accuse, shortest with
+    /// enough accusers.
+    fn suspicion_timeout(&self, accusers: usize, possible_accusers: usize, period: Micros) -> Micros {
         let size = (self.all.len().max(10) as f64 / 10.0).log10();
-        let least = (LEAST.0 + LEAST.1 * size) * period as f64;
-        let wanted = able.clamp(1, ACCUSERS_MOST) as f64;
-        let lacking = (wanted - accusers as f64).max(0.0) / wanted.max(2.0);
-        (least * (1.0 + (LONGEST - 1.0) * lacking)) as Micros
+        let min_timeout = (MIN_TIMEOUT_PERIODS.0 + MIN_TIMEOUT_PERIODS.1 * size) * period as f64;
+        let wanted_accusers = possible_accusers.clamp(1, MAX_ACCUSERS) as f64;
+        let missing_fraction = (wanted_accusers - accusers as f64).max(0.0) / wanted_accusers.max(2.0);
+        (min_timeout * (1.0 + (MAX_TIMEOUT_FACTOR - 1.0) * missing_fraction)) as Micros
     }
 
-    /// Those whose time for an answer is over; they are dead from now on.
+    /// Marks suspects whose timeout has passed as dead, and returns them.
     pub(crate) fn expire(&mut self, now: Micros, period: Micros) -> Vec<MemberId> {
-        if !self.all.values().any(|member| member.standing == Liveness::Suspect) {
+        if !self.all.values().any(|member| member.liveness == Liveness::Suspect) {
             return Vec::new();
         }
-        // This node, and those that answer.
-        let able = 1 + self.all.values().filter(|member| member.standing == Liveness::Alive).count();
-        let over = |member: &Member| {
-            let patience = self.patience(member.accusers.len(), able, period);
-            member.standing == Liveness::Suspect && now.saturating_sub(member.since) >= patience
+        // This node and the members that answer.
+        let possible_accusers =
+            1 + self.all.values().filter(|member| member.liveness == Liveness::Alive).count();
+        let is_expired = |member: &Member| {
+            let suspicion_timeout = self.suspicion_timeout(member.accusers.len(), possible_accusers, period);
+            member.liveness == Liveness::Suspect && now.saturating_sub(member.since) >= suspicion_timeout
         };
-        let dead: Vec<MemberId> = self.all.iter().filter(|(_, m)| over(m)).map(|(id, _)| *id).collect();
+        let dead: Vec<MemberId> = self.all.iter().filter(|(_, m)| is_expired(m)).map(|(id, _)| *id).collect();
         for id in &dead {
             if let Some(member) = self.all.get_mut(id) {
-                (member.standing, member.since) = (Liveness::Dead, now);
+                (member.liveness, member.since) = (Liveness::Dead, now);
             }
         }
         dead
     }
 
-    /// Those that answer, or may yet.
+    /// The members that are alive or suspect.
     pub(crate) fn present(&self) -> impl Iterator<Item = MemberId> + '_ {
-        let here = |m: &Member| matches!(m.standing, Liveness::Alive | Liveness::Suspect);
-        self.all.iter().filter(move |(_, m)| here(m)).map(|(id, _)| *id)
+        let is_present = |m: &Member| matches!(m.liveness, Liveness::Alive | Liveness::Suspect);
+        self.all.iter().filter(move |(_, m)| is_present(m)).map(|(id, _)| *id)
     }
 
-    /// Those whose part nobody else may have: who is there, and who will be back in a moment.
-    pub(crate) fn counted(&self, now: Micros) -> usize {
-        let counts = |m: &&Member| match m.standing {
+    /// The number of members whose share no other node may take: those that are present, and those that
+    /// restart.
+    pub(crate) fn sharing_members(&self, now: Micros) -> usize {
+        let counts = |m: &&Member| match m.liveness {
             Liveness::Alive | Liveness::Suspect => true,
-            Liveness::Restarting => now.saturating_sub(m.since) < KEPT,
+            Liveness::Restarting => now.saturating_sub(m.since) < RESTART_GRACE_TIME,
             Liveness::Dead | Liveness::Left => false,
         };
         self.all.values().filter(counts).count()
     }
 
-    /// This node stood still: nobody had a chance to answer it in that time.
-    pub(crate) fn shift(&mut self, by: Micros) {
-        self.all.values_mut().filter(|m| m.standing == Liveness::Suspect).for_each(|m| m.since += by);
+    /// This node was paused: no member could answer it in that time, so that suspicion timeouts are extended.
+    pub(crate) fn extend_timeouts(&mut self, by: Micros) {
+        self.all.values_mut().filter(|m| m.liveness == Liveness::Suspect).for_each(|m| m.since += by);
     }
 
-    /// Forgets those who may not take part any more.
+    /// Forgets members that may no longer take part.
     pub(crate) fn retain(&mut self, keep: impl Fn(MemberId) -> bool) {
         self.all.retain(|id, _| keep(*id));
     }
@@ -237,10 +249,10 @@
     use super::*;
 
     #[test]
-    fn a_packet_is_met_once() {
-        let mut window = Window::default();
-        let met: Vec<bool> = [5, 6, 5, 4, 4, 200, 137, 136, 6, 200].map(|n| window.take(1, n)).to_vec();
-        assert_eq!(met, [true, true, false, true, false, true, true, false, false, false]);
+    fn each_packet_number_is_new_once() {
+        let mut window = ReplayWindow::default();
+        let seen: Vec<bool> = [5, 6, 5, 4, 4, 200, 137, 136, 6, 200].map(|n| window.record(1, n)).to_vec();
+        assert_eq!(seen, [true, true, false, true, false, true, true, false, false, false]);
     }
 }
 
@@ -254,28 +266,28 @@
     use crate::keys::Secret;
     use crate::packet::{Statement, Suspicion};
 
-    fn statement((author, number, strength, servers): (u64, u64, u8, u64)) -> Signed {
-        let suspicion = |server| Suspicion { server, strength, rests_on: 5, age_ms: 0 };
+    fn statement((author, number, strength, servers): (u64, u64, u8, u64)) -> SignedStatement {
+        let suspicion = |server| Suspicion { server, strength, sample_count: 5, age_ms: 0 };
         let statement = Statement {
             author: MemberId(author),
             key: [0; 4],
             instance: 1,
             number,
             address: ([10, 0, 0, 1], 1).into(),
-            stance: Stance::Here,
+            lifecycle: Lifecycle::Running,
             suspicions: (0..servers).map(suspicion).collect(),
         };
-        Signed::new(statement, &Secret::from_seed([author as u8; 32]))
+        SignedStatement::new(statement, &Secret::from_seed([author as u8; 32]))
     }
 
-    fn drawn() -> impl Strategy<Value = Vec<(u64, u64, u8, u64)>> {
+    fn statement_inputs() -> impl Strategy<Value = Vec<(u64, u64, u8, u64)>> {
         prop::collection::vec((0..5_u64, 0..4_u64, 0..=100_u8, 0..8_u64), 1..20)
     }
 
-    fn merged<'a>(statements: impl Iterator<Item = &'a Signed>) -> Vec<Signed> {
+    fn merged<'a>(statements: impl Iterator<Item = &'a SignedStatement>) -> Vec<SignedStatement> {
         let mut members = Members::default();
         for signed in statements {
-            members.take(1_000, signed.clone(), 0);
+            members.merge(1_000, signed.clone(), 0);
         }
         members.all.into_values().map(|member| member.signed).collect()
     }
@@ -284,8 +296,8 @@
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), cases: 64, ..ProptestConfig::default() })]
 
         #[test]
-        fn order_grouping_and_repetition_do_not_matter(drawn in drawn(), seed in any::<u64>(), cut in 0..20_usize) {
-            let mut all: Vec<Signed> = drawn.into_iter().map(statement).collect();
+        fn merge_is_commutative_associative_and_idempotent(statement_inputs in statement_inputs(), seed in any::<u64>(), cut in 0..20_usize) {
+            let mut all: Vec<SignedStatement> = statement_inputs.into_iter().map(statement).collect();
             let once = merged(all.iter());
             prop_assert_eq!(&once, &merged(all.iter().chain(all.iter())));
             let (one, two) = all.split_at(cut.min(all.len()));
@@ -297,28 +309,28 @@
         }
 
         #[test]
-        fn liars_never_go_beyond_their_bound(drawn in drawn(), honest in 0..40_u64, seconds in 0..4_u64) {
+        fn false_suspicions_stay_within_bound(statement_inputs in statement_inputs(), honest in 0..40_u64, seconds in 0..4_u64) {
             let mut members = Members::default();
-            for signed in drawn.into_iter().map(statement) {
-                members.take(1_000, signed, 0);
+            for signed in statement_inputs.into_iter().map(statement) {
+                members.merge(1_000, signed, 0);
             }
-            let liars = members.all.len();
+            let false_witnesses = members.all.len();
             for author in 100..100 + honest {
-                members.take(1_000, statement((author, 1, 0, 0)), 0);
+                members.merge(1_000, statement((author, 1, 0, 0)), 0);
             }
             let nodes = members.all.len() + 1;
-            for doubt in Evidence::default().weigh(seconds * 1_000_000, &members, &[]) {
-                prop_assert!(doubt.level <= crate::max_false_suspicion(liars, nodes) + 1e-9);
+            for doubt in Evidence::default().assess(seconds * 1_000_000, &members, &[]) {
+                prop_assert!(doubt.level <= crate::max_false_suspicion(false_witnesses, nodes) + 1e-9);
             }
         }
     }
 
     #[test]
-    fn ages_that_can_not_be_are_not_heard() {
+    fn suspicions_with_invalid_ages_are_ignored() {
         let mut members = Members::default();
-        let mut odd = statement((1, 1, 100, 1)).statement;
-        odd.suspicions[0].age_ms = 60_000;
-        members.take(1_000, Signed::new(odd, &Secret::from_seed([1; 32])), 0);
-        assert!(Evidence::default().weigh(1_000, &members, &[]).is_empty());
+        let mut invalid = statement((1, 1, 100, 1)).statement;
+        invalid.suspicions[0].age_ms = 60_000;
+        members.merge(1_000, SignedStatement::new(invalid, &Secret::from_seed([1; 32])), 0);
+        assert!(Evidence::default().assess(1_000, &members, &[]).is_empty());
     }
 }
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -1,5 +1,5 @@
-//! Whether a member answers: asked directly, then through others (SWIM), with patience that grows while this
-//! node itself seems to be slow (Lifeguard's local health).
+//! Probes whether members answer: directly, then through other members (SWIM). Timeouts grow while this node
+//! itself seems to be slow (Lifeguard's local health).
 
 use std::collections::VecDeque;
 
@@ -7,25 +7,25 @@
 use crate::keys::MemberId;
 use crate::members::Members;
 
-/// Members that are asked to ask.
+/// The number of members that are asked to probe a target on this node's behalf.
 const HELPERS: usize = 4;
-/// How slow this node may think that it is.
-const SLOWEST: u32 = 5;
-/// Members that others accuse and that are asked out of turn.
-const CHECKS_MOST: usize = 16;
-/// Requests of others that are under way.
-const ERRANDS_MOST: usize = 32;
-/// For how long an errand is remembered.
-const ERRAND: Micros = 3_000_000;
-
-/// What the prober wants done.
+/// The largest slowness level of this node.
+const MAX_SLOWNESS: u32 = 5;
+/// The largest number of accused members that are probed out of turn at a time.
+const MAX_EXTRA_PROBES: usize = 16;
+/// The largest number of pending probes on behalf of other members.
+const MAX_RELAYED_PROBES: usize = 32;
+/// How long a probe on behalf of another member is remembered.
+const RELAYED_PROBE_TTL: Micros = 3_000_000;
+
+/// An action of the prober.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// Ask a member.
+    /// Send a ping with this number to a member.
     Ping(MemberId, u64),
-    /// Have it asked by these.
-    Ask(MemberId, u64, Vec<MemberId>),
-    /// It did not answer at all.
+    /// Have these members ping the target.
+    PingThrough(MemberId, u64, Vec<MemberId>),
+    /// The member did not answer any probe.
     Failed(MemberId),
 }
 
@@ -33,24 +33,24 @@
     target: MemberId,
     number: u64,
     sent_at: Micros,
-    /// Whether it was asked a second time: one lost packet says nothing.
-    again: bool,
-    /// Whether others were asked to ask it.
-    asked: bool,
+    /// Whether a second ping was sent: a single lost packet proves nothing.
+    repeated: bool,
+    /// Whether other members were asked to ping the target.
+    helpers_asked: bool,
 }
 
 impl Probe {
-    /// When something is to be done about one that is asked out of turn.
-    fn due(&self, patience: Micros) -> Micros {
-        self.sent_at + if self.again { 2 * patience } else { patience / 2 }
+    /// When the next action is due for a probe out of turn.
+    fn due(&self, timeout: Micros) -> Micros {
+        self.sent_at + if self.repeated { 2 * timeout } else { timeout / 2 }
     }
 }
 
-/// A request of another node to ask a third one.
-struct Errand {
+/// A probe of a third member on behalf of another member.
+struct RelayedProbe {
     number: u64,
     target: MemberId,
-    asker: MemberId,
+    requester: MemberId,
     at: Micros,
 }
 
@@ -58,11 +58,11 @@
     period: Micros,
     round: Vec<MemberId>,
     current: Option<Probe>,
-    checks: Vec<Probe>,
-    heard_at: Micros,
+    extra_probes: Vec<Probe>,
+    last_received_at: Micros,
     next_at: Micros,
-    slow: u32,
-    errands: VecDeque<Errand>,
+    slowness: u32,
+    relayed_probes: VecDeque<RelayedProbe>,
 }
 
 impl Prober {
@@ -71,60 +71,61 @@
             period,
             round: Vec::new(),
             current: None,
-            checks: Vec::new(),
-            heard_at: 0,
+            extra_probes: Vec::new(),
+            last_received_at: 0,
             next_at: first_at,
-            slow: 0,
-            errands: VecDeque::new(),
+            slowness: 0,
+            relayed_probes: VecDeque::new(),
         }
     }
 
-    /// This node learned that it is slow, or that it is not.
-    pub(crate) fn own_health(&mut self, well: bool) {
-        self.slow = if well { self.slow.saturating_sub(1) } else { (self.slow + 1).min(SLOWEST) };
+    /// Records evidence that this node responds in time (`true`) or is slow.
+    pub(crate) fn record_own_health(&mut self, is_healthy: bool) {
+        self.slowness =
+            if is_healthy { self.slowness.saturating_sub(1) } else { (self.slowness + 1).min(MAX_SLOWNESS) };
     }
 
-    fn patience(&self) -> Micros {
-        u64::from(1 + self.slow) * self.period / 3
+    fn timeout(&self) -> Micros {
+        u64::from(1 + self.slowness) * self.period / 3
     }
 
-    /// Some packet was heard.
-    pub(crate) fn heard(&mut self, now: Micros) {
-        self.heard_at = now;
+    /// Records that a packet was received.
+    pub(crate) fn record_packet(&mut self, now: Micros) {
+        self.last_received_at = now;
     }
 
-    /// When it next wants a look.
+    /// When [`Self::step`] is due next.
     pub(crate) fn next(&self) -> Micros {
-        let patience = self.patience();
+        let timeout = self.timeout();
         let current = match &self.current {
-            Some(probe) if !probe.again => probe.sent_at + patience / 2,
-            Some(probe) if !probe.asked => probe.sent_at + patience,
-            Some(probe) => probe.sent_at + 3 * patience,
+            Some(probe) if !probe.repeated => probe.sent_at + timeout / 2,
+            Some(probe) if !probe.helpers_asked => probe.sent_at + timeout,
+            Some(probe) => probe.sent_at + 3 * timeout,
             None => self.next_at,
         };
-        self.checks.iter().map(|check| check.due(patience)).fold(current, Micros::min)
+        self.extra_probes.iter().map(|probe_now| probe_now.due(timeout)).fold(current, Micros::min)
     }
 
-    /// Others accuse a member: it is asked out of turn, so that there are more who know. Nothing if it is
-    /// being asked.
-    pub(crate) fn check(&mut self, now: Micros, target: MemberId, number: u64) -> Option<Step> {
-        let known = self.checks.iter().chain(&self.current).any(|probe| probe.target == target);
-        if known || self.checks.len() >= CHECKS_MOST {
+    /// Starts a probe of an accused member out of turn, so that more members know whether it answers. `None`
+    /// if it is being probed already.
+    pub(crate) fn probe_now(&mut self, now: Micros, target: MemberId, number: u64) -> Option<Step> {
+        let known = self.extra_probes.iter().chain(&self.current).any(|probe| probe.target == target);
+        if known || self.extra_probes.len() >= MAX_EXTRA_PROBES {
             return None;
         }
-        self.checks.push(Probe { target, number, sent_at: now, again: false, asked: true });
+        self.extra_probes.push(Probe { target, number, sent_at: now, repeated: false, helpers_asked: true });
         Some(Step::Ping(target, number))
     }
 
-    fn check_step(&mut self, now: Micros) -> Option<Step> {
-        let patience = self.patience();
-        let at = self.checks.iter().position(|check| check.due(patience) <= now)?;
-        let check = &mut self.checks[at];
-        if !check.again {
-            check.again = true;
-            return Some(Step::Ping(check.target, check.number));
+    fn extra_probe_step(&mut self, now: Micros) -> Option<Step> {
+        let timeout = self.timeout();
+        let at = self.extra_probes.iter().position(|probe_now| probe_now.due(timeout) <= now)?;
+        let probe_now = &mut self.extra_probes[at];
+        if !probe_now.repeated {
+            probe_now.repeated = true;
+            return Some(Step::Ping(probe_now.target, probe_now.number));
         }
-        Some(Step::Failed(self.checks.swap_remove(at).target))
+        Some(Step::Failed(self.extra_probes.swap_remove(at).target))
     }
 
     pub(crate) fn step(
@@ -136,30 +137,30 @@
         if now < self.next() {
             return None;
         }
-        if let Some(step) = self.check_step(now) {
+        if let Some(step) = self.extra_probe_step(now) {
             return Some(step);
         }
         if let Some(probe) = &mut self.current {
-            if !probe.again {
-                probe.again = true;
+            if !probe.repeated {
+                probe.repeated = true;
                 return Some(Step::Ping(probe.target, probe.number));
             }
-            if probe.asked {
+            if probe.helpers_asked {
                 let (target, sent_at) = (probe.target, probe.sent_at);
                 self.current = None;
-                // Who hears others is not deaf itself.
-                if self.heard_at <= sent_at {
-                    self.own_health(false);
+                // A node that receives packets of others is not itself cut off.
+                if self.last_received_at <= sent_at {
+                    self.record_own_health(false);
                 }
                 return Some(Step::Failed(target));
             }
-            probe.asked = true;
+            probe.helpers_asked = true;
             let mut helpers: Vec<MemberId> = members.present().filter(|id| *id != probe.target).collect();
             random.shuffle(&mut helpers);
             helpers.truncate(HELPERS);
-            return Some(Step::Ask(probe.target, probe.number, helpers));
+            return Some(Step::PingThrough(probe.target, probe.number, helpers));
         }
-        // Each round asks all that are there once, in an order of its own.
+        // Each round probes all present members once, in random order.
         if self.round.is_empty() {
             self.round = members.present().collect();
             random.shuffle(&mut self.round);
@@ -172,47 +173,57 @@
             }
         };
         let number = random.u64(..);
-        self.current = Some(Probe { target, number, sent_at: now, again: false, asked: false });
+        self.current = Some(Probe { target, number, sent_at: now, repeated: false, helpers_asked: false });
         Some(Step::Ping(target, number))
     }
 
-    /// Who is being asked, and by which number.
+    /// The member that is being probed, and the number of the ping.
     #[cfg(test)]
-    pub(crate) fn asked(&self) -> Option<(MemberId, u64)> {
+    pub(crate) fn current_ping(&self) -> Option<(MemberId, u64)> {
         self.current.as_ref().map(|probe| (probe.target, probe.number))
     }
 
-    /// A member has answered, directly or by a proof; whether that was waited for.
+    /// Records a member's answer, received directly or through another member; returns whether it was
+    /// expected.
     pub(crate) fn answered(&mut self, from: MemberId, number: u64) -> bool {
-        let is = |probe: &Probe| probe.target == from && probe.number == number;
-        let checks = self.checks.len();
-        self.checks.retain(|probe| !is(probe));
-        let hit = self.current.take_if(|probe| is(probe)).is_some();
-        if hit {
-            self.own_health(true);
+        let matches = |probe: &Probe| probe.target == from && probe.number == number;
+        let extra_probes = self.extra_probes.len();
+        self.extra_probes.retain(|probe| !matches(probe));
+        let matches_current = self.current.take_if(|probe| matches(probe)).is_some();
+        if matches_current {
+            self.record_own_health(true);
         }
-        hit || self.checks.len() < checks
+        matches_current || self.extra_probes.len() < extra_probes
     }
 
-    /// Another node wants a member asked; whether there is room for that.
-    pub(crate) fn errand(&mut self, now: Micros, asker: MemberId, target: MemberId, number: u64) -> bool {
-        self.errands.retain(|errand| now.saturating_sub(errand.at) < ERRAND);
-        let room = self.errands.len() < ERRANDS_MOST;
-        if room {
-            self.errands.push_back(Errand { number, target, asker, at: now });
+    /// Registers a probe on behalf of another member; returns whether there is room for it.
+    pub(crate) fn add_relayed_probe(
+        &mut self,
+        now: Micros,
+        requester: MemberId,
+        target: MemberId,
+        number: u64,
+    ) -> bool {
+        self.relayed_probes
+            .retain(|add_relayed_probe| now.saturating_sub(add_relayed_probe.at) < RELAYED_PROBE_TTL);
+        let has_room = self.relayed_probes.len() < MAX_RELAYED_PROBES;
+        if has_room {
+            self.relayed_probes.push_back(RelayedProbe { number, target, requester, at: now });
         }
-        room
+        has_room
     }
 
-    /// Who wanted this answer.
-    pub(crate) fn errand_done(&mut self, from: MemberId, number: u64) -> Option<MemberId> {
-        let at = self.errands.iter().position(|errand| errand.target == from && errand.number == number)?;
-        self.errands.remove(at).map(|errand| errand.asker)
+    /// Takes the member on whose behalf this answer was requested.
+    pub(crate) fn take_relayed_probe(&mut self, from: MemberId, number: u64) -> Option<MemberId> {
+        let at = self.relayed_probes.iter().position(|add_relayed_probe| {
+            add_relayed_probe.target == from && add_relayed_probe.number == number
+        })?;
+        self.relayed_probes.remove(at).map(|add_relayed_probe| add_relayed_probe.requester)
     }
 
-    /// This node stood still for so long.
-    pub(crate) fn shift(&mut self, by: Micros) {
-        self.current.iter_mut().chain(&mut self.checks).for_each(|probe| probe.sent_at += by);
-        self.own_health(false);
+    /// This node was paused: pending probes get more time.
+    pub(crate) fn extend_timeouts(&mut self, by: Micros) {
+        self.current.iter_mut().chain(&mut self.extra_probes).for_each(|probe| probe.sent_at += by);
+        self.record_own_health(false);
     }
 }
--- a/crates/gossip/src/sim.rs
+++ b/crates/gossip/src/sim.rs
@@ -1,27 +1,27 @@
-//! Many nodes in memory, on a network that loses, doubles, delays and cuts off, in simulated time. The same
-//! seed gives the same run. For tests and measurements.
+//! Many gossip nodes in memory and simulated time, on a network that loses, duplicates, delays and blocks
+//! packets. The same seed gives the same run. For tests and benchmarks.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-use crate::limits::HEADERS;
+use crate::limits::UDP_HEADER_BYTES;
 use crate::{
     FleetPosition, Gossip, Input, KeyRing, LogEvent, MemberId, Micros, Output, Secret, ServerObservation,
     Settings,
 };
 
-/// How often nodes look at their servers.
-const LOOK: Micros = 200_000;
+/// How often nodes report their observations of servers.
+const OBSERVE_INTERVAL: Micros = 200_000;
 
-/// What the network does.
+/// The behaviour of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// The part of packets that get lost.
+    /// The fraction of packets that are lost.
     pub loss: f64,
-    /// The part that come twice.
+    /// The fraction of packets that are delivered twice.
     pub duplication: f64,
-    /// How long a packet takes, at least and at most; so they overtake each other.
+    /// The least and the largest delay of a packet; packets may overtake each other.
     pub delay: (Micros, Micros),
 }
 
@@ -35,22 +35,22 @@
 pub struct Node {
     /// Its state machine, while its process runs.
     pub gossip: Option<Gossip>,
-    /// What it last heard of servers.
+    /// The suspicions that it last received from others, by server id.
     pub suspicions: BTreeMap<u64, f64>,
-    /// What it reckons with.
+    /// The position in the fleet that it uses, once known.
     pub position: Option<FleetPosition>,
-    /// What it logged, and when.
+    /// Its log events with their times.
     pub log_events: Vec<(Micros, LogEvent)>,
-    /// How far its clock is ahead of the others'.
+    /// How far its clock is ahead of the simulated time.
     pub clock_ahead: Micros,
-    /// The most bytes that it sent in a second of the clock.
+    /// The largest number of bytes that it sent in one second.
     pub peak_bytes_per_second: u64,
-    /// Bytes that it sent, over all its processes.
+    /// The bytes that it sent, over all its processes.
     pub bytes_sent: u64,
-    second: (u64, u64),
+    current_second: (u64, u64),
     paused_until: Micros,
-    starts: u64,
-    wakes: Micros,
+    start_count: u64,
+    wakes_at: Micros,
 }
 
 enum Event {
@@ -59,22 +59,22 @@
     Look(usize),
 }
 
-/// What a node sees of servers by itself at some time.
+/// A node's own observations of servers at a time.
 pub type Observe<'a> = &'a dyn Fn(usize, Micros) -> Vec<ServerObservation>;
 
-/// The network and all on it.
+/// The network and its nodes.
 pub struct Net {
     /// The nodes.
     pub nodes: Vec<Node>,
-    /// What the network does now.
+    /// The current behaviour of the network.
     pub conditions: NetworkConditions,
-    /// Whether packets from one node to another are dropped.
+    /// Whether packets from the first node to the second are dropped.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// The time.
+    /// The simulated time.
     pub now: Micros,
-    /// All packets that were sent, if wanted: from, to, bytes.
+    /// If set, collects all packets sent: sender, receiver, bytes.
     pub recorded: Option<Vec<(usize, usize, Vec<u8>)>>,
-    /// What nodes had carried to each other and nobody has taken up yet: to whom, from which process, bytes.
+    /// Payloads delivered but not taken yet: receiving node, sending member, its instance, bytes.
     pub payloads: Vec<(usize, MemberId, u64, Vec<u8>)>,
     settings: Box<dyn Fn(usize) -> Settings>,
     ring: String,
@@ -85,14 +85,14 @@
     random: fastrand::Rng,
 }
 
-/// Where a node is.
+/// A node's address.
 pub fn address(node: usize) -> SocketAddr {
     (Ipv4Addr::from(0x0a00_0001 + node as u32), 7946).into()
 }
 
 impl Net {
-    /// So many nodes, none of which runs yet. `change` makes their settings differ.
-    pub fn new(count: usize, seed: u64, change: impl Fn(usize, &mut Settings) + 'static) -> Net {
+    /// Creates `count` nodes, none of which runs yet. `change` adapts each node's settings.
+    pub fn new(count: usize, seed: u64, adapt: impl Fn(usize, &mut Settings) + 'static) -> Net {
         let mut random = fastrand::Rng::with_seed(seed);
         let secrets: Vec<[u8; 32]> = (0..count).map(|_| std::array::from_fn(|_| random.u8(..))).collect();
         let line =
@@ -101,7 +101,7 @@
             let mut settings = Settings {
                 name: format!("n{i}"),
                 address: address(i),
-                // Three, and one for every fifty of a large fleet.
+                // Three seeds, and one for every fifty nodes of a large fleet.
                 seeds: (0..(count / 50).max(3).min(count)).map(address).collect(),
                 probe_period: 300_000,
                 max_bytes_per_second: 16 * 1024,
@@ -109,7 +109,7 @@
                 seed: seed.wrapping_mul(1_000_003).wrapping_add(i as u64),
                 first_statement_number: 1,
             };
-            change(i, &mut settings);
+            adapt(i, &mut settings);
             settings
         };
         let node = |_| Node {
@@ -120,10 +120,10 @@
             clock_ahead: 0,
             peak_bytes_per_second: 0,
             bytes_sent: 0,
-            second: (0, 0),
+            current_second: (0, 0),
             paused_until: 0,
-            starts: 0,
-            wakes: Micros::MAX,
+            start_count: 0,
+            wakes_at: Micros::MAX,
         };
         Net {
             ring: secrets.iter().enumerate().map(line).collect(),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The keys of all.
+    /// The key ring of all nodes.
     pub fn ring(&self) -> KeyRing {
         KeyRing::parse(&self.ring).unwrap_or_default()
     }
@@ -155,19 +155,19 @@
     /// Starts a node's process.
     pub fn start(&mut self, node: usize) {
         let mut settings = (self.settings)(node);
-        let starts = &mut self.nodes[node].starts;
-        *starts += 1;
-        // As the clock would have it: higher with each start.
-        settings.first_statement_number += *starts * 1_000;
-        settings.seed ^= *starts << 48;
+        let start_count = &mut self.nodes[node].start_count;
+        *start_count += 1;
+        // As with numbers derived from a clock: higher at each start.
+        settings.first_statement_number += *start_count * 1_000;
+        settings.seed ^= *start_count << 48;
         self.nodes[node].gossip =
             Gossip::new(settings, self.ring(), self.secret(node), self.now + self.nodes[node].clock_ahead);
-        let at = self.now + self.random.u64(..LOOK);
+        let at = self.now + self.random.u64(..OBSERVE_INTERVAL);
         self.at(at, Event::Look(node));
         self.wake(node);
     }
 
-    /// Starts all.
+    /// Starts all nodes.
     pub fn start_all(&mut self) {
         (0..self.nodes.len()).for_each(|node| self.start(node));
     }
@@ -177,12 +177,12 @@
         self.nodes[node].gossip = None;
     }
 
-    /// A node's process stands still for so long; what comes meanwhile waits in its socket.
+    /// Pauses a node's process; packets wait in its socket meanwhile.
     pub fn pause(&mut self, node: usize, span: Micros) {
         self.nodes[node].paused_until = self.now + span;
     }
 
-    /// Hands a node something that it has to do.
+    /// Passes an input to a node.
     pub fn input(&mut self, node: usize, input: Input<'_>) {
         let mut out = Vec::new();
         let now = self.now + self.nodes[node].clock_ahead;
@@ -192,7 +192,7 @@
         self.carry_out(node, out);
     }
 
-    /// Delivers bytes to a node as if from there.
+    /// Delivers bytes to a node as if sent from this address.
     pub fn inject(&mut self, to: usize, from: SocketAddr, bytes: Vec<u8>) {
         self.at(self.now + 1, Event::Packet(to, from, bytes));
     }
@@ -208,14 +208,14 @@
         let Some(next) = self.nodes[node].gossip.as_ref().map(|gossip| gossip.next_wakeup() - ahead) else {
             return;
         };
-        if next < self.nodes[node].wakes || self.nodes[node].wakes <= self.now {
-            self.nodes[node].wakes = next;
+        if next < self.nodes[node].wakes_at || self.nodes[node].wakes_at <= self.now {
+            self.nodes[node].wakes_at = next;
             self.at(next, Event::Wake(node));
         }
     }
 
-    /// Runs until then.
-    pub fn run_until(&mut self, end: Micros, see: Observe<'_>) {
+    /// Runs the simulation until `end`.
+    pub fn run_until(&mut self, end: Micros, observe: Observe<'_>) {
         while let Some(Reverse((at, id))) = self.queue.peek().copied().filter(|Reverse((at, _))| *at <= end) {
             self.queue.pop();
             self.now = at.max(self.now);
@@ -231,8 +231,8 @@
                 Event::Packet(node, from, bytes) => self.input(node, Input::Packet(from, &bytes)),
                 Event::Wake(node) => self.input(node, Input::Tick),
                 Event::Look(node) if self.nodes[node].gossip.is_some() => {
-                    self.input(node, Input::Observations(see(node, self.now)));
-                    self.at(self.now + LOOK, Event::Look(node));
+                    self.input(node, Input::Observations(observe(node, self.now)));
+                    self.at(self.now + OBSERVE_INTERVAL, Event::Look(node));
                 }
                 Event::Look(_) => {}
             }
@@ -251,19 +251,22 @@
                     self.payloads.push((node, from, instance, bytes))
                 }
                 Output::FleetPosition(fleet) => self.nodes[node].position = Some(fleet),
-                Output::LogEvent(note) => self.nodes[node].log_events.push((self.now, note)),
+                Output::LogEvent(log_event) => self.nodes[node].log_events.push((self.now, log_event)),
             }
         }
         self.wake(node);
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        let size = (bytes.len() + HEADERS) as u64;
+        let size = (bytes.len() + UDP_HEADER_BYTES) as u64;
         let node = &mut self.nodes[from];
         node.bytes_sent += size;
-        let second = self.now / 1_000_000;
-        node.second = (second, if node.second.0 == second { node.second.1 + size } else { size });
-        node.peak_bytes_per_second = node.peak_bytes_per_second.max(node.second.1);
+        let current_second = self.now / 1_000_000;
+        node.current_second = (
+            current_second,
+            if node.current_second.0 == current_second { node.current_second.1 + size } else { size },
+        );
+        node.peak_bytes_per_second = node.peak_bytes_per_second.max(node.current_second.1);
         let SocketAddr::V4(to) = to else { return };
         let to = u32::from(*to.ip()).wrapping_sub(0x0a00_0001) as usize;
         if to >= self.nodes.len() {
@@ -275,8 +278,8 @@
         let copies = 1 + usize::from(self.random.f64() < self.conditions.duplication);
         for _ in 0..copies {
             if self.random.f64() >= self.conditions.loss && !(self.is_cut)(from, to) {
-                let (least, most) = self.conditions.delay;
-                let at = self.now + self.random.u64(least..=most);
+                let (min_delay, max_delay) = self.conditions.delay;
+                let at = self.now + self.random.u64(min_delay..=max_delay);
                 self.at(at, Event::Packet(to, address(from), bytes.clone()));
             }
         }
