--- a/crates/gossip/src/gossip/mod.rs
+++ b/crates/gossip/src/gossip/mod.rs
@@ -314,7 +314,7 @@
             if late {
                 self.figures.throttled += 1;
             } else {
-                self.send_message(to, Message::Payload(bytes), false, false);
+                self.send(to, Message::Payload(bytes), false, false);
             }
         }
     }
@@ -334,7 +334,7 @@
             self.gossip_at = self.now + GOSSIP_INTERVAL;
             let fan_out = if self.updates.is_urgent() || self.is_refuting() { FAN_OUT.1 } else { FAN_OUT.0 };
             for to in self.random_members(fan_out) {
-                self.send_message(to, Message::Updates, false, true);
+                self.send(to, Message::Updates, false, true);
             }
         }
         if self.join_at <= self.now {
@@ -381,12 +381,10 @@
 
     fn probe(&mut self, step: Step) {
         match step {
-            Step::Ping(to, number) => {
-                drop(self.send_message(to, Message::Ping { number, bare: false }, false, true))
-            }
+            Step::Ping(to, number) => drop(self.send(to, Message::Ping { number, bare: false }, false, true)),
             Step::PingThrough(target, number, helpers) => {
                 for helper in helpers {
-                    self.send_message(helper, Message::PingFor { target, number }, true, false);
+                    self.send(helper, Message::PingFor { target, number }, true, false);
                 }
             }
             Step::Failed(accused) => {
@@ -394,7 +392,7 @@
                     self.members.all.get(&accused).map_or(0, |member| member.signed.statement.number);
                 self.accuse(Accusation { accused, number, accuser: self.me });
                 // The accused member is the first to be informed (Lifeguard's buddy system).
-                self.send_message(accused, Message::Updates, true, true);
+                self.send(accused, Message::Updates, true, true);
             }
         }
     }
@@ -433,14 +431,14 @@
             self.members.all.iter().filter(|(_, m)| absent(m)).map(|(id, _)| *id).collect();
         if let Some(id) = absent.get(self.random.usize(..absent.len().max(1))) {
             let number = self.random.u64(..);
-            self.send_message(*id, Message::Ping { number, bare: false }, true, true);
+            self.send(*id, Message::Ping { number, bare: false }, true, true);
         }
         let mut seeds = self.settings.seeds.clone();
         self.random.shuffle(&mut seeds);
         seeds.truncate(if alone { JOIN_SEEDS } else { 1 });
         seeds.retain(|seed| *seed != self.settings.address);
         for address in seeds {
-            self.send_message_to(address, None, 0, Message::Join, true, false);
+            self.send_to_address(address, None, 0, Message::Join, true, false);
         }
     }
 
@@ -519,7 +517,7 @@
                 known.iter().map(|signed| (signed.statement.author, signed.statement.number)).collect();
             Message::Digest { from, to: end, known }
         };
-        self.send_message(to, message, false, false);
+        self.send(to, message, false, false);
     }
 
     fn handle_observations(&mut self, seen: Vec<ServerObservation>) {
@@ -549,7 +547,7 @@
         let lifecycle = if restarts { Lifecycle::Restarting } else { Lifecycle::Leaving };
         self.publish_statement(lifecycle, Vec::new(), 0);
         for to in self.random_members(FAN_OUT.1) {
-            self.send_message(to, Message::Updates, true, false);
+            self.send(to, Message::Updates, true, false);
         }
     }
 }
--- a/crates/gossip/src/gossip/receive.rs
+++ b/crates/gossip/src/gossip/receive.rs
@@ -63,7 +63,7 @@
             self.figures.replayed += u64::from(!matches!(packet.body.message, Message::Join));
             // Tells the sender which process this is. The response is shorter than the packet it answers.
             if !matches!(packet.body.message, Message::Welcome) {
-                self.send_message_to(source, Some(from), instance, Message::Welcome, true, false);
+                self.send_to_address(source, Some(from), instance, Message::Welcome, true, false);
             }
             return;
         }
@@ -198,15 +198,13 @@
                 if self.members.all.get(&from).is_none_or(|member| member.max_version < CHECKSUMS_VERSION) {
                     self.sync_at = self.sync_at.min(self.now + SYNC_INTERVAL.1);
                     let number = self.random.u64(..);
-                    self.send_message(from, Message::Ping { number, bare: false }, true, true);
+                    self.send(from, Message::Ping { number, bare: false }, true, true);
                 }
             }
-            Message::Ping { number, bare } => {
-                drop(self.send_message(from, Message::Ack(number), false, !bare))
-            }
+            Message::Ping { number, bare } => drop(self.send(from, Message::Ack(number), false, !bare)),
             Message::Ack(number) => {
                 if let Some(asker) = self.prober.take_relayed_probe(from, number) {
-                    self.send_message(asker, Message::RelayedAck(bytes.to_vec()), false, false);
+                    self.send(asker, Message::RelayedAck(bytes.to_vec()), false, false);
                 } else {
                     self.prober.answered(from, number);
                 }
@@ -215,7 +213,7 @@
                 if self.members.all.contains_key(&target)
                     && self.prober.add_relayed_probe(self.now, from, target, number)
                 {
-                    self.send_message(target, Message::Ping { number, bare: true }, true, false);
+                    self.send(target, Message::Ping { number, bare: true }, true, false);
                 }
             }
             Message::RelayedAck(bytes) => self.handle_relayed_ack(&bytes),
@@ -275,7 +273,7 @@
         let differs = !send_statements.is_empty() || !want.is_empty();
         self.send_statements(from, send_statements);
         if !want.is_empty() {
-            self.send_message(from, Message::Request(want), false, false);
+            self.send(from, Message::Request(want), false, false);
         }
         if differs {
             self.sync_at = self.sync_at.min(self.now + SYNC_INTERVAL.1);
--- a/crates/gossip/src/gossip/send.rs
+++ b/crates/gossip/src/gossip/send.rs
@@ -28,13 +28,13 @@
 
     /// Sends a message to a member, with this node's own statement if `own` is set, and with as many updates
     /// as fit if `updates` is set. Returns whether it was sent.
-    pub(super) fn send_message(&mut self, to: MemberId, message: Message, own: bool, updates: bool) -> bool {
+    pub(super) fn send(&mut self, to: MemberId, message: Message, own: bool, updates: bool) -> bool {
         let Some(member) = self.members.all.get(&to) else { return false };
         let Statement { address, instance, .. } = member.signed.statement;
         // A member that was never heard may not know this node, and would ignore the packet without its
         // statement.
         let own = own || !member.has_been_heard();
-        self.send_message_to(address, Some(to), instance, message, own, updates)
+        self.send_to_address(address, Some(to), instance, message, own, updates)
     }
 
     /// The header of the next packet, for a process that supports versions up to `max_version`.
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(super) fn send_message_to(
+    pub(super) fn send_to_address(
         &mut self,
         address: SocketAddr,
         to: Option<MemberId>,
@@ -110,7 +110,7 @@
         let Some(bytes) = packet.encode_signed(&self.secret) else { return false };
         // The updates were picked to fit the budget that is left.
         self.take_budget((0, bytes.len().saturating_sub(size)));
-        self.send(address, bytes);
+        self.send_bytes(address, bytes);
         true
     }
 
@@ -154,7 +154,7 @@
         picked
     }
 
-    pub(super) fn send(&mut self, address: SocketAddr, bytes: Vec<u8>) {
+    pub(super) fn send_bytes(&mut self, address: SocketAddr, bytes: Vec<u8>) {
         self.figures.packets_sent += 1;
         self.figures.bytes_sent += (bytes.len() + UDP_HEADER_BYTES) as u64;
         self.out.push(Output::Send(address, bytes));
@@ -193,7 +193,7 @@
             && (self.take_budget((0, bytes.len() + UDP_HEADER_BYTES))
                 || self.is_bootstrapping() && self.take_budget((bytes.len() + UDP_HEADER_BYTES, 0)))
         {
-            self.send(address, bytes);
+            self.send_bytes(address, bytes);
         }
     }
 }
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many nodes in memory: who is there, what they know of servers, and what trouble does to that.
+//! Many gossip nodes in memory: membership, suspicions of servers, and the effect of faults on both.
 
 use dunelink_gossip::sim::{Net, NetworkConditions, address};
 use dunelink_gossip::{Input, Liveness, LogEvent, Micros, ServerObservation, max_false_suspicion};
@@ -6,27 +6,27 @@
 const S: Micros = 1_000_000;
 const SERVER: u64 = 7;
 
-fn seen(server: u64, strength: f64, answers: u32) -> ServerObservation {
+fn observation(server: u64, strength: f64, answers: u32) -> ServerObservation {
     ServerObservation { server, suspicion: strength, recent_answers: answers, sample_count: 10 }
 }
 
-/// All see all servers healthy.
-fn well(_: usize, _: Micros) -> Vec<ServerObservation> {
-    (0..20).map(|server| seen(server, 0.0, 10)).collect()
+/// Every node observes all servers as healthy.
+fn all_healthy(_: usize, _: Micros) -> Vec<ServerObservation> {
+    (0..20).map(|server| observation(server, 0.0, 10)).collect()
 }
 
-fn doubt(net: &Net, node: usize) -> f64 {
+fn suspicion(net: &Net, node: usize) -> f64 {
     net.nodes[node].suspicions.get(&SERVER).copied().unwrap_or(0.0)
 }
 
-/// How many others each node that runs holds to be there.
+/// For each running node, the number of other nodes that it sees as alive.
 fn present(net: &Net) -> Vec<usize> {
     let alive = |m: &dunelink_gossip::MemberView| m.liveness == Liveness::Alive;
     let running = net.nodes.iter().filter_map(|node| node.gossip.as_ref());
     running.map(|gossip| gossip.members().iter().filter(|m| alive(m)).count()).collect()
 }
 
-fn downs(net: &Net) -> usize {
+fn death_count(net: &Net) -> usize {
     net.nodes
         .iter()
         .flat_map(|node| &node.log_events)
@@ -34,121 +34,134 @@
         .count()
 }
 
-fn started(count: usize, seed: u64) -> Net {
+fn started_fleet(count: usize, seed: u64) -> Net {
     let mut net = Net::new(count, seed, |_, _| {});
     net.start_all();
-    net.run_until(10 * S, &well);
-    assert_eq!(present(&net), vec![count - 1; count], "all have found each other");
+    net.run_until(10 * S, &all_healthy);
+    assert_eq!(present(&net), vec![count - 1; count], "all nodes know each other");
     net
 }
 
 #[test]
-fn a_stall_is_known_to_all_within_two_seconds_and_so_is_its_end() {
-    let mut net = started(5, 1);
-    let stalls = |node: usize, now: Micros| {
+fn stall_and_recovery_spread_within_two_seconds() {
+    let mut net = started_fleet(5, 1);
+    let stalling = |node: usize, now: Micros| {
         let strength = if node < 3 && now < 20 * S { 1.0 } else { 0.0 };
-        // The others have sent nothing there.
-        if node < 3 { vec![seen(SERVER, strength, 0)] } else { Vec::new() }
+        // The other nodes have sent no requests to this server.
+        if node < 3 { vec![observation(SERVER, strength, 0)] } else { Vec::new() }
     };
-    net.run_until(12 * S, &stalls);
-    assert!((3..5).all(|node| doubt(&net, node) > 0.99), "three witnesses are enough among five");
-    assert!((0..3).all(|node| (0.6..0.7).contains(&doubt(&net, node))), "a node is no witness for itself");
-    net.run_until(20 * S, &stalls);
-    assert!(doubt(&net, 4) > 0.99, "it is said again while it lasts");
-    net.run_until(22 * S, &stalls);
-    assert!((0..5).all(|node| doubt(&net, node) == 0.0), "recovery spreads as fast");
+    net.run_until(12 * S, &stalling);
+    assert!((3..5).all(|node| suspicion(&net, node) > 0.99), "three witnesses are enough among five");
+    assert!(
+        (0..3).all(|node| (0.6..0.7).contains(&suspicion(&net, node))),
+        "a node's own observation is not among its witnesses"
+    );
+    net.run_until(20 * S, &stalling);
+    assert!(suspicion(&net, 4) > 0.99, "the suspicion is renewed while the stall lasts");
+    net.run_until(22 * S, &stalling);
+    assert!((0..5).all(|node| suspicion(&net, node) == 0.0), "recovery spreads as fast");
     assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 16 * 1024));
 }
 
 #[test]
-fn a_clock_that_is_hours_off_changes_nothing() {
+fn clock_offset_of_hours_has_no_effect() {
     let mut net = Net::new(5, 15, |_, _| {});
     net.nodes[0].clock_ahead = 7 * 3_600 * S;
     net.start_all();
-    net.run_until(10 * S, &well);
-    let stalls = |node: usize, _: Micros| if node < 3 { vec![seen(SERVER, 1.0, 0)] } else { Vec::new() };
-    net.run_until(12 * S, &stalls);
+    net.run_until(10 * S, &all_healthy);
+    let stalling =
+        |node: usize, _: Micros| if node < 3 { vec![observation(SERVER, 1.0, 0)] } else { Vec::new() };
+    net.run_until(12 * S, &stalling);
     assert!(
-        (0..5).all(|node| doubt(&net, node) > 0.6),
+        (0..5).all(|node| suspicion(&net, node) > 0.6),
         "{:?}",
-        (0..5).map(|n| doubt(&net, n)).collect::<Vec<_>>()
+        (0..5).map(|n| suspicion(&net, n)).collect::<Vec<_>>()
     );
-    net.run_until(14 * S, &well);
-    assert!((0..5).all(|node| doubt(&net, node) == 0.0));
-    assert_eq!((present(&net), downs(&net)), (vec![4; 5], 0));
+    net.run_until(14 * S, &all_healthy);
+    assert!((0..5).all(|node| suspicion(&net, node) == 0.0));
+    assert_eq!((present(&net), death_count(&net)), (vec![4; 5], 0));
 }
 
 #[test]
-fn liars_cast_no_more_doubt_than_their_bound_and_are_soon_not_believed() {
-    for (liars, nodes) in [(1, 5), (2, 5), (1, 2), (3, 12)] {
-        let mut net = started(nodes, 2);
-        let lies = move |node: usize, now: Micros| match node {
-            _ if node < liars => {
-                (0..20).map(|s| seen(s, if s < 4 || s == SERVER { 1.0 } else { 0.0 }, 9)).collect()
+fn false_suspicions_stay_within_bound_and_lose_credit() {
+    for (false_witnesses, nodes) in [(1, 5), (2, 5), (1, 2), (3, 12)] {
+        let mut net = started_fleet(nodes, 2);
+        let false_reports = move |node: usize, now: Micros| match node {
+            _ if node < false_witnesses => {
+                (0..20).map(|s| observation(s, if s < 4 || s == SERVER { 1.0 } else { 0.0 }, 9)).collect()
             }
-            // The last one has no measurement of its own to hold against them.
+            // The last node has no observations of its own to contradict them.
             _ if node == nodes - 1 => Vec::new(),
-            _ => well(node, now),
+            _ => all_healthy(node, now),
         };
-        let mut worst = 0.0_f64;
+        let mut largest = 0.0_f64;
         for tenth in 100..400 {
-            net.run_until(tenth * S / 10, &lies);
-            for node in liars..nodes {
-                let doubt = net.nodes[node].suspicions.values().copied().fold(0.0, f64::max);
-                worst = worst.max(doubt);
-                assert!(doubt <= max_false_suspicion(liars, nodes) + 1e-9, "{liars} of {nodes}: {doubt}");
+            net.run_until(tenth * S / 10, &false_reports);
+            for node in false_witnesses..nodes {
+                let suspicion = net.nodes[node].suspicions.values().copied().fold(0.0, f64::max);
+                largest = largest.max(suspicion);
+                assert!(
+                    suspicion <= max_false_suspicion(false_witnesses, nodes) + 1e-9,
+                    "{false_witnesses} of {nodes}: {suspicion}"
+                );
             }
         }
-        assert!(worst > 0.0, "the lies have reached them");
+        assert!(largest > 0.0, "the false suspicions have spread");
         if nodes > 2 {
-            assert!(doubt(&net, liars) < 0.05, "own measurements: {}", doubt(&net, liars));
+            assert!(
+                suspicion(&net, false_witnesses) < 0.05,
+                "own observations: {}",
+                suspicion(&net, false_witnesses)
+            );
         }
     }
 }
 
 #[test]
-fn loss_doubling_and_overtaking_take_nobody_out() {
-    let mut net = started(10, 3);
+fn loss_duplication_and_reordering_keep_members_alive() {
+    let mut net = started_fleet(10, 3);
     net.conditions = NetworkConditions { loss: 0.3, duplication: 0.2, delay: (300, 40_000) };
-    net.run_until(130 * S, &well);
-    assert_eq!(downs(&net), 0);
+    net.run_until(130 * S, &all_healthy);
+    assert_eq!(death_count(&net), 0);
     assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 16 * 1024));
-    let stalls = |node: usize, _: Micros| if node < 8 { vec![seen(SERVER, 1.0, 0)] } else { Vec::new() };
-    net.run_until(133 * S, &stalls);
-    assert!(doubt(&net, 9) > 0.5, "{}", doubt(&net, 9));
+    let stalling =
+        |node: usize, _: Micros| if node < 8 { vec![observation(SERVER, 1.0, 0)] } else { Vec::new() };
+    net.run_until(133 * S, &stalling);
+    assert!(suspicion(&net, 9) > 0.5, "{}", suspicion(&net, 9));
 }
 
 #[test]
-fn a_way_that_is_cut_in_one_direction_takes_nobody_out() {
-    let mut net = started(5, 4);
+fn one_way_link_loss_keeps_members_alive() {
+    let mut net = started_fleet(5, 4);
     net.is_cut = Box::new(|from, to| from == 0 && to == 1);
-    net.run_until(60 * S, &well);
-    assert_eq!((present(&net), downs(&net)), (vec![4; 5], 0));
+    net.run_until(60 * S, &all_healthy);
+    assert_eq!((present(&net), death_count(&net)), (vec![4; 5], 0));
 }
 
 #[test]
-fn both_sides_of_a_partition_go_on_within_their_bound_and_find_each_other_again() {
-    let mut net = started(12, 5);
+fn partition_stays_within_limits_and_heals() {
+    let mut net = started_fleet(12, 5);
     net.is_cut = Box::new(|from, to| (from < 4) != (to < 4));
     for second in 11..71 {
-        net.run_until(second * S, &well);
-        let taken: f64 = net.nodes.iter().map(|node| 1.0 / f64::from(node.position.unwrap().nodes)).sum();
-        assert!(taken <= 2.0 + 1e-9, "all take {taken} times what they may after {second} s");
+        net.run_until(second * S, &all_healthy);
+        let total_share: f64 =
+            net.nodes.iter().map(|node| 1.0 / f64::from(node.position.unwrap().nodes)).sum();
+        assert!(total_share <= 2.0 + 1e-9, "the shares add up to {total_share} after {second} s");
     }
     assert_eq!(present(&net), [vec![3; 4], vec![7; 8]].concat());
     net.is_cut = Box::new(|_, _| false);
-    net.run_until(100 * S, &well);
+    net.run_until(100 * S, &all_healthy);
     assert_eq!(present(&net), vec![11; 12]);
     assert!(net.nodes.iter().all(|node| node.position.unwrap().nodes == 12));
 }
 
 #[test]
-fn a_node_that_stood_still_believes_nobody_dead() {
-    let mut net = started(6, 6);
+fn paused_node_declares_no_member_dead() {
+    let mut net = started_fleet(6, 6);
     net.pause(2, 10 * S);
-    net.run_until(20 * S + S / 10, &well);
-    assert_eq!(present(&net)[2], 5, "right after it woke");
-    net.run_until(40 * S, &well);
+    net.run_until(20 * S + S / 10, &all_healthy);
+    assert_eq!(present(&net)[2], 5, "right after the pause");
+    net.run_until(40 * S, &all_healthy);
     assert_eq!(present(&net), vec![5; 6]);
     let notes = &net.nodes[2].log_events;
     assert!(notes.iter().any(|(_, note)| matches!(note, LogEvent::ProcessPaused(_))), "{notes:?}");
@@ -156,75 +169,75 @@
 }
 
 #[test]
-fn one_that_is_killed_is_missed_and_its_part_goes_over_by_steps() {
-    let mut net = started(5, 7);
+fn killed_node_is_detected_and_its_share_taken_over() {
+    let mut net = started_fleet(5, 7);
     net.kill(1);
-    net.run_until(25 * S, &well);
+    net.run_until(25 * S, &all_healthy);
     assert_eq!(present(&net), vec![3; 4]);
-    let of = |net: &Net, node: usize| net.nodes[node].position.unwrap();
-    net.run_until(40 * S, &well);
-    assert_eq!([0, 2, 3, 4].map(|node| of(&net, node).nodes), [4; 4]);
-    assert_eq!([0, 2, 3, 4].map(|node| of(&net, node).rank), [0, 2, 3, 4], "places stay");
+    let position_of = |net: &Net, node: usize| net.nodes[node].position.unwrap();
+    net.run_until(40 * S, &all_healthy);
+    assert_eq!([0, 2, 3, 4].map(|node| position_of(&net, node).nodes), [4; 4]);
+    assert_eq!([0, 2, 3, 4].map(|node| position_of(&net, node).rank), [0, 2, 3, 4], "ranks stay");
     net.start(1);
-    net.run_until(45 * S, &well);
-    assert_eq!((present(&net), of(&net, 0).nodes), (vec![4; 5], 5));
+    net.run_until(45 * S, &all_healthy);
+    assert_eq!((present(&net), position_of(&net, 0).nodes), (vec![4; 5], 5));
 }
 
 #[test]
-fn a_restart_that_is_announced_keeps_its_part_and_one_for_good_does_not() {
-    let mut net = started(4, 8);
+fn announced_restart_keeps_its_share_and_leaving_does_not() {
+    let mut net = started_fleet(4, 8);
     net.input(1, Input::Leave { restarts: true });
     net.input(2, Input::Leave { restarts: false });
-    net.run_until(net.now + S / 10, &well);
+    net.run_until(net.now + S / 10, &all_healthy);
     net.kill(1);
     net.kill(2);
-    net.run_until(40 * S, &well);
-    assert_eq!(net.nodes[0].position.unwrap().nodes, 3, "the one that restarts is counted");
-    assert_eq!(downs(&net), 0, "both had said so");
+    net.run_until(40 * S, &all_healthy);
+    assert_eq!(net.nodes[0].position.unwrap().nodes, 3, "the restarting node is counted");
+    assert_eq!(death_count(&net), 0, "both had announced it");
     net.start(1);
-    net.run_until(45 * S, &well);
+    net.run_until(45 * S, &all_healthy);
     assert_eq!(present(&net), vec![2; 3]);
 }
 
 #[test]
-fn all_restart_together() {
-    let mut net = started(40, 9);
+fn all_nodes_restart_together() {
+    let mut net = started_fleet(40, 9);
     (0..40).for_each(|node| net.kill(node));
-    net.run_until(11 * S, &well);
+    net.run_until(11 * S, &all_healthy);
     net.start_all();
-    net.run_until(41 * S, &well);
+    net.run_until(41 * S, &all_healthy);
     assert_eq!(present(&net), vec![39; 40]);
     assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 16 * 1024));
 }
 
 #[test]
-fn many_that_know_only_the_same_few_find_each_other_within_a_low_ceiling() {
+fn many_nodes_join_through_few_seeds_within_a_low_rate_limit() {
     let mut net = Net::new(60, 14, |_, settings| settings.max_bytes_per_second = 8192);
     net.start_all();
-    net.run_until(45 * S, &well);
+    net.run_until(45 * S, &all_healthy);
     assert_eq!(present(&net), vec![59; 60]);
     assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 8192));
 }
 
 #[test]
-fn what_was_recorded_is_not_taken_again() {
+fn replayed_packets_are_rejected() {
     let mut net = Net::new(3, 10, |_, _| {});
     net.recorded = Some(Vec::new());
     net.start_all();
-    net.run_until(10 * S, &well);
+    net.run_until(10 * S, &all_healthy);
     let recorded = net.recorded.take().unwrap();
-    // Yesterday's packets, to processes that run on, and to one that is new.
+    // The recorded packets go to processes that still run, and to one that has restarted.
     net.kill(2);
     net.start(2);
-    net.run_until(15 * S, &well);
+    net.run_until(15 * S, &all_healthy);
     let figures = |net: &Net, node: usize| net.nodes[node].gossip.as_ref().unwrap().counters();
-    let quiet = 1_000;
-    let mut last = Vec::new();
+    let gap = 1_000;
+    let mut replayed_counts = Vec::new();
     for node in 0..3 {
         let before = figures(&net, node);
         for (from, _, bytes) in recorded.iter().filter(|(_, to, _)| *to == node).take(60) {
             let mut out = Vec::new();
-            let now = net.now + quiet;
+            let now = net.now + gap;
             net.nodes[node].gossip.as_mut().unwrap().handle(
                 now,
                 Input::Packet(address(*from), bytes),
@@ -233,23 +246,23 @@
         }
         let after = figures(&net, node);
         assert_eq!(before.accepted, after.accepted, "node {node}");
-        last.push(after.replayed - before.replayed);
+        replayed_counts.push(after.replayed - before.replayed);
     }
-    assert!(last.iter().all(|replayed| *replayed > 5), "{last:?}");
+    assert!(replayed_counts.iter().all(|replayed| *replayed > 5), "{replayed_counts:?}");
 }
 
 #[test]
-fn a_packet_that_was_changed_or_signed_by_another_key_leaves_no_trace() {
-    let mut net = started(2, 11);
+fn modified_packets_have_no_effect() {
+    let mut net = started_fleet(2, 11);
     net.recorded = Some(Vec::new());
-    net.run_until(11 * S, &well);
+    net.run_until(11 * S, &all_healthy);
     let (from, to, bytes) = net.recorded.take().unwrap().into_iter().next_back().unwrap();
     let members = net.nodes[to].gossip.as_ref().unwrap().members();
     for at in 0..bytes.len() {
         let mut bytes = bytes.clone();
         bytes[at] ^= 1 << (at % 8);
-        // Time passes, so that not the flood's limit turns them away.
-        net.run_until(net.now + S / 50, &well);
+        // Time passes between packets, so that the rate limit does not drop them.
+        net.run_until(net.now + S / 50, &all_healthy);
         let gossip = net.nodes[to].gossip.as_mut().unwrap();
         let before = gossip.counters();
         let now = net.now;
@@ -266,40 +279,40 @@
 }
 
 #[test]
-fn keys_are_rotated_with_an_overlap() {
+fn key_rotation_with_overlap_keeps_members_alive() {
     use dunelink_gossip::{KeyRing, Secret};
-    let mut net = started(3, 12);
+    let mut net = started_fleet(3, 12);
     let (old, new) = (net.secret(0), Secret::from_seed([9; 32]));
     let others = || format!("n1 {}\nn2 {}\n", net.secret(1).public_hex(), net.secret(2).public_hex());
-    let both = format!("n0 {}\nn0 {}\n{}", old.public_hex(), new.public_hex(), others());
-    let only = format!("n0 {}\n{}", new.public_hex(), others());
+    let both_keys = format!("n0 {}\nn0 {}\n{}", old.public_hex(), new.public_hex(), others());
+    let new_key_only = format!("n0 {}\n{}", new.public_hex(), others());
     let ring = |text: &str| KeyRing::parse(text).unwrap();
     for node in 0..3 {
-        net.input(node, Input::Keys(ring(&both), net.secret(node)));
+        net.input(node, Input::Keys(ring(&both_keys), net.secret(node)));
     }
-    net.run_until(20 * S, &well);
-    net.input(0, Input::Keys(ring(&both), Secret::from_seed([9; 32])));
-    net.run_until(30 * S, &well);
+    net.run_until(20 * S, &all_healthy);
+    net.input(0, Input::Keys(ring(&both_keys), Secret::from_seed([9; 32])));
+    net.run_until(30 * S, &all_healthy);
     for node in 0..3 {
         let secret = if node == 0 { Secret::from_seed([9; 32]) } else { net.secret(node) };
-        net.input(node, Input::Keys(ring(&only), secret));
+        net.input(node, Input::Keys(ring(&new_key_only), secret));
     }
-    net.run_until(60 * S, &well);
-    assert_eq!((present(&net), downs(&net)), (vec![2; 3], 0));
-    // One that goes on with the old key is not heard any more.
-    net.input(0, Input::Keys(ring(&both), net.secret(0)));
-    net.run_until(90 * S, &well);
+    net.run_until(60 * S, &all_healthy);
+    assert_eq!((present(&net), death_count(&net)), (vec![2; 3], 0));
+    // A node that continues with the old key is not accepted any more.
+    net.input(0, Input::Keys(ring(&both_keys), net.secret(0)));
+    net.run_until(90 * S, &all_healthy);
     assert_eq!(present(&net)[1..], [1, 1]);
 }
 
 #[test]
-fn two_processes_of_one_name_are_told_of() {
+fn two_processes_of_one_name_are_logged() {
     let mut net = Net::new(3, 13, |node, settings| {
         settings.name = if node == 1 { "n0".into() } else { settings.name.clone() };
     });
     net.start(0);
     net.start(2);
-    // The second has the first one's secret too.
+    // The second process has the first one's secret, too.
     let mut settings = dunelink_gossip::Settings {
         name: "n0".into(),
         address: address(1),
@@ -313,100 +326,103 @@
     settings.seed += 1;
     net.nodes[1].gossip = dunelink_gossip::Gossip::new(settings, net.ring(), net.secret(0), net.now);
     net.input(1, Input::Tick);
-    net.run_until(40 * S, &well);
-    let shared =
+    net.run_until(40 * S, &all_healthy);
+    let logged_duplicate =
         |node: usize| net.nodes[node].log_events.iter().any(|(_, note)| *note == LogEvent::DuplicateName);
-    assert!(shared(0) || shared(1));
+    assert!(logged_duplicate(0) || logged_duplicate(1));
 }
 
-/// Kills nodes one by one; how long until all others know, sorted.
-fn until_dead(net: &mut Net, victims: &[usize]) -> Vec<Micros> {
-    let mut took = Vec::new();
+/// Kills nodes one by one; returns the sorted times until all others saw each as dead.
+fn detection_times(net: &mut Net, victims: &[usize]) -> Vec<Micros> {
+    let mut times = Vec::new();
     for victim in victims {
         let name = format!("n{victim}");
         net.kill(*victim);
         let began = net.now;
-        let dead = |net: &Net| {
+        let seen_dead = |net: &Net| {
             let others = net.nodes.iter().filter_map(|node| node.gossip.as_ref());
-            let of = |gossip: &dunelink_gossip::Gossip| gossip.members().into_iter().find(|m| m.name == name);
-            others.map(of).all(|seen| seen.is_some_and(|m| m.liveness == Liveness::Dead))
+            let position_of =
+                |gossip: &dunelink_gossip::Gossip| gossip.members().into_iter().find(|m| m.name == name);
+            others
+                .map(position_of)
+                .all(|observation| observation.is_some_and(|m| m.liveness == Liveness::Dead))
         };
-        while !dead(net) && net.now - began < 10 * S {
-            net.run_until(net.now + S / 20, &well);
+        while !seen_dead(net) && net.now - began < 10 * S {
+            net.run_until(net.now + S / 20, &all_healthy);
         }
-        took.push(net.now - began);
+        times.push(net.now - began);
         net.start(*victim);
-        net.run_until(net.now + 4 * S, &well);
+        net.run_until(net.now + 4 * S, &all_healthy);
     }
-    took.sort_unstable();
-    took
+    times.sort_unstable();
+    times
 }
 
-/// Detection, and what a node that joins knows 3 s later.
-fn is_missed(nodes: usize, victims: &[usize]) {
+/// Checks how fast killed nodes are detected, and that a joining node knows all members within 3 s.
+fn check_detection_and_join(nodes: usize, victims: &[usize]) {
     let mut net = Net::new(nodes, 16, |_, _| {});
     net.conditions = NetworkConditions { loss: 0.01, ..NetworkConditions::default() };
     net.start_all();
-    net.run_until(30 * S, &well);
-    let took = until_dead(&mut net, victims);
-    println!("{nodes} nodes: dead for all after {took:?} us");
-    assert!(took[took.len() / 2] <= 2 * S, "median: {took:?}");
-    assert!(took[took.len() - 1] <= 4 * S, "worst: {took:?}");
+    net.run_until(30 * S, &all_healthy);
+    let times = detection_times(&mut net, victims);
+    println!("{nodes} nodes: seen as dead by all after {times:?} us");
+    assert!(times[times.len() / 2] <= 2 * S, "median: {times:?}");
+    assert!(times[times.len() - 1] <= 4 * S, "worst: {times:?}");
     net.kill(1);
-    net.run_until(net.now + 5 * S, &well);
+    net.run_until(net.now + 5 * S, &all_healthy);
     net.start(1);
-    net.run_until(net.now + 3 * S, &well);
+    net.run_until(net.now + 3 * S, &all_healthy);
     assert_eq!(net.nodes[1].gossip.as_ref().unwrap().members().len(), nodes - 1);
 }
 
 #[test]
-fn a_killed_node_is_known_dead_to_all_in_two_seconds_and_one_that_joins_knows_all_in_three() {
-    is_missed(5, &(0..31).map(|kill| (kill * 7 + 3) % 5).collect::<Vec<_>>());
-    is_missed(50, &[7, 19, 3, 48, 22]);
+fn death_is_detected_in_two_seconds_and_joining_takes_three() {
+    check_detection_and_join(5, &(0..31).map(|kill| (kill * 7 + 3) % 5).collect::<Vec<_>>());
+    check_detection_and_join(50, &[7, 19, 3, 48, 22]);
 }
 
 #[test]
 #[ignore = "takes some minutes"]
-fn the_same_with_300_nodes() {
-    is_missed(300, &[7, 119, 203, 48, 22, 299, 150]);
+fn detection_and_join_with_300_nodes() {
+    check_detection_and_join(300, &[7, 119, 203, 48, 22, 299, 150]);
 }
 
 #[test]
-fn a_twentieth_of_all_packets_lost_takes_no_healthy_node_out() {
-    let mut net = started(10, 17);
+fn five_percent_loss_keeps_members_alive() {
+    let mut net = started_fleet(10, 17);
     net.conditions = NetworkConditions { loss: 0.05, ..NetworkConditions::default() };
-    // A hundred node minutes; the thousand are played by `dunelink-bench gossip`.
-    net.run_until(610 * S, &well);
-    assert_eq!(downs(&net), 0);
+    // One hundred node minutes; `dunelink-bench gossip` runs a thousand.
+    net.run_until(610 * S, &all_healthy);
+    assert_eq!(death_count(&net), 0);
 }
 
-/// How long many that start at once, and know the same few, need to find each other.
-fn found_after(count: usize, seed: u64, most: Micros) -> Micros {
+/// How long nodes that start at once and know the same few seeds need to find each other.
+fn join_time(count: usize, seed: u64, limit: Micros) -> Micros {
     let mut net = Net::new(count, seed, |_, _| {});
     net.conditions = NetworkConditions { loss: 0.01, ..NetworkConditions::default() };
     net.start_all();
     let began = net.now;
     while present(&net) != vec![count - 1; count] {
-        assert!(net.now - began < most, "{count} nodes, seed {seed}: {:?}", present(&net));
-        net.run_until(net.now + S / 4, &well);
+        assert!(net.now - began < limit, "{count} nodes, seed {seed}: {:?}", present(&net));
+        net.run_until(net.now + S / 4, &all_healthy);
     }
     assert!(net.nodes.iter().all(|node| node.peak_bytes_per_second <= 16 * 1024));
     net.now - began
 }
 
 #[test]
-fn sixty_find_each_other_from_nothing_in_four_seconds() {
+fn sixty_nodes_find_each_other_in_four_seconds() {
     for seed in 1..=3 {
-        found_after(60, seed, 4 * S);
+        join_time(60, seed, 4 * S);
     }
 }
 
 /// `cargo test --release -p dunelink-gossip --test fleet -- --ignored`.
 #[test]
 #[ignore = "takes minutes"]
-fn three_hundred_find_each_other_from_nothing_in_ten_seconds_and_a_thousand_in_thirty() {
+fn hundreds_of_nodes_find_each_other_in_time() {
     for seed in 1..=5 {
-        println!("300, seed {seed}: {:.2} s", found_after(300, seed, 10 * S) as f64 / 1e6);
+        println!("300, seed {seed}: {:.2} s", join_time(300, seed, 10 * S) as f64 / 1e6);
     }
-    println!("1000: {:.2} s", found_after(1000, 1, 30 * S) as f64 / 1e6);
+    println!("1000: {:.2} s", join_time(1000, 1, 30 * S) as f64 / 1e6);
 }
--- a/crates/reach/src/health.rs
+++ b/crates/reach/src/health.rs
@@ -1,144 +1,145 @@
-//! How a node takes its own stance: it says that it is not ready while it is worse off than the fleet, alone
-//! in that, and while enough others are ready.
+//! How a node determines its own condition and whether it reports that it is not ready: only while it is
+//! worse off than the rest of the fleet, and while enough other nodes are ready.
 
 use crate::matrix::{Condition, ReachMatrix};
-use crate::row::{Lately, MAX_ZONES, Row, ZoneReachability, cut};
+use crate::row::{MAX_ZONES, Row, WindowedGrowth, ZoneReachability, truncate_zone};
 use crate::{Micros, Name, Process, ROW_INTERVAL, row_interval};
 
-/// A stance counts once it has lasted for so long.
-const LASTS: Micros = 2 * ROW_INTERVAL;
-/// A node that stepped aside is ready again once it has been well for so long.
-const WELL_FOR: Micros = 5 * ROW_INTERVAL;
+/// A condition counts once it has lasted this long.
+const MIN_CONDITION_TIME: Micros = 2 * ROW_INTERVAL;
+/// A node that is not ready becomes ready once its condition has been healthy for this long.
+const RECOVERY_TIME: Micros = 5 * ROW_INTERVAL;
 
-/// What a node is told once.
+/// Fixed settings of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its process.
+    /// This node's process.
     pub me: Process,
     /// Its zone; empty if it has none.
     pub zone: String,
-    /// The part of the fleet, and of its zone, that is ready without it at least when it says that it is not;
-    /// over 1 it never does.
+    /// The least fraction of the fleet, and of the node's zone, that has to be ready without this node before
+    /// it reports that it is not ready; above 1 it never does.
     pub min_ready_fraction: f64,
 }
 
-/// What happened.
+/// An event for the monitor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A process told its row.
+    /// A row was received from its process.
     Received(Process, Row),
-    /// What this node has seen of servers by zone, the list (milliseconds since it was heard), and, as sums
-    /// since the start, requests that were served, that failed, and milliseconds in which it stood still.
+    /// This node's own observations: servers by zone; milliseconds since it last heard from the server list,
+    /// `None` if never; and sums since the start of requests served, requests failed and milliseconds in
+    /// which the process was paused.
     OwnMeasurements(Vec<ZoneReachability>, Option<u32>, [u64; 3]),
-    /// The members of the fleet's view, this node among them if it is one; nobody else's row counts.
+    /// The members of the fleet's view, including this node if it is one; rows of other nodes are ignored.
     Members(Vec<Name>),
-    /// Whether this node holds the right to say that it is not ready.
+    /// Whether this node holds the lease to report that it is not ready.
     UnreadyLease(bool),
 }
 
-/// What is to be done, or was found.
+/// An action for the caller, or a notification.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Tell this row to all members.
+    /// Send this row to all members.
     SendRow(Row),
-    /// This node is something else than before.
+    /// The node's condition has changed.
     Condition(Condition),
-    /// It wants the right to step aside, or does not any more.
+    /// Whether the node wants the lease to report that it is not ready has changed.
     WantUnready(bool),
-    /// It says from now on that it is ready, or that it is not.
+    /// Whether the node reports that it is ready has changed.
     Ready(bool),
 }
 
-/// One node's part.
+/// Monitors the health of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthMonitor {
     settings: Settings,
     matrix: ReachMatrix,
-    seen: (Vec<ZoneReachability>, Option<u32>, [u64; 3]),
-    lately: Lately,
-    beat_at: Micros,
-    /// What it was last found to be, and since when.
-    found: (Condition, Micros),
-    stance: Condition,
-    wants: bool,
-    may: bool,
+    own_measurements: (Vec<ZoneReachability>, Option<u32>, [u64; 3]),
+    growth: WindowedGrowth,
+    send_row_at: Micros,
+    /// The condition by the last check, and since when.
+    measured: (Condition, Micros),
+    condition: Condition,
+    wants_unready: bool,
+    holds_unready_lease: bool,
     ready: bool,
 }
 
 impl HealthMonitor {
-    /// A node that starts now, and is ready.
+    /// A node that starts at `now` and is ready.
     pub fn new(settings: Settings, now: Micros) -> HealthMonitor {
-        let Settings { me, zone, min_ready_fraction: floor } = settings;
+        let Settings { me, zone, min_ready_fraction } = settings;
         HealthMonitor {
             matrix: ReachMatrix::new(me.name),
-            settings: Settings { me, zone: cut(&zone), min_ready_fraction: floor },
-            seen: Default::default(),
-            lately: Lately::default(),
-            beat_at: now,
-            found: (Condition::Healthy, now),
-            stance: Condition::Healthy,
-            wants: false,
-            may: false,
+            settings: Settings { me, zone: truncate_zone(&zone), min_ready_fraction },
+            own_measurements: Default::default(),
+            growth: WindowedGrowth::default(),
+            send_row_at: now,
+            measured: (Condition::Healthy, now),
+            condition: Condition::Healthy,
+            wants_unready: false,
+            holds_unready_lease: false,
             ready: true,
         }
     }
 
-    /// When it wants to be looked at next.
+    /// When [`Self::handle`] should be called next, even if no event has happened.
     pub fn next_wakeup(&self) -> Micros {
-        self.beat_at
+        self.send_row_at
     }
 
-    /// All rows.
+    /// All known rows.
     pub fn matrix(&self) -> &ReachMatrix {
         &self.matrix
     }
 
-    /// What this node is.
+    /// The node's own condition.
     pub fn condition(&self) -> &Condition {
-        &self.stance
+        &self.condition
     }
 
-    /// Whether it says that it is ready.
+    /// Whether the node reports that it is ready.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Takes in what happened, and appends what is to be done.
+    /// Handles an event and appends the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
             Input::Received(from, row) if self.matrix.members().contains(&from.name) => {
-                self.matrix.hear(now, from, row)
+                self.matrix.record_row(now, from, row)
             }
             Input::Received(..) => {}
             Input::OwnMeasurements(mut zones, list, sums) => {
-                zones.iter_mut().for_each(|reach| reach.zone = cut(&reach.zone));
-                // Those of which most is known.
+                zones.iter_mut().for_each(|reach| reach.zone = truncate_zone(&reach.zone));
+                // Keeps the zones with the most servers.
                 zones.sort_by_key(|reach| std::cmp::Reverse(reach.answering.saturating_add(reach.silent)));
                 zones.truncate(MAX_ZONES);
-                self.seen = (zones, list, sums);
+                self.own_measurements = (zones, list, sums);
             }
             Input::Members(members) => {
                 self.matrix.set_members(members);
             }
-            Input::UnreadyLease(held) => self.may = held,
+            Input::UnreadyLease(held) => self.holds_unready_lease = held,
         }
-        if now >= self.beat_at {
-            self.beat_at = now + row_interval(self.matrix.members().len());
-            self.look(now, out);
+        if now >= self.send_row_at {
+            self.send_row_at = now + row_interval(self.matrix.members().len());
+            self.update_row(now, out);
         }
-        self.settle(now, out);
+        self.update_readiness(now, out);
     }
 
-    /// Makes its own row anew, tells it, and finds out what it is.
-    fn look(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let (zones, list_ms, sums) = self.seen.clone();
-        let [served, failed, stalled] = self.lately.grew(now, sums);
-        let span = (self.lately.span(now) / 1000).max(1);
+    /// Updates and sends the node's own row, and determines its condition.
+    fn update_row(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let (zones, list_age_ms, sums) = self.own_measurements.clone();
+        let [served, failed, stalled] = self.growth.record(now, sums);
+        let covered_ms = (self.growth.covered_time(now) / 1000).max(1);
         let count = |count: u64| u32::try_from(count).unwrap_or(u32::MAX);
-        let stalled = (stalled * 1000 / span).min(1000) as u16;
+        let stalled_permille = (stalled * 1000 / covered_ms).min(1000) as u16;
         let (zone, ready) = (self.settings.zone.clone(), self.ready);
         let (served, failed) = (count(served), count(failed));
         self.matrix.set_own(
@@ -147,31 +148,31 @@
                 zone,
                 receives_from: Vec::new(),
                 zones,
-                list_age_ms: list_ms,
+                list_age_ms,
                 served,
                 failed,
-                stalled_permille: stalled,
+                stalled_permille,
                 ready,
             },
         );
         out.push(Output::SendRow(self.matrix.own().clone()));
-        // Where nobody is a member yet, nobody is cut off.
-        let found = match self.matrix.members().iter().any(|name| *name != self.settings.me.name) {
+        // As long as no other node is a member, this node cannot be cut off.
+        let measured = match self.matrix.members().iter().any(|name| *name != self.settings.me.name) {
             true => self.matrix.condition(now, self.settings.me.name),
             false => Condition::Healthy,
         };
-        if self.found.0 != found {
-            self.found = (found, now);
+        if self.measured.0 != measured {
+            self.measured = (measured, now);
         }
-        let (found, since) = &self.found;
-        if *found != self.stance && now.saturating_sub(*since) >= LASTS {
-            self.stance = found.clone();
-            out.push(Output::Condition(found.clone()));
+        let (measured, since) = &self.measured;
+        if *measured != self.condition && now.saturating_sub(*since) >= MIN_CONDITION_TIME {
+            self.condition = measured.clone();
+            out.push(Output::Condition(measured.clone()));
         }
     }
 
-    /// Whether enough are ready without this one, in the fleet and in its zone.
-    fn is_spared(&self, now: Micros) -> bool {
+    /// Whether enough other nodes are ready, in the fleet and in this node's zone.
+    fn enough_others_ready(&self, now: Micros) -> bool {
         let me = self.settings.me.name;
         let zone = &self.settings.zone;
         let ready = |name: &&Name| **name != me && self.matrix.row(now, **name).is_some_and(|row| row.ready);
@@ -182,23 +183,24 @@
             ready as f64 >= self.settings.min_ready_fraction * all.len() as f64 && ready > 0
         };
         let all: Vec<&Name> = self.matrix.members().iter().collect();
-        let near: Vec<&Name> = self.matrix.members().iter().filter(in_zone).collect();
-        all.contains(&&me) && enough(&all) && enough(&near)
+        let same_zone: Vec<&Name> = self.matrix.members().iter().filter(in_zone).collect();
+        all.contains(&&me) && enough(&all) && enough(&same_zone)
     }
 
-    /// What it wants and says, by what it is and what it may.
-    fn settle(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let well = self.found.0 == Condition::Healthy && now.saturating_sub(self.found.1) >= WELL_FOR;
-        // One that is aside stays so until it has been well for a while.
-        let worse = self.stance.is_worse_than_fleet() || self.wants && !well;
-        let wants = worse && self.is_spared(now);
-        if std::mem::replace(&mut self.wants, wants) != wants {
-            out.push(Output::WantUnready(wants));
+    /// Updates whether the node wants the lease and whether it reports ready.
+    fn update_readiness(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let is_recovered =
+            self.measured.0 == Condition::Healthy && now.saturating_sub(self.measured.1) >= RECOVERY_TIME;
+        // A node that is not ready stays so until it has been healthy for a while.
+        let should_be_unready = self.condition.is_worse_than_fleet() || self.wants_unready && !is_recovered;
+        let wants_unready = should_be_unready && self.enough_others_ready(now);
+        if std::mem::replace(&mut self.wants_unready, wants_unready) != wants_unready {
+            out.push(Output::WantUnready(wants_unready));
         }
-        let ready = !(wants && self.may);
+        let ready = !(wants_unready && self.holds_unready_lease);
         if std::mem::replace(&mut self.ready, ready) != ready {
-            // The others count on it.
-            self.beat_at = now;
+            // The other nodes use this at once.
+            self.send_row_at = now;
             out.push(Output::Ready(ready));
         }
     }
--- a/crates/reach/src/matrix.rs
+++ b/crates/reach/src/matrix.rs
@@ -1,43 +1,47 @@
-//! All rows together, and what a node is by them.
+//! The matrix of all rows, and the condition of each node that follows from it.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::row::Row;
-use crate::{Micros, Name, Process, SILENCE, row_interval};
-
-/// The part of a node's servers that is silent, at one that does not reach them and at others that do; and
-/// servers that it must have tried.
-const SILENT: (f64, f64) = (0.8, 0.3);
-const TRIED_LEAST: u32 = 3;
-/// By how much more of its requests fail than at the others, and of how many at least.
-const FAILS: f64 = 0.2;
-const ENDED_LEAST: u32 = 20;
-/// Milliseconds of each second in which a node stands still that is said to, and others at most.
-const STALLS: (u16, u16) = (100, 30);
-/// How long a node has heard nothing from the list that others hear.
-const LIST_MS: (u32, u32) = (10_000, 5_000);
-
-/// What a node is, as against the fleet. The first that fits counts.
+use crate::{Micros, Name, Process, ROW_TIMEOUT_HALF_INTERVALS, row_interval};
+
+/// The fraction of silent servers from which a node counts as not reaching them, and up to which the other
+/// nodes count as reaching them; and the least number of servers that a node must have tried.
+const SILENT_FRACTION: (f64, f64) = (0.8, 0.3);
+const MIN_TRIED_SERVERS: u32 = 3;
+/// How much larger a node's fraction of failed requests has to be than the others', and the least number of
+/// requests.
+const MIN_EXTRA_FAILURES: f64 = 0.2;
+const MIN_REQUESTS: u32 = 20;
+/// Paused milliseconds per second: from how many a node counts as pausing, and the largest median of the
+/// others for that.
+const PAUSED_MS_PER_SECOND: (u16, u16) = (100, 30);
+/// Milliseconds since a node heard from the server list: from how many it counts as cut off from the list,
+/// and up to how many the others count as connected to it.
+const LIST_AGE_MS: (u32, u32) = (10_000, 5_000);
+
+/// The condition of a node, compared with the rest of the fleet. The first one that applies is used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// As well off as the others, as far as can be told.
+    /// No worse than the other nodes, as far as known.
     Healthy,
-    /// Nobody hears it and it hears nobody, or less than half do.
+    /// Cut off in both directions: less than half of the nodes receive its rows, and it receives the rows of
+    /// less than half.
     CutOff,
-    /// Its peers hear it, and it hears less than half of them.
+    /// The other nodes receive its rows, but it receives the rows of less than half of them.
     ReceivesNothing,
-    /// It hears its peers, and less than half of them hear it.
+    /// It receives the other nodes' rows, but less than half of them receive its rows.
     NotReceived,
-    /// It stands still again and again.
+    /// Its process pauses repeatedly.
     Stalls,
-    /// It does not reach servers that others reach: in this zone, or in none if the name is empty.
+    /// It does not reach servers that other nodes reach: in this zone, or anywhere if the name is empty.
     NoServers(String),
-    /// More of its requests fail than of others'.
+    /// A larger fraction of its requests fails than of the others'.
     FailsRequests,
-    /// It does not hear the list that others hear. That alone is no reason to send it nothing.
+    /// It does not hear from the server list although others do. This alone is no reason to avoid the node.
     NoServerList,
-    /// No row of it has come, though others hear it.
+    /// This node has no recent row of it, but other nodes do.
     NoRow,
 }
 
@@ -59,14 +63,14 @@
 }
 
 impl Condition {
-    /// Whether clients are better off at another node.
+    /// Whether clients are better served by other nodes.
     pub fn is_worse_than_fleet(&self) -> bool {
         !matches!(self, Condition::Healthy | Condition::NoServerList | Condition::NoRow | Condition::CutOff)
             && !matches!(self, Condition::NoServers(zone) if !zone.is_empty())
     }
 }
 
-/// The rows that this node has.
+/// The rows that this node knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReachMatrix {
     me: Name,
@@ -77,16 +81,17 @@
 
 fn median<T: PartialOrd + Copy>(mut values: Vec<T>) -> Option<T> {
     values.sort_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
-    // Of an even number the better one: what half of the fleet suffers is no node's own fault.
+    // For an even number the upper of the two middle values: what affects half of the fleet is not attributed
+    // to a single node.
     values.get(values.len() / 2).copied()
 }
 
-fn part(of: u32, rest: u32) -> f64 {
+fn fraction(of: u32, rest: u32) -> f64 {
     f64::from(of) / (f64::from(of) + f64::from(rest)).max(1.0)
 }
 
 impl ReachMatrix {
-    /// A node that knows of nobody yet.
+    /// The matrix of a node that knows no other node yet.
     pub fn new(me: Name) -> ReachMatrix {
         ReachMatrix {
             me,
@@ -106,14 +111,14 @@
         self.own = row;
     }
 
-    /// A process told its row, directly.
-    pub(crate) fn hear(&mut self, now: Micros, from: Process, row: Row) {
-        if from.name != self.me && row.is_sound() {
+    /// Records a row received directly from its process.
+    pub(crate) fn record_row(&mut self, now: Micros, from: Process, row: Row) {
+        if from.name != self.me && row.is_valid() {
             self.rows.insert(from.name, (from, now, row));
         }
     }
 
-    /// Only these names count from now on.
+    /// Replaces the members; rows of all other nodes are dropped.
     pub(crate) fn set_members(&mut self, members: Vec<Name>) {
         self.rows.retain(|name, _| members.contains(name));
         self.members = members;
@@ -124,14 +129,14 @@
         &self.members
     }
 
-    /// The others' rows that came lately.
+    /// The recent rows of the other nodes.
     pub fn recent_rows(&self, now: Micros) -> impl Iterator<Item = (Name, &Row)> {
-        let silence = row_interval(self.members.len()) * SILENCE / 2;
-        let fresh = move |at: Micros| now.saturating_sub(at) <= silence;
+        let timeout = row_interval(self.members.len()) * ROW_TIMEOUT_HALF_INTERVALS / 2;
+        let fresh = move |at: Micros| now.saturating_sub(at) <= timeout;
         self.rows.iter().filter(move |(_, (_, at, _))| fresh(*at)).map(|(name, (.., row))| (*name, row))
     }
 
-    /// The row of a name, if it came lately or is this node's own.
+    /// The row of a node, if it is recent or this node's own.
     pub fn row(&self, now: Micros, name: Name) -> Option<&Row> {
         if name == self.me {
             return Some(&self.own);
@@ -139,13 +144,14 @@
         self.recent_rows(now).find(|(other, _)| *other == name).map(|(_, row)| row)
     }
 
-    /// Whether one hears the other, as it says itself; nothing if it has said nothing lately.
-    pub fn receives_from(&self, now: Micros, who: Name, whom: Name) -> Option<bool> {
-        self.row(now, who).map(|row| row.receives_from.contains(&whom))
+    /// Whether the first node receives the second node's rows, by its own report; `None` without a recent row
+    /// of the first.
+    pub fn receives_from(&self, now: Micros, receiver: Name, sender: Name) -> Option<bool> {
+        self.row(now, receiver).map(|row| row.receives_from.contains(&sender))
     }
 
-    /// Ways that are open in one direction only: from whom to whom nothing comes, while the other way it
-    /// does.
+    /// Links that work in one direction only: no rows arrive from the first node at the second, while they do
+    /// arrive from the second at the first.
     pub fn one_way_links(&self, now: Micros) -> Vec<(Name, Name)> {
         let names: Vec<Name> = self.recent_rows(now).map(|(name, _)| name).chain([self.me]).collect();
         let pairs = names.iter().flat_map(|from| names.iter().map(move |to| (*from, *to)));
@@ -157,67 +163,72 @@
         pairs.filter(broken).collect()
     }
 
-    /// What a node is, by all rows.
+    /// The condition of a node, by all known rows.
     pub fn condition(&self, now: Micros, name: Name) -> Condition {
         let others: Vec<(Name, &Row)> =
             self.recent_rows(now).chain([(self.me, &self.own)]).filter(|(other, _)| *other != name).collect();
-        let heard_by = others.iter().filter(|(_, row)| row.receives_from.contains(&name)).count();
-        let all = self.members.iter().filter(|member| **member != name).count();
+        let receivers = others.iter().filter(|(_, row)| row.receives_from.contains(&name)).count();
+        let other_members = self.members.iter().filter(|member| **member != name).count();
         let Some(row) = self.row(now, name) else {
-            let by_others =
+            let others_receive_it =
                 others.iter().any(|(other, row)| *other != self.me && row.receives_from.contains(&name));
-            return if by_others { Condition::NoRow } else { Condition::CutOff };
+            return if others_receive_it { Condition::NoRow } else { Condition::CutOff };
         };
         if others.is_empty() {
             return Condition::CutOff;
         }
-        let hears =
+        let received_count =
             row.receives_from.iter().filter(|other| **other != name && self.members.contains(other)).count();
-        // Those that are somewhere around, by whoever is heard. Where that is no half either, it is a cut.
-        let around = |member: &&Name| {
+        // The members other than this one that anyone still receives rows from. Without half of them, it is a
+        // partition and not a one-way loss.
+        let visible = |member: &&Name| {
             **member != name
                 && others.iter().any(|(other, row)| other == *member || row.receives_from.contains(member))
         };
-        let around = self.members.iter().filter(around).count();
-        match (2 * heard_by >= others.len(), 2 * hears >= all) {
+        let visible = self.members.iter().filter(visible).count();
+        match (2 * receivers >= others.len(), 2 * received_count >= other_members) {
             (true, true) => {}
-            (true, false) if 2 * around >= all => return Condition::ReceivesNothing,
+            (true, false) if 2 * visible >= other_members => return Condition::ReceivesNothing,
             (false, true) => return Condition::NotReceived,
             (_, false) => return Condition::CutOff,
         }
         let rows: Vec<&Row> = others.iter().map(|(_, row)| *row).collect();
-        let still = median(rows.iter().map(|row| row.stalled_permille).collect()).unwrap_or(0);
-        if row.stalled_permille >= STALLS.0 && still <= STALLS.1 {
+        let others_paused = median(rows.iter().map(|row| row.stalled_permille).collect()).unwrap_or(0);
+        if row.stalled_permille >= PAUSED_MS_PER_SECOND.0 && others_paused <= PAUSED_MS_PER_SECOND.1 {
             return Condition::Stalls;
         }
-        if let Some(zone) = unreached(row, &rows) {
+        if let Some(zone) = unreached_zone(row, &rows) {
             return Condition::NoServers(zone);
         }
-        let fails = |row: &Row| part(row.failed, row.served);
-        let enough = |row: &Row| row.served.saturating_add(row.failed) >= ENDED_LEAST;
-        let ended: Vec<f64> = rows.iter().filter(|row| enough(row)).map(|r| fails(r)).collect();
-        let more = median(ended).is_some_and(|others| fails(row) > others + FAILS);
-        if enough(row) && more {
+        let failed_fraction = |row: &Row| fraction(row.failed, row.served);
+        let enough_requests = |row: &Row| row.served.saturating_add(row.failed) >= MIN_REQUESTS;
+        let other_fractions: Vec<f64> =
+            rows.iter().filter(|row| enough_requests(row)).map(|r| failed_fraction(r)).collect();
+        let fails_more =
+            median(other_fractions).is_some_and(|others| failed_fraction(row) > others + MIN_EXTRA_FAILURES);
+        if enough_requests(row) && fails_more {
             return Condition::FailsRequests;
         }
-        let hear_it = rows.iter().filter(|row| row.list_age_ms.is_some_and(|ms| ms <= LIST_MS.1)).count();
-        if row.list_age_ms.is_none_or(|ms| ms >= LIST_MS.0) && 2 * hear_it > rows.len() {
+        let list_receivers =
+            rows.iter().filter(|row| row.list_age_ms.is_some_and(|ms| ms <= LIST_AGE_MS.1)).count();
+        if row.list_age_ms.is_none_or(|ms| ms >= LIST_AGE_MS.0) && 2 * list_receivers > rows.len() {
             return Condition::NoServerList;
         }
         Condition::Healthy
     }
 }
 
-/// Where a node reaches no servers though others do: everywhere (an empty name), or in a zone.
-fn unreached(row: &Row, others: &[&Row]) -> Option<String> {
-    let lost =
-        |(answer, silent): (u32, u32)| answer + silent >= TRIED_LEAST && part(silent, answer) >= SILENT.0;
-    let found = |reach: Vec<(u32, u32)>| {
-        let tried = reach.into_iter().filter(|(answer, silent)| answer + silent >= TRIED_LEAST);
-        median(tried.map(|(answer, silent)| part(silent, answer)).collect())
-            .is_some_and(|part| part <= SILENT.1)
+/// Where a node does not reach servers that other nodes reach: everywhere (an empty name), or in a zone.
+fn unreached_zone(row: &Row, others: &[&Row]) -> Option<String> {
+    let is_unreached = |(answering, silent): (u32, u32)| {
+        answering + silent >= MIN_TRIED_SERVERS && fraction(silent, answering) >= SILENT_FRACTION.0
     };
-    if lost(row.servers()) && found(others.iter().map(|row| row.servers()).collect()) {
+    let others_reach = |reach: Vec<(u32, u32)>| {
+        let tried = reach.into_iter().filter(|(answering, silent)| answering + silent >= MIN_TRIED_SERVERS);
+        median(tried.map(|(answering, silent)| fraction(silent, answering)).collect())
+            .is_some_and(|fraction| fraction <= SILENT_FRACTION.1)
+    };
+    if is_unreached(row.servers()) && others_reach(others.iter().map(|row| row.servers()).collect()) {
         return Some(String::new());
     }
     let of = |row: &Row, zone: &str| {
@@ -226,7 +237,9 @@
     };
     let zones = row.zones.iter().map(|reach| reach.zone.as_str());
     let mut zones = zones.filter(|zone| {
-        !zone.is_empty() && lost(of(row, zone)) && found(others.iter().map(|row| of(row, zone)).collect())
+        !zone.is_empty()
+            && is_unreached(of(row, zone))
+            && others_reach(others.iter().map(|row| of(row, zone)).collect())
     });
     zones.next().map(str::to_owned)
 }
--- a/crates/reach/src/row.rs
+++ b/crates/reach/src/row.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself.
+//! The report that a node sends about itself.
 
 use std::collections::VecDeque;
 
@@ -6,62 +6,62 @@
 
 use crate::{Micros, Name};
 
-/// Bytes of a zone's name; longer ones are cut.
+/// The largest size of a zone's name; longer names are truncated.
 pub const MAX_ZONE_BYTES: usize = 32;
-/// Zones of which a row tells.
+/// The largest number of zones in a row.
 pub const MAX_ZONES: usize = 16;
-/// Nodes that a row names.
-const HEARS_MOST: usize = 64;
-/// How requests ended is told of this time.
+/// The largest number of nodes that a row names.
+const MAX_NAMED_NODES: usize = 64;
+/// The period of the request counts in a row.
 pub const REQUEST_WINDOW: Micros = 10_000_000;
 
-/// How a zone's servers answer a node.
+/// How many of a zone's servers answer a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneReachability {
-    /// The zone; empty where it is not known.
+    /// The zone's name; empty for servers without a known zone.
     pub zone: String,
-    /// Servers that answered lately.
+    /// The number of servers that answered recently.
     #[serde(rename = "answer")]
     pub answering: u16,
-    /// Servers that were tried and have answered nothing since, for a second or longer.
+    /// The number of servers that were tried and have not answered for at least a second.
     pub silent: u16,
 }
 
-/// What a node tells of itself.
+/// A node's report about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its zone; empty where it has none.
+    /// The node's zone; empty if it has none.
     pub zone: String,
-    /// Whose rows come to it directly.
+    /// The nodes whose rows it receives directly.
     #[serde(rename = "hears")]
     pub receives_from: Vec<Name>,
-    /// Servers by zone.
+    /// The reachability of servers in each zone.
     pub zones: Vec<ZoneReachability>,
-    /// For how long it has heard nothing from the list, in milliseconds; nothing if it never has.
+    /// The milliseconds since it last heard from the server list; `None` if it never has.
     #[serde(rename = "list_ms")]
     pub list_age_ms: Option<u32>,
-    /// Requests that it answered in the last [`REQUEST_WINDOW`] by what a server said.
+    /// The number of requests in the last [`REQUEST_WINDOW`] that a server answered.
     pub served: u32,
-    /// Requests that failed in the same time. What it refused on purpose is not among them.
+    /// The number of requests in the same time that failed; deliberate rejections are not counted.
     pub failed: u32,
-    /// Of each thousand milliseconds of that time, those in which it stood still.
+    /// The milliseconds per second of that time in which its process was paused, from 0 to 1000.
     #[serde(rename = "stalled")]
     pub stalled_permille: u16,
-    /// Whether it says that it is ready.
+    /// Whether it reports that it is ready.
     pub ready: bool,
 }
 
 impl Row {
-    /// Whether it holds no more than it may. What others send is looked at once, here.
-    pub fn is_sound(&self) -> bool {
+    /// Whether all parts are within their limits. Received rows are checked once, with this.
+    pub fn is_valid(&self) -> bool {
         let zones = self.zones.iter().map(|reach| &reach.zone).chain([&self.zone]);
-        self.receives_from.len() <= HEARS_MOST
+        self.receives_from.len() <= MAX_NAMED_NODES
             && self.zones.len() <= MAX_ZONES
             && self.stalled_permille <= 1000
             && zones.map(String::len).max().unwrap_or(0) <= MAX_ZONE_BYTES
     }
 
-    /// Servers that answered, and those that are silent, in all zones.
+    /// The numbers of answering and of silent servers in all zones.
     pub(crate) fn servers(&self) -> (u32, u32) {
         let add = |(answer, silent): (u32, u32), reach: &ZoneReachability| {
             (answer + u32::from(reach.answering), silent + u32::from(reach.silent))
@@ -70,20 +70,20 @@
     }
 }
 
-/// A name of a zone, cut to what a row may hold.
-pub(crate) fn cut(zone: &str) -> String {
-    let ends = |end: &usize| zone.is_char_boundary(*end);
-    zone[..(0..=zone.len().min(MAX_ZONE_BYTES)).rev().find(ends).unwrap_or(0)].to_owned()
+/// Truncates a zone's name to the size that a row may hold.
+pub(crate) fn truncate_zone(zone: &str) -> String {
+    let is_boundary = |end: &usize| zone.is_char_boundary(*end);
+    zone[..(0..=zone.len().min(MAX_ZONE_BYTES)).rev().find(is_boundary).unwrap_or(0)].to_owned()
 }
 
-/// Sums that only grow, by time: what came on top in the last [`REQUEST_WINDOW`].
+/// Computes how much monotonic sums have grown within the last [`REQUEST_WINDOW`]: their values with times.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Lately(VecDeque<(Micros, [u64; 3])>);
+pub(crate) struct WindowedGrowth(VecDeque<(Micros, [u64; 3])>);
 
-impl Lately {
-    /// What the sums are now; how much they grew in the window.
-    pub(crate) fn grew(&mut self, now: Micros, sums: [u64; 3]) -> [u64; 3] {
-        // The last one from before the window is where it begins.
+impl WindowedGrowth {
+    /// Records the current sums; returns how much they grew within the window.
+    pub(crate) fn record(&mut self, now: Micros, sums: [u64; 3]) -> [u64; 3] {
+        // The last value from before the window is its starting point.
         while self.0.get(1).is_some_and(|(at, _)| now.saturating_sub(*at) >= REQUEST_WINDOW) {
             self.0.pop_front();
         }
@@ -92,8 +92,8 @@
         std::array::from_fn(|at| sums[at].saturating_sub(first[at]))
     }
 
-    /// For how long that is known, at most the window.
-    pub(crate) fn span(&self, now: Micros) -> Micros {
+    /// The time that the growth covers, at most the window.
+    pub(crate) fn covered_time(&self, now: Micros) -> Micros {
         self.0.front().map_or(0, |(at, _)| now.saturating_sub(*at))
     }
 }
--- a/crates/timeline/src/align.rs
+++ b/crates/timeline/src/align.rs
@@ -1,36 +1,36 @@
-//! How far apart clocks are, from what all nodes came to know at the same moment.
+//! Clock differences, derived from events that all nodes observed at the same moment.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 
-/// Moments by what makes them one moment for all, such as the epoch of a view.
+/// Times of shared events, by a key that identifies the event in all logs, such as the epoch of a view.
 type Moments = BTreeMap<String, Micros>;
 
-/// By how much to move each log's times so that they are on the first one's clock. Those that share no moment
-/// with others that could be moved, directly or through others, are left as they are: `None`.
+/// How much to shift each log's times so that they are on the first log's clock. `None` for logs that share
+/// no event with an aligned log, directly or through others.
 ///
-/// Two logs' difference is the median over the moments that they share, so that one late node or one odd
-/// moment moves nothing.
+/// The difference of two logs is the median over their shared events, so that a single delayed node or event
+/// does not affect it.
 pub fn offsets(logs: &[Moments]) -> Vec<Option<Micros>> {
     let mut offsets: Vec<Option<Micros>> = vec![None; logs.len()];
     if let Some(first) = offsets.first_mut() {
         *first = Some(0);
     }
-    // Whoever shares most moments with one that is placed comes next.
+    // The log that shares most events with an aligned one is aligned next.
     loop {
-        let mut best: Option<(usize, usize, Micros)> = None;
+        let mut best_match: Option<(usize, usize, Micros)> = None;
         for (at, log) in logs.iter().enumerate().filter(|(at, _)| offsets[*at].is_none()) {
-            for (placed, offset) in offsets.iter().enumerate().filter_map(|(at, o)| Some((at, (*o)?))) {
-                let mut apart = differences(&logs[placed], log);
-                if apart.len() > best.map_or(0, |(shared, ..)| shared) {
-                    let middle = apart.len() / 2;
-                    let median = *apart.select_nth_unstable(middle).1;
-                    best = Some((apart.len(), at, offset.saturating_add(median)));
+            for (aligned, offset) in offsets.iter().enumerate().filter_map(|(at, o)| Some((at, (*o)?))) {
+                let mut clock_differences = differences(&logs[aligned], log);
+                if clock_differences.len() > best_match.map_or(0, |(shared, ..)| shared) {
+                    let middle = clock_differences.len() / 2;
+                    let median = *clock_differences.select_nth_unstable(middle).1;
+                    best_match = Some((clock_differences.len(), at, offset.saturating_add(median)));
                 }
             }
         }
-        let Some((_, at, offset)) = best else { return offsets };
+        let Some((_, at, offset)) = best_match else { return offsets };
         offsets[at] = Some(offset);
     }
 }
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,11 +1,11 @@
-//! The logs of many nodes as one story.
+//! Merges the logs of many nodes into one.
 //!
-//! Each process writes one event a line, as text or as JSON. Nobody's clock is trusted: what the fleet
-//! decides is known to all nodes within moments, so that the same epoch in two logs tells how far apart their
-//! clocks are. The merged story is then held against what must never be: two views with one epoch, two
-//! holders of one thing.
+//! Each process writes one event per line, as text or JSON. Clocks are not trusted: a decided view becomes
+//! known to all nodes almost at once, so that the same epoch in two logs shows how far apart their clocks
+//! are. The merged log is then checked against the fleet's guarantees: one view per epoch, and one holder of
+//! each lease at a time.
 //!
-//! Nothing here reads a file; who does hands over lines.
+//! Nothing here reads files; the caller passes lines.
 
 mod align;
 mod line;
@@ -15,5 +15,5 @@
 pub use line::{Event, MAX_LINE_BYTES, parse};
 pub use merge::{Contradiction, Log, MergedLog, merge};
 
-/// A span of time in microseconds; negative is earlier.
+/// A point in time or a duration in microseconds; a negative duration goes backwards.
 pub type Micros = i64;
--- a/crates/timeline/src/line.rs
+++ b/crates/timeline/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of a log.
+//! Parsing of one line of a log.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -9,34 +9,34 @@
 
 use crate::Micros;
 
-/// Longer lines are none that a node writes.
+/// Nodes do not write longer lines than this.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// What a node noted.
+/// One event of a node's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// When, on its own clock: microseconds of Unix time.
+    /// The time by the node's own clock, in microseconds of Unix time.
     pub at: Micros,
-    /// How grave it is, as the log says.
+    /// The log level, such as `INFO`.
     pub level: String,
-    /// The room that it comes from; fleet events come from `fleet`.
+    /// The log target; events of the fleet have the target `fleet`.
     pub target: String,
-    /// What happened.
+    /// The log message.
     pub message: String,
-    /// What belongs to it, by name.
+    /// The event's fields by name.
     pub fields: BTreeMap<String, String>,
 }
 
 impl Event {
-    /// A field, if there is one of that name.
+    /// The value of the field with this name, if there is one.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 }
 
-/// A line as `--log json` writes it.
+/// A line as written with `--log json`.
 #[derive(Deserialize)]
-struct Json<'a> {
+struct JsonLine<'a> {
     #[serde(borrow)]
     timestamp: Cow<'a, str>,
     #[serde(borrow)]
@@ -51,7 +51,7 @@
     Micros::try_from(at.duration_since(UNIX_EPOCH).ok()?.as_micros()).ok()
 }
 
-/// Reads a line in either form; nothing if it is none that a node's log has.
+/// Parses a line in either format; `None` if it is not a line of a node's log.
 ///
 /// ```
 /// let line = "2026-12-02T01:00:00.000001Z  INFO fleet: view decided node=\"n0\" epoch=\"3.1\"";
@@ -67,13 +67,13 @@
 }
 
 fn json(line: &str) -> Option<Event> {
-    let Json { timestamp, level, target, mut fields } = serde_json::from_str(line).ok()?;
-    let told = |value: Value| match value {
+    let JsonLine { timestamp, level, target, mut fields } = serde_json::from_str(line).ok()?;
+    let to_text = |value: Value| match value {
         Value::String(text) => text,
         other => other.to_string(),
     };
-    let message = fields.remove("message").map(told).unwrap_or_default();
-    let fields = fields.into_iter().map(|(name, value)| (name, told(value))).collect();
+    let message = fields.remove("message").map(to_text).unwrap_or_default();
+    let fields = fields.into_iter().map(|(name, value)| (name, to_text(value))).collect();
     Some(Event {
         at: time(&timestamp)?,
         level: level.into_owned(),
@@ -83,51 +83,51 @@
     })
 }
 
-/// `TIME LEVEL TARGET: MESSAGE NAME=VALUE ...`; fields begin at the first word that has the form of one.
+/// Parses `TIME LEVEL TARGET: MESSAGE NAME=VALUE ...`; the fields start at the first word that has the form
+/// of a field.
 fn text(line: &str) -> Option<Event> {
     let (at, rest) = line.split_once(' ')?;
     let (level, rest) = rest.trim_start().split_once(' ')?;
     let (target, rest) = rest.trim_start().split_once(": ")?;
-    let known = ["TRACE", "DEBUG", "INFO", "WARN", "ERROR"].contains(&level);
-    if !known || target.contains(' ') {
+    let is_level = ["TRACE", "DEBUG", "INFO", "WARN", "ERROR"].contains(&level);
+    if !is_level || target.contains(' ') {
         return None;
     }
-    let begin =
+    let fields_start =
         rest.match_indices(' ').map(|(at, _)| at + 1).chain([0]).filter(|at| field(&rest[*at..]).is_some());
-    let begin = begin.min().unwrap_or(rest.len());
+    let fields_start = fields_start.min().unwrap_or(rest.len());
     let mut fields = BTreeMap::new();
-    let mut left = &rest[begin..];
-    while let Some((name, value, after)) = field(left) {
+    let mut remaining = &rest[fields_start..];
+    while let Some((name, value, rest_of_text)) = field(remaining) {
         fields.insert(name.to_owned(), value);
-        left = after.trim_start();
+        remaining = rest_of_text.trim_start();
     }
     Some(Event {
         at: time(at)?,
         level: level.to_owned(),
         target: target.to_owned(),
-        message: rest[..begin].trim().to_owned(),
+        message: rest[..fields_start].trim().to_owned(),
         fields,
     })
 }
 
-/// A field at the beginning of this text, and what follows it.
+/// Parses a field at the start of the text: its name, its value, and the remaining text.
 fn field(text: &str) -> Option<(&str, String, &str)> {
     let (name, rest) = text.split_once('=')?;
-    let sound = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_' || c == '.';
-    if name.is_empty() || !name.chars().all(sound) {
+    let is_name_char = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_' || c == '.';
+    if name.is_empty() || !name.chars().all(is_name_char) {
         return None;
     }
     if !rest.starts_with('"') {
-        let (value, after) = rest.split_once(' ').unwrap_or((rest, ""));
-        return Some((name, value.to_owned(), after));
+        let (value, rest_of_text) = rest.split_once(' ').unwrap_or((rest, ""));
+        return Some((name, value.to_owned(), rest_of_text));
     }
-    // As a string in JSON, as far as that goes: what is quoted ends at a quote that no backslash stands
-    // before.
+    // The value is quoted like a string in JSON: it ends at a quote without a backslash before it.
     let mut escaped = false;
     let end = rest.char_indices().skip(1).find(|(_, c)| {
-        let ends = *c == '"' && !escaped;
+        let is_end = *c == '"' && !escaped;
         escaped = *c == '\\' && !escaped;
-        ends
+        is_end
     });
     let (end, _) = end?;
     let quoted = &rest[..=end];
--- a/crates/timeline/src/merge.rs
+++ b/crates/timeline/src/merge.rs
@@ -1,4 +1,4 @@
-//! Many logs as one, and what in them can't be.
+//! Merging of logs, and contradictions in the merged log.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,24 @@
 use crate::align::offsets;
 use crate::line::{Event, parse};
 
-/// A clock is said to differ from here on.
-const APART: Micros = 1_000;
-/// What clocks that were put together by the fleet's decisions, and lines that come late, may be wrong by.
-const LATE: Micros = 250_000;
+/// Clock differences are reported from this size.
+const MIN_REPORTED_SKEW: Micros = 1_000;
+/// The tolerated error of aligned clocks and of lines written late.
+const MAX_OVERLAP: Micros = 250_000;
 
 /// The log of one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Log {
-    /// What it goes by: the node's name where the log tells it.
+    /// The node's name if the log contains it, otherwise the name given by the caller.
     pub name: String,
-    /// Its events, in the order of the file.
+    /// The events in the order of the file.
     pub events: Vec<Event>,
-    /// Lines that are no event.
+    /// The number of lines that are not events.
     pub unparsed_lines: usize,
 }
 
 impl Log {
-    /// Reads lines; what its events say of the node's name goes before `name`.
+    /// Parses lines. A node name in the events takes precedence over `name`.
     pub fn read<'a>(name: &str, lines: impl IntoIterator<Item = &'a str>) -> Log {
         let mut log = Log { name: name.to_owned(), ..Log::default() };
         for line in lines.into_iter().filter(|line| !line.trim().is_empty()) {
@@ -38,131 +38,140 @@
         log
     }
 
-    /// When it first knew of each view.
-    fn moments(&self) -> BTreeMap<String, Micros> {
-        let mut moments = BTreeMap::new();
+    /// When this log first contains each decided view, by epoch.
+    fn view_times(&self) -> BTreeMap<String, Micros> {
+        let mut view_times = BTreeMap::new();
         for event in self.events.iter().filter(|event| event.message == "view decided") {
             if let Some(epoch) = event.field("epoch") {
-                moments.entry(epoch.to_owned()).or_insert(event.at);
+                view_times.entry(epoch.to_owned()).or_insert(event.at);
             }
         }
-        moments
+        view_times
     }
 }
 
-/// Something that must not be.
+/// A violation of the fleet's guarantees.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contradiction {
-    /// When it showed, on the first log's clock.
+    /// When it became visible, on the first log's clock.
     pub at: Micros,
-    /// What it is.
+    /// A description for operators.
     pub description: String,
 }
 
-/// Many logs as one.
+/// Several logs merged into one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergedLog {
-    /// Events by time on the first log's clock, and which log each is from.
+    /// All events by time: the time on the first log's clock, the index of the log, and the event.
     pub events: Vec<(Micros, usize, Event)>,
-    /// How each log's clock was moved; nothing for one that could not be placed.
+    /// How much each log's clock was shifted; `None` for logs that could not be aligned.
     pub clock_offsets: Vec<Option<Micros>>,
-    /// What can't be, if all logs tell the truth.
+    /// The contradictions found, assuming that all logs are correct.
     pub contradictions: Vec<Contradiction>,
 }
 
 impl MergedLog {
-    /// Logs whose clock differs from the first one's, or could not be compared.
+    /// The logs whose clocks differ from the first one's or could not be compared, with their shift.
     pub fn skewed_logs<'a>(&'a self, logs: &'a [Log]) -> impl Iterator<Item = (&'a str, Option<Micros>)> {
         let names = logs.iter().map(|log| log.name.as_str());
         names
             .zip(self.clock_offsets.iter().copied())
-            .filter(|(_, moved)| moved.is_none_or(|by| by.abs() >= APART))
+            .filter(|(_, offset)| offset.is_none_or(|by| by.abs() >= MIN_REPORTED_SKEW))
     }
 }
 
-/// Merges logs; with `align` they are put on the first one's clock where they can be.
+/// Merges logs; with `align` their clocks are aligned with the first one's where possible.
 pub fn merge(logs: &[Log], align: bool) -> MergedLog {
-    let moved = match align {
-        true => offsets(&logs.iter().map(Log::moments).collect::<Vec<_>>()),
+    let clock_offsets = match align {
+        true => offsets(&logs.iter().map(Log::view_times).collect::<Vec<_>>()),
         false => vec![Some(0); logs.len()],
     };
     let mut events = Vec::new();
     for (at, log) in logs.iter().enumerate() {
-        let by = moved[at].unwrap_or(0);
-        events.extend(log.events.iter().map(|event| (event.at.saturating_add(by), at, event.clone())));
+        let offset = clock_offsets[at].unwrap_or(0);
+        events.extend(log.events.iter().map(|event| (event.at.saturating_add(offset), at, event.clone())));
     }
-    // Those of one log stay in its order.
+    // A stable sort: events of one log keep their order.
     events.sort_by_key(|(time, ..)| *time);
-    let doubts = doubts(&events, logs);
-    MergedLog { events, clock_offsets: moved, contradictions: doubts }
+    let contradictions = contradictions(&events, logs);
+    MergedLog { events, clock_offsets, contradictions }
 }
 
-/// For how long something was held by one process.
-struct Hold {
+/// A period in which one process held a lease.
+struct LeasePeriod {
     log: usize,
     from: Micros,
-    /// The last moment at which it surely was.
+    /// The last moment at which the process certainly held it.
     to: Micros,
-    over: bool,
+    has_ended: bool,
 }
 
-/// What the fleet promises, held against the story: one view an epoch, one holder at a time.
-fn doubts(events: &[(Micros, usize, Event)], logs: &[Log]) -> Vec<Contradiction> {
-    let mut doubts = Vec::new();
+/// Checks the guarantees of the fleet on the merged log: one view per epoch, one holder of each lease at a
+/// time.
+fn contradictions(events: &[(Micros, usize, Event)], logs: &[Log]) -> Vec<Contradiction> {
+    let mut contradictions = Vec::new();
     let mut views: BTreeMap<&str, (&str, usize)> = BTreeMap::new();
-    let mut holds: BTreeMap<&str, Vec<Hold>> = BTreeMap::new();
+    let mut lease_periods: BTreeMap<&str, Vec<LeasePeriod>> = BTreeMap::new();
     let name = |log: usize| logs[log].name.as_str();
     for (at, log, event) in events {
-        // Who loses something says so at once while it runs: what it has not lost by its last word it held
-        // until then. What a process of its name held before is over when it starts.
+        // A running process logs the loss of a lease at once: a lease whose loss is not logged was held until
+        // the process's last event. When a process starts, the leases of the previous process of its name
+        // have ended.
         let starts = event.message == "starts";
-        for hold in holds.values_mut().flatten().filter(|hold| hold.log == *log && !hold.over) {
-            hold.to = if starts { hold.to } else { *at };
-            hold.over = starts;
+        for lease_period in lease_periods
+            .values_mut()
+            .flatten()
+            .filter(|lease_period| lease_period.log == *log && !lease_period.has_ended)
+        {
+            lease_period.to = if starts { lease_period.to } else { *at };
+            lease_period.has_ended = starts;
         }
         match (event.message.as_str(), event.field("epoch"), event.field("members")) {
             ("view decided", Some(epoch), Some(members)) => {
-                let (other, whose) = *views.entry(epoch).or_insert((members, *log));
+                let (other, first_log) = *views.entry(epoch).or_insert((members, *log));
                 if other != members {
                     let what = format!(
                         "epoch {epoch} is {other} at {} and {members} at {}",
-                        name(whose),
+                        name(first_log),
                         name(*log)
                     );
-                    doubts.push(Contradiction { at: *at, description: what });
+                    contradictions.push(Contradiction { at: *at, description: what });
                 }
             }
             ("lease", ..) => {
                 let (Some(of), Some(held)) = (event.field("of"), event.field("held")) else { continue };
-                let holds = holds.entry(of).or_default();
+                let lease_periods = lease_periods.entry(of).or_default();
                 if held == "true" {
-                    holds.push(Hold { log: *log, from: *at, to: *at, over: false });
-                } else if let Some(hold) = holds.iter_mut().rfind(|hold| hold.log == *log && !hold.over) {
-                    // It may have stood still since.
+                    lease_periods.push(LeasePeriod { log: *log, from: *at, to: *at, has_ended: false });
+                } else if let Some(lease_period) = lease_periods
+                    .iter_mut()
+                    .rfind(|lease_period| lease_period.log == *log && !lease_period.has_ended)
+                {
+                    // The process may have been paused since the lease expired.
                     let ago = event.field("ago_ms").and_then(|ago| ago.parse::<Micros>().ok()).unwrap_or(0);
-                    hold.to = at.saturating_sub(ago.saturating_mul(1000));
-                    hold.over = true;
+                    lease_period.to = at.saturating_sub(ago.saturating_mul(1000));
+                    lease_period.has_ended = true;
                 }
             }
             _ => {}
         }
     }
-    for (of, holds) in &holds {
-        for (at, one) in holds.iter().enumerate() {
-            for other in holds[at + 1..].iter().filter(|other| other.log != one.log) {
-                let both = one.to.min(other.to).saturating_sub(one.from.max(other.from));
-                if both > LATE {
+    for (of, lease_periods) in &lease_periods {
+        for (at, one) in lease_periods.iter().enumerate() {
+            for other in lease_periods[at + 1..].iter().filter(|other| other.log != one.log) {
+                let overlap = one.to.min(other.to).saturating_sub(one.from.max(other.from));
+                if overlap > MAX_OVERLAP {
                     let what = format!(
                         "{of} is held by {} and {} for {} ms",
                         name(one.log),
                         name(other.log),
-                        both / 1000
+                        overlap / 1000
                     );
-                    doubts.push(Contradiction { at: one.from.max(other.from), description: what });
+                    contradictions.push(Contradiction { at: one.from.max(other.from), description: what });
                 }
             }
         }
     }
-    doubts.sort_by_key(|doubt| doubt.at);
-    doubts
+    contradictions.sort_by_key(|contradiction| contradiction.at);
+    contradictions
 }
