--- a/crates/gossip/src/dissemination.rs
+++ b/crates/gossip/src/dissemination.rs
@@ -28,6 +28,7 @@
 pub(crate) struct UpdateQueue {
     /// The number of transmissions so far of each member's statement.
     statements: BTreeMap<MemberId, u32>,
+    /// Queued accusations, each with its number of transmissions so far.
     accusations: VecDeque<(Accusation, u32)>,
 }
 
@@ -62,7 +63,7 @@
     }
 
     /// Picks up to `space` bytes of the least-sent statements. `size` returns the size of a member's
-    /// statement, `None` if it is no longer known; `useful` returns how often it should be sent in all.
+    /// statement, `None` if it is no longer known; `max_sent` returns how often it should be sent in all.
     pub(crate) fn pick(
         &mut self,
         mut space: usize,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Returns up to `most` of the least-sent accusations.
+    /// Returns up to `max_count` of the least-sent accusations.
     pub(crate) fn accusations(&mut self, max_count: usize, transmission_limit: u32) -> Vec<Accusation> {
         self.accusations.make_contiguous().sort_by_key(|(_, sent)| *sent);
         let picked = self.accusations.iter_mut().take(max_count);
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -65,8 +65,8 @@
 }
 
 /// The largest suspicion of a healthy server that this many false witnesses can cause among this many nodes.
-pub fn max_false_suspicion(liars: usize, nodes: usize) -> f64 {
-    (liars as f64 / witnesses_needed(nodes)).min(1.0)
+pub fn max_false_suspicion(false_witnesses: usize, nodes: usize) -> f64 {
+    (false_witnesses as f64 / witnesses_needed(nodes)).min(1.0)
 }
 
 #[derive(Default)]
@@ -127,15 +127,15 @@
         self.assessed_at = now;
         let mut contradicted: BTreeMap<MemberId, bool> = BTreeMap::new();
         for (server, witnesses) in &reports {
-            let Some(seen) = own.iter().find(|seen| seen.server == *server) else { continue };
+            let Some(observed) = own.iter().find(|o| o.server == *server) else { continue };
             let total: f64 = witnesses.iter().map(|w| w.weight).sum();
-            let healthy = seen.recent_answers >= HEALTHY_RESPONSES
-                && seen.suspicion < MIN_REPORTED_SUSPICION
+            let healthy = observed.recent_answers >= HEALTHY_RESPONSES
+                && observed.suspicion < MIN_REPORTED_SUSPICION
                 && total < needed;
             for witness in witnesses {
                 if healthy {
                     contradicted.insert(witness.witness, true);
-                } else if seen.suspicion >= MIN_REPORTED_SUSPICION {
+                } else if observed.suspicion >= MIN_REPORTED_SUSPICION {
                     contradicted.entry(witness.witness).or_insert(false);
                 }
             }
@@ -174,18 +174,18 @@
             return None;
         }
         let reports = self.reports(now, members);
-        let enough = 2.0 * witnesses_needed(members.all.len() + 1);
+        let enough_weight = 2.0 * witnesses_needed(members.all.len() + 1);
         let is_widely_reported = |server: u64| {
             let is_fresh = |w: &&Witness| w.age < FULL_WEIGHT_AGE;
             reports
                 .get(&server)
-                .is_some_and(|w| w.iter().filter(is_fresh).map(|w| w.weight).sum::<f64>() >= enough)
+                .is_some_and(|w| w.iter().filter(is_fresh).map(|w| w.weight).sum::<f64>() >= enough_weight)
         };
-        let mut seen: Vec<&ServerObservation> =
+        let mut observed: Vec<&ServerObservation> =
             own.iter().filter(|s| s.suspicion >= MIN_REPORTED_SUSPICION).collect();
-        seen.sort_by(|a, b| b.suspicion.total_cmp(&a.suspicion).then(a.server.cmp(&b.server)));
-        seen.truncate(MAX_SUSPICIONS);
-        let report: Vec<Suspicion> = seen
+        observed.sort_by(|a, b| b.suspicion.total_cmp(&a.suspicion).then(a.server.cmp(&b.server)));
+        observed.truncate(MAX_SUSPICIONS);
+        let report: Vec<Suspicion> = observed
             .into_iter()
             .filter(|s| !is_widely_reported(s.server))
             .map(|s| Suspicion {
--- a/crates/gossip/src/gossip/mod.rs
+++ b/crates/gossip/src/gossip/mod.rs
@@ -118,7 +118,7 @@
     join_at: Micros,
     join_wait: Micros,
     random: fastrand::Rng,
-    figures: Counters,
+    counters: Counters,
     out: Vec<Output>,
     /// Payloads to send, each with the time since which it waits and its receiver.
     payload_queue: VecDeque<(Micros, MemberId, Vec<u8>)>,
@@ -186,7 +186,7 @@
             eager_passes: EAGER_PASSES,
             checksum_count: MIN_CHECKSUMS,
             join_wait: GOSSIP_INTERVAL,
-            figures: Counters::default(),
+            counters: Counters::default(),
             out: Vec::new(),
             payload_queue: VecDeque::new(),
         })
@@ -206,12 +206,12 @@
         match input {
             Input::Packet(from, bytes) => self.handle_packet(from, bytes),
             Input::Tick => {}
-            Input::Observations(seen) => self.handle_observations(seen),
+            Input::Observations(observations) => self.handle_observations(observations),
             Input::SendPayload(to, bytes) => {
                 if bytes.len() <= MAX_PAYLOAD_BYTES && self.supports_checksums(to) {
                     if self.payload_queue.len() >= MAX_QUEUED_PAYLOADS {
                         self.payload_queue.pop_front();
-                        self.figures.throttled += 1;
+                        self.counters.throttled += 1;
                     }
                     self.payload_queue.push_back((self.now, to, bytes));
                 }
@@ -226,7 +226,7 @@
     /// When [`Self::handle`] should be called next, even if no event has happened.
     pub fn next_wakeup(&self) -> Micros {
         let gossip_at = if self.has_updates_to_send() { self.gossip_at } else { Micros::MAX };
-        let least = self.now + 1000;
+        let earliest = self.now + 1000;
         let payloads_at =
             if self.payload_queue.is_empty() { Micros::MAX } else { self.now + PAYLOAD_RETRY_INTERVAL };
         let probe = if self.is_bootstrapping() { Micros::MAX } else { self.prober.next() };
@@ -235,13 +235,13 @@
             .min(self.sync_at)
             .min(self.join_at)
             .min(probe)
-            .max(least)
+            .max(earliest)
             .min(self.now + GOSSIP_INTERVAL)
     }
 
     /// The counts since the start of the process.
     pub fn counters(&self) -> Counters {
-        self.figures
+        self.counters
     }
 
     /// The known members, except for this node.
@@ -312,7 +312,7 @@
             }
             let Some((_, to, bytes)) = self.payload_queue.pop_front() else { return };
             if late {
-                self.figures.throttled += 1;
+                self.counters.throttled += 1;
             } else {
                 self.send(to, Message::Payload(bytes), false, false);
             }
@@ -466,12 +466,15 @@
 
     /// Whether a member supports checksums; a member that was never heard is assumed to, if all others do.
     pub(super) fn supports_checksums(&self, id: MemberId) -> bool {
-        let heard = |member: &&Member| member.has_been_heard();
-        match self.members.all.get(&id).filter(heard) {
+        let was_heard = |member: &&Member| member.has_been_heard();
+        match self.members.all.get(&id).filter(was_heard) {
             Some(member) => member.max_version >= CHECKSUMS_VERSION,
-            None => {
-                self.members.all.values().filter(heard).all(|member| member.max_version >= CHECKSUMS_VERSION)
-            }
+            None => self
+                .members
+                .all
+                .values()
+                .filter(was_heard)
+                .all(|member| member.max_version >= CHECKSUMS_VERSION),
         }
     }
 
@@ -520,8 +523,8 @@
         self.send(to, message, false, false);
     }
 
-    fn handle_observations(&mut self, seen: Vec<ServerObservation>) {
-        self.observations = seen;
+    fn handle_observations(&mut self, observations: Vec<ServerObservation>) {
+        self.observations = observations;
         let peer_suspicions = self.evidence.assess(self.now, &self.members, &self.observations);
         if let Some(suspicions) = self.evidence.report(self.now, &self.members, &self.observations) {
             self.publish_statement(self.own_statement.statement.lifecycle, suspicions, 0);
--- a/crates/gossip/src/gossip/receive.rs
+++ b/crates/gossip/src/gossip/receive.rs
@@ -7,7 +7,7 @@
 impl Gossip {
     pub(super) fn handle_packet(&mut self, source: SocketAddr, bytes: &[u8]) {
         if !self.source_limits.accepts(self.now, source.ip()) {
-            self.figures.rate_limited += 1;
+            self.counters.rate_limited += 1;
             return;
         }
         let packet = match parse(bytes) {
@@ -18,13 +18,13 @@
                 | ParseError::UnsupportedVersion(_)
                 | ParseError::Malformed,
             ) => {
-                self.figures.malformed += 1;
+                self.counters.malformed += 1;
                 return;
             }
         };
         let Header { from, instance, to_instance, number, max_version, .. } = packet.header;
         if !self.ring.contains(from) {
-            self.figures.unauthenticated += 1;
+            self.counters.unauthenticated += 1;
             return;
         }
         let is_handshake = matches!(packet.body.message, Message::Join | Message::Welcome);
@@ -32,12 +32,12 @@
         // must not change the state.
         let addressed_to_this_process = to_instance == self.instance;
         if !addressed_to_this_process && !is_handshake && from == self.me {
-            self.figures.replayed += 1;
+            self.counters.replayed += 1;
             return;
         }
-        self.figures.signatures_checked += 1;
+        self.counters.signatures_checked += 1;
         if !packet.verify(bytes, &self.ring) {
-            self.figures.unauthenticated += 1;
+            self.counters.unauthenticated += 1;
             return;
         }
         let now = self.now;
@@ -46,7 +46,7 @@
             .entry(from)
             .or_insert_with(|| TokenBucket::per_second(MAX_PACKETS_PER_SECOND, now));
         if !bucket.take(now, 1.0) {
-            self.figures.rate_limited += 1;
+            self.counters.rate_limited += 1;
             return;
         }
         if from == self.me {
@@ -60,7 +60,7 @@
             {
                 self.merge_statement(own, true);
             }
-            self.figures.replayed += u64::from(!matches!(packet.body.message, Message::Join));
+            self.counters.replayed += u64::from(!matches!(packet.body.message, Message::Join));
             // Tells the sender which process this is. The response is shorter than the packet it answers.
             if !matches!(packet.body.message, Message::Welcome) {
                 self.send_to_address(source, Some(from), instance, Message::Welcome, true, false);
@@ -76,7 +76,7 @@
         }
         let was_dead = self.members.all.get(&from).is_some_and(|m| m.liveness == Liveness::Dead);
         if !self.members.record_packet(now, from, instance, number, max_version) {
-            self.figures.replayed += 1;
+            self.counters.replayed += 1;
             return;
         }
         if was_dead {
@@ -84,7 +84,7 @@
             self.join_at = self.join_at.min(now + self.random.u64(SYNC_INTERVAL.1..SYNC_INTERVAL.0 / 4));
             self.log_member_up(from);
         }
-        self.figures.accepted += 1;
+        self.counters.accepted += 1;
         self.prober.record_packet(self.now);
         let is_response = matches!(packet.body.message, Message::Response { .. } | Message::Welcome);
         let more = !matches!(packet.body.message, Message::Response { more: false });
@@ -131,8 +131,8 @@
         if author == self.me {
             // From an earlier process of this name, or a concurrent one: this process continues above its
             // number.
-            let other = instance != self.instance && number >= self.own_statement.statement.number;
-            if other && self.verify_statement(signed) {
+            let is_foreign = instance != self.instance && number >= self.own_statement.statement.number;
+            if is_foreign && self.verify_statement(signed) {
                 let Statement { lifecycle, suspicions, .. } = self.own_statement.statement.clone();
                 self.publish_statement(lifecycle, suspicions, number);
                 self.duplicate_name_count += 1;
@@ -169,7 +169,7 @@
     }
 
     pub(super) fn verify_statement(&mut self, signed: &SignedStatement) -> bool {
-        self.figures.signatures_checked += 1;
+        self.counters.signatures_checked += 1;
         signed.verify(&self.ring)
     }
 
@@ -237,7 +237,7 @@
     pub(super) fn handle_relayed_ack(&mut self, bytes: &[u8]) {
         let Ok(packet) = parse(bytes) else { return };
         let (from, Message::Ack(number)) = (packet.header.from, &packet.body.message) else { return };
-        self.figures.signatures_checked += 1;
+        self.counters.signatures_checked += 1;
         if packet.verify(bytes, &self.ring) {
             self.prober.answered(from, *number);
         }
@@ -253,14 +253,14 @@
         if first > last {
             return;
         }
-        let theirs = |id: MemberId| known.iter().find(|(other, _)| *other == id).map(|(_, number)| *number);
-        let mut send_statements: Vec<MemberId> =
-            self.members.all.range(first..=last).map(|(id, _)| *id).collect();
-        send_statements.retain(|id| {
+        let their_number =
+            |id: MemberId| known.iter().find(|(known_id, _)| *known_id == id).map(|(_, number)| *number);
+        let mut to_send: Vec<MemberId> = self.members.all.range(first..=last).map(|(id, _)| *id).collect();
+        to_send.retain(|id| {
             let ours = self.members.all.get(id).map(|m| m.signed.statement.number);
-            *id != from && theirs(*id) < ours
+            *id != from && their_number(*id) < ours
         });
-        let want: Vec<MemberId> = known
+        let to_request: Vec<MemberId> = known
             .iter()
             .filter(|(id, number)| {
                 let ours = self.members.all.get(id).map(|m| m.signed.statement.number);
@@ -269,11 +269,11 @@
             .map(|(id, _)| *id)
             .collect();
         // A random order, so that a different part is sent each time if not all fit.
-        self.random.shuffle(&mut send_statements);
-        let differs = !send_statements.is_empty() || !want.is_empty();
-        self.send_statements(from, send_statements);
-        if !want.is_empty() {
-            self.send(from, Message::Request(want), false, false);
+        self.random.shuffle(&mut to_send);
+        let differs = !to_send.is_empty() || !to_request.is_empty();
+        self.send_statements(from, to_send);
+        if !to_request.is_empty() {
+            self.send(from, Message::Request(to_request), false, false);
         }
         if differs {
             self.sync_at = self.sync_at.min(self.now + SYNC_INTERVAL.1);
@@ -293,21 +293,21 @@
             return;
         }
         let known: HashSet<u16> = known.into_iter().collect();
-        let (mut send_statements, mut shared) = (Vec::new(), 0);
+        let (mut to_send, mut matching) = (Vec::new(), 0);
         for (id, member) in self.members.all.range(first..=last).filter(|(id, _)| **id != from) {
             if known.contains(&member.signed.checksum(salt)) {
-                shared += 1;
+                matching += 1;
             } else {
-                send_statements.push(*id);
+                to_send.push(*id);
             }
         }
         // The checksums include the other member's own statement, and this node's.
         let own_statements = [from, self.me].iter().filter(|id| (first..=last).contains(id)).count();
-        if known.len() > shared + own_statements {
+        if known.len() > matching + own_statements {
             self.sync_at = self.sync_at.min(self.now + SYNC_INTERVAL.1);
         }
         // A random order, so that a different part is sent each time if not all fit.
-        self.random.shuffle(&mut send_statements);
-        self.send_statements(from, send_statements);
+        self.random.shuffle(&mut to_send);
+        self.send_statements(from, to_send);
     }
 }
--- a/crates/gossip/src/gossip/send.rs
+++ b/crates/gossip/src/gossip/send.rs
@@ -77,8 +77,8 @@
             let number = self.members.all.get(&to).map_or(0, |member| member.signed.statement.number);
             let accused = |accuser| Accusation { accused: to, number, accuser };
             body.accusations.extend(self.members.accusers(to).map(accused).take(1));
-            let room = MAX_ACCUSATIONS - body.accusations.len();
-            body.accusations.extend(self.updates.accusations(room, transmission_limit(nodes)));
+            let remaining = MAX_ACCUSATIONS - body.accusations.len();
+            body.accusations.extend(self.updates.accusations(remaining, transmission_limit(nodes)));
         }
         let mut packet = Packet { header, body };
         let size = packet.size();
@@ -94,7 +94,7 @@
             || self.take_budget((0, min_size))
             || is_payload && probe_budget_spare && self.take_budget((min_size, 0));
         if !fits {
-            self.figures.throttled += 1;
+            self.counters.throttled += 1;
             return false;
         }
         if updates && self.updates.has_updates() {
@@ -141,22 +141,22 @@
         let enough_weight = 2.0 * evidence::witnesses_needed(nodes + 1);
         let reported_weight =
             |server: u64| reports.get(&server).map_or(0.0, |w| w.iter().map(|w| w.weight).sum());
-        let max_size =
+        let transmissions =
             if self.updates.is_full() { MAX_TRANSMISSIONS_WHEN_FULL } else { transmission_limit(nodes) };
-        let useful = |id: MemberId| {
+        let max_transmissions = |id: MemberId| {
             let suspicions = members.all.get(&id).map_or(&[][..], |m| &m.signed.statement.suspicions);
             let adds_evidence =
                 suspicions.is_empty() || suspicions.iter().any(|s| reported_weight(s.server) < enough_weight);
-            if adds_evidence || id == me { max_size } else { 1 }
+            if adds_evidence || id == me { transmissions } else { 1 }
         };
-        let mut picked = self.updates.pick(space, size, useful);
+        let mut picked = self.updates.pick(space, size, max_transmissions);
         picked.retain(|id| Some(*id) != to && !(own && *id == me));
         picked
     }
 
     pub(super) fn send_bytes(&mut self, address: SocketAddr, bytes: Vec<u8>) {
-        self.figures.packets_sent += 1;
-        self.figures.bytes_sent += (bytes.len() + UDP_HEADER_BYTES) as u64;
+        self.counters.packets_sent += 1;
+        self.counters.bytes_sent += (bytes.len() + UDP_HEADER_BYTES) as u64;
         self.out.push(Output::Send(address, bytes));
     }
 
@@ -166,7 +166,7 @@
         let left = if self.is_bootstrapping() { left.max(self.probe_budget.left(self.now)) } else { left };
         let mut space = (left as usize).min(MAX_PACKET_BYTES).saturating_sub(UPDATE_PACKET_OVERHEAD);
         let mut updates = Vec::new();
-        let wanted = ids.len();
+        let requested = ids.len();
         for relayed in ids.into_iter().filter_map(|id| self.relayed_statement(id)) {
             let size = relayed.signed.size();
             if size <= space {
@@ -176,14 +176,14 @@
         }
         // A member that sent checksums gets a response even if it lacks nothing.
         let Some(member) = self.members.all.get(&to) else { return };
-        if updates.is_empty() && (wanted > 0 || member.max_version < CHECKSUMS_VERSION) {
+        if updates.is_empty() && (requested > 0 || member.max_version < CHECKSUMS_VERSION) {
             return;
         }
         let (statement, max_version) = (&member.signed.statement, member.max_version);
         let (address, to_instance) = (statement.address, statement.instance);
         let header = self.header(max_version, to_instance);
         let message = if max_version >= CHECKSUMS_VERSION {
-            Message::Response { more: updates.len() < wanted }
+            Message::Response { more: updates.len() < requested }
         } else {
             Message::Updates
         };
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -50,13 +50,13 @@
 /// The members that may take part, in the same order at all nodes.
 #[derive(Default)]
 pub struct KeyRing {
-    order: Vec<MemberId>,
+    ranked_ids: Vec<MemberId>,
     members: HashMap<MemberId, RingMember>,
 }
 
 impl fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("KeyRing").field("members", &self.order.len()).finish()
+        f.debug_struct("KeyRing").field("members", &self.ranked_ids.len()).finish()
     }
 }
 
@@ -96,10 +96,10 @@
             }
             let id = MemberId::of(name);
             if !ring.members.contains_key(&id) {
-                if ring.order.len() == MAX_MEMBERS {
+                if ring.ranked_ids.len() == MAX_MEMBERS {
                     return Err(error("expected at most 4096 names"));
                 }
-                ring.order.push(id);
+                ring.ranked_ids.push(id);
             }
             let members = ring
                 .members
@@ -118,12 +118,12 @@
 
     /// The number of members.
     pub fn len(&self) -> usize {
-        self.order.len()
+        self.ranked_ids.len()
     }
 
     /// Whether the ring has no members.
     pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.ranked_ids.is_empty()
     }
 
     /// A member's name.
@@ -138,7 +138,7 @@
 
     /// A member's position among all members of the ring, whether they are alive or not.
     pub fn rank(&self, id: MemberId) -> Option<u32> {
-        self.order.iter().position(|other| *other == id).map(|place| place as u32)
+        self.ranked_ids.iter().position(|other| *other == id).map(|position| position as u32)
     }
 
     /// Whether the secret's public key is one of the member's keys.
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -73,8 +73,8 @@
             return true;
         }
         if number > self.highest {
-            let by = number - self.highest;
-            self.seen = if by < 64 { self.seen << by | 1 } else { 1 };
+            let distance = number - self.highest;
+            self.seen = if distance < 64 { self.seen << distance | 1 } else { 1 };
             self.highest = number;
             return true;
         }
@@ -234,8 +234,8 @@
     }
 
     /// This node was paused: no member could answer it in that time, so that suspicion timeouts are extended.
-    pub(crate) fn extend_timeouts(&mut self, by: Micros) {
-        self.all.values_mut().filter(|m| m.liveness == Liveness::Suspect).for_each(|m| m.since += by);
+    pub(crate) fn extend_timeouts(&mut self, pause: Micros) {
+        self.all.values_mut().filter(|m| m.liveness == Liveness::Suspect).for_each(|m| m.since += pause);
     }
 
     /// Forgets members that may no longer take part.
@@ -300,9 +300,9 @@
             let mut all: Vec<SignedStatement> = statement_inputs.into_iter().map(statement).collect();
             let once = merged(all.iter());
             prop_assert_eq!(&once, &merged(all.iter().chain(all.iter())));
-            let (one, two) = all.split_at(cut.min(all.len()));
-            let (one, two) = (merged(one.iter()), merged(two.iter()));
-            prop_assert_eq!(&once, &merged(two.iter().chain(one.iter())));
+            let (left, right) = all.split_at(cut.min(all.len()));
+            let (left, right) = (merged(left.iter()), merged(right.iter()));
+            prop_assert_eq!(&once, &merged(right.iter().chain(left.iter())));
             fastrand::Rng::with_seed(seed).shuffle(&mut all);
             prop_assert_eq!(&once, &merged(all.iter()));
             prop_assert!(once.len() <= 5);
@@ -319,8 +319,8 @@
                 members.merge(1_000, statement((author, 1, 0, 0)), 0);
             }
             let nodes = members.all.len() + 1;
-            for doubt in Evidence::default().assess(seconds * 1_000_000, &members, &[]) {
-                prop_assert!(doubt.level <= crate::max_false_suspicion(false_witnesses, nodes) + 1e-9);
+            for suspicion in Evidence::default().assess(seconds * 1_000_000, &members, &[]) {
+                prop_assert!(suspicion.level <= crate::max_false_suspicion(false_witnesses, nodes) + 1e-9);
             }
         }
     }
--- a/crates/gossip/src/packet.rs
+++ b/crates/gossip/src/packet.rs
@@ -157,10 +157,10 @@
 impl SignedStatement {
     pub(crate) fn new(statement: Statement, secret: &Secret) -> SignedStatement {
         let signature = secret.sign(&statement.bytes());
-        let (one, two) = signature.split_at(32);
+        let (first, second) = signature.split_at(32);
         // Both halves have this length.
         let half = |part: &[u8]| <[u8; 32]>::try_from(part).unwrap_or_default();
-        SignedStatement { signature: [half(one), half(two)], statement }
+        SignedStatement { signature: [half(first), half(second)], statement }
     }
 
     /// Whether the member that the statement is about signed it, and it is within all limits.
--- a/crates/gossip/src/sim.rs
+++ b/crates/gossip/src/sim.rs
@@ -244,8 +244,9 @@
         for output in out {
             match output {
                 Output::Send(to, bytes) => self.send(node, to, bytes),
-                Output::Suspicions(doubts) => {
-                    self.nodes[node].suspicions = doubts.into_iter().map(|d| (d.server, d.level)).collect();
+                Output::Suspicions(suspicions) => {
+                    self.nodes[node].suspicions =
+                        suspicions.into_iter().map(|d| (d.server, d.level)).collect();
                 }
                 Output::PayloadReceived(from, instance, bytes) => {
                     self.payloads.push((node, from, instance, bytes))
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -230,11 +230,11 @@
     net.kill(2);
     net.start(2);
     net.run_until(15 * S, &all_healthy);
-    let figures = |net: &Net, node: usize| net.nodes[node].gossip.as_ref().unwrap().counters();
+    let counters_of = |net: &Net, node: usize| net.nodes[node].gossip.as_ref().unwrap().counters();
     let gap = 1_000;
     let mut replayed_counts = Vec::new();
     for node in 0..3 {
-        let before = figures(&net, node);
+        let before = counters_of(&net, node);
         for (from, _, bytes) in recorded.iter().filter(|(_, to, _)| *to == node).take(60) {
             let mut out = Vec::new();
             let now = net.now + gap;
@@ -244,7 +244,7 @@
                 &mut out,
             );
         }
-        let after = figures(&net, node);
+        let after = counters_of(&net, node);
         assert_eq!(before.accepted, after.accepted, "node {node}");
         replayed_counts.push(after.replayed - before.replayed);
     }
--- a/crates/gossip/tests/packets.rs
+++ b/crates/gossip/tests/packets.rs
@@ -11,7 +11,7 @@
     net.recorded = Some(Vec::new());
     net.is_cut = Box::new(|from, to| from == 0 && to == 1);
     net.start_all();
-    let seen = |node: usize, now| {
+    let observe = |node: usize, now| {
         let strength = if now % 3_000_000 < 1_500_000 { 1.0 } else { 0.0 };
         vec![ServerObservation {
             server: node as u64,
@@ -20,7 +20,7 @@
             sample_count: 3,
         }]
     };
-    net.run_until(10_000_000, &seen);
+    net.run_until(10_000_000, &observe);
     net.recorded.take().unwrap().into_iter().map(|(_, _, bytes)| bytes).collect()
 }
 
--- a/crates/reach/tests/stances.rs
+++ b/crates/reach/tests/conditions.rs
@@ -72,8 +72,8 @@
                 Output::Condition(expected) => self.conditions[at] = expected,
                 // One node at a time holds the lease.
                 Output::WantUnready(wants) => {
-                    let free = self.holds_unready_lease.iter().all(|held| !held);
-                    self.holds_unready_lease[at] = wants && (free || self.holds_unready_lease[at]);
+                    let is_free = self.holds_unready_lease.iter().all(|held| !held);
+                    self.holds_unready_lease[at] = wants && (is_free || self.holds_unready_lease[at]);
                     let mut out = Vec::new();
                     self.nodes[at].handle(
                         self.now,
@@ -231,16 +231,24 @@
         silent: s,
     });
     let zones = proptest::collection::vec(zone, 0..4);
-    let hears = proptest::collection::vec(0..6_u64, 0..6);
-    (hears, zones, proptest::option::of(any::<u32>()), any::<u32>(), any::<u32>(), 0..1001_u16, any::<bool>())
-        .prop_map(|(hears, zones, list_ms, served, failed, stalled, ready)| Row {
+    let receives_from = proptest::collection::vec(0..6_u64, 0..6);
+    (
+        receives_from,
+        zones,
+        proptest::option::of(any::<u32>()),
+        any::<u32>(),
+        any::<u32>(),
+        0..1001_u16,
+        any::<bool>(),
+    )
+        .prop_map(|(receives_from, zones, list_age_ms, served, failed, stalled_permille, ready)| Row {
             zone: "a".into(),
-            receives_from: hears,
+            receives_from,
             zones,
-            list_age_ms: list_ms,
+            list_age_ms,
             served: served / 2,
             failed: failed / 2,
-            stalled_permille: stalled,
+            stalled_permille,
             ready,
         })
 }
@@ -257,8 +265,8 @@
         let mut out = Vec::new();
         for (at, (name, row)) in rows.into_iter().enumerate() {
             let now = net.now + at as u64 * ROW_INTERVAL / 4;
-            let hears: Vec<Name> = (0..6).collect();
-            let row = Row { receives_from: hears, ..row };
+            let receives_from: Vec<Name> = (0..6).collect();
+            let row = Row { receives_from, ..row };
             net.nodes[0].handle(now, Input::Received(Process { name, instance: 7 }, row), &mut out);
             net.nodes[0].handle(now, Input::UnreadyLease(true), &mut out);
         }
--- a/crates/timeline/src/align.rs
+++ b/crates/timeline/src/align.rs
@@ -20,21 +20,22 @@
     // The log that shares most events with an aligned one is aligned next.
     loop {
         let mut best_match: Option<(usize, usize, Micros)> = None;
-        for (at, log) in logs.iter().enumerate().filter(|(at, _)| offsets[*at].is_none()) {
-            for (aligned, offset) in offsets.iter().enumerate().filter_map(|(at, o)| Some((at, (*o)?))) {
+        for (index, log) in logs.iter().enumerate().filter(|(index, _)| offsets[*index].is_none()) {
+            for (aligned, offset) in offsets.iter().enumerate().filter_map(|(index, o)| Some((index, (*o)?)))
+            {
                 let mut clock_differences = differences(&logs[aligned], log);
                 if clock_differences.len() > best_match.map_or(0, |(shared, ..)| shared) {
                     let middle = clock_differences.len() / 2;
                     let median = *clock_differences.select_nth_unstable(middle).1;
-                    best_match = Some((clock_differences.len(), at, offset.saturating_add(median)));
+                    best_match = Some((clock_differences.len(), index, offset.saturating_add(median)));
                 }
             }
         }
-        let Some((_, at, offset)) = best_match else { return offsets };
-        offsets[at] = Some(offset);
+        let Some((_, index, offset)) = best_match else { return offsets };
+        offsets[index] = Some(offset);
     }
 }
 
-fn differences(one: &Moments, other: &Moments) -> Vec<Micros> {
-    other.iter().filter_map(|(what, at)| Some(one.get(what)?.saturating_sub(*at))).collect()
+fn differences(first: &Moments, second: &Moments) -> Vec<Micros> {
+    second.iter().filter_map(|(key, index)| Some(first.get(key)?.saturating_sub(*index))).collect()
 }
--- a/crates/timeline/src/merge.rs
+++ b/crates/timeline/src/merge.rs
@@ -128,19 +128,19 @@
         }
         match (event.message.as_str(), event.field("epoch"), event.field("members")) {
             ("view decided", Some(epoch), Some(members)) => {
-                let (other, first_log) = *views.entry(epoch).or_insert((members, *log));
-                if other != members {
-                    let what = format!(
-                        "epoch {epoch} is {other} at {} and {members} at {}",
+                let (second, first_log) = *views.entry(epoch).or_insert((members, *log));
+                if second != members {
+                    let description = format!(
+                        "epoch {epoch} is {second} at {} and {members} at {}",
                         name(first_log),
                         name(*log)
                     );
-                    contradictions.push(Contradiction { at: *at, description: what });
+                    contradictions.push(Contradiction { at: *at, description });
                 }
             }
             ("lease", ..) => {
-                let (Some(of), Some(held)) = (event.field("of"), event.field("held")) else { continue };
-                let lease_periods = lease_periods.entry(of).or_default();
+                let (Some(resource), Some(held)) = (event.field("of"), event.field("held")) else { continue };
+                let lease_periods = lease_periods.entry(resource).or_default();
                 if held == "true" {
                     lease_periods.push(LeasePeriod { log: *log, from: *at, to: *at, has_ended: false });
                 } else if let Some(lease_period) = lease_periods
@@ -156,18 +156,18 @@
             _ => {}
         }
     }
-    for (of, lease_periods) in &lease_periods {
-        for (at, one) in lease_periods.iter().enumerate() {
-            for other in lease_periods[at + 1..].iter().filter(|other| other.log != one.log) {
-                let overlap = one.to.min(other.to).saturating_sub(one.from.max(other.from));
+    for (resource, lease_periods) in &lease_periods {
+        for (at, first) in lease_periods.iter().enumerate() {
+            for second in lease_periods[at + 1..].iter().filter(|second| second.log != first.log) {
+                let overlap = first.to.min(second.to).saturating_sub(first.from.max(second.from));
                 if overlap > MAX_OVERLAP {
-                    let what = format!(
-                        "{of} is held by {} and {} for {} ms",
-                        name(one.log),
-                        name(other.log),
+                    let description = format!(
+                        "{resource} is held by {} and {} for {} ms",
+                        name(first.log),
+                        name(second.log),
                         overlap / 1000
                     );
-                    contradictions.push(Contradiction { at: one.from.max(other.from), description: what });
+                    contradictions.push(Contradiction { at: first.from.max(second.from), description });
                 }
             }
         }
--- a/crates/timeline/tests/stories.rs
+++ b/crates/timeline/tests/merging.rs
@@ -55,7 +55,7 @@
     let two = [view(1010, "n1", 1, "n1"), lease(3000, "n1", true, ""), lease(6000, "n1", false, "")];
     let merged = merge(&[log("a", &one), log("b", &two)], true);
     let descriptions: Vec<&str> =
-        merged.contradictions.iter().map(|doubt| doubt.description.as_str()).collect();
+        merged.contradictions.iter().map(|contradiction| contradiction.description.as_str()).collect();
     assert_eq!(
         descriptions,
         ["epoch 1.1 is n0,n1 at n0 and n1 at n1", "chair is held by n0 and n1 for 2010 ms"]
--- a/crates/view/src/coordinator.rs
+++ b/crates/view/src/coordinator.rs
@@ -197,11 +197,11 @@
     }
 
     /// A random number below `most` (xorshift, Marsaglia, 2003).
-    fn random(&mut self, most: u64) -> u64 {
+    fn random(&mut self, limit: u64) -> u64 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
         self.random_state ^= self.random_state << 17;
-        self.random_state % most.max(1)
+        self.random_state % limit.max(1)
     }
 
     /// When [`Self::handle`] should be called next, even if no event has happened.
@@ -210,7 +210,7 @@
             .lease_states()
             .map(|(_, holder)| holder.expires_at())
             .into_iter()
-            .filter(|until| *until > now);
+            .filter(|expires_at| *expires_at > now);
         expirations.fold(self.heartbeat_at, Micros::min)
     }
 
@@ -225,8 +225,8 @@
                     .iter()
                     .chain([&self.settings.me])
                     .for_each(|process| self.register.set_running(*process));
-                let seen = |process: Process| (process, now);
-                self.last_seen.extend(others.into_iter().map(seen));
+                let with_time = |process: Process| (process, now);
+                self.last_seen.extend(others.into_iter().map(with_time));
                 let grant_duration = self.settings.lease_bounds.grantor_duration();
                 self.last_seen.retain(|_, at| now.saturating_sub(*at) <= 2 * grant_duration);
             }
@@ -292,10 +292,10 @@
         let lease_states =
             self.lease_states().map(|(lease, holder)| (lease, holder.is_held(now), holder.expires_at()));
         let holds_name = lease_states[0].1;
-        for (before, (lease, held, until)) in self.was_held.iter_mut().zip(lease_states) {
+        for (before, (lease, held, expires_at)) in self.was_held.iter_mut().zip(lease_states) {
             if std::mem::replace(before, held) != held {
                 // A released lease ends now.
-                let lost_ago = if held || until == 0 { 0 } else { now.saturating_sub(until) };
+                let lost_ago = if held || expires_at == 0 { 0 } else { now.saturating_sub(expires_at) };
                 out.push(Output::Lease(lease, held, lost_ago));
             }
         }
@@ -418,16 +418,16 @@
     /// several processes kept partial grants, none of them would get a majority.
     fn release_partial_grants(&mut self, now: Micros, resource: Resource, out: &mut Vec<Output>) {
         let backoff_until = now + self.heartbeat_interval() / 4 + self.random(2 * self.heartbeat_interval());
-        let (holder, until) = match resource {
+        let (holder, current_backoff) = match resource {
             PROPOSER_LEASE => (&mut self.proposer_lease, &mut self.proposer_backoff_until),
             UNREADY_LEASE if self.wants_unready => (&mut self.unready_lease, &mut self.unready_backoff_until),
             _ => return,
         };
         // The response to a release is a refusal, too.
-        if now < *until || holder.is_held(now) {
+        if now < *current_backoff || holder.is_held(now) {
             return;
         }
-        *until = backoff_until;
+        *current_backoff = backoff_until;
         let ask = holder.release(now);
         self.send_lease_request(ask, out);
     }
--- a/crates/view/src/register.rs
+++ b/crates/view/src/register.rs
@@ -136,8 +136,10 @@
         let accepted = self.accepted.as_ref().map(|accepted| (accepted.view.generation, accepted.view.epoch));
         let decided = self.decided.as_ref().map(|view| (view.generation, view.epoch));
         match (accepted, decided) {
-            (Some(one), Some(other)) if one.0 == other.0 => Some((one.0, one.1.max(other.1))),
-            (one, other) => other.or(one),
+            (Some(accepted), Some(decided)) if accepted.0 == decided.0 => {
+                Some((accepted.0, accepted.1.max(decided.1)))
+            }
+            (accepted, decided) => decided.or(accepted),
         }
     }
 
--- a/crates/view/tests/council.rs
+++ b/crates/view/tests/coordinator.rs
@@ -10,7 +10,7 @@
 const S: Micros = 1_000_000;
 
 struct SimulatedFleet {
-    councils: Vec<Coordinator>,
+    coordinators: Vec<Coordinator>,
     /// Whether messages from the first node to the second are dropped.
     is_cut: Box<dyn Fn(usize, usize) -> bool>,
     now: Micros,
@@ -21,7 +21,7 @@
 
 impl SimulatedFleet {
     fn new(seed: u64) -> SimulatedFleet {
-        let council = |name: &u64| {
+        let coordinator = |name: &u64| {
             let settings = Settings {
                 me: Process { name: *name, instance: seed * 31 + name },
                 elector_names: ElectorNames::new(NAMES),
@@ -32,7 +32,7 @@
             Coordinator::new(settings, 0)
         };
         SimulatedFleet {
-            councils: NAMES.iter().map(council).collect(),
+            coordinators: NAMES.iter().map(coordinator).collect(),
             is_cut: Box::new(|_, _| false),
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
@@ -43,7 +43,7 @@
 
     fn input(&mut self, at: usize, input: Input, seed: u64) {
         let mut out = Vec::new();
-        self.councils[at].handle(self.now, input, &mut out);
+        self.coordinators[at].handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Send(name, message) => {
@@ -53,10 +53,10 @@
                         self.in_flight.push((self.now + delay, at, to, message));
                     }
                 }
-                Output::Lease(LeaseKind::Proposer, held, _) => {
-                    self.proposers[at] = held;
+                Output::Lease(LeaseKind::Proposer, holders, _) => {
+                    self.proposers[at] = holders;
                     assert!(
-                        self.proposers.iter().filter(|held| **held).count() <= 1,
+                        self.proposers.iter().filter(|holders| **holders).count() <= 1,
                         "seed {seed}: two proposers"
                     );
                 }
@@ -80,8 +80,9 @@
                 let process =
                     |other: usize| Process { name: NAMES[other], instance: seed * 31 + NAMES[other] };
                 if self.now.is_multiple_of(200_000) {
-                    let there = (0..NAMES.len()).filter(|other| !(self.is_cut)(*other, at) && *other != at);
-                    self.input(at, Input::AliveProcesses(there.map(process).collect()), seed);
+                    let reachable =
+                        (0..NAMES.len()).filter(|other| !(self.is_cut)(*other, at) && *other != at);
+                    self.input(at, Input::AliveProcesses(reachable.map(process).collect()), seed);
                 } else {
                     self.input(at, Input::Tick, seed);
                 }
@@ -97,8 +98,8 @@
     for seed in 1..=40 {
         let mut net = SimulatedFleet::new(seed);
         net.run(10 * S, seed);
-        for council in &net.councils {
-            let status = council.status(net.now);
+        for coordinator in &net.coordinators {
+            let status = coordinator.status(net.now);
             assert_eq!(status.view.map(|view| view.members.len()), Some(5), "seed {seed}");
             assert!(
                 status.name_lease_left > 0 && (status.limit_share - 0.2).abs() < 1e-9,
@@ -108,7 +109,7 @@
         }
         net.is_cut = Box::new(|from, to| (from < 2) != (to < 2));
         net.run(6 * S, seed);
-        let status: Vec<_> = net.councils.iter().map(|council| council.status(net.now)).collect();
+        let status: Vec<_> = net.coordinators.iter().map(|coordinator| coordinator.status(net.now)).collect();
         assert!(
             status[..2].iter().all(|s| s.side == PartitionSide::Minority && s.name_lease_left == 0),
             "seed {seed}"
@@ -120,7 +121,7 @@
         );
         net.is_cut = Box::new(|_, _| false);
         net.run(5 * S, seed);
-        let all_joined = net.councils.iter().all(|c| c.status(net.now).view.unwrap().members.len() == 5);
+        let all_joined = net.coordinators.iter().all(|c| c.status(net.now).view.unwrap().members.len() == 5);
         assert!(all_joined, "seed {seed}");
     }
 }
@@ -130,7 +131,11 @@
 }
 
 fn members(net: &SimulatedFleet, at: usize) -> Vec<u64> {
-    net.councils[at].status(net.now).view.map(|view| view.members.into_keys().collect()).unwrap_or_default()
+    net.coordinators[at]
+        .status(net.now)
+        .view
+        .map(|view| view.members.into_keys().collect())
+        .unwrap_or_default()
 }
 
 #[test]
@@ -142,12 +147,12 @@
         net.run(3 * S, seed);
         for at in 0..5 {
             assert_eq!(members(&net, at), NAMES[..4], "seed {seed}");
-            let view = net.councils[at].status(net.now).view.unwrap();
+            let view = net.coordinators[at].status(net.now).view.unwrap();
             assert_eq!(Evictions::evicted(&view).collect::<Vec<_>>(), [(5, 6, "disk")]);
             assert_eq!(view.electors.len(), 5, "an evicted elector still votes");
         }
         assert!(
-            net.councils[4].status(net.now).limit_share <= dunelink_view::MIN_TOTAL_SHARE,
+            net.coordinators[4].status(net.now).limit_share <= dunelink_view::MIN_TOTAL_SHARE,
             "an evicted node takes the minimum share"
         );
         net.run(6 * S, seed);
@@ -165,23 +170,23 @@
 fn undecidable_changes_are_refused_and_block_no_others() {
     let seed = 3;
     let mut net = SimulatedFleet::new(seed);
-    assert_eq!(net.councils[0].validate(&Evictions::restore(1)), Err(Refusal::NoView));
+    assert_eq!(net.coordinators[0].validate(&Evictions::restore(1)), Err(Refusal::NoView));
     net.run(7 * S, seed);
-    let may = |net: &SimulatedFleet, change: &Change| net.councils[0].validate(change);
-    assert_eq!(may(&net, &Evictions::restore(1)), Err(Refusal::NotEvicted));
-    assert_eq!(may(&net, &Evictions::evict(1, 0, "")), Err(Refusal::InvalidEviction));
-    assert_eq!(may(&net, &Evictions::evict(1, 5, &"x".repeat(41))), Err(Refusal::InvalidEviction));
+    let validate = |net: &SimulatedFleet, change: &Change| net.coordinators[0].validate(change);
+    assert_eq!(validate(&net, &Evictions::restore(1)), Err(Refusal::NotEvicted));
+    assert_eq!(validate(&net, &Evictions::evict(1, 0, "")), Err(Refusal::InvalidEviction));
+    assert_eq!(validate(&net, &Evictions::evict(1, 5, &"x".repeat(41))), Err(Refusal::InvalidEviction));
     for name in [1, 2] {
-        assert_eq!(may(&net, &Evictions::evict(name, 600, "")), Ok(()));
+        assert_eq!(validate(&net, &Evictions::evict(name, 600, "")), Ok(()));
         net.input(0, Input::Propose(Evictions::evict(name, 600, "")), seed);
         net.run(2 * S, seed);
     }
-    assert_eq!(may(&net, &Evictions::evict(3, 5, "")), Err(Refusal::TooFewLeft));
+    assert_eq!(validate(&net, &Evictions::evict(3, 5, "")), Err(Refusal::TooFewLeft));
     // Without validation the change is rejected, and changes proposed after it are still decided.
     net.input(0, Input::Propose(Evictions::evict(3, 600, "")), seed);
     net.input(0, Input::Propose(Change::Set("a".into(), "b".into())), seed);
     net.run(3 * S, seed);
-    let view = net.councils[3].status(net.now).view.unwrap();
+    let view = net.coordinators[3].status(net.now).view.unwrap();
     assert_eq!((members(&net, 3), view.facts.get("a").map(String::as_str)), (NAMES[2..].to_vec(), Some("b")));
 }
 
@@ -192,17 +197,18 @@
         net.run(7 * S, seed);
         (0..3).for_each(|at| net.input(at, Input::WantUnready(true), seed));
         let unready_holders = |net: &SimulatedFleet| {
-            let held = net.councils.iter().enumerate().filter(|(_, c)| c.status(net.now).holds_unready_lease);
-            held.map(|(at, _)| at).collect::<Vec<_>>()
+            let holders =
+                net.coordinators.iter().enumerate().filter(|(_, c)| c.status(net.now).holds_unready_lease);
+            holders.map(|(at, _)| at).collect::<Vec<_>>()
         };
         let mut served = std::collections::BTreeSet::new();
         // Each node gets the lease in turn, once the holder before it has released it.
         for _ in 0..3 {
             net.run(6 * S, seed);
-            let held = unready_holders(&net);
-            assert_eq!(held.len(), 1, "seed {seed}: {held:?}");
-            served.insert(held[0]);
-            net.input(held[0], Input::WantUnready(false), seed);
+            let holders = unready_holders(&net);
+            assert_eq!(holders.len(), 1, "seed {seed}: {holders:?}");
+            served.insert(holders[0]);
+            net.input(holders[0], Input::WantUnready(false), seed);
             assert_eq!(unready_holders(&net), [0; 0]);
         }
         assert_eq!(served.len(), 3, "seed {seed}");
@@ -214,11 +220,11 @@
     let seed = 5;
     let mut net = SimulatedFleet::new(seed);
     net.run(7 * S, seed);
-    let before = net.councils[0].status(net.now).view.unwrap();
+    let before = net.coordinators[0].status(net.now).view.unwrap();
     assert_eq!(before.changes_since(None), [ViewDelta::Founded]);
     net.input(0, Input::Propose(Evictions::evict(5, 600, "x")), seed);
     net.run(3 * S, seed);
-    let after = net.councils[0].status(net.now).view.unwrap();
+    let after = net.coordinators[0].status(net.now).view.unwrap();
     let process = Process { name: 5, instance: seed * 31 + 5 };
     assert_eq!(
         after.changes_since(Some(&before)),
@@ -235,11 +241,12 @@
     let seed = 4;
     let mut net = SimulatedFleet::new(seed);
     net.run(7 * S, seed);
-    let before = net.councils[0].status(net.now).view.unwrap();
+    let before = net.coordinators[0].status(net.now).view.unwrap();
     let process = |name: u64| Process { name, instance: 77 };
-    let gone = |name: u64| Process { name, instance: before.members[&name] };
-    let after =
-        before.apply(&Change::Move(vec![process(8), process(9)], vec![gone(4), process(5)]), false).unwrap();
+    let current = |name: u64| Process { name, instance: before.members[&name] };
+    let after = before
+        .apply(&Change::Move(vec![process(8), process(9)], vec![current(4), process(5)]), false)
+        .unwrap();
     // Removing a process that is not the current member of its name has no effect.
     assert_eq!(after.members.keys().copied().collect::<Vec<_>>(), [1, 2, 3, 5, 8, 9]);
     assert_eq!(
@@ -249,11 +256,11 @@
     // Two nodes that were partitioned return with a single view.
     net.is_cut = Box::new(|from, to| (from < 2) != (to < 2));
     net.run(6 * S, seed);
-    let minority_view = net.councils[3].status(net.now).view.unwrap();
+    let minority_view = net.coordinators[3].status(net.now).view.unwrap();
     assert_eq!(minority_view.members.len(), 3);
     net.is_cut = Box::new(|_, _| false);
     net.run(3 * S, seed);
-    let all = net.councils[3].status(net.now).view.unwrap();
+    let all = net.coordinators[3].status(net.now).view.unwrap();
     assert_eq!((all.members.len(), all.epoch), (5, minority_view.epoch + 1));
 }
 
@@ -263,11 +270,11 @@
     let mut message_count = 0;
     for bytes in testkit::corpus("fleet_words").iter().filter(|bytes| !bytes.is_empty()) {
         let from = Process { name: u64::from(bytes[0] % 5), instance: u64::from(bytes[0] / 5) };
-        let Ok(wires) = postcard::from_bytes::<Vec<dunelink_view::FleetMessage>>(&bytes[1..]) else {
+        let Ok(messages) = postcard::from_bytes::<Vec<dunelink_view::FleetMessage>>(&bytes[1..]) else {
             continue;
         };
         let me = Process { name: 1, instance: 7 };
-        let mut council = Coordinator::new(
+        let mut coordinator = Coordinator::new(
             Settings {
                 me,
                 elector_names: ElectorNames::new([1, 2, 3]),
@@ -278,15 +285,17 @@
             0,
         );
         let (mut now, mut out) = (3 * S, Vec::new());
-        for message in wires {
+        for message in messages {
             message_count += 1;
-            council.handle(now, Input::Received(from, message), &mut out);
+            coordinator.handle(now, Input::Received(from, message), &mut out);
             now += S / 10;
-            council.handle(now, Input::Tick, &mut out);
+            coordinator.handle(now, Input::Tick, &mut out);
         }
-        let standing = council.status(now);
+        let final_status = coordinator.status(now);
         assert!(
-            !standing.holds_proposer_lease && standing.name_lease_left == 0 && standing.limit_share <= 1.0
+            !final_status.holds_proposer_lease
+                && final_status.name_lease_left == 0
+                && final_status.limit_share <= 1.0
         );
     }
     assert!(message_count > 0, "some corpus entries parse as messages");
--- a/crates/view/tests/views.rs
+++ b/crates/view/tests/views.rs
@@ -171,7 +171,7 @@
             actions.extend((0..NAMES.len()).map(|at| Action::DeliverLate(*from, message.0.clone(), at)));
         }
         for at in (0..NAMES.len()).filter(|at| state.requests[*at].is_some()) {
-            actions.extend((1..8).map(|some| Action::DeliverRequest(at, some)));
+            actions.extend((1..8).map(|subset| Action::DeliverRequest(at, subset)));
         }
         if state.restarts < self.restarts {
             actions.extend((0..NAMES.len()).map(Action::Restart));
@@ -197,19 +197,19 @@
         let mut next = state.clone();
         let process = |state: &State, at: usize| Process { name: NAMES[at], instance: state.instances[at] };
         match action {
-            Action::DeliverRequest(at, some) => {
+            Action::DeliverRequest(at, subset) => {
                 let me = process(&next, at);
                 let message = next.requests[at].clone()?;
                 let mut answers = Vec::new();
                 // The sender knows which processes it reaches.
-                for other in (0..NAMES.len()).filter(|other| some & 1 << other != 0) {
-                    let runs = process(&next, other);
-                    next.processes[at].set_running(runs);
+                for other in (0..NAMES.len()).filter(|other| subset & 1 << other != 0) {
+                    let running = process(&next, other);
+                    next.processes[at].set_running(running);
                 }
-                for other in (0..NAMES.len()).filter(|other| some & 1 << other != 0) {
-                    let record_outgoing = self.deliver(&mut next, me, message.clone(), other);
+                for other in (0..NAMES.len()).filter(|other| subset & 1 << other != 0) {
+                    let responses = self.deliver(&mut next, me, message.clone(), other);
                     let from = process(&next, other);
-                    answers.extend(record_outgoing.into_iter().map(|answer| (from, answer)));
+                    answers.extend(responses.into_iter().map(|answer| (from, answer)));
                 }
                 if let (Fault::NewcomerNotAsked, Message::Accept(ballot, view)) = (self.fault, &message) {
                     let new = view
@@ -272,11 +272,11 @@
                     let known = newest.entry(view.generation).or_insert(view);
                     *known = if known.epoch < view.epoch { view } else { known };
                 }
-                let runs = |view: &&&View| {
+                let running = |view: &&&View| {
                     let alive = |at: &usize| view.electors.get(&NAMES[*at]) == Some(&state.instances[*at]);
                     (0..NAMES.len()).filter(alive).count() >= names().majority()
                 };
-                newest.values().filter(runs).count() <= 1
+                newest.values().filter(running).count() <= 1
             }),
             Property::sometimes("a second epoch", |_: &Fleet, state: &State| {
                 state.decided.iter().any(|DecidedView(view)| view.epoch > 1)
