--- a/bench/src/lines.rs
+++ b/bench/src/lines.rs
@@ -7,7 +7,7 @@
 
 use anyhow::bail;
 use clap::Args;
-use dunelink::deciding::{
+use dunelink::consensus::{
     Coordinator, ElectorNames, Evictions, FleetMessage, Generation, Input as Told, LeaseBounds, LeaseKind,
     MAX_TOTAL_SHARE, Micros, Output, Process, Settings, View,
 };
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,37 +1,39 @@
-//! The data plane of a front machine: reads clients' requests, asks the routing decision for a server, passes the
-//! answer on.
+//! The data plane of a front machine: it reads client requests, asks the router for a server, and relays the
+//! response.
 //!
-//! A request's way: [`listen`] accepts its connection, [`connection`] lets hyper read it, [`request`] takes what is
-//! needed out of its head, [`admission`] finds its route and tenant and charges its quota, [`exchange`] sends it to
-//! servers until one answer stands, one attempt at a time, [`upstream`] holds the connections to them, [`stream`]
-//! passes events on and resumes at another server, [`table`] says what a client is told when no server's answer
-//! stands.
+//! The path of a request: [`listener`] accepts its connection, [`connection`] lets hyper read it, [`request`]
+//! extracts the needed fields from its head, [`admission`] finds its route and tenant and charges the
+//! tenant's quota, [`exchange`] sends it to servers, one attempt at a time, until there is a final response,
+//! [`upstream`] holds the connections to the servers, [`relay`] forwards event streams and resumes them at
+//! another server, and [`request_failure`] defines the response to the client when no server has given a
+//! usable one.
 //!
-//! [`feed`] takes configuration, servers and grants from the agent on the machine; [`readiness`] answers the
-//! platform's check; [`shutdown`] ends the process without cutting what was read.
+//! [`feed`] receives the configuration, the servers and the grants from the agent on the machine;
+//! [`readiness`] answers the platform's readiness checks; [`shutdown`] drains open requests before the
+//! process exits.
 
 #![forbid(unsafe_code)]
 
 pub mod admission;
-pub mod answer;
 pub mod arguments;
 mod attempt;
+pub mod attempt_guard;
+pub mod client_socket;
 pub mod configuration;
 pub mod connection;
 pub mod exchange;
 pub mod feed;
-pub mod leaving;
-pub mod listen;
+pub mod listener;
 pub mod node;
 pub mod open_requests;
 pub mod readiness;
+pub mod relay;
 pub mod request;
+pub mod request_failure;
+pub mod response;
 pub mod run;
 pub mod shutdown;
-pub mod socket;
-pub mod stream;
-pub mod table;
-pub mod tracked;
+pub mod shutdown_schedule;
 pub mod upstream;
 
 pub use run::{Proxy, main};
--- /dev/null
+++ b/crates/proxy/src/upstream/connection.rs
@@ -0,0 +1,283 @@
+//! One connection to a server, driven by the request that uses it.
+//!
+//! hyper splits a connection into a sender and a future that does the I/O. Here the task that waits for the
+//! response polls that future, which saves a separate task and a wake-up between two tasks per piece of data.
+
+use std::cell::Cell;
+use std::future::{Future, poll_fn};
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use dunelink_edge::answer as edge_answer;
+use dunelink_routing::ServerHandle;
+use http::header::{self, HeaderMap};
+use http::{Request, Response};
+use http_body::{Body, Frame};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{Builder, Connection, SendRequest};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+use super::counting_socket::CountingSocket;
+use super::pool::ConnectionPermit;
+use super::timer::{RequestTimer, TimeoutKind};
+
+/// Idle time after which a connection is not reused, if the server states no keep-alive timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Share of the keep-alive timeout within which a connection is reused: a request that crosses the server's
+/// close may be lost.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
+/// Maximum read buffer of a connection in bytes; it also limits the head of a response.
+const MAX_READ_BUFFER_BYTES: usize = 64 * 1024;
+/// How often a connection is polled until hyper reports that it is ready for the next request.
+const MAX_READY_POLLS: usize = 3;
+
+/// A connection to one incarnation of a server.
+pub struct UpstreamConnection {
+    sender: SendRequest<Full<Bytes>>,
+    connection: Connection<TokioIo<CountingSocket>, Full<Bytes>>,
+    written_bytes: Rc<Cell<u64>>,
+    is_closed: bool,
+    is_new: bool,
+    closes_after_response: bool,
+    idle_timeout: Duration,
+    pub(super) idle_since: Instant,
+    server: ServerHandle,
+    server_id: Arc<str>,
+    /// Releases the connection's slot in the pool when it is dropped.
+    permit: ConnectionPermit,
+}
+
+/// The result of sending a request on a connection.
+pub enum SendResult {
+    /// The head of a response has arrived.
+    Response(Box<UpstreamResponse>),
+    /// The request was not written completely, so the server has not executed it.
+    NotSent,
+    /// The connection broke, or the received bytes are not a valid response. The server may have executed the
+    /// request.
+    Broken,
+    /// There was no response before the deadline or the silence timeout. The server may have executed the
+    /// request.
+    TimedOut(TimeoutKind),
+}
+
+/// A response whose body is still to be read.
+pub struct UpstreamResponse {
+    /// Status and headers.
+    pub head: http::response::Parts,
+    /// Body.
+    pub body: Incoming,
+    /// Whether the body ends with the connection. A reset of the connection is not a regular end.
+    pub is_close_delimited: bool,
+    /// The connection that the response arrives on.
+    pub connection: Box<UpstreamConnection>,
+}
+
+impl UpstreamConnection {
+    /// Opens a connection to a server within `timeout`; `None` if that fails.
+    pub async fn open(
+        address: SocketAddr,
+        server: ServerHandle,
+        server_id: Arc<str>,
+        permit: ConnectionPermit,
+        timeout: Duration,
+    ) -> Option<Box<Self>> {
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await.ok()?.ok()?;
+        stream.set_nodelay(true).ok()?;
+        let (socket, written_bytes) = CountingSocket::new(stream);
+        let mut builder = Builder::new();
+        builder.max_buf_size(MAX_READ_BUFFER_BYTES);
+        let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.ok()?;
+        Some(Box::new(Self {
+            sender,
+            connection,
+            written_bytes,
+            is_closed: false,
+            is_new: true,
+            closes_after_response: false,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT.mul_f64(IDLE_TIMEOUT_FRACTION),
+            idle_since: Instant::now(),
+            server,
+            server_id,
+            permit,
+        }))
+    }
+
+    /// Returns the server that the connection leads to.
+    pub fn server(&self) -> ServerHandle {
+        self.server
+    }
+
+    /// Returns the id of that server.
+    pub fn server_id(&self) -> &Arc<str> {
+        &self.server_id
+    }
+
+    /// Whether nothing has been sent on the connection yet.
+    pub fn is_new(&self) -> bool {
+        self.is_new
+    }
+
+    /// Whether the connection has been idle for too long to be reused.
+    pub(super) fn is_stale(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.idle_since) >= self.idle_timeout
+    }
+
+    /// Makes progress on the connection's I/O.
+    fn poll_io(&mut self, cx: &mut Context<'_>) {
+        if !self.is_closed && Pin::new(&mut self.connection).poll(cx).is_ready() {
+            self.is_closed = true;
+        }
+    }
+
+    /// Whether another request may be sent on the connection: the last response is complete, the server does
+    /// not close the connection, and no bytes followed the response.
+    pub fn is_reusable(&mut self, cx: &mut Context<'_>) -> bool {
+        if self.closes_after_response {
+            return false;
+        }
+        for _ in 0..MAX_READY_POLLS {
+            self.poll_io(cx);
+            if self.is_closed {
+                return false;
+            }
+            if self.sender.is_ready() {
+                return true;
+            }
+        }
+        false
+    }
+
+    /// Returns a counter that increases whenever data arrives from the server on any connection.
+    pub fn activity(&self) -> u64 {
+        self.permit.activity()
+    }
+
+    /// Sends a request and waits for the head of its response until the timer fires. `min_wire_bytes` is the
+    /// minimum number of bytes that the request takes on the wire.
+    pub async fn send(
+        mut self: Box<Self>,
+        request: Request<Full<Bytes>>,
+        min_wire_bytes: u64,
+        timer: &mut RequestTimer,
+    ) -> SendResult {
+        let written_before = self.written_bytes.get();
+        self.is_new = false;
+        let mut response = std::pin::pin!(self.sender.try_send_request(request));
+        let mut connection = Pin::new(&mut self.connection);
+        let (is_closed, permit) = (&mut self.is_closed, &self.permit);
+        let result = poll_fn(|cx| {
+            if !*is_closed && connection.as_mut().poll(cx).is_ready() {
+                *is_closed = true;
+            }
+            if let Poll::Ready(result) = response.as_mut().poll(cx) {
+                return Poll::Ready(Ok(result.ok()));
+            }
+            if *is_closed {
+                return Poll::Ready(Ok(None));
+            }
+            timer.poll(cx, permit.activity()).map(Err)
+        })
+        .await;
+        let fully_written = self.written_bytes.get() - written_before >= min_wire_bytes;
+        match result {
+            Ok(Some(response)) => SendResult::Response(Box::new(self.into_upstream_response(response))),
+            _ if !fully_written => SendResult::NotSent,
+            Ok(None) => SendResult::Broken,
+            Err(kind) => SendResult::TimedOut(kind),
+        }
+    }
+
+    fn into_upstream_response(mut self: Box<Self>, response: Response<Incoming>) -> UpstreamResponse {
+        let (head, body) = response.into_parts();
+        self.permit.record_activity();
+        self.closes_after_response =
+            has_connection_option(&head.headers, "close") || head.version < http::Version::HTTP_11;
+        if let Some(seconds) = keep_alive_seconds(&head.headers) {
+            self.idle_timeout = Duration::from_secs(seconds).mul_f64(IDLE_TIMEOUT_FRACTION);
+        }
+        let is_close_delimited = edge_answer::is_unframed(&head.headers);
+        self.closes_after_response |= is_close_delimited;
+        UpstreamResponse { head, body, is_close_delimited, connection: self }
+    }
+}
+
+impl UpstreamResponse {
+    /// Returns the next frame of the body.
+    pub fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
+        let mut frame = Pin::new(&mut self.body).poll_frame(cx);
+        if frame.is_pending() {
+            self.connection.poll_io(cx);
+            frame = Pin::new(&mut self.body).poll_frame(cx);
+        }
+        if frame.is_ready() {
+            self.connection.permit.record_activity();
+        }
+        frame
+    }
+
+    /// Reads the complete body. `None` if it breaks off, is longer than `max_bytes`, or the timer fires
+    /// before its end.
+    pub async fn read_to_end(&mut self, max_bytes: usize, timer: &mut RequestTimer) -> Option<Bytes> {
+        let mut chunks = BodyChunks::default();
+        poll_fn(|cx| {
+            loop {
+                match self.poll_frame(cx) {
+                    Poll::Ready(Some(Ok(frame))) => {
+                        chunks.push(frame.into_data().unwrap_or_default());
+                        if chunks.length > max_bytes {
+                            return Poll::Ready(None);
+                        }
+                    }
+                    Poll::Ready(Some(Err(_))) => return Poll::Ready(None),
+                    Poll::Ready(None) => return Poll::Ready(Some(chunks.join())),
+                    Poll::Pending => return timer.poll(cx, self.connection.activity()).map(|_| None),
+                }
+            }
+        })
+        .await
+    }
+}
+
+/// Chunks of a body; a single chunk is not copied.
+#[derive(Default)]
+struct BodyChunks {
+    chunks: Vec<Bytes>,
+    length: usize,
+}
+
+impl BodyChunks {
+    fn push(&mut self, chunk: Bytes) {
+        self.length += chunk.len();
+        self.chunks.push(chunk);
+    }
+
+    fn join(&mut self) -> Bytes {
+        match self.chunks.len() {
+            0 => Bytes::new(),
+            1 => self.chunks.remove(0),
+            _ => self.chunks.concat().into(),
+        }
+    }
+}
+
+/// Whether the `Connection` header contains an option.
+fn has_connection_option(headers: &HeaderMap, option: &str) -> bool {
+    let values = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
+    values.flat_map(|value| value.split(',')).any(|token| token.trim().eq_ignore_ascii_case(option))
+}
+
+/// Returns the timeout that the `Keep-Alive` header states, in seconds.
+fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
+    let value = headers.get("keep-alive")?.to_str().ok()?;
+    let timeout = value.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
+    timeout.trim().parse().ok()
+}
--- a/fuzz/fuzz_targets/fleet_words.rs
+++ b/fuzz/fuzz_targets/fleet_words.rs
@@ -2,8 +2,8 @@
 //! What other nodes say of views, leases and themselves, as it is carried in gossip's packets: whatever a member with a
 //! valid key sends, a council and a node's health take it in, stay bounded and can be looked at.
 
-use dunelink::deciding::{Coordinator, ElectorNames, FleetMessage, Input, LeaseBounds, Process, Settings};
-use dunelink::reaching::{self, HealthMonitor, Row};
+use dunelink::consensus::{Coordinator, ElectorNames, FleetMessage, Input, LeaseBounds, Process, Settings};
+use dunelink::reachability::{self, HealthMonitor, Row};
 
 const BOUNDS: LeaseBounds = LeaseBounds { lease: 2_000_000, drift_ppm: 500 };
 
@@ -34,12 +34,12 @@
         assert!(out.len() < 10_000);
     }
     if let Ok(row) = postcard::from_bytes::<Row>(bytes) {
-        let settings = reaching::Settings { me, zone: "a".into(), min_ready_fraction: 0.5 };
+        let settings = reachability::Settings { me, zone: "a".into(), min_ready_fraction: 0.5 };
         let (mut health, mut out) = (HealthMonitor::new(settings, 0), Vec::new());
-        health.handle(0, reaching::Input::Members(vec![0, 1, 2]), &mut out);
+        health.handle(0, reachability::Input::Members(vec![0, 1, 2]), &mut out);
         for now in (0..20_000_000).step_by(1_000_000) {
-            health.handle(now, reaching::Input::Received(from, row.clone()), &mut out);
-            health.handle(now, reaching::Input::UnreadyLease(true), &mut out);
+            health.handle(now, reachability::Input::Received(from, row.clone()), &mut out);
+            health.handle(now, reachability::Input::UnreadyLease(true), &mut out);
         }
         let _ = (health.matrix().one_way_links(20_000_000), health.matrix().condition(20_000_000, 0));
     }
