--- a/crates/gossip/src/gossip/mod.rs
+++ b/crates/gossip/src/gossip/mod.rs
@@ -88,25 +88,38 @@
     instance: u64,
     started_at: Micros,
     now: Micros,
+    /// The number of the last packet sent.
     last_packet_number: u64,
     own_statement: SignedStatement,
+    /// When this node last refuted an accusation; 0 if never.
     refuted_at: Micros,
     members: Members,
     updates: UpdateQueue,
     prober: Prober,
     evidence: Evidence,
+    /// This node's own newest observations of servers.
     observations: Vec<ServerObservation>,
     fleet_size: FleetSize,
+    /// The position last reported by an output.
     announced_position: Option<FleetPosition>,
+    /// Bytes that may be sent for probes, their responses and payloads.
     probe_budget: TokenBucket,
+    /// Bytes that may be sent for updates.
     update_budget: TokenBucket,
     source_limits: SourceLimits,
+    /// Limits the packets accepted from each member.
     member_limits: BTreeMap<MemberId, TokenBucket>,
+    /// When an event of each kind was last logged about each member.
     last_logged: BTreeMap<(u8, MemberId), Micros>,
+    /// How often a statement or packet of another process under this name was received.
     duplicate_name_count: u32,
+    /// When the next round of updates is due.
     gossip_at: Micros,
+    /// When the next synchronisation is due.
     sync_at: Micros,
+    /// The first member of the part to synchronise next.
     sync_from: MemberId,
+    /// The first member of the part that was requested last.
     requested_from: MemberId,
     /// For the current pass over the ring: whether there were responses, and whether they contained new
     /// statements.
@@ -115,7 +128,9 @@
     eager_passes: u8,
     /// The number of checksums in a request during eager synchronisation.
     checksum_count: usize,
+    /// When the next attempt to join is due.
     join_at: Micros,
+    /// The current wait between two attempts to join; it doubles up to its maximum.
     join_wait: Micros,
     random: fastrand::Rng,
     counters: Counters,
--- a/crates/gossip/src/keys.rs
+++ b/crates/gossip/src/keys.rs
@@ -106,7 +106,7 @@
                 .entry(id)
                 .or_insert_with(|| RingMember { name: name.to_owned(), keys: Vec::new() });
             if members.name != name {
-                return Err(error("expected a name whose digest no other has"));
+                return Err(error("expected a name whose digest differs from those of all other names"));
             }
             if members.keys.len() == MAX_KEYS_PER_MEMBER {
                 return Err(error("expected at most 3 keys for a name"));
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -280,7 +280,7 @@
         SignedStatement::new(statement, &Secret::from_seed([author as u8; 32]))
     }
 
-    fn statement_inputs() -> impl Strategy<Value = Vec<(u64, u64, u8, u64)>> {
+    fn inputs() -> impl Strategy<Value = Vec<(u64, u64, u8, u64)>> {
         prop::collection::vec((0..5_u64, 0..4_u64, 0..=100_u8, 0..8_u64), 1..20)
     }
 
@@ -296,8 +296,8 @@
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), cases: 64, ..ProptestConfig::default() })]
 
         #[test]
-        fn merge_is_commutative_associative_and_idempotent(statement_inputs in statement_inputs(), seed in any::<u64>(), cut in 0..20_usize) {
-            let mut all: Vec<SignedStatement> = statement_inputs.into_iter().map(statement).collect();
+        fn merging_ignores_order_and_repetition(inputs in inputs(), seed in any::<u64>(), cut in 0..20_usize) {
+            let mut all: Vec<SignedStatement> = inputs.into_iter().map(statement).collect();
             let once = merged(all.iter());
             prop_assert_eq!(&once, &merged(all.iter().chain(all.iter())));
             let (left, right) = all.split_at(cut.min(all.len()));
@@ -309,9 +309,9 @@
         }
 
         #[test]
-        fn false_suspicions_stay_within_bound(statement_inputs in statement_inputs(), honest in 0..40_u64, seconds in 0..4_u64) {
+        fn false_suspicions_stay_within_bound(inputs in inputs(), honest in 0..40_u64, seconds in 0..4_u64) {
             let mut members = Members::default();
-            for signed in statement_inputs.into_iter().map(statement) {
+            for signed in inputs.into_iter().map(statement) {
                 members.merge(1_000, signed, 0);
             }
             let false_witnesses = members.all.len();
--- a/crates/timeline/src/merge.rs
+++ b/crates/timeline/src/merge.rs
@@ -128,10 +128,10 @@
         }
         match (event.message.as_str(), event.field("epoch"), event.field("members")) {
             ("view decided", Some(epoch), Some(members)) => {
-                let (second, first_log) = *views.entry(epoch).or_insert((members, *log));
-                if second != members {
+                let (first_members, first_log) = *views.entry(epoch).or_insert((members, *log));
+                if first_members != members {
                     let description = format!(
-                        "epoch {epoch} is {second} at {} and {members} at {}",
+                        "epoch {epoch} is {first_members} at {} and {members} at {}",
                         name(first_log),
                         name(*log)
                     );
--- a/crates/view/src/coordinator.rs
+++ b/crates/view/src/coordinator.rs
@@ -130,25 +130,32 @@
 pub struct Coordinator {
     settings: Settings,
     register: Register,
+    /// The elector's side of leases; `None` if this node is no elector.
     grantor: Option<Grantor>,
-    name: LeaseHolder,
+    name_lease: LeaseHolder,
     proposer_lease: LeaseHolder,
     unready_lease: LeaseHolder,
     wants_unready: bool,
     evictions: Evictions,
     reachability: Reachability,
     limit_share: LimitShare,
+    /// When each other process was last reported as alive.
     last_seen: BTreeMap<Process, Micros>,
+    /// Proposed changes that are not decided yet.
     pending_changes: Vec<Change>,
     started_at: Micros,
     heartbeat_at: Micros,
     /// No new proposal before this time: a ballot in progress gets time to complete.
     propose_not_before: Micros,
+    /// The proposer lease is not requested before this time, after others competed for it.
     proposer_backoff_until: Micros,
+    /// The same for the unready lease.
     unready_backoff_until: Micros,
+    /// The side last reported.
     side: PartitionSide,
     /// Whether the name, proposer and unready leases (in this order) were held at the last check.
     was_held: [bool; 3],
+    /// The share last reported.
     share: f64,
     /// Since when this process has been a member that holds its name lease; 0 if it need not wait.
     member_since: Option<Micros>,
@@ -169,7 +176,7 @@
         Coordinator {
             register: Register::new(me, names.clone()),
             grantor: names.contains(me.name).then(|| Grantor::new(bounds, now)),
-            name: LeaseHolder::new(bounds, names.clone(), resource(me.name)),
+            name_lease: LeaseHolder::new(bounds, names.clone(), resource(me.name)),
             proposer_lease: LeaseHolder::new(bounds, names.clone(), PROPOSER_LEASE),
             unready_lease: LeaseHolder::new(bounds, names.clone(), UNREADY_LEASE),
             wants_unready: false,
@@ -196,7 +203,7 @@
         self.settings.lease_bounds.lease / HEARTBEATS_PER_LEASE
     }
 
-    /// A random number below `most` (xorshift, Marsaglia, 2003).
+    /// A random number below `limit` (xorshift, Marsaglia, 2003).
     fn random(&mut self, limit: u64) -> u64 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
@@ -250,7 +257,7 @@
         NodeStatus {
             view: self.register.view().cloned(),
             side: self.reachability.side(now),
-            name_lease_left: self.name.expires_at().saturating_sub(now),
+            name_lease_left: self.name_lease.expires_at().saturating_sub(now),
             holds_proposer_lease: self.proposer_lease.is_held(now),
             holds_unready_lease: self.unready_lease.is_held(now),
             reachable_electors: self.reachability.reachable_electors(now).collect(),
@@ -260,7 +267,7 @@
 
     fn lease_states(&self) -> [(LeaseKind, &LeaseHolder); 3] {
         [
-            (LeaseKind::NodeName, &self.name),
+            (LeaseKind::NodeName, &self.name_lease),
             (LeaseKind::Proposer, &self.proposer_lease),
             (LeaseKind::Unready, &self.unready_lease),
         ]
@@ -282,8 +289,8 @@
     /// Starts requesting the unready lease, or releases it at once when it is no longer wanted.
     fn set_wants_unready(&mut self, now: Micros, wanted: bool, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.wants_unready, wanted) && !wanted {
-            let ask = self.unready_lease.release(now);
-            self.send_lease_request(ask, out);
+            let lease_request = self.unready_lease.release(now);
+            self.send_lease_request(lease_request, out);
         }
     }
 
@@ -334,9 +341,9 @@
         out.extend(self.settings.elector_names.iter().map(|name| Output::Send(name, message.clone())));
     }
 
-    fn send_lease_request(&self, ask: LeaseRequest, out: &mut Vec<Output>) {
+    fn send_lease_request(&self, lease_request: LeaseRequest, out: &mut Vec<Output>) {
         let (generation, epoch) = self.known_epoch();
-        self.send_to_electors(&FleetMessage::LeaseRequest(ask, generation, epoch), out);
+        self.send_to_electors(&FleetMessage::LeaseRequest(lease_request, generation, epoch), out);
     }
 
     fn send_register_messages(messages: Vec<(Name, Message)>, out: &mut Vec<Output>) {
@@ -378,33 +385,37 @@
                     }
                 }
             }
-            FleetMessage::LeaseRequest(ask, generation, epoch) => {
-                let is_outdated = self.is_outdated_renewal(from, &ask, generation, epoch);
+            FleetMessage::LeaseRequest(lease_request, generation, epoch) => {
+                let is_outdated = self.is_outdated_renewal(from, &lease_request, generation, epoch);
                 if let Some(grantor) = &mut self.grantor {
-                    let refusal =
-                        LeaseResponse { resource: ask.resource, number: ask.number, granted: false };
-                    let answer = if is_outdated { refusal } else { grantor.handle(now, from, ask) };
-                    out.push(Output::Send(from.name, FleetMessage::LeaseResponse(answer)));
+                    let refusal = LeaseResponse {
+                        resource: lease_request.resource,
+                        number: lease_request.number,
+                        granted: false,
+                    };
+                    let response =
+                        if is_outdated { refusal } else { grantor.handle(now, from, lease_request) };
+                    out.push(Output::Send(from.name, FleetMessage::LeaseResponse(response)));
                 }
             }
-            FleetMessage::LeaseResponse(answer) => {
-                self.name.handle(from, answer);
-                self.proposer_lease.handle(from, answer);
-                self.unready_lease.handle(from, answer);
-                if !answer.granted {
-                    self.release_partial_grants(now, answer.resource, out);
+            FleetMessage::LeaseResponse(response) => {
+                self.name_lease.handle(from, response);
+                self.proposer_lease.handle(from, response);
+                self.unready_lease.handle(from, response);
+                if !response.granted {
+                    self.release_partial_grants(now, response.resource, out);
                 }
             }
             FleetMessage::Hello(generation, epoch) => {
                 let (known_generation, known_epoch) = self.known_epoch();
                 out.push(Output::Send(from.name, FleetMessage::HelloReply(known_generation, known_epoch)));
                 let Some(view) = self.register.view() else { return };
-                let older = if generation == known_generation {
+                let is_older = if generation == known_generation {
                     epoch < known_epoch
                 } else {
                     !self.register.has_lost_majority(view)
                 };
-                if older {
+                if is_older {
                     let decided = Message::Decided(self.register.ballot(), view.clone());
                     out.push(Output::Send(from.name, FleetMessage::Register(decided)));
                 }
@@ -428,16 +439,22 @@
             return;
         }
         *current_backoff = backoff_until;
-        let ask = holder.release(now);
-        self.send_lease_request(ask, out);
+        let lease_request = holder.release(now);
+        self.send_lease_request(lease_request, out);
     }
 
     /// Whether a process wants to renew its name lease under an old view: members may have joined since, so
     /// that its share would now be too large. It learns the newest view and requests again.
-    fn is_outdated_renewal(&self, from: Process, ask: &LeaseRequest, generation: Ballot, epoch: u64) -> bool {
+    fn is_outdated_renewal(
+        &self,
+        from: Process,
+        lease_request: &LeaseRequest,
+        generation: Ballot,
+        epoch: u64,
+    ) -> bool {
         let Some((newest_generation, newest_epoch)) = self.register.newest_epoch() else { return false };
         let knows_no_view = epoch == 0;
-        let is_name_request = ask.resource == resource(from.name) && !ask.release;
+        let is_name_request = lease_request.resource == resource(from.name) && !lease_request.release;
         is_name_request && !knows_no_view && (generation != newest_generation || epoch < newest_epoch)
     }
 
@@ -453,19 +470,19 @@
     fn heartbeat(&mut self, now: Micros, out: &mut Vec<Output>) {
         let (generation, epoch) = self.known_epoch();
         self.send_to_electors(&FleetMessage::Hello(generation, epoch), out);
-        let ask = self.name.request(now);
-        self.send_lease_request(ask, out);
+        let lease_request = self.name_lease.request(now);
+        self.send_lease_request(lease_request, out);
         if self.wants_unready && now >= self.unready_backoff_until {
-            let ask = self.unready_lease.request(now);
-            self.send_lease_request(ask, out);
+            let lease_request = self.unready_lease.request(now);
+            self.send_lease_request(lease_request, out);
         }
         let Some(grantor) = &self.grantor else { return };
         if grantor.is_granting(now) {
             self.register.allow_founding();
         }
         if now >= self.proposer_backoff_until {
-            let ask = self.proposer_lease.request(now);
-            self.send_lease_request(ask, out);
+            let lease_request = self.proposer_lease.request(now);
+            self.send_lease_request(lease_request, out);
         }
         if self.proposer_lease.is_held(now) && now >= self.propose_not_before {
             self.propose(now, out);
--- a/crates/view/src/lease.rs
+++ b/crates/view/src/lease.rs
@@ -97,38 +97,38 @@
 
     /// Answers a request.
     pub fn handle(&mut self, now: Micros, from: Process, lease_request: LeaseRequest) -> LeaseResponse {
-        let answer = |granted| LeaseResponse {
+        let response = |granted| LeaseResponse {
             resource: lease_request.resource,
             number: lease_request.number,
             granted,
         };
         if !self.is_granting(now) {
-            return answer(false);
+            return response(false);
         }
         let answered = self.answered.get(&(from, lease_request.resource)).copied();
         if answered.is_some_and(|answered| lease_request.number < answered) {
-            return answer(false);
+            return response(false);
         }
         let held_by_other =
             self.grants.get(&lease_request.resource).filter(|(to, expiry)| *to != from && now < *expiry);
         if held_by_other.is_some() {
-            return answer(false);
+            return response(false);
         }
         if !self.grants.contains_key(&lease_request.resource) && self.grants.len() >= MAX_GRANTS {
             self.grants.retain(|_, (_, expiry)| now < *expiry);
             let grants = &self.grants;
             self.answered.retain(|(to, resource), _| grants.get(resource).is_some_and(|(by, _)| by == to));
             if self.grants.len() >= MAX_GRANTS {
-                return answer(false);
+                return response(false);
             }
         }
         self.answered.insert((from, lease_request.resource), lease_request.number);
         if lease_request.release {
             self.grants.remove(&lease_request.resource);
-            return answer(false);
+            return response(false);
         }
         self.grants.insert(lease_request.resource, (from, now + self.bounds.grantor_duration()));
-        answer(true)
+        response(true)
     }
 
     /// The process that this elector has granted a resource to, if the grant has not expired.
@@ -170,9 +170,9 @@
     }
 
     /// Takes in an elector's response; returns whether a majority has granted the request by now.
-    pub fn handle(&mut self, from: Process, answer: LeaseResponse) -> bool {
-        let is_current = answer.resource == self.resource && answer.number == self.number;
-        if !is_current || !answer.granted || !self.names.contains(from.name) {
+    pub fn handle(&mut self, from: Process, response: LeaseResponse) -> bool {
+        let is_current = response.resource == self.resource && response.number == self.number;
+        if !is_current || !response.granted || !self.names.contains(from.name) {
             return false;
         }
         // One vote for each name, whichever of its processes it comes from.
--- a/crates/view/tests/leases.rs
+++ b/crates/view/tests/leases.rs
@@ -51,7 +51,8 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    ViewDelta,
+    /// Advances the true time by one step.
+    AdvanceTime,
     Request(usize),
     Release(usize),
     Restart(usize),
@@ -127,7 +128,7 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.time < self.steps {
-            actions.push(Action::ViewDelta);
+            actions.push(Action::AdvanceTime);
         }
         if state.request_count < self.request_count {
             actions.extend((0..HOLDERS).map(Action::Request));
@@ -152,7 +153,7 @@
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Action::ViewDelta => next.time += 1,
+            Action::AdvanceTime => next.time += 1,
             Action::Request(holder) => {
                 next.request_count += 1;
                 let request = next.holders[holder].request(Leases::holder_clock(state, holder));
@@ -247,7 +248,7 @@
             model.actions(&state, &mut actions);
             let kind = rng.u8(..20);
             actions.retain(|act| match act {
-                Action::ViewDelta => kind < 4,
+                Action::AdvanceTime => kind < 4,
                 Action::Request(_) => kind == 4 || kind == 5,
                 Action::Release(_) => kind == 6,
                 Action::Restart(_) => kind == 7,
--- a/crates/view/tests/views.rs
+++ b/crates/view/tests/views.rs
@@ -69,7 +69,7 @@
     Restart(usize),
     Propose(usize, Change),
     /// A process's request arrives at a subset of processes (one bit for each), and their responses come
-    /// back. `Late` covers responses that are lost.
+    /// back. `DeliverLate` covers responses that are lost.
     DeliverRequest(usize, u8),
     DeliverLate(Process, Message, usize),
 }
@@ -125,7 +125,7 @@
 
     fn record_outgoing(&self, state: &mut State, at: usize, out: Vec<(Name, Message)>) -> Vec<Message> {
         let me = Process { name: NAMES[at], instance: state.instances[at] };
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for (_, mut message) in out {
             self.apply_fault(&mut message);
             match &message {
@@ -135,13 +135,13 @@
                     state.late_messages.insert((me, SentMessage(message)));
                 }
                 Message::Decided(..) => drop(state.late_messages.insert((me, SentMessage(message.clone())))),
-                _ => answers.push(message),
+                _ => responses.push(message),
             }
         }
         if !state.processes[at].is_proposing() {
             state.requests[at] = None;
         }
-        answers
+        responses
     }
 }
 
@@ -200,7 +200,7 @@
             Action::DeliverRequest(at, subset) => {
                 let me = process(&next, at);
                 let message = next.requests[at].clone()?;
-                let mut answers = Vec::new();
+                let mut all_responses = Vec::new();
                 // The sender knows which processes it reaches.
                 for other in (0..NAMES.len()).filter(|other| subset & 1 << other != 0) {
                     let running = process(&next, other);
@@ -209,7 +209,7 @@
                 for other in (0..NAMES.len()).filter(|other| subset & 1 << other != 0) {
                     let responses = self.deliver(&mut next, me, message.clone(), other);
                     let from = process(&next, other);
-                    answers.extend(responses.into_iter().map(|answer| (from, answer)));
+                    all_responses.extend(responses.into_iter().map(|response| (from, response)));
                 }
                 if let (Fault::NewcomerNotAsked, Message::Accept(ballot, view)) = (self.fault, &message) {
                     let new = view
@@ -218,10 +218,11 @@
                         .filter(|(name, instance)| view.previous_electors.get(name) != Some(instance));
                     let process =
                         |(name, instance): (&Name, &u64)| Process { name: *name, instance: *instance };
-                    answers.extend(new.map(process).map(|process| (process, Message::Accepts(*ballot))));
+                    all_responses
+                        .extend(new.map(process).map(|process| (process, Message::Accepts(*ballot))));
                 }
-                for (from, answer) in answers {
-                    self.deliver(&mut next, from, answer, at);
+                for (from, response) in all_responses {
+                    self.deliver(&mut next, from, response, at);
                 }
             }
             Action::DeliverLate(from, message, at) => drop(self.deliver(&mut next, from, message, at)),
@@ -298,7 +299,7 @@
 fn check_model(restarts: u8, proposals: u8, max_states: usize) {
     let checker = explore(Fault::None, restarts, proposals, max_states);
     println!(
-        "{restarts} restarts, {proposals} tries: {} states, {} unique",
+        "{restarts} restarts, {proposals} proposals: {} states, {} unique",
         checker.state_count(),
         checker.unique_state_count()
     );
