--- a/crates/dunelink/src/answer_body.rs
+++ b/crates/dunelink/src/answer_body.rs
@@ -30,56 +30,57 @@
 /// assert_eq!(body.bytes(1024).await?, "paid");
 /// # Ok(()) }
 /// ```
-pub struct AnswerBody(Kind);
+pub struct AnswerBody(BodyKind);
 
-enum Kind {
+enum BodyKind {
     /// Taken once it is read.
-    Whole(Bytes),
-    Passing(Box<Passing>),
+    Buffered(Bytes),
+    Streaming(Box<StreamingBody>),
 }
 
 /// What is still to come, as the reader and who watches the server's connection share it.
 #[derive(Default)]
-pub(crate) struct Tap {
-    waits: AtomicBool,
+pub(crate) struct ReaderState {
+    waiting: AtomicBool,
 }
 
-impl Tap {
+impl ReaderState {
     /// Whether the reader has read all that came, and waits for more.
-    pub(crate) fn waits(&self) -> bool {
-        self.waits.load(Ordering::Relaxed)
+    pub(crate) fn waiting(&self) -> bool {
+        self.waiting.load(Ordering::Relaxed)
     }
 }
 
-struct Passing {
+struct StreamingBody {
     /// What came before it was known to be long.
     first: Bytes,
     rest: Incoming,
     /// How many bytes may still come.
-    most: u64,
-    tap: Arc<Tap>,
+    remaining_limit: u64,
+    reader: Arc<ReaderState>,
     /// Told when it has come to its end; dropped before that, its connection is of no more use.
-    ended: Option<oneshot::Sender<()>>,
+    on_end: Option<oneshot::Sender<()>>,
     transfer: Option<Transfer>,
 }
 
 impl AnswerBody {
-    pub(crate) fn passing(
+    pub(crate) fn streaming(
         first: Bytes,
         rest: Incoming,
-        most: u64,
-        tap: Arc<Tap>,
-        ended: oneshot::Sender<()>,
+        remaining_limit: u64,
+        reader: Arc<ReaderState>,
+        on_end: oneshot::Sender<()>,
     ) -> AnswerBody {
-        let passing = Passing { first, rest, most, tap, ended: Some(ended), transfer: None };
-        AnswerBody(Kind::Passing(Box::new(passing)))
+        let streaming =
+            StreamingBody { first, rest, remaining_limit, reader, on_end: Some(on_end), transfer: None };
+        AnswerBody(BodyKind::Streaming(Box::new(streaming)))
     }
 
     /// The body, if it is there as a whole and none of it was read.
     pub fn whole(&self) -> Option<&Bytes> {
         match &self.0 {
-            Kind::Whole(bytes) => Some(bytes),
-            Kind::Passing(_) => None,
+            BodyKind::Buffered(bytes) => Some(bytes),
+            BodyKind::Streaming(_) => None,
         }
     }
 
@@ -88,20 +89,20 @@
     /// # Errors
     ///
     /// There are more, or it broke off.
-    pub async fn bytes(self, most: usize) -> Result<Bytes, BodyError> {
-        match Limited::new(self, most).collect().await {
-            Ok(whole) => Ok(whole.to_bytes()),
-            Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge { limit: most }),
+    pub async fn bytes(self, max_bytes: usize) -> Result<Bytes, BodyError> {
+        match Limited::new(self, max_bytes).collect().await {
+            Ok(collected) => Ok(collected.to_bytes()),
+            Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge { limit: max_bytes }),
             Err(error) => Err(BodyError::Broken(error)),
         }
     }
 
     /// From now on its end counts as the answer's.
-    pub(crate) fn count(&mut self, transfer: impl FnOnce() -> Transfer) -> bool {
+    pub(crate) fn attach_transfer(&mut self, transfer: impl FnOnce() -> Transfer) -> bool {
         match &mut self.0 {
-            Kind::Whole(_) => false,
-            Kind::Passing(passing) => {
-                passing.transfer = Some(transfer());
+            BodyKind::Buffered(_) => false,
+            BodyKind::Streaming(streaming) => {
+                streaming.transfer = Some(transfer());
                 true
             }
         }
@@ -110,7 +111,7 @@
 
 impl<T: Into<Bytes>> From<T> for AnswerBody {
     fn from(bytes: T) -> AnswerBody {
-        AnswerBody(Kind::Whole(bytes.into()))
+        AnswerBody(BodyKind::Buffered(bytes.into()))
     }
 }
 
@@ -123,24 +124,24 @@
 impl fmt::Debug for AnswerBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
-            Kind::Whole(bytes) => f.debug_tuple("AnswerBody").field(bytes).finish(),
-            Kind::Passing(_) => f.debug_tuple("AnswerBody").finish_non_exhaustive(),
+            BodyKind::Buffered(bytes) => f.debug_tuple("AnswerBody").field(bytes).finish(),
+            BodyKind::Streaming(_) => f.debug_tuple("AnswerBody").finish_non_exhaustive(),
         }
     }
 }
 
-impl Passing {
-    fn done(&mut self) {
-        if let Some(ended) = self.ended.take() {
-            let _ = ended.send(());
+impl StreamingBody {
+    fn complete(&mut self) {
+        if let Some(on_end) = self.on_end.take() {
+            let _ = on_end.send(());
         }
         if let Some(transfer) = self.transfer.take() {
             transfer.served();
         }
     }
 
-    fn broken(&mut self, error: impl Into<BoxError>) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
-        self.ended = None;
+    fn fail(&mut self, error: impl Into<BoxError>) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
+        self.on_end = None;
         if let Some(transfer) = self.transfer.take() {
             transfer.failed();
         }
@@ -153,23 +154,23 @@
         }
         loop {
             let polled = Pin::new(&mut self.rest).poll_frame(cx);
-            self.tap.waits.store(polled.is_pending(), Ordering::Relaxed);
+            self.reader.waiting.store(polled.is_pending(), Ordering::Relaxed);
             match std::task::ready!(polled) {
                 None => {
-                    self.done();
+                    self.complete();
                     return Poll::Ready(None);
                 }
-                Some(Err(error)) => return self.broken(error),
+                Some(Err(error)) => return self.fail(error),
                 Some(Ok(frame)) => {
                     // Trailers are of one hop unless both sides agreed on more.
                     let Ok(data) = frame.into_data() else { continue };
-                    if data.len() as u64 > self.most {
-                        return self.broken("the answer is over the limit");
+                    if data.len() as u64 > self.remaining_limit {
+                        return self.fail("the answer is over the limit");
                     }
-                    self.most -= data.len() as u64;
+                    self.remaining_limit -= data.len() as u64;
                     // Who knows its length does not ask for its end.
                     if self.rest.is_end_stream() {
-                        self.done();
+                        self.complete();
                     }
                     return Poll::Ready(Some(Ok(Frame::data(data))));
                 }
@@ -187,24 +188,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match &mut self.0 {
-            Kind::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Kind::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Kind::Passing(passing) => passing.poll(cx),
+            BodyKind::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            BodyKind::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            BodyKind::Streaming(streaming) => streaming.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.0 {
-            Kind::Whole(bytes) => bytes.is_empty(),
-            Kind::Passing(passing) => passing.first.is_empty() && passing.rest.is_end_stream(),
+            BodyKind::Buffered(bytes) => bytes.is_empty(),
+            BodyKind::Streaming(streaming) => streaming.first.is_empty() && streaming.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.0 {
-            Kind::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Kind::Passing(passing) => match passing.rest.size_hint().exact() {
-                Some(rest) => SizeHint::with_exact(passing.first.len() as u64 + rest),
+            BodyKind::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            BodyKind::Streaming(streaming) => match streaming.rest.size_hint().exact() {
+                Some(rest) => SizeHint::with_exact(streaming.first.len() as u64 + rest),
                 None => SizeHint::default(),
             },
         }
--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -19,91 +19,91 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-use crate::answer_body::{AnswerBody, Tap};
+use crate::answer_body::{AnswerBody, ReaderState};
+use crate::body_buffer::BodyBuffer;
 use crate::config::Answers;
-use crate::line::Line;
+use crate::counted_socket::CountedSocket;
 use crate::payload::OutgoingBody;
-use crate::pieces::Pieces;
-use crate::servers::{Connection, Servers, Spare};
+use crate::servers::{Connection, ReusableConnection, Servers};
 use crate::types::Outgoing;
 
 /// An answer of which nothing more comes for so long will never be whole.
-const MORE_WITHIN: Duration = Duration::from_millis(600);
+const ANSWER_STALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// The most hints (1xx) ahead of an answer.
-const HINTS_MOST: usize = 16;
+const MAX_INFORMATIONAL: usize = 16;
 
 impl Outgoing {
     fn request(&self) -> Option<Request<OutgoingBody>> {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        let left = self.body.patience().unwrap_or(left).as_secs_f64();
-        let mut request = Request::new(self.body.body()?);
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        let remaining = self.body.client_timeout().unwrap_or(remaining).as_secs_f64();
+        let mut request = Request::new(self.body.attempt_body()?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone().into();
         *request.headers_mut() = self.headers.clone();
-        request.headers_mut().insert(DEADLINE, HeaderValue::from_str(&format!("{left:.3}")).ok()?);
+        request.headers_mut().insert(DEADLINE, HeaderValue::from_str(&format!("{remaining:.3}")).ok()?);
         Some(request)
     }
 }
 
 /// How many bytes a request is on the socket, as hyper writes it when every header is given.
-fn length(request: &Request<OutgoingBody>, body: u64) -> u64 {
-    let first =
+fn wire_length(request: &Request<OutgoingBody>, body: u64) -> u64 {
+    let request_line =
         request.method().as_str().len() + request.uri().path_and_query().map_or(1, |p| p.as_str().len());
     let headers: usize =
         request.headers().iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
-    (first + " HTTP/1.1\r\n".len() + 1 + headers + 2) as u64 + body
+    (request_line + " HTTP/1.1\r\n".len() + 1 + headers + 2) as u64 + body
 }
 
 /// An attempt on its connection. A vanished machine is silent on all the connections that it had, and each
 /// idle one would cost another attempt, perhaps an unsafe one, its whole time; a new one fails at once, and
 /// surely never ran.
-struct Unanswered<'a> {
+struct SilenceCheck<'a> {
     servers: &'a Servers,
     server: ServerId,
-    sent: Instant,
+    sent_at: Instant,
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for SilenceCheck<'_> {
     fn drop(&mut self) {
-        self.servers.doubt(self.server, self.sent);
+        self.servers.close_idle_if_silent(self.server, self.sent_at);
     }
 }
 
 /// How an attempt ended.
-pub(crate) struct Attempted {
+pub(crate) struct AttemptResult {
     pub(crate) outcome: Outcome,
     pub(crate) response: Option<Response<AnswerBody>>,
-    pub(crate) spare: Option<Spare>,
+    pub(crate) reusable: Option<ReusableConnection>,
 }
 
-impl Attempted {
-    pub(crate) fn of(outcome: Outcome) -> Attempted {
-        Attempted { outcome, response: None, spare: None }
+impl AttemptResult {
+    pub(crate) fn without_response(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, response: None, reusable: None }
     }
 }
 
 /// What has been read of an answer's body.
-enum Read {
-    Whole(Bytes),
+enum BodyRead {
+    Complete(Bytes),
     /// It is longer than what is held: this has come of it.
-    Long(Bytes),
+    TooLong(Bytes),
     Broken,
 }
 
 /// Reads a body as far as it can be held.
-async fn read(body: &mut Incoming, most: usize) -> Read {
-    if body.size_hint().lower() > most as u64 {
-        return Read::Long(Bytes::new());
+async fn read_body(body: &mut Incoming, max_bytes: usize) -> BodyRead {
+    if body.size_hint().lower() > max_bytes as u64 {
+        return BodyRead::TooLong(Bytes::new());
     }
-    let mut pieces = Pieces::default();
-    while pieces.len() <= most {
+    let mut buffer = BodyBuffer::default();
+    while buffer.len() <= max_bytes {
         match body.frame().await {
-            None => return Read::Whole(pieces.whole()),
-            Some(Err(_)) => return Read::Broken,
-            Some(Ok(frame)) => pieces.push(frame.into_data().unwrap_or_default()),
+            None => return BodyRead::Complete(buffer.into_bytes()),
+            Some(Err(_)) => return BodyRead::Broken,
+            Some(Ok(frame)) => buffer.push(frame.into_data().unwrap_or_default()),
         }
     }
-    Read::Long(pieces.whole())
+    BodyRead::TooLong(buffer.into_bytes())
 }
 
 impl Servers {
@@ -112,35 +112,35 @@
         self: &Rc<Self>,
         outgoing: &Outgoing,
         server: ServerId,
-        until: Option<Instant>,
-    ) -> Attempted {
-        if !outgoing.is_wanted() {
-            return Attempted::of(Outcome::NotSent);
+        start_before: Option<Instant>,
+    ) -> AttemptResult {
+        if !outgoing.awaits_answer() {
+            return AttemptResult::without_response(Outcome::NotSent);
         }
-        let begun = Cell::new(false);
-        self.tries(server);
+        let started = Cell::new(false);
+        self.record_attempt(server);
         tokio::select! {
             biased;
-            ended = self.send(outgoing, server, until, &begun) => ended,
-            () = outgoing.body.over(outgoing.deadline) => match begun.get() {
-                true => Attempted::of(Outcome::TimedOut),
-                false => Attempted::of(Outcome::NotSent),
+            ended = self.send(outgoing, server, start_before, &started) => ended,
+            () = outgoing.body.client_deadline_passed(outgoing.deadline) => match started.get() {
+                true => AttemptResult::without_response(Outcome::TimedOut),
+                false => AttemptResult::without_response(Outcome::NotSent),
             },
         }
     }
 
     /// What every attempt passes last before its first byte, whatever it has waited for since it was decided on: whether
     /// the request is still wanted, may still go again, and may still go to its server, by this connection.
-    fn may_begin(
+    fn may_start(
         &self,
         outgoing: &Outgoing,
         server: ServerId,
-        until: Option<Instant>,
+        start_before: Option<Instant>,
         connection: &Connection,
     ) -> bool {
-        outgoing.is_wanted()
-            && until.is_none_or(|until| Instant::now() < until)
-            && self.whereabouts(server) == Some((connection.endpoint, connection.started))
+        outgoing.awaits_answer()
+            && start_before.is_none_or(|start_before| Instant::now() < start_before)
+            && self.ready_endpoint(server) == Some((connection.endpoint, connection.server_started))
     }
 
     /// Sends the request on an idle connection or a new one; `begun` is set once it may be on the socket.
@@ -148,100 +148,102 @@
         self: &Rc<Self>,
         outgoing: &Outgoing,
         server: ServerId,
-        until: Option<Instant>,
-        begun: &Cell<bool>,
-    ) -> Attempted {
+        start_before: Option<Instant>,
+        started: &Cell<bool>,
+    ) -> AttemptResult {
         loop {
-            let kept = if self.wary(outgoing) { None } else { self.take_idle(server) };
-            let (mut connection, fresh) = match kept {
+            let idle = if self.needs_new_connection(outgoing) { None } else { self.take_idle(server) };
+            let (mut connection, is_new) = match idle {
                 Some(connection) => (connection, false),
                 None => {
-                    let Some(there) = self.whereabouts(server) else {
-                        return Attempted::of(Outcome::NotSent);
+                    let Some(target) = self.ready_endpoint(server) else {
+                        return AttemptResult::without_response(Outcome::NotSent);
                     };
-                    match self.connect(there).await {
+                    match self.connect(target).await {
                         Ok(connection) => (connection, true),
-                        Err(outcome) => return Attempted::of(outcome),
+                        Err(outcome) => return AttemptResult::without_response(outcome),
                     }
                 }
             };
-            if !self.may_begin(outgoing, server, until, &connection) {
+            if !self.may_start(outgoing, server, start_before, &connection) {
                 // What was just opened for it serves the next.
-                let spare = Some(Spare { server, connection });
-                return Attempted { spare, ..Attempted::of(Outcome::NotSent) };
+                let reusable = Some(ReusableConnection { server, connection });
+                return AttemptResult { reusable, ..AttemptResult::without_response(Outcome::NotSent) };
             }
-            let Some(mut request) = outgoing.request() else { return Attempted::of(Outcome::NotSent) };
-            let hints = Arc::new(AtomicUsize::new(0));
-            let heard_hint = hints.clone();
+            let Some(mut request) = outgoing.request() else {
+                return AttemptResult::without_response(Outcome::NotSent);
+            };
+            let informational = Arc::new(AtomicUsize::new(0));
+            let informational_count = informational.clone();
             on_informational(&mut request, move |_| {
-                heard_hint.fetch_add(1, Ordering::Relaxed);
+                informational_count.fetch_add(1, Ordering::Relaxed);
             });
-            let line = connection.line.clone();
-            let before = line.written();
-            let stated = outgoing.body.length().map(|body| length(&request, body));
-            begun.set(true);
-            let _unanswered = Unanswered { servers: self, server, sent: Instant::now() };
-            line.forget_what_came();
-            line.count_at(stated.map(|whole| before + whole));
-            let mut stuck = pin!(stuck(&line, &hints));
-            let answered = tokio::select! {
+            let socket = connection.socket.clone();
+            let written_before = socket.written();
+            let wire_length = outgoing.body.length().map(|body| wire_length(&request, body));
+            started.set(true);
+            let _silence_check = SilenceCheck { servers: self, server, sent_at: Instant::now() };
+            socket.reset_received();
+            socket.count_attempt_at(wire_length.map(|length| written_before + length));
+            let mut stalled = pin!(stalled(&socket, &informational));
+            let response = tokio::select! {
                 biased;
-                answered = connection.sender.send_request(request) => answered,
+                response = connection.sender.send_request(request) => response,
                 // What has come is no answer, nor will be one.
-                () = stuck.as_mut() => return Attempted::of(Outcome::Reset),
+                () = stalled.as_mut() => return AttemptResult::without_response(Outcome::Reset),
             };
-            let written = line.written() - before;
+            let written = socket.written() - written_before;
             // Where no length is stated, its end is written with or after its last piece.
-            let whole = stated.map_or(outgoing.body.has_ended(), |whole| written >= whole);
-            if whole && stated.is_none() {
-                self.tally.attempted();
+            let fully_written = wire_length.map_or(outgoing.body.is_fully_sent(), |length| written >= length);
+            if fully_written && wire_length.is_none() {
+                self.counters.count_attempt();
             }
-            let response = match answered {
+            let response = match response {
                 Ok(response) => {
-                    self.heard(server);
+                    self.record_answer(server);
                     response
                 }
                 // Nothing of it has left: an idle connection that was closing. A new one is no second copy.
-                Err(_) if written == 0 && !fresh => {
-                    begun.set(false);
+                Err(_) if written == 0 && !is_new => {
+                    started.set(false);
                     continue;
                 }
                 // A server begins a request when its last byte has come.
-                Err(_) if !whole => return Attempted::of(Outcome::ConnectFailed),
+                Err(_) if !fully_written => return AttemptResult::without_response(Outcome::ConnectFailed),
                 Err(error) => {
                     // Nothing came: not a spoilt answer, but the end of a connection that had looked well.
-                    if !fresh && !error.is_parse() {
-                        self.be_wary();
+                    if !is_new && !error.is_parse() {
+                        self.distrust_idle_connections();
                     }
-                    return Attempted::of(Outcome::Reset);
+                    return AttemptResult::without_response(Outcome::Reset);
                 }
             };
-            return self.finish(Spare { server, connection }, response, stuck).await;
+            return self.finish(ReusableConnection { server, connection }, response, stalled).await;
         }
     }
 
     /// Reads an answer whole and keeps the connection if it can be used again, or begins to pass on a long one.
     async fn finish(
         self: &Rc<Self>,
-        spare: Spare,
+        reusable: ReusableConnection,
         response: Response<Incoming>,
-        stuck: Pin<&mut impl Future<Output = ()>>,
-    ) -> Attempted {
+        stalled: Pin<&mut impl Future<Output = ()>>,
+    ) -> AttemptResult {
         let (mut parts, mut body) = response.into_parts();
-        let frames = answer::states_its_end(&parts.headers, parts.version);
+        let framed = answer::states_its_end(&parts.headers, parts.version);
         let closes = answer::ends_with_connection(&parts.headers, parts.version);
         // Of an answer that ends with its connection without a word, a part looks whole.
-        let ends = frames || closes || answer::has_no_body(parts.status);
-        if !ends || body.size_hint().lower() > self.stream_most.max(self.body_most as u64) {
-            return Attempted::of(Outcome::Reset);
+        let ends_cleanly = framed || closes || answer::has_no_body(parts.status);
+        if !ends_cleanly || body.size_hint().lower() > self.max_stream_bytes.max(self.max_body_bytes as u64) {
+            return AttemptResult::without_response(Outcome::Reset);
         }
         let read = tokio::select! {
             biased;
-            read = read(&mut body, self.body_most) => read,
-            () = stuck => Read::Broken,
+            read = read_body(&mut body, self.max_body_bytes) => read,
+            () = stalled => BodyRead::Broken,
         };
         let outcome = match Meaning::of(&parts) {
-            _ if matches!(read, Read::Broken) => Outcome::Reset,
+            _ if matches!(read, BodyRead::Broken) => Outcome::Reset,
             Meaning::Done | Meaning::ClientError if self.answers == Answers::Ok => Outcome::Error,
             Meaning::Served | Meaning::Done | Meaning::ClientError => Outcome::Served,
             Meaning::Declined => Outcome::Rejected,
@@ -251,45 +253,49 @@
         let served =
             |body: AnswerBody| (outcome == Outcome::Served).then(|| Response::from_parts(parts, body));
         match read {
-            Read::Whole(body) => {
-                let spare = (!closes).then_some(spare);
-                Attempted { outcome, response: served(body.into()), spare }
+            BodyRead::Complete(body) => {
+                let reusable = (!closes).then_some(reusable);
+                AttemptResult { outcome, response: served(body.into()), reusable }
             }
-            Read::Long(first) if outcome == Outcome::Served && self.stream_most > first.len() as u64 => {
-                let (tap, (tell, ended)) = (Arc::new(Tap::default()), oneshot::channel());
-                let most = self.stream_most - first.len() as u64;
-                let body = AnswerBody::passing(first, body, most, tap.clone(), tell);
+            BodyRead::TooLong(first)
+                if outcome == Outcome::Served && self.max_stream_bytes > first.len() as u64 =>
+            {
+                let (reader, (on_end, ended)) = (Arc::new(ReaderState::default()), oneshot::channel());
+                let remaining_limit = self.max_stream_bytes - first.len() as u64;
+                let body = AnswerBody::streaming(first, body, remaining_limit, reader.clone(), on_end);
                 let servers = self.clone();
-                tokio::task::spawn_local(async move { servers.see_off(spare, tap, ended).await });
-                Attempted { outcome, response: served(body), spare: None }
+                tokio::task::spawn_local(
+                    async move { servers.watch_transfer(reusable, reader, ended).await },
+                );
+                AttemptResult { outcome, response: served(body), reusable: None }
             }
             // Nobody wants to read on.
-            Read::Long(_) if outcome != Outcome::Served => Attempted::of(outcome),
-            Read::Long(_) | Read::Broken => Attempted::of(Outcome::Reset),
+            BodyRead::TooLong(_) if outcome != Outcome::Served => AttemptResult::without_response(outcome),
+            BodyRead::TooLong(_) | BodyRead::Broken => AttemptResult::without_response(Outcome::Reset),
         }
     }
 }
 
 /// Ends when an answer has begun to come and nothing more of it comes. Hints (1xx) may come long before the answer,
 /// but not without end.
-async fn stuck(line: &Line, hints: &AtomicUsize) {
-    let mut before = 0;
+async fn stalled(socket: &CountedSocket, informational: &AtomicUsize) {
+    let mut informational_before = 0;
     loop {
-        line.something_came().await;
+        socket.wait_received().await;
         loop {
-            let read = line.read();
-            sleep(MORE_WITHIN).await;
-            let now = hints.load(Ordering::Relaxed);
-            if now > HINTS_MOST {
+            let read = socket.read();
+            sleep(ANSWER_STALL_TIMEOUT).await;
+            let now = informational.load(Ordering::Relaxed);
+            if now > MAX_INFORMATIONAL {
                 return;
             }
-            if line.read() != read {
+            if socket.read() != read {
                 continue;
             }
-            if now == before {
+            if now == informational_before {
                 return;
             }
-            before = now;
+            informational_before = now;
             break;
         }
     }
--- a/crates/dunelink/src/config/check.rs
+++ b/crates/dunelink/src/config/check.rs
@@ -5,7 +5,7 @@
 use dunelink_edge::target::is_class_name;
 
 use super::{Config, Effect, Problem, RosterConfig, SHARD_SOCKETS, SPARE_SOCKETS};
-use crate::entries::Server;
+use crate::server_list::Server;
 
 /// A class's name has to be read alike by all.
 const CLASS_NAME: &str =
--- a/crates/dunelink/src/config/fleet.rs
+++ b/crates/dunelink/src/config/fleet.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::entries::Server;
+use crate::server_list::Server;
 
 /// The fleet as a whole, and this node's place in it.
 ///
--- a/crates/dunelink/src/config/mod.rs
+++ b/crates/dunelink/src/config/mod.rs
@@ -28,7 +28,7 @@
 pub use gossip::Gossip;
 pub use graphql::{GraphQl, GraphQlLimits, GraphQlOperation, GraphQlType, GraphQlWeights};
 
-use crate::entries::{Server, Update};
+use crate::server_list::{Server, Update};
 
 /// Descriptors for all but connections: standard streams, epoll, wake-ups, signals, the listener, discovery.
 const SPARE_SOCKETS: usize = 24;
--- a/crates/dunelink/src/config/platform.rs
+++ b/crates/dunelink/src/config/platform.rs
@@ -8,7 +8,7 @@
 
 use super::error::{ConfigError, Problem};
 use super::*;
-use crate::listing::Line;
+use crate::platform_list::PlatformList;
 
 /// Reads the platform's JSON.
 pub(super) fn parse(json: &str) -> Result<Config, ConfigError> {
@@ -79,7 +79,7 @@
     #[serde(default)]
     limits: FileLimits,
     #[serde(default)]
-    known: Line,
+    known: PlatformList,
     settings: Settings,
 }
 
--- a/crates/dunelink/src/line.rs
+++ b/crates/dunelink/src/counted_socket.rs
@@ -13,48 +13,48 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use crate::counts::Tally;
+use crate::counts::Counters;
 
 /// A place in the budget for connections to servers.
-pub(crate) struct Place(Rc<Cell<usize>>);
+pub(crate) struct ConnectionSlot(Rc<Cell<usize>>);
 
-impl Place {
-    pub(crate) fn taken(open: &Rc<Cell<usize>>) -> Place {
+impl ConnectionSlot {
+    pub(crate) fn acquire(open: &Rc<Cell<usize>>) -> ConnectionSlot {
         open.set(open.get() + 1);
-        Place(open.clone())
+        ConnectionSlot(open.clone())
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// A connection to a server, shared between hyper and who uses it.
-pub(crate) struct Line {
+pub(crate) struct CountedSocket {
     stream: RefCell<TcpStream>,
     written: Cell<u64>,
     read: Cell<u64>,
     /// Where the attempt at hand ends among them, until it is counted.
-    ends_at: Cell<Option<u64>>,
-    tally: Arc<Tally>,
-    came: Cell<bool>,
+    count_at: Cell<Option<u64>>,
+    counters: Arc<Counters>,
+    received: Cell<bool>,
     notify: Notify,
-    _place: Place,
+    _slot: ConnectionSlot,
 }
 
-impl Line {
-    pub(crate) fn new(stream: TcpStream, place: Place, tally: Arc<Tally>) -> Line {
-        Line {
+impl CountedSocket {
+    pub(crate) fn new(stream: TcpStream, slot: ConnectionSlot, counters: Arc<Counters>) -> CountedSocket {
+        CountedSocket {
             stream: RefCell::new(stream),
             written: Cell::new(0),
             read: Cell::new(0),
-            ends_at: Cell::new(None),
-            tally,
-            came: Cell::new(false),
+            count_at: Cell::new(None),
+            counters,
+            received: Cell::new(false),
             notify: Notify::new(),
-            _place: place,
+            _slot: slot,
         }
     }
 
@@ -69,37 +69,37 @@
     }
 
     /// The attempt at hand counts once so many bytes have been written, if that is known.
-    pub(crate) fn count_at(&self, ends_at: Option<u64>) {
-        self.ends_at.set(ends_at);
+    pub(crate) fn count_attempt_at(&self, count_at: Option<u64>) {
+        self.count_at.set(count_at);
     }
 
     /// Waits until some part of an answer has come.
-    pub(crate) async fn something_came(&self) {
-        while !self.came.get() {
+    pub(crate) async fn wait_received(&self) {
+        while !self.received.get() {
             self.notify.notified().await;
         }
-        self.came.set(false);
+        self.received.set(false);
     }
 
     /// What has come was another answer's.
-    pub(crate) fn forget_what_came(&self) {
-        self.came.set(false);
+    pub(crate) fn reset_received(&self) {
+        self.received.set(false);
     }
 
     /// Whether the kernel holds nothing of it that is still to be read, nor its end.
-    pub(crate) fn is_quiet(&self) -> bool {
+    pub(crate) fn has_no_pending_input(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&*self.stream.borrow()).peek(&mut byte);
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    fn count(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn record_written(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &polled {
             let written = self.written.get() + *bytes as u64;
             self.written.set(written);
-            if self.ends_at.get().is_some_and(|end| written >= end) {
-                self.ends_at.set(None);
-                self.tally.attempted();
+            if self.count_at.get().is_some_and(|end| written >= end) {
+                self.count_at.set(None);
+                self.counters.count_attempt();
             }
         }
         polled
@@ -107,26 +107,26 @@
 }
 
 /// hyper's side of a [`Line`].
-pub(crate) struct ServerSocket(pub(crate) Rc<Line>);
+pub(crate) struct HyperSocket(pub(crate) Rc<CountedSocket>);
 
-impl AsyncRead for ServerSocket {
+impl AsyncRead for HyperSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(cx, buf);
-        let came = buf.filled().len() - before;
-        if came > 0 {
-            self.0.read.set(self.0.read.get() + came as u64);
-            self.0.came.set(true);
+        let new_bytes = buf.filled().len() - before;
+        if new_bytes > 0 {
+            self.0.read.set(self.0.read.get() + new_bytes as u64);
+            self.0.received.set(true);
             self.0.notify.notify_one();
         }
         polled
     }
 }
 
-impl AsyncWrite for ServerSocket {
+impl AsyncWrite for HyperSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, buf);
-        self.0.count(polled)
+        self.0.record_written(polled)
     }
 
     fn poll_write_vectored(
@@ -135,7 +135,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, bufs);
-        self.0.count(polled)
+        self.0.record_written(polled)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/dunelink/src/counts.rs
+++ b/crates/dunelink/src/counts.rs
@@ -82,36 +82,36 @@
 
 /// An answer that is being passed on. Dropped before its end, its client has left.
 pub(crate) struct Transfer {
-    tally: Arc<Tally>,
+    counters: Arc<Counters>,
     class: usize,
-    over: bool,
+    ended: bool,
 }
 
 impl Transfer {
     /// It came to its end.
     pub(crate) fn served(mut self) {
-        self.over = true;
-        self.tally.of_class(self.class, SERVED);
+        self.ended = true;
+        self.counters.increment_class(self.class, SERVED);
     }
 
     /// It broke off.
     pub(crate) fn failed(mut self) {
-        self.over = true;
-        self.tally.of_class(self.class, FAILED);
+        self.ended = true;
+        self.counters.increment_class(self.class, FAILED);
     }
 }
 
 impl Drop for Transfer {
     fn drop(&mut self) {
-        if !self.over {
-            self.tally.left();
+        if !self.ended {
+            self.counters.count_client_left();
         }
-        self.tally.transfers.fetch_sub(1, Ordering::Relaxed);
+        self.counters.transfers.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Counts as the engine and its callers keep them.
-pub(crate) struct Tally {
+pub(crate) struct Counters {
     /// By class: served, refused, failed.
     classes: Box<[[AtomicU64; 3]]>,
     attempts: AtomicU64,
@@ -121,69 +121,69 @@
     left: AtomicU64,
     invalid: AtomicU64,
     /// Whether the list's source has told anything since the start.
-    listed: AtomicBool,
+    has_list: AtomicBool,
     /// Since when the source is not heard, in milliseconds from `began` on and one; 0 while it is.
-    list_lost: AtomicU64,
-    began: Instant,
+    list_lost_at_ms: AtomicU64,
+    created: Instant,
 }
 
-fn one_more(count: &AtomicU64) {
+fn increment(count: &AtomicU64) {
     count.fetch_add(1, Ordering::Relaxed);
 }
 
 /// How a request ended.
 #[derive(Clone, Copy)]
-pub(crate) enum How {
+pub(crate) enum FinalOutcome {
     Served,
     Refused,
     Failed,
 }
 
-const SERVED: usize = How::Served as usize;
-const REFUSED: usize = How::Refused as usize;
-const FAILED: usize = How::Failed as usize;
+const SERVED: usize = FinalOutcome::Served as usize;
+const REFUSED: usize = FinalOutcome::Refused as usize;
+const FAILED: usize = FinalOutcome::Failed as usize;
 
-impl Tally {
-    pub(crate) fn new(classes: usize) -> Tally {
-        Tally {
+impl Counters {
+    pub(crate) fn new(classes: usize) -> Counters {
+        Counters {
             classes: (0..classes).map(|_| Default::default()).collect(),
             attempts: AtomicU64::default(),
             transfers: AtomicU64::default(),
             taken: AtomicU64::default(),
             left: AtomicU64::default(),
             invalid: AtomicU64::default(),
-            listed: AtomicBool::default(),
-            list_lost: AtomicU64::default(),
-            began: Instant::now(),
+            has_list: AtomicBool::default(),
+            list_lost_at_ms: AtomicU64::default(),
+            created: Instant::now(),
         }
     }
 
     /// The list's source has told something.
-    pub(crate) fn heard_list(&self) {
-        self.listed.store(true, Ordering::Release);
-        self.list_lost.store(0, Ordering::Relaxed);
+    pub(crate) fn list_received(&self) {
+        self.has_list.store(true, Ordering::Release);
+        self.list_lost_at_ms.store(0, Ordering::Relaxed);
     }
 
     /// The list's source is not heard any more.
-    pub(crate) fn lost_list(&self) {
-        let now = self.began.elapsed().as_millis() as u64 + 1;
-        let _ = self.list_lost.compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed);
+    pub(crate) fn list_source_lost(&self) {
+        let now = self.created.elapsed().as_millis() as u64 + 1;
+        let _ = self.list_lost_at_ms.compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed);
     }
 
     /// For how long the list's source has not been heard; nothing if it never was.
-    pub(crate) fn list_silent(&self) -> Option<Duration> {
-        let since = self.list_lost.load(Ordering::Relaxed);
-        let lost = || self.began.elapsed().saturating_sub(Duration::from_millis(since - 1));
-        self.has_list().then(|| if since == 0 { Duration::ZERO } else { lost() })
+    pub(crate) fn list_source_silence(&self) -> Option<Duration> {
+        let lost_at_ms = self.list_lost_at_ms.load(Ordering::Relaxed);
+        let lost_for = || self.created.elapsed().saturating_sub(Duration::from_millis(lost_at_ms - 1));
+        self.has_list().then(|| if lost_at_ms == 0 { Duration::ZERO } else { lost_for() })
     }
 
     pub(crate) fn has_list(&self) -> bool {
-        self.listed.load(Ordering::Acquire)
+        self.has_list.load(Ordering::Acquire)
     }
 
     /// An attempt was written whole to a server.
-    pub(crate) fn attempted(&self) {
-        one_more(&self.attempts);
+    pub(crate) fn count_attempt(&self) {
+        increment(&self.attempts);
     }
 
     pub(crate) fn attempts(&self) -> u64 {
@@ -194,60 +194,60 @@
         self.transfers.load(Ordering::Relaxed) as usize
     }
 
-    fn of_class(&self, class: usize, what: usize) {
+    fn increment_class(&self, class: usize, outcome: usize) {
         if let Some(counts) = self.classes.get(class) {
-            one_more(&counts[what]);
+            increment(&counts[outcome]);
         }
     }
 
     pub(crate) fn class_counts(&self) -> impl Iterator<Item = ClassCounts> {
-        let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
         self.classes.iter().map(move |counts| ClassCounts {
-            served: of(&counts[SERVED]),
-            refused: of(&counts[REFUSED]),
-            failed: of(&counts[FAILED]),
+            served: load(&counts[SERVED]),
+            refused: load(&counts[REFUSED]),
+            failed: load(&counts[FAILED]),
         })
     }
 
-    pub(crate) fn arrived(&self) {
-        one_more(&self.taken);
+    pub(crate) fn count_taken(&self) {
+        increment(&self.taken);
     }
 
-    pub(crate) fn left(&self) {
-        one_more(&self.left);
+    pub(crate) fn count_client_left(&self) {
+        increment(&self.left);
     }
 
-    pub(crate) fn invalid(&self) {
-        one_more(&self.invalid);
+    pub(crate) fn count_invalid(&self) {
+        increment(&self.invalid);
     }
 
     /// A request that was refused without the engine.
-    pub(crate) fn turned_away(&self, class: usize) {
-        one_more(&self.taken);
-        self.of_class(class, REFUSED);
+    pub(crate) fn count_refused(&self, class: usize) {
+        increment(&self.taken);
+        self.increment_class(class, REFUSED);
     }
 
     /// An answer that counts once it has been passed on to its end.
-    pub(crate) fn passes(self: &Arc<Self>, class: usize) -> Transfer {
-        one_more(&self.transfers);
-        Transfer { tally: self.clone(), class, over: false }
+    pub(crate) fn begin_transfer(self: &Arc<Self>, class: usize) -> Transfer {
+        increment(&self.transfers);
+        Transfer { counters: self.clone(), class, ended: false }
     }
 
     /// A request has ended so.
-    pub(crate) fn ended(&self, class: usize, how: How) {
-        self.of_class(class, how as usize);
+    pub(crate) fn count_outcome(&self, class: usize, outcome: FinalOutcome) {
+        self.increment_class(class, outcome as usize);
     }
 
     pub(crate) fn counts(&self) -> Counts {
         let answered = self.class_counts().fold(ClassCounts::default(), ClassCounts::plus);
-        let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
         Counts {
             served: answered.served,
             refused: answered.refused,
             failed: answered.failed,
-            left: of(&self.left),
-            invalid: of(&self.invalid),
-            taken: of(&self.taken),
+            left: load(&self.left),
+            invalid: load(&self.invalid),
+            taken: load(&self.taken),
         }
     }
 }
--- a/crates/dunelink/src/engine.rs
+++ b/crates/dunelink/src/engine.rs
@@ -21,36 +21,36 @@
 use tokio_util::time::delay_queue::Key;
 
 use crate::answer_body::AnswerBody;
-use crate::answering::answered;
-use crate::attempt::Attempted;
-use crate::counts::Tally;
+use crate::attempt::AttemptResult;
+use crate::counts::Counters;
+use crate::final_answer::deliver_answer;
 use crate::servers::Servers;
 use crate::snapshot::{ServerView, Snapshot};
 use crate::types::{Answer, Outgoing};
 
 /// The longest sleep that timers take.
-const WAKE_MOST: Duration = Duration::from_secs(3600);
+const MAX_TIMER: Duration = Duration::from_secs(3600);
 
 /// What the other parts tell the engine.
-pub(crate) enum Happening {
+pub(crate) enum EngineMessage {
     /// A list, or what befell its source: the module's concern alone.
-    Module(Event),
+    BalancerEvent(Event),
     /// A request was taken, or has begun to arrive and is passed on as it comes.
-    Arrived(Request, Option<Upload>, Arc<Outgoing>, oneshot::Sender<Answer>),
+    RequestArrived(Request, Option<Upload>, Arc<Outgoing>, oneshot::Sender<Answer>),
     /// The last byte of such a one has come, and its client waits for so long.
-    CameWhole(RequestId, Micros),
+    BodyReceived(RequestId, Micros),
     /// The client has left.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// An attempt is over.
-    Ended(RequestId, AttemptNo, Outcome, Option<Response<AnswerBody>>),
+    AttemptEnded(RequestId, AttemptNo, Outcome, Option<Response<AnswerBody>>),
     /// Someone wants to know how things stand.
-    Look(oneshot::Sender<Snapshot>),
+    Snapshot(oneshot::Sender<Snapshot>),
     /// Other nodes are to be told what this one has seen of servers.
-    Sight(oneshot::Sender<Vec<ServerObservation>>),
+    Observations(oneshot::Sender<Vec<ServerObservation>>),
     /// Other nodes are to be told how servers answer this one.
-    Reach(oneshot::Sender<Vec<ZoneReach>>),
+    ZoneReach(oneshot::Sender<Vec<ZoneReach>>),
     /// The process is out of descriptors.
-    Evict,
+    EvictIdleConnection,
     /// Nothing more will be taken: the engine ends when all is answered, or at this time.
     Shutdown(Instant),
 }
@@ -58,32 +58,32 @@
 /// The way to the engine, from any thread.
 #[derive(Clone)]
 pub(crate) struct Mailbox {
-    sender: mpsc::UnboundedSender<Happening>,
-    next: Arc<AtomicU64>,
+    sender: mpsc::UnboundedSender<EngineMessage>,
+    next_id: Arc<AtomicU64>,
 }
 
 impl Mailbox {
     /// The mailbox and what the engine reads from it. It holds no more than the open requests cause.
-    pub(crate) fn new(seed: u64) -> (Mailbox, mpsc::UnboundedReceiver<Happening>) {
+    pub(crate) fn new(seed: u64) -> (Mailbox, mpsc::UnboundedReceiver<EngineMessage>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         // The module hashes ids with servers: nodes must not all count from the same number. The highest
         // bits stay clear of the module's own timer tokens.
-        (Mailbox { sender, next: Arc::new(AtomicU64::new(seed >> 2)) }, receiver)
+        (Mailbox { sender, next_id: Arc::new(AtomicU64::new(seed >> 2)) }, receiver)
     }
 
     /// Tells the engine; whether there still is one.
-    pub(crate) fn send(&self, happening: Happening) -> bool {
-        self.sender.send(happening).is_ok()
+    pub(crate) fn send(&self, message: EngineMessage) -> bool {
+        self.sender.send(message).is_ok()
     }
 
     /// A number for a request. A client's `Req-Id` might come twice, this does not.
-    pub(crate) fn number(&self) -> RequestId {
-        self.next.fetch_add(1, Ordering::Relaxed)
+    pub(crate) fn next_request_id(&self) -> RequestId {
+        self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 }
 
 /// An open request, or one that is answered with attempts still out.
-struct Open {
+struct OpenRequest {
     class: usize,
     outgoing: Arc<Outgoing>,
     /// Taken once the final answer is given or the client has left.
@@ -94,7 +94,7 @@
     timer: Option<(Key, Micros)>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Who waits for its answer, once: nothing begins for it from then on.
     fn finish(&mut self) -> Option<(usize, oneshot::Sender<Answer>)> {
         self.outgoing.end();
@@ -120,11 +120,11 @@
     /// The time of this turn of the loop: all that happens in one has one time.
     now: Micros,
     timers: DelayQueue<u64>,
-    open: HashMap<RequestId, Open>,
-    queue: VecDeque<Event>,
-    tally: Arc<Tally>,
+    open: HashMap<RequestId, OpenRequest>,
+    events: VecDeque<Event>,
+    counters: Arc<Counters>,
     /// When it ends at the latest, once it was told to.
-    ends: Option<Instant>,
+    shutdown_at: Option<Instant>,
 }
 
 impl Engine {
@@ -134,11 +134,11 @@
         servers: Rc<Servers>,
         mailbox: Mailbox,
         subscribe: Rc<Notify>,
-        tally: Arc<Tally>,
+        counters: Arc<Counters>,
     ) -> Engine {
         // One clock: Unix time, so that the servers' start times compare, moved on by the monotonic one.
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let started_us = unix.as_micros() as Micros;
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let started_us = unix_time.as_micros() as Micros;
         Engine {
             now: started_us,
             balancer,
@@ -149,9 +149,9 @@
             started_us,
             timers: DelayQueue::new(),
             open: HashMap::new(),
-            queue: VecDeque::new(),
-            tally,
-            ends: None,
+            events: VecDeque::new(),
+            counters,
+            shutdown_at: None,
         }
     }
 
@@ -160,66 +160,71 @@
     }
 
     /// Works until it is told to end. Everything taken has its answer then.
-    pub(crate) async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Happening>) {
+    pub(crate) async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<EngineMessage>) {
         loop {
             let all_answered = || self.open.values().all(|open| open.answer.is_none());
-            if self.ends.is_some() && all_answered() && self.servers.passing() == 0 {
+            if self.shutdown_at.is_some() && all_answered() && self.servers.active_transfers() == 0 {
                 break;
             }
-            let ends = self.ends;
-            let late = async move {
-                match ends {
+            let shutdown_at = self.shutdown_at;
+            let shutdown_deadline = async move {
+                match shutdown_at {
                     Some(at) => sleep_until(at).await,
                     None => pending().await,
                 }
             };
             tokio::select! {
-                happening = inbox.recv() => match happening {
-                    Some(happening) => self.take(happening),
+                message = inbox.recv() => match message {
+                    Some(message) => self.handle_message(message),
                     None => break,
                 },
                 Some(due) = poll_fn(|cx| self.timers.poll_expired(cx)), if !self.timers.is_empty() => {
-                    self.woken(due.into_inner());
+                    self.timer_fired(due.into_inner());
                 }
-                () = late, if ends.is_some() => break,
-                () = self.servers.passed(), if ends.is_some() => {}
+                () = shutdown_deadline, if shutdown_at.is_some() => break,
+                () = self.servers.transfer_ended(), if shutdown_at.is_some() => {}
             }
-            self.work();
+            self.process_events();
         }
-        self.last_call(inbox);
+        self.answer_remaining(inbox);
     }
 
     /// Answers what is still open as failed: no answer at all would be worse. What was told but not yet heard
     /// was not sent either.
-    fn last_call(&mut self, mut inbox: mpsc::UnboundedReceiver<Happening>) {
+    fn answer_remaining(&mut self, mut inbox: mpsc::UnboundedReceiver<EngineMessage>) {
         inbox.close();
-        while let Ok(happening) = inbox.try_recv() {
-            match happening {
-                Happening::Arrived(request, _, _, answer) => {
-                    self.tally.arrived();
-                    answered(&self.tally, request.class, answer, Answer::Refused { retry_after: None });
+        while let Ok(message) = inbox.try_recv() {
+            match message {
+                EngineMessage::RequestArrived(request, _, _, answer) => {
+                    self.counters.count_taken();
+                    deliver_answer(
+                        &self.counters,
+                        request.class,
+                        answer,
+                        Answer::Refused { retry_after: None },
+                    );
                 }
-                Happening::Ended(id, _, Outcome::Served, Some(response)) => {
+                EngineMessage::AttemptEnded(id, _, Outcome::Served, Some(response)) => {
                     self.answer(id, Answer::Served(response));
                 }
-                Happening::Left(id)
+                EngineMessage::ClientLeft(id)
                     if self.open.get_mut(&id).and_then(|open| open.answer.take()).is_some() =>
                 {
-                    self.tally.left();
+                    self.counters.count_client_left();
                 }
-                Happening::Look(ask) => drop(ask.send(self.look())),
+                EngineMessage::Snapshot(reply) => drop(reply.send(self.snapshot())),
                 _ => {}
             }
         }
         for (_, open) in self.open.drain() {
             if let Some(answer) = open.answer {
-                answered(&self.tally, open.class, answer, Answer::Failed { timed_out: true });
+                deliver_answer(&self.counters, open.class, answer, Answer::Failed { timed_out: true });
             }
             open.attempts.iter().filter_map(|a| a.task.as_ref()).for_each(AbortHandle::abort);
         }
     }
 
-    fn look(&self) -> Snapshot {
+    fn snapshot(&self) -> Snapshot {
         let attempts = || self.open.values().flat_map(|open| &open.attempts).filter(|a| a.task.is_some());
         let mut in_flight: HashMap<ServerId, usize> = HashMap::new();
         attempts().for_each(|a| *in_flight.entry(a.server).or_default() += 1);
@@ -229,7 +234,7 @@
             endpoint,
             idle,
         };
-        let mut servers: Vec<ServerView> = self.servers.view().into_iter().map(view).collect();
+        let mut servers: Vec<ServerView> = self.servers.list().into_iter().map(view).collect();
         servers.sort_by(|a, b| a.uid.cmp(&b.uid));
         Snapshot {
             servers,
@@ -240,21 +245,21 @@
             connections: self.servers.connections(),
             listed: self.balancer.listed_servers(),
             ejected: self.balancer.ejected_servers(self.now),
-            counts: self.tally.counts(),
+            counts: self.counters.counts(),
         }
     }
 
-    fn take(&mut self, happening: Happening) {
+    fn handle_message(&mut self, message: EngineMessage) {
         self.read_clock();
-        match happening {
-            Happening::Module(event) => {
+        match message {
+            EngineMessage::BalancerEvent(event) => {
                 if matches!(event, Event::ServerList(_) | Event::ServerChanges(_)) {
-                    self.tally.heard_list();
+                    self.counters.list_received();
                 }
-                self.queue.push_back(event);
+                self.events.push_back(event);
             }
-            Happening::Arrived(request, upload, outgoing, answer) => {
-                let open = Open {
+            EngineMessage::RequestArrived(request, upload, outgoing, answer) => {
+                let open = OpenRequest {
                     class: request.class,
                     outgoing,
                     answer: Some(answer),
@@ -262,26 +267,30 @@
                     timed_out: false,
                     timer: None,
                 };
-                self.tally.arrived();
+                self.counters.count_taken();
                 self.open.insert(request.id, open);
-                self.queue.push_back(match upload {
+                self.events.push_back(match upload {
                     None => Event::RequestArrived(request),
                     Some(upload) => Event::StreamedRequestArrived(request, upload),
                 });
             }
-            Happening::CameWhole(id, remaining) => self.queue.push_back(Event::BodyReceived(id, remaining)),
-            Happening::Left(id) => {
-                if self.open.get_mut(&id).and_then(Open::finish).is_some() {
-                    self.tally.left();
-                    self.queue.push_back(Event::ClientLeft(id));
+            EngineMessage::BodyReceived(id, remaining) => {
+                self.events.push_back(Event::BodyReceived(id, remaining))
+            }
+            EngineMessage::ClientLeft(id) => {
+                if self.open.get_mut(&id).and_then(OpenRequest::finish).is_some() {
+                    self.counters.count_client_left();
+                    self.events.push_back(Event::ClientLeft(id));
                 }
             }
-            Happening::Look(ask) => drop(ask.send(self.look())),
-            Happening::Sight(ask) => drop(ask.send(self.balancer.observations(self.now))),
-            Happening::Reach(ask) => drop(ask.send(self.servers.reach())),
-            Happening::Evict => drop(self.servers.evict()),
-            Happening::Shutdown(at) => self.ends = Some(self.ends.map_or(at, |before| before.min(at))),
-            Happening::Ended(id, attempt, outcome, response) => {
+            EngineMessage::Snapshot(reply) => drop(reply.send(self.snapshot())),
+            EngineMessage::Observations(reply) => drop(reply.send(self.balancer.observations(self.now))),
+            EngineMessage::ZoneReach(reply) => drop(reply.send(self.servers.zone_reach())),
+            EngineMessage::EvictIdleConnection => drop(self.servers.evict()),
+            EngineMessage::Shutdown(at) => {
+                self.shutdown_at = Some(self.shutdown_at.map_or(at, |before| before.min(at)))
+            }
+            EngineMessage::AttemptEnded(id, attempt, outcome, response) => {
                 if let (Outcome::Served, Some(response)) = (outcome, response) {
                     self.answer(id, Answer::Served(response));
                 }
@@ -301,99 +310,101 @@
         }
         open.timed_out |= outcome == Outcome::TimedOut;
         // The server begins with the last byte.
-        let whole = open
+        let fully_received = open
             .outgoing
             .body
-            .whole_since()
+            .fully_received_at()
             .map(|at| self.started_us + (at - self.started).as_micros() as Micros);
-        let took = now.saturating_sub(whole.map_or(ended.sent_at, |whole| whole.max(ended.sent_at)));
-        if open.outgoing.body.is_spent() {
-            self.queue.push_back(Event::BodyConsumed(request));
+        let elapsed = now.saturating_sub(fully_received.map_or(ended.sent_at, |at| at.max(ended.sent_at)));
+        if open.outgoing.body.is_consumed() {
+            self.events.push_back(Event::BodyConsumed(request));
         }
-        let finished = open.answer.is_none();
-        self.queue.push_back(Event::AttemptEnded(AttemptEnd {
+        let request_finished = open.answer.is_none();
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             outcome,
-            elapsed: took,
-            request_finished: finished,
+            elapsed,
+            request_finished,
         }));
     }
 
     /// Hands the module all that has happened, and does what it says.
-    fn work(&mut self) {
+    fn process_events(&mut self) {
         let mut actions = Vec::new();
-        while let Some(event) = self.queue.pop_front() {
-            let about = match &event {
+        while let Some(event) = self.events.pop_front() {
+            let request_id = match &event {
                 Event::ClientLeft(id) => Some(*id),
                 Event::AttemptEnded(ended) => Some(ended.request),
                 _ => None,
             };
             self.balancer.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.execute(action);
             }
-            about.into_iter().for_each(|id| self.let_go(id));
+            request_id.into_iter().for_each(|id| self.remove_if_finished(id));
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, start_before: until } => self.send(request, server, until),
+            Action::Send { request, server, start_before } => self.send(request, server, start_before),
             Action::Refuse { request, retry_after } => {
-                let stay_away = (retry_after > 0).then(|| Duration::from_micros(retry_after));
-                self.answer(request, Answer::Refused { retry_after: stay_away });
+                let retry_after = (retry_after > 0).then(|| Duration::from_micros(retry_after));
+                self.answer(request, Answer::Refused { retry_after });
             }
             Action::Fail(request) => {
-                let out = |open: &Open| open.timed_out || open.attempts.iter().any(|a| a.task.is_some());
-                let timed_out = self.open.get(&request).is_some_and(out);
+                let timed_out_or_pending =
+                    |open: &OpenRequest| open.timed_out || open.attempts.iter().any(|a| a.task.is_some());
+                let timed_out = self.open.get(&request).is_some_and(timed_out_or_pending);
                 self.answer(request, Answer::Failed { timed_out });
             }
             Action::Cancel(request, attempt) => self.attempt_ended(request, attempt, Outcome::Cancelled),
-            Action::SetTimer { after, token } => self.wake(after, token),
+            Action::SetTimer { after, token } => self.set_timer(after, token),
             Action::Subscribe => self.subscribe.notify_one(),
         }
     }
 
     /// Sets a timer. The module asks again only for an earlier look, so one for each request is enough.
-    fn wake(&mut self, after: Micros, token: u64) {
-        let wait = Duration::from_micros(after).min(WAKE_MOST);
+    fn set_timer(&mut self, after: Micros, token: u64) {
+        let wait = Duration::from_micros(after).min(MAX_TIMER);
         let now = self.now;
-        let then = now + wait.as_micros() as Micros;
+        let due_at = now + wait.as_micros() as Micros;
         match self.open.get_mut(&token) {
-            Some(Open { timer: Some((key, due)), .. }) if *due > now => {
+            Some(OpenRequest { timer: Some((key, due)), .. }) if *due > now => {
                 self.timers.reset(key, wait);
-                *due = then;
+                *due = due_at;
             }
-            Some(open) => open.timer = Some((self.timers.insert(token, wait), then)),
+            Some(open) => open.timer = Some((self.timers.insert(token, wait), due_at)),
             None => drop(self.timers.insert(token, wait)),
         }
     }
 
-    fn woken(&mut self, token: u64) {
+    fn timer_fired(&mut self, token: u64) {
         self.read_clock();
         let now = self.now;
         if let Some(open) = self.open.get_mut(&token) {
             open.timer.take_if(|(_, due)| *due <= now);
         }
-        self.queue.push_back(Event::TimerFired(token));
+        self.events.push_back(Event::TimerFired(token));
     }
 
-    fn send(&mut self, request: RequestId, server: ServerId, until: Option<Micros>) {
-        let after = |at: Micros| Duration::from_micros(at.saturating_sub(self.started_us));
+    fn send(&mut self, request: RequestId, server: ServerId, start_before: Option<Micros>) {
+        let since_start = |at: Micros| Duration::from_micros(at.saturating_sub(self.started_us));
         // A time beyond the clock's end never comes.
-        let until = until.and_then(|at| self.started.checked_add(after(at)));
+        let start_before = start_before.and_then(|at| self.started.checked_add(since_start(at)));
         let sent_at = self.now;
         let Some(open) = self.open.get_mut(&request) else { return };
-        let number = open.attempts.len() as AttemptNo;
+        let attempt_no = open.attempts.len() as AttemptNo;
         let (servers, mailbox) = (self.servers.clone(), self.mailbox.clone());
         let outgoing = open.outgoing.clone();
         let task = tokio::task::spawn_local(async move {
-            let Attempted { outcome, response, spare } = servers.attempt(&outgoing, server, until).await;
-            mailbox.send(Happening::Ended(request, number, outcome, response));
+            let AttemptResult { outcome, response, reusable } =
+                servers.attempt(&outgoing, server, start_before).await;
+            mailbox.send(EngineMessage::AttemptEnded(request, attempt_no, outcome, response));
             // The answer does not wait for the connection to prove that it can be used again.
-            if let Some(spare) = spare {
-                servers.keep(spare).await;
+            if let Some(reusable) = reusable {
+                servers.keep(reusable).await;
             }
         });
         open.attempts.push(Attempt { server, sent_at, task: Some(task.abort_handle()) });
@@ -401,17 +412,18 @@
 
     fn answer(&mut self, id: RequestId, answer: Answer) {
         let open = self.open.get_mut(&id);
-        if let Some((class, waiting)) = open.and_then(Open::finish) {
+        if let Some((class, client)) = open.and_then(OpenRequest::finish) {
             // A client that is just leaving hears no answer; its `Left` then finds the request finished.
-            answered(&self.tally, class, waiting, answer);
+            deliver_answer(&self.counters, class, client, answer);
         }
-        self.let_go(id);
+        self.remove_if_finished(id);
     }
 
     /// Forgets a request that is answered and has no attempt out.
-    fn let_go(&mut self, id: RequestId) {
-        let over = |open: &Open| open.answer.is_none() && open.attempts.iter().all(|a| a.task.is_none());
-        if self.open.get(&id).is_some_and(over)
+    fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished =
+            |open: &OpenRequest| open.answer.is_none() && open.attempts.iter().all(|a| a.task.is_none());
+        if self.open.get(&id).is_some_and(is_finished)
             && let Some((key, _)) = self.open.remove(&id).and_then(|open| open.timer)
         {
             self.timers.try_remove(&key);
--- a/crates/dunelink/src/feeding.rs
+++ b/crates/dunelink/src/engine_feed.rs
@@ -10,21 +10,21 @@
 use tokio::sync::Notify;
 
 use crate::config::Config;
-use crate::engine::{Happening, Mailbox};
-use crate::entries::{Server, ServerState, Update};
+use crate::engine::{EngineMessage, Mailbox};
 use crate::roster::{Fed, News, Ready};
+use crate::server_list::{Server, ServerState, Update};
 use crate::servers::Servers;
 
 /// Turns a list's entries into the module's.
-struct Reader {
+struct EntryConverter {
     zones: HashMap<String, u8>,
     kinds: HashMap<String, u8>,
 }
 
-impl Reader {
-    fn new(config: &Config) -> Reader {
-        let numbered = |names: &[String]| names.iter().cloned().zip(0..u8::MAX).collect();
-        Reader { zones: numbered(&config.fleet.zones), kinds: numbered(&config.fleet.kinds) }
+impl EntryConverter {
+    fn new(config: &Config) -> EntryConverter {
+        let indexed = |names: &[String]| names.iter().cloned().zip(0..u8::MAX).collect();
+        EntryConverter { zones: indexed(&config.fleet.zones), kinds: indexed(&config.fleet.kinds) }
     }
 
     fn entry(&self, server: &Server) -> ServerEntry {
@@ -45,50 +45,50 @@
 }
 
 /// An engine and its servers, as a roster feeds them.
-pub(crate) struct ToEngine {
-    reader: Reader,
+pub(crate) struct EngineFeed {
+    converter: EntryConverter,
     servers: Rc<Servers>,
     engine: Mailbox,
     /// Told when the module wants to be told of changes.
-    wanted: Rc<Notify>,
+    list_wanted: Rc<Notify>,
 }
 
-impl ToEngine {
+impl EngineFeed {
     pub(crate) fn new(
         config: &Config,
         servers: Rc<Servers>,
         engine: Mailbox,
-        wanted: Rc<Notify>,
-    ) -> ToEngine {
-        ToEngine { reader: Reader::new(config), servers, engine, wanted }
+        list_wanted: Rc<Notify>,
+    ) -> EngineFeed {
+        EngineFeed { converter: EntryConverter::new(config), servers, engine, list_wanted }
     }
 }
 
-impl Fed for ToEngine {
+impl Fed for EngineFeed {
     fn update(&self, update: &Update, news: News) {
         let event = match news {
             News::Cached => Event::CachedServerList,
             News::Current if update.whole => Event::ServerList,
             News::Current => Event::ServerChanges,
         };
-        let list: Vec<ServerEntry> = update.servers.iter().map(|s| self.reader.entry(s)).collect();
-        self.servers.list_changed(list.iter().copied().zip(&update.servers), update.whole);
-        self.engine.send(Happening::Module(event(list)));
+        let list: Vec<ServerEntry> = update.servers.iter().map(|s| self.converter.entry(s)).collect();
+        self.servers.apply_list(list.iter().copied().zip(&update.servers), update.whole);
+        self.engine.send(EngineMessage::BalancerEvent(event(list)));
     }
 
     fn heed(&self, ready: Arc<Ready>) {
-        self.servers.heed(ready);
+        self.servers.set_ready_servers(ready);
     }
 
     fn failed(&self) {
-        self.engine.send(Happening::Module(Event::DiscoveryFailed));
+        self.engine.send(EngineMessage::BalancerEvent(Event::DiscoveryFailed));
     }
 
     fn lost(&self) {
-        self.servers.tally.lost_list();
+        self.servers.counters.list_source_lost();
     }
 
     fn wanted(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
-        Box::pin(self.wanted.notified())
+        Box::pin(self.list_wanted.notified())
     }
 }
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -24,9 +24,9 @@
 use super::view::{Deciding, epoch_of};
 use super::words::{self, Words};
 use crate::config::{Config, ConfigError};
-use crate::counts::Tally;
-use crate::engine::{Happening, Mailbox};
-use crate::thread::on_thread;
+use crate::counts::Counters;
+use crate::engine::{EngineMessage, Mailbox};
+use crate::thread::spawn_local_thread;
 
 /// How often engines are asked what they have seen.
 const LOOK: Duration = Duration::from_millis(200);
@@ -83,7 +83,7 @@
     /// Reads keys and takes the address; nothing if the configuration wants no gossip.
     pub(crate) fn new(
         config: &Config,
-        (engines, tallies): (Vec<Mailbox>, Vec<Arc<Tally>>),
+        (engines, tallies): (Vec<Mailbox>, Vec<Arc<Counters>>),
         aside: Arc<AtomicBool>,
     ) -> Result<Option<(Gossiper, Asks)>, ConfigError> {
         let Some(wanted) = &config.gossip else { return Ok(None) };
@@ -140,7 +140,7 @@
     ///
     /// There is no thread or descriptor to be had.
     pub fn start(self) -> io::Result<()> {
-        on_thread("dunelink gossip".into(), move || async move {
+        spawn_local_thread("dunelink gossip".into(), move || async move {
             let name = self.config.name.clone();
             if let Err(error) = self.run().await {
                 tracing::error!(target: "gossip", node = name, "gossip has ended: {error}");
@@ -271,7 +271,7 @@
         for (shard, engine) in (0..).zip(&self.engines) {
             let balancers = nodes.saturating_mul(shards);
             let rank = self.place.saturating_mul(shards).saturating_add(shard);
-            engine.send(Happening::Module(Event::FleetChanged { balancers, rank }));
+            engine.send(EngineMessage::BalancerEvent(Event::FleetChanged { balancers, rank }));
         }
     }
 
@@ -281,7 +281,7 @@
             Output::Send(to, bytes) => drop(socket.try_send_to(&bytes, to)),
             Output::Doubts(doubts) => {
                 for engine in &self.engines {
-                    engine.send(Happening::Module(Event::PeerSuspicions(doubts.clone())));
+                    engine.send(EngineMessage::BalancerEvent(Event::PeerSuspicions(doubts.clone())));
                 }
             }
             // Where the fleet decides, parts follow leases.
@@ -297,7 +297,7 @@
     }
 
     /// Asks all engines something; nothing once they have ended. One that stands still has nothing to say.
-    async fn ask_engines<T>(&self, ask: impl Fn(oneshot::Sender<T>) -> Happening) -> Option<Vec<T>> {
+    async fn ask_engines<T>(&self, ask: impl Fn(oneshot::Sender<T>) -> EngineMessage) -> Option<Vec<T>> {
         let send = |engine: &Mailbox| {
             let (tell, told) = oneshot::channel();
             engine.send(ask(tell)).then_some(told)
@@ -316,10 +316,10 @@
     /// What the engines have seen, all shards together; nothing once they have ended.
     async fn look(&mut self, out: &mut Vec<Output>) -> Option<()> {
         let began = Instant::now();
-        let seen = self.ask_engines(Happening::Sight).await?;
+        let seen = self.ask_engines(EngineMessage::Observations).await?;
         if self.reaching.is_some() && self.reach_at.elapsed() >= REACH {
             self.reach_at = Instant::now();
-            let zones = self.ask_engines(Happening::Reach).await?;
+            let zones = self.ask_engines(EngineMessage::ZoneReach).await?;
             let now = self.now();
             let Gossiper { gossip, reaching, .. } = self;
             let deeds = reaching.iter_mut().flat_map(|reaching| {
--- a/crates/dunelink/src/fleet/reach.rs
+++ b/crates/dunelink/src/fleet/reach.rs
@@ -12,7 +12,7 @@
 use super::deed::Deed;
 use super::words;
 use crate::config::Config;
-use crate::counts::{Counts, Tally};
+use crate::counts::{Counters, Counts};
 
 /// What a thread may be late by before it is said to have stood still.
 const LATE: Duration = Duration::from_millis(20);
@@ -22,7 +22,7 @@
 /// A node's part in who reaches whom.
 pub(super) struct Reaching {
     health: Health,
-    tallies: Vec<Arc<Tally>>,
+    tallies: Vec<Arc<Counters>>,
     /// Read by whoever is asked whether this node is ready.
     aside: Arc<AtomicBool>,
     stood_still: Duration,
@@ -35,7 +35,7 @@
     pub(super) fn new(
         config: &Config,
         me: Process,
-        tallies: Vec<Arc<Tally>>,
+        tallies: Vec<Arc<Counters>>,
         aside: Arc<AtomicBool>,
         now: Micros,
     ) -> Reaching {
@@ -68,7 +68,7 @@
     /// What the engines have seen of servers.
     pub(super) fn seen(&mut self, now: Micros, zones: Vec<ZoneReach>, gossip: &Gossip) -> Vec<Deed> {
         let counts = self.tallies.iter().map(|tally| tally.counts()).fold(Counts::default(), Counts::plus);
-        let silent = self.tallies.iter().map(|tally| tally.list_silent()).max().flatten();
+        let silent = self.tallies.iter().map(|tally| tally.list_source_silence()).max().flatten();
         let list = silent.map(|silent| u32::try_from(silent.as_millis()).unwrap_or(u32::MAX));
         let sums = [counts.served, counts.failed, self.stood_still.as_millis() as u64];
         self.work(now, Input::Own(zones, list, sums), gossip)
--- a/crates/dunelink/src/idle.rs
+++ b/crates/dunelink/src/idle_order.rs
@@ -4,38 +4,38 @@
 use std::collections::VecDeque;
 
 /// Stale entries are thrown out once there are this many, and more than half are.
-const STALE_LEAST: usize = 64;
+const MIN_STALE_ENTRIES: usize = 64;
 
 /// Entries in the order in which they came. One that is no more is not taken out at once: whoever asks says which
 /// ones still are.
 #[derive(Debug)]
-pub(crate) struct Order<K> {
+pub(crate) struct IdleOrder<K> {
     entries: VecDeque<(K, u64)>,
-    next: u64,
+    next_number: u64,
 }
 
-impl<K> Default for Order<K> {
-    fn default() -> Order<K> {
-        Order { entries: VecDeque::new(), next: 0 }
+impl<K> Default for IdleOrder<K> {
+    fn default() -> IdleOrder<K> {
+        IdleOrder { entries: VecDeque::new(), next_number: 0 }
     }
 }
 
-impl<K: Copy> Order<K> {
+impl<K: Copy> IdleOrder<K> {
     /// Adds one, and tells its number. `live` is how many there are now, this one included.
     pub(crate) fn push(&mut self, key: K, live: usize, is_live: impl Fn(K, u64) -> bool) -> u64 {
-        if self.entries.len() >= STALE_LEAST.max(2 * live) {
+        if self.entries.len() >= MIN_STALE_ENTRIES.max(2 * live) {
             self.entries.retain(|(key, number)| is_live(*key, *number));
         }
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         self.entries.push_back((key, number));
         number
     }
 
     /// Takes out the oldest that still is: what is found of it.
-    pub(crate) fn pop<T>(&mut self, find: impl Fn(K, u64) -> Option<T>) -> Option<T> {
+    pub(crate) fn pop<T>(&mut self, lookup: impl Fn(K, u64) -> Option<T>) -> Option<T> {
         while let Some((key, number)) = self.entries.pop_front() {
-            if let Some(found) = find(key, number) {
+            if let Some(found) = lookup(key, number) {
                 return Some(found);
             }
         }
@@ -50,8 +50,8 @@
     use super::*;
 
     #[test]
-    fn the_oldest_that_still_is_comes_first_and_stale_ones_do_not_pile_up() {
-        let mut order = Order::default();
+    fn pops_oldest_live_entry_and_bounds_stale_entries() {
+        let mut order = IdleOrder::default();
         let mut live = HashSet::new();
         for round in 0..10_000_u64 {
             let number = order.push(round % 7, live.len() + 1, |_, number| live.contains(&number));
@@ -60,7 +60,11 @@
             if round % 100 != 0 {
                 live.remove(&number);
             }
-            assert!(order.entries.len() <= STALE_LEAST.max(2 * live.len() + 2), "{}", order.entries.len());
+            assert!(
+                order.entries.len() <= MIN_STALE_ENTRIES.max(2 * live.len() + 2),
+                "{}",
+                order.entries.len()
+            );
         }
         let popped: Vec<u64> =
             std::iter::from_fn(|| order.pop(|_, number| live.get(&number).copied())).collect();
--- a/crates/dunelink/src/intake.rs
+++ b/crates/dunelink/src/intake.rs
@@ -14,22 +14,22 @@
 use http::{Method, StatusCode};
 use tokio::time::Instant;
 
-use crate::config::{Absent, Config, Effect, Intake as Rules, LONGEST};
+use crate::config::{Absent, Config, Effect, Intake as IntakeRules, LONGEST};
 use crate::error::InvalidRequest;
 use crate::payload::Payload;
 use crate::types::Outgoing;
 
 /// The most bytes of headers, as they stand on the wire: what a server's connection buffers.
-const HEADERS_MOST: usize = 32 * 1024;
+const MAX_HEADERS_BYTES: usize = 32 * 1024;
 /// How many parts the open ids are kept in.
-const ID_PARTS: usize = 16;
+const ID_SHARDS: usize = 16;
 /// The longest id.
-pub(crate) const ID_MOST: usize = 128;
+pub(crate) const MAX_ID_BYTES: usize = 128;
 /// The host that a server is asked by, where the request names none.
-const HOST: &str = "origin.svc";
+const DEFAULT_HOST: &str = "origin.svc";
 /// A deadline counts from the client's sending; this much of it has passed when the request is read, and
 /// passes again before the answer is back.
-const TRANSIT: Duration = Duration::from_millis(3);
+const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(3);
 
 /// What a host says of a request in its extensions, ahead of what path and headers say.
 ///
@@ -110,19 +110,19 @@
     classes: HashMap<String, usize>,
     class_rules: Vec<ClassRule>,
     tenants: HashMap<String, u32>,
-    rules: Rules,
+    rules: IntakeRules,
     /// In parts, as shards share them.
-    ids: [Mutex<HashSet<Box<str>>>; ID_PARTS],
+    ids: [Mutex<HashSet<Box<str>>>; ID_SHARDS],
 }
 
 /// What a request's head says, whatever its class is.
 #[derive(Clone)]
-pub(crate) struct Basics {
+pub(crate) struct CommonHead {
     pub(crate) id: Option<Box<str>>,
     /// When it came.
-    came: Instant,
+    received_at: Instant,
     /// How long its client waits, if it says so.
-    patience: Option<Duration>,
+    client_timeout: Option<Duration>,
     tenant: Option<u32>,
     expected_work: Option<u64>,
 }
@@ -132,13 +132,13 @@
     class: ClassRule,
     pub(crate) id: Option<Box<str>>,
     pub(crate) deadline: Instant,
-    patience: Duration,
+    client_timeout: Duration,
     tenant: Option<u32>,
     expected_work: Option<u64>,
     key: Option<u64>,
 }
 
-const fn bad(reason: &'static str) -> InvalidRequest {
+const fn bad_request(reason: &'static str) -> InvalidRequest {
     InvalidRequest::new(StatusCode::BAD_REQUEST, reason)
 }
 
@@ -148,9 +148,9 @@
             let deadline = class.deadline.min(LONGEST);
             ClassRule { index, effect: class.effect, deadline }
         };
-        let number = |(index, class): (usize, &crate::config::Class)| (class.name.clone(), index);
+        let indexed_name = |(index, class): (usize, &crate::config::Class)| (class.name.clone(), index);
         Intake {
-            classes: config.classes.iter().enumerate().map(number).collect(),
+            classes: config.classes.iter().enumerate().map(indexed_name).collect(),
             class_rules: config.classes.iter().enumerate().map(rule).collect(),
             tenants: (0..).zip(&config.tenants).map(|(index, t)| (t.name.clone(), index)).collect(),
             rules: config.intake,
@@ -162,7 +162,7 @@
     pub(crate) fn target<'a>(&self, parts: &'a Parts) -> Result<Target<'a>, InvalidRequest> {
         let headers = &parts.headers;
         let size = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum::<usize>();
-        if size > HEADERS_MOST {
+        if size > MAX_HEADERS_BYTES {
             let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
             return Err(InvalidRequest::new(status, "the headers are over 32 KiB"));
         }
@@ -174,25 +174,33 @@
     }
 
     /// Reads what a request's head says beside its target. Extensions go before headers.
-    pub(crate) fn basics(&self, parts: &Parts, came: Instant) -> Result<Basics, InvalidRequest> {
+    pub(crate) fn common_head(
+        &self,
+        parts: &Parts,
+        received_at: Instant,
+    ) -> Result<CommonHead, InvalidRequest> {
         let (headers, ext) = (&parts.headers, &parts.extensions);
         let id = match ext.get::<ext::Id>() {
             Some(id) => Some(&*id.0),
             None if headers.contains_key(&ID) || self.rules.id == Absent::Refuse => {
-                Some(only(headers, &ID).ok_or(bad("Req-Id is missing or unreadable"))?)
+                Some(only(headers, &ID).ok_or(bad_request("Req-Id is missing or unreadable"))?)
             }
             None => None,
         };
-        let readable =
-            |id: &str| !id.is_empty() && id.len() <= ID_MOST && id.bytes().all(|b| b.is_ascii_graphic());
-        if !id.is_none_or(readable) {
-            return Err(bad("Req-Id is unreadable"));
+        let is_valid =
+            |id: &str| !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(|b| b.is_ascii_graphic());
+        if !id.is_none_or(is_valid) {
+            return Err(bad_request("Req-Id is unreadable"));
         }
-        let patience = match ext.get::<ext::Deadline>() {
-            Some(at) => Some(at.0.saturating_duration_since(came.into_std())),
+        let client_timeout = match ext.get::<ext::Deadline>() {
+            Some(at) => Some(at.0.saturating_duration_since(received_at.into_std())),
             None if headers.contains_key(&DEADLINE) || self.rules.deadline == Absent::Refuse => {
-                let stated = only(headers, &DEADLINE).and_then(seconds);
-                Some(stated.ok_or(bad("Req-Deadline is missing or unreadable"))?.saturating_sub(TRANSIT))
+                let timeout = only(headers, &DEADLINE).and_then(seconds);
+                Some(
+                    timeout
+                        .ok_or(bad_request("Req-Deadline is missing or unreadable"))?
+                        .saturating_sub(TRANSIT_ALLOWANCE),
+                )
             }
             None => None,
         };
@@ -204,43 +212,43 @@
             Some(work) => u64::try_from(work.0.as_micros()).ok(),
             None => only(headers, &COST).and_then(|us| us.parse::<f64>().ok()).map(|us| us as u64),
         };
-        Ok(Basics {
+        Ok(CommonHead {
             id: id.map(Box::from),
-            came,
-            patience,
+            received_at,
+            client_timeout,
             tenant: tenant.and_then(|name| self.tenants.get(name)).copied(),
             expected_work: expected_work.filter(|us| *us > 0),
         })
     }
 
     /// Reads a request's head. Extensions go before headers and path.
-    pub(crate) fn head(&self, parts: &Parts, came: Instant) -> Result<Head, InvalidRequest> {
+    pub(crate) fn head(&self, parts: &Parts, received_at: Instant) -> Result<Head, InvalidRequest> {
         let target = self.target(parts)?;
-        let named = match parts.extensions.get::<ext::Class>() {
+        let class_name = match parts.extensions.get::<ext::Class>() {
             // The host may have found it in any part of the path.
             Some(class) => target.plain().map(|()| &*class.0)?,
             None => target.class(),
         };
-        let Some(class) = self.classes.get(named).map(|class| self.class_rules[*class]) else {
+        let Some(class) = self.classes.get(class_name).map(|class| self.class_rules[*class]) else {
             return Err(InvalidRequest::new(StatusCode::NOT_FOUND, "no such class"));
         };
-        let basics = self.basics(parts, came)?;
-        method_fits(&class, &parts.method, &parts.headers)?;
+        let common = self.common_head(parts, received_at)?;
+        check_method(&class, &parts.method, &parts.headers)?;
         let key = target.key().map(|part| xxhash_rust::xxh3::xxh3_64(part.as_bytes()));
-        Ok(Head { key, ..basics.of(class) })
+        Ok(Head { key, ..common.for_class(class) })
     }
 
     /// The head of a request whose class was found elsewhere, by its number. `work` stands in where the client says
     /// nothing of it.
-    pub(crate) fn head_of(&self, class: usize, mut basics: Basics, work: Option<Duration>) -> Head {
+    pub(crate) fn head_of(&self, class: usize, mut common: CommonHead, work: Option<Duration>) -> Head {
         let work = work.and_then(|work| u64::try_from(work.as_micros()).ok());
-        basics.expected_work = basics.expected_work.or(work);
-        basics.of(self.class_rules[class])
+        common.expected_work = common.expected_work.or(work);
+        common.for_class(self.class_rules[class])
     }
 
     fn ids(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
-        let part = xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as usize % ID_PARTS;
-        self.ids[part].lock().unwrap_or_else(PoisonError::into_inner)
+        let shard = xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as usize % ID_SHARDS;
+        self.ids[shard].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes the request's id, or makes one, for as long as the request is open.
@@ -248,11 +256,11 @@
         self: &Arc<Self>,
         id: Option<&str>,
         number: RequestId,
-    ) -> Result<Claimed, InvalidRequest> {
+    ) -> Result<IdClaim, InvalidRequest> {
         let id = id.map_or_else(|| format!("{number:016x}").into(), Box::from);
-        let new = self.ids(&id).insert(id.clone());
-        match new {
-            true => Ok(Claimed { id, intake: self.clone() }),
+        let inserted = self.ids(&id).insert(id.clone());
+        match inserted {
+            true => Ok(IdClaim { id, intake: self.clone() }),
             false => {
                 let reason = "another open request has this Req-Id";
                 Err(InvalidRequest::new(StatusCode::CONFLICT, reason))
@@ -262,38 +270,38 @@
 }
 
 /// The id of an open request, free again once it is answered or its client has left.
-pub(crate) struct Claimed {
+pub(crate) struct IdClaim {
     id: Box<str>,
     intake: Arc<Intake>,
 }
 
-impl Claimed {
+impl IdClaim {
     pub(crate) fn id(&self) -> &str {
         &self.id
     }
 }
 
-impl Drop for Claimed {
+impl Drop for IdClaim {
     fn drop(&mut self) {
         self.intake.ids(&self.id).remove(&self.id);
     }
 }
 
-impl Basics {
+impl CommonHead {
     /// When a client gives up at the latest, if no class says less.
-    pub(crate) fn by(&self, longest: Duration) -> Instant {
-        self.came + self.patience.unwrap_or(longest).min(longest)
+    pub(crate) fn latest_deadline(&self, max_timeout: Duration) -> Instant {
+        self.received_at + self.client_timeout.unwrap_or(max_timeout).min(max_timeout)
     }
 
-    fn of(self, class: ClassRule) -> Head {
+    fn for_class(self, class: ClassRule) -> Head {
         // No client waits longer than its class allows; this also bounds all that is done for it.
-        let patience = self.patience.unwrap_or(class.deadline);
-        let patience = patience.min(class.deadline.saturating_sub(TRANSIT));
+        let client_timeout = self.client_timeout.unwrap_or(class.deadline);
+        let client_timeout = client_timeout.min(class.deadline.saturating_sub(TRANSIT_ALLOWANCE));
         Head {
             class,
             id: self.id,
-            deadline: self.came + patience,
-            patience,
+            deadline: self.received_at + client_timeout,
+            client_timeout,
             tenant: self.tenant,
             expected_work: self.expected_work,
             key: None,
@@ -303,13 +311,13 @@
 
 impl Head {
     /// How long its client waits, from its last byte on.
-    pub(crate) fn patience(&self) -> Duration {
-        self.patience
+    pub(crate) fn client_timeout(&self) -> Duration {
+        self.client_timeout
     }
 
     /// Its client's patience begins.
-    pub(crate) fn begin(&mut self, now: Instant) {
-        self.deadline = now + self.patience;
+    pub(crate) fn restart_deadline(&mut self, now: Instant) {
+        self.deadline = now + self.client_timeout;
     }
 
     /// The number of its class.
@@ -335,13 +343,13 @@
         &self,
         mut parts: Parts,
         body: Payload,
-        claimed: &Claimed,
+        id_claim: &IdClaim,
     ) -> Result<Outgoing, InvalidRequest> {
         if parts.method == Method::GET && body.length() != Some(0) {
-            return Err(bad("a GET has no body"));
+            return Err(bad_request("a GET has no body"));
         }
         let target = parts.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
-        request::onward(&mut parts, HOST);
+        request::onward(&mut parts, DEFAULT_HOST);
         let mut headers = parts.headers;
         headers.remove(DEADLINE);
         // Without a length it goes on in chunks.
@@ -349,31 +357,31 @@
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         }
         if !headers.contains_key(&ID) || self.id.as_deref() != only(&headers, &ID) {
-            let id = HeaderValue::from_str(&claimed.id).map_err(|_| bad("Req-Id is unreadable"))?;
+            let id = HeaderValue::from_str(&id_claim.id).map_err(|_| bad_request("Req-Id is unreadable"))?;
             headers.insert(ID, id);
         }
-        let once = self.class.effect == Effect::Unsafe;
-        Ok(Outgoing::new((parts.method, target, headers), body, self.deadline, once))
+        let at_most_once = self.class.effect == Effect::Unsafe;
+        Ok(Outgoing::new((parts.method, target, headers), body, self.deadline, at_most_once))
     }
 }
 
 /// A time in seconds, with decimals; one below 0 is past.
 fn seconds(text: &str) -> Option<Duration> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.' || b == b'-' || b == b'+');
-    let value: f64 = text.parse().ok().filter(|_| plain)?;
+    let only_number_chars = text.bytes().all(|b| b.is_ascii_digit() || b == b'.' || b == b'-' || b == b'+');
+    let value: f64 = text.parse().ok().filter(|_| only_number_chars)?;
     Some(Duration::try_from_secs_f64(value.max(0.0)).unwrap_or(Duration::MAX))
 }
 
 /// The method follows from the class.
-fn method_fits(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), InvalidRequest> {
-    let right = if class.effect == Effect::Safe { "GET" } else { "POST" };
-    if method.as_str() != right {
+fn check_method(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), InvalidRequest> {
+    let expected = if class.effect == Effect::Safe { "GET" } else { "POST" };
+    if method.as_str() != expected {
         let invalid = InvalidRequest::new(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class");
-        return Err(InvalidRequest { allow: Some(right), ..invalid });
+        return Err(InvalidRequest { allow: Some(expected), ..invalid });
     }
     match class.effect {
-        Effect::Keyed if request::key(headers).is_none() => Err(bad("Idempotency-Key is missing")),
-        Effect::Unsafe if headers.contains_key(KEY) => Err(bad("this class has no Idempotency-Key")),
+        Effect::Keyed if request::key(headers).is_none() => Err(bad_request("Idempotency-Key is missing")),
+        Effect::Unsafe if headers.contains_key(KEY) => Err(bad_request("this class has no Idempotency-Key")),
         _ => Ok(()),
     }
 }
--- a/crates/dunelink/src/lib.rs
+++ b/crates/dunelink/src/lib.rs
@@ -48,25 +48,25 @@
 //! in: its time limit uses the timers of the tokio runtime that polls the call.
 
 mod answer_body;
-mod answering;
 mod attempt;
+mod body_buffer;
 pub mod config;
+mod counted_socket;
 mod counts;
 mod engine;
-mod entries;
+mod engine_feed;
 mod error;
-mod feeding;
+mod final_answer;
 mod fleet;
 pub mod headers;
 pub mod http;
-mod idle;
+mod idle_order;
 mod intake;
-mod line;
-mod listing;
 mod node;
 mod payload;
-mod pieces;
+mod platform_list;
 pub mod roster;
+mod server_list;
 mod servers;
 mod snapshot;
 mod thread;
@@ -85,10 +85,10 @@
 pub use dunelink_reach as reachability;
 /// What the fleet decides as one.
 pub use dunelink_view as consensus;
-pub use entries::{Server, ServerState, Update};
 pub use error::{BodyError, BoxError, CallError, Closed, InvalidRequest, StartError};
 pub use fleet::{FleetView, GossipView, Gossiper, NodeView, OutView};
 pub use intake::ext;
 pub use node::{Builder, Completion, Handle, Node, NodeParts, ReceivedRequest, ServerListReader, Shard};
+pub use server_list::{Server, ServerState, Update};
 pub use snapshot::{ServerView, Snapshot};
 pub use types::Answer;
--- a/crates/dunelink/src/node/batch.rs
+++ b/crates/dunelink/src/node/batch.rs
@@ -8,125 +8,133 @@
 use futures_util::stream::FuturesUnordered;
 use http::StatusCode;
 
-use super::one::One;
+use super::single_request::SingleRequest;
 use crate::answer_body::AnswerBody;
 use crate::http::graphql;
-use crate::intake::Claimed;
+use crate::intake::IdClaim;
 use crate::types::Answer;
 
 /// The parts of a batch, each a request of its own.
 pub(super) struct Batch {
-    pub(super) parts: Vec<Part>,
+    pub(super) parts: Vec<BatchPart>,
     pub(super) media: Media,
     /// The most bytes of a part's answer.
-    pub(super) body_most: usize,
+    pub(super) max_body_bytes: usize,
     /// The id of the batch itself; its parts' begin with it.
-    pub(super) _claimed: Claimed,
+    pub(super) _id_claim: IdClaim,
 }
 
-pub(super) struct Part {
+pub(super) struct BatchPart {
     /// Whether it only reads.
-    pub(super) reads: bool,
+    pub(super) read_only: bool,
     /// What is sent, or why it is not.
-    pub(super) one: Result<One, Rejection>,
+    pub(super) request: Result<SingleRequest, Rejection>,
 }
 
 /// What became of a part.
-enum Outcome {
+enum PartOutcome {
     /// A server's answer.
     Answered(Bytes),
     /// What the node says of it.
-    Said(Fate),
+    NodeAnswered(Fate),
     Rejected(Rejection),
 }
 
-impl Outcome {
+impl PartOutcome {
     /// Answers are joined, so that each has to be held.
-    async fn of(answer: Answer, most: usize) -> (Outcome, End) {
+    async fn of(answer: Answer, max_bytes: usize) -> (PartOutcome, End) {
         match answer {
-            Answer::Served(response) => match response.into_body().bytes(most).await {
-                Ok(body) if is_json(&body) => (Outcome::Answered(body), End::Served),
-                _ => (Outcome::Said(Fate::Unreadable), End::Served),
+            Answer::Served(response) => match response.into_body().bytes(max_bytes).await {
+                Ok(body) if is_json(&body) => (PartOutcome::Answered(body), End::Served),
+                _ => (PartOutcome::NodeAnswered(Fate::Unreadable), End::Served),
             },
-            Answer::Refused { retry_after } => (Outcome::Said(Fate::Refused(retry_after)), End::Refused),
-            Answer::Failed { timed_out } => (Outcome::Said(Fate::Failed { timed_out }), End::Failed),
+            Answer::Refused { retry_after } => {
+                (PartOutcome::NodeAnswered(Fate::Refused(retry_after)), End::Refused)
+            }
+            Answer::Failed { timed_out } => {
+                (PartOutcome::NodeAnswered(Fate::Failed { timed_out }), End::Failed)
+            }
         }
     }
 
     fn body(&self) -> Bytes {
         match self {
-            Outcome::Answered(body) => body.clone(),
-            Outcome::Said(fate) => fate.body(),
-            Outcome::Rejected(rejection) => rejection.body(),
+            PartOutcome::Answered(body) => body.clone(),
+            PartOutcome::NodeAnswered(fate) => fate.body(),
+            PartOutcome::Rejected(rejection) => rejection.body(),
         }
     }
 }
 
 impl Batch {
     pub(super) fn refuse(self, retry_after: Duration) -> Answer {
-        for one in self.parts.into_iter().filter_map(|part| part.one.ok()) {
-            let _ = one.refuse(Some(retry_after));
+        for request in self.parts.into_iter().filter_map(|part| part.request.ok()) {
+            let _ = request.refuse(Some(retry_after));
         }
         Answer::Refused { retry_after: Some(retry_after) }
     }
 
     pub(super) async fn answer(self) -> Answer {
-        let Batch { parts, media, body_most, _claimed } = self;
-        let mut order = Order::new(parts.iter().map(|part| part.reads));
-        let mut waiting: Vec<Option<Result<One, Rejection>>> =
-            parts.into_iter().map(|part| Some(part.one)).collect();
-        let mut outcomes: Vec<Option<Outcome>> = waiting.iter().map(|_| None).collect();
-        let mut out = FuturesUnordered::new();
+        let Batch { parts, media, max_body_bytes, _id_claim } = self;
+        let mut order = Order::new(parts.iter().map(|part| part.read_only));
+        let mut pending: Vec<Option<Result<SingleRequest, Rejection>>> =
+            parts.into_iter().map(|part| Some(part.request)).collect();
+        let mut outcomes: Vec<Option<PartOutcome>> = pending.iter().map(|_| None).collect();
+        let mut in_flight = FuturesUnordered::new();
         while !order.is_over() {
             for step in order.next() {
-                let (Step::Send(at) | Step::Skip(at)) = step;
-                match (waiting.get_mut(at).and_then(Option::take), step) {
-                    (Some(Ok(one)), Step::Send(_)) => out.push(async move { (at, one.answer().await) }),
-                    (Some(Ok(one)), Step::Skip(_)) => {
-                        let _ = one.refuse(None);
-                        outcomes[at] = Some(Outcome::Said(Fate::Skipped));
+                let (Step::Send(index) | Step::Skip(index)) = step;
+                match (pending.get_mut(index).and_then(Option::take), step) {
+                    (Some(Ok(request)), Step::Send(_)) => {
+                        in_flight.push(async move { (index, request.answer().await) })
+                    }
+                    (Some(Ok(request)), Step::Skip(_)) => {
+                        let _ = request.refuse(None);
+                        outcomes[index] = Some(PartOutcome::NodeAnswered(Fate::Skipped));
                     }
                     (Some(Err(rejection)), _) => {
-                        outcomes[at] = Some(Outcome::Rejected(rejection));
-                        order.ended(at, End::Rejected);
+                        outcomes[index] = Some(PartOutcome::Rejected(rejection));
+                        order.ended(index, End::Rejected);
                     }
                     (None, _) => {}
                 }
             }
-            if let Some((at, answer)) = out.next().await {
-                let (outcome, end) = Outcome::of(answer, body_most).await;
-                outcomes[at] = Some(outcome);
-                order.ended(at, end);
+            if let Some((index, answer)) = in_flight.next().await {
+                let (outcome, end) = PartOutcome::of(answer, max_body_bytes).await;
+                outcomes[index] = Some(outcome);
+                order.ended(index, end);
             }
         }
-        whole(outcomes.into_iter().flatten().collect(), media)
+        combine(outcomes.into_iter().flatten().collect(), media)
     }
 }
 
 /// The answers as one. Where all parts were refused, so is the batch; otherwise each client has to see which part
 /// came to what.
-fn whole(outcomes: Vec<Outcome>, media: Media) -> Answer {
-    let refused = |outcome: &Outcome| matches!(outcome, Outcome::Said(Fate::Refused(_) | Fate::Skipped));
-    if outcomes.iter().all(refused) {
-        let retry_after = |outcome: &Outcome| match outcome {
-            Outcome::Said(Fate::Refused(after)) => *after,
+fn combine(outcomes: Vec<PartOutcome>, media: Media) -> Answer {
+    let is_refused = |outcome: &PartOutcome| {
+        matches!(outcome, PartOutcome::NodeAnswered(Fate::Refused(_) | Fate::Skipped))
+    };
+    if outcomes.iter().all(is_refused) {
+        let retry_after = |outcome: &PartOutcome| match outcome {
+            PartOutcome::NodeAnswered(Fate::Refused(after)) => *after,
             _ => None,
         };
         return Answer::Refused { retry_after: outcomes.iter().filter_map(retry_after).max() };
     }
-    let answered = outcomes.iter().any(|outcome| matches!(outcome, Outcome::Answered(_)));
-    let failed = |timed_out| {
-        let is = |o: &Outcome| matches!(o, Outcome::Said(Fate::Failed { timed_out: t }) if *t == timed_out);
-        outcomes.iter().any(is)
+    let any_answered = outcomes.iter().any(|outcome| matches!(outcome, PartOutcome::Answered(_)));
+    let any_failed = |timed_out| {
+        let has_failed = |o: &PartOutcome| matches!(o, PartOutcome::NodeAnswered(Fate::Failed { timed_out: t }) if *t == timed_out);
+        outcomes.iter().any(has_failed)
     };
     // A client that looks at the status alone must not take a batch for done of which nothing was.
-    let status = match answered {
+    let status = match any_answered {
         true => StatusCode::OK,
-        false if failed(true) => StatusCode::GATEWAY_TIMEOUT,
-        false if failed(false) => StatusCode::BAD_GATEWAY,
+        false if any_failed(true) => StatusCode::GATEWAY_TIMEOUT,
+        false if any_failed(false) => StatusCode::BAD_GATEWAY,
         false if media == Media::Json => StatusCode::OK,
         false => StatusCode::BAD_REQUEST,
     };
-    let bodies: Vec<Bytes> = outcomes.iter().map(Outcome::body).collect();
+    let bodies: Vec<Bytes> = outcomes.iter().map(PartOutcome::body).collect();
     Answer::Served(graphql(status, media, AnswerBody::from(join(&bodies))))
 }
--- a/crates/dunelink/src/node/endpoint.rs
+++ b/crates/dunelink/src/node/endpoint.rs
@@ -15,7 +15,7 @@
     pub(super) settings: GraphQl,
     classes: Vec<Class>,
     /// The longest that any client waits there.
-    pub(super) longest: Duration,
+    pub(super) longest_timeout: Duration,
     reader: RwLock<Arc<Reader>>,
 }
 
@@ -23,7 +23,12 @@
     pub(super) fn new(config: &Config) -> Result<Option<Endpoint>, ConfigError> {
         let Some(settings) = config.graphql.clone() else { return Ok(None) };
         let reader = RwLock::new(Arc::new(settings.reader(&config.classes)?));
-        Ok(Some(Endpoint { settings, classes: config.classes.clone(), longest: config.longest(), reader }))
+        Ok(Some(Endpoint {
+            settings,
+            classes: config.classes.clone(),
+            longest_timeout: config.longest(),
+            reader,
+        }))
     }
 
     pub(super) fn reader(&self) -> Arc<Reader> {
@@ -31,12 +36,12 @@
     }
 
     /// Whether a request is for it. One whose host has found its class goes by that.
-    pub(super) fn is_at(&self, head: &Parts) -> bool {
+    pub(super) fn matches(&self, head: &Parts) -> bool {
         head.uri.path() == self.settings.path && head.extensions.get::<ext::Class>().is_none()
     }
 
     /// Reads the manifest anew; tells how many documents it has. A wrong one changes nothing.
-    pub(super) fn reread(&self) -> Result<usize, ConfigError> {
+    pub(super) fn reload(&self) -> Result<usize, ConfigError> {
         let reader = Arc::new(self.settings.reader(&self.classes)?);
         let count = reader.documents.len();
         *self.reader.write().unwrap_or_else(PoisonError::into_inner) = reader;
--- a/crates/dunelink/src/node/engines.rs
+++ b/crates/dunelink/src/node/engine_handle.rs
@@ -5,16 +5,16 @@
 
 use tokio_util::sync::CancellationToken;
 
-use crate::counts::Tally;
+use crate::counts::Counters;
 use crate::engine::Mailbox;
 
 /// One shard's engine, as its callers see it.
-pub(super) struct Engine {
+pub(super) struct EngineHandle {
     pub(super) mailbox: Mailbox,
-    pub(super) tally: Arc<Tally>,
+    pub(super) counters: Arc<Counters>,
     pub(super) any_ready: Arc<AtomicBool>,
     /// Calls that wait for it, as callers count them: an engine that stands still counts nothing.
-    pub(super) waiting: AtomicUsize,
+    pub(super) waiting_calls: AtomicUsize,
     /// Told once it has ended.
     pub(super) ended: CancellationToken,
 }
--- a/crates/dunelink/src/node/graphql.rs
+++ b/crates/dunelink/src/node/graphql.rs
@@ -9,25 +9,25 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-use super::batch::{Batch, Part};
+use super::batch::{Batch, BatchPart};
 use super::endpoint::Endpoint;
 use super::handle::Handle;
-use super::received::{ReceivedRequest, Work};
+use super::received_request::{ReceivedRequest, Work};
 use crate::config::ConfigError;
 use crate::error::{BoxError, CallError, InvalidRequest};
 use crate::http::Rendering;
-use crate::intake::{Basics, Head, ID_MOST};
+use crate::intake::{CommonHead, Head, MAX_ID_BYTES};
 use crate::payload::Payload;
 
 /// What stands in the way of a request at the endpoint.
-fn rejected(media: Media) -> impl Fn(Rejection) -> CallError {
+fn rejection_error(media: Media) -> impl Fn(Rejection) -> CallError {
     move |rejection| CallError::GraphQl { rejection, media }
 }
 
 impl Handle {
     /// The GraphQL endpoint that a request is for, if it is.
     pub(super) fn endpoint(&self, head: &Parts) -> Option<&Endpoint> {
-        self.shared.graphql.as_ref().filter(|endpoint| endpoint.is_at(head))
+        self.shared.graphql.as_ref().filter(|endpoint| endpoint.matches(head))
     }
 
     /// The path of the GraphQL endpoint, if there is one.
@@ -51,7 +51,7 @@
     ///
     /// It can't be read, or has a document that would be turned down. The old one stays then.
     pub fn reload_graphql_documents(&self) -> Result<usize, ConfigError> {
-        self.shared.graphql.as_ref().map_or(Ok(0), Endpoint::reread)
+        self.shared.graphql.as_ref().map_or(Ok(0), Endpoint::reload)
     }
 
     /// Reads and checks a request at the endpoint.
@@ -59,19 +59,19 @@
         &self,
         endpoint: &Endpoint,
         (parts, body): (Parts, B),
-        came: Instant,
-        within: Option<Instant>,
-        place: Option<OwnedSemaphorePermit>,
+        received_at: Instant,
+        read_by: Option<Instant>,
+        permit: Option<OwnedSemaphorePermit>,
     ) -> Result<ReceivedRequest, CallError>
     where
         B: Body + Send + 'static,
         B::Error: Into<BoxError>,
     {
         self.shared.intake.target(&parts)?;
-        let basics = self.shared.intake.basics(&parts, came)?;
-        let media = Media::accepted(&parts.headers).map_err(rejected(Media::Response))?;
-        let latest = basics.by(endpoint.longest);
-        let body = self.read_whole(body, came, latest, within).await?;
+        let common = self.shared.intake.common_head(&parts, received_at)?;
+        let media = Media::accepted(&parts.headers).map_err(rejection_error(Media::Response))?;
+        let latest = common.latest_deadline(endpoint.longest_timeout);
+        let body = self.read_buffered(body, received_at, latest, read_by).await?;
         let reader = endpoint.reader();
         let verdict = reader.read(graphql::Request {
             method: &parts.method,
@@ -81,15 +81,25 @@
             has_key: request::key(&parts.headers).is_some(),
         });
         let rendering = Rendering::GraphQl(media);
-        match verdict.map_err(rejected(media))? {
+        match verdict.map_err(rejection_error(media))? {
             Verdict::Single(ruling) => {
-                let one =
-                    self.one(self.head_of(&ruling, basics), parts, Payload::Whole(body.clone()), place)?;
-                Ok(ReceivedRequest { body, deadline: one.head.deadline, rendering, work: Work::One(one) })
+                let request = self.single_request(
+                    self.head_of(&ruling, common),
+                    parts,
+                    Payload::Buffered(body.clone()),
+                    permit,
+                )?;
+                Ok(ReceivedRequest {
+                    body,
+                    deadline: request.head.deadline,
+                    rendering,
+                    work: Work::Single(request),
+                })
             }
             Verdict::Batch(rulings) => {
-                let batch = self.batch(&parts, rulings, basics, place, media)?;
-                let deadline = |part: &Part| part.one.as_ref().ok().map(|one| one.head.deadline);
+                let batch = self.batch(&parts, rulings, common, permit, media)?;
+                let deadline =
+                    |part: &BatchPart| part.request.as_ref().ok().map(|request| request.head.deadline);
                 let deadline = batch.parts.iter().filter_map(deadline).max().unwrap_or(latest);
                 Ok(ReceivedRequest { body, deadline, rendering, work: Work::Batch(batch) })
             }
@@ -97,9 +107,9 @@
     }
 
     /// The head of a request of the class that it was taken for.
-    fn head_of(&self, ruling: &Ruling, basics: Basics) -> Head {
+    fn head_of(&self, ruling: &Ruling, common: CommonHead) -> Head {
         let work = ruling.operation.as_ref().map(|operation| operation.work);
-        self.shared.intake.head_of(ruling.class.index, basics, work)
+        self.shared.intake.head_of(ruling.class.index, common, work)
     }
 
     /// The parts of a batch. Each has an id and a place of its own; keyed ones but the first have a key of their own
@@ -109,44 +119,51 @@
         &self,
         parts: &Parts,
         rulings: Vec<graphql::Part>,
-        basics: Basics,
-        mut place: Option<OwnedSemaphorePermit>,
+        common: CommonHead,
+        mut permit: Option<OwnedSemaphorePermit>,
         media: Media,
     ) -> Result<Batch, InvalidRequest> {
-        let number = self.engine().mailbox.number();
-        let claimed = self.shared.intake.claim(basics.id.as_deref(), number)?;
-        let mut keyed = 0;
-        let mut ones = Vec::with_capacity(rulings.len());
-        for (at, graphql::Part { body, ruling }) in rulings.into_iter().enumerate() {
+        let request_id = self.engine().mailbox.next_request_id();
+        let id_claim = self.shared.intake.claim(common.id.as_deref(), request_id)?;
+        let mut keyed_count = 0;
+        let mut batch_parts = Vec::with_capacity(rulings.len());
+        for (index, graphql::Part { body, ruling }) in rulings.into_iter().enumerate() {
             let ruling = match ruling {
                 Ok(ruling) => ruling,
                 Err(rejection) => {
-                    ones.push(Part { reads: true, one: Err(rejection) });
+                    batch_parts.push(BatchPart { read_only: true, request: Err(rejection) });
                     continue;
                 }
             };
             let mut parts = parts.clone();
             if ruling.class.effect == Effect::Keyed {
-                if let (Some(key), true) = (request::key(&parts.headers), keyed > 0) {
-                    let key = HeaderValue::from_str(&format!("{key}.{keyed}"));
-                    let wrong =
+                if let (Some(key), true) = (request::key(&parts.headers), keyed_count > 0) {
+                    let key = HeaderValue::from_str(&format!("{key}.{keyed_count}"));
+                    let unreadable =
                         |_| InvalidRequest::new(StatusCode::BAD_REQUEST, "Idempotency-Key is unreadable");
-                    parts.headers.insert(KEY, key.map_err(wrong)?);
+                    parts.headers.insert(KEY, key.map_err(unreadable)?);
                 }
-                keyed += 1;
+                keyed_count += 1;
             }
-            let mut basics = basics.clone();
-            basics.id = Some(format!("{}.{at}", claimed.id()).into());
-            if basics.id.as_ref().is_some_and(|id| id.len() > ID_MOST) {
+            let mut common = common.clone();
+            common.id = Some(format!("{}.{index}", id_claim.id()).into());
+            if common.id.as_ref().is_some_and(|id| id.len() > MAX_ID_BYTES) {
                 return Err(InvalidRequest::new(
                     StatusCode::BAD_REQUEST,
                     "Req-Id leaves no room for a batch's parts",
                 ));
             }
-            let place = place.take().or_else(|| self.places().try_acquire_owned().ok());
-            let one = self.one(self.head_of(&ruling, basics), parts, Payload::Whole(body), place)?;
-            ones.push(Part { reads: ruling.class.effect == Effect::Safe, one: Ok(one) });
+            let permit = permit.take().or_else(|| self.request_permits().try_acquire_owned().ok());
+            let request =
+                self.single_request(self.head_of(&ruling, common), parts, Payload::Buffered(body), permit)?;
+            batch_parts
+                .push(BatchPart { read_only: ruling.class.effect == Effect::Safe, request: Ok(request) });
         }
-        Ok(Batch { parts: ones, media, body_most: self.shared.body_most, _claimed: claimed })
+        Ok(Batch {
+            parts: batch_parts,
+            media,
+            max_body_bytes: self.shared.max_body_bytes,
+            _id_claim: id_claim,
+        })
     }
 }
--- a/crates/dunelink/src/node/handle.rs
+++ b/crates/dunelink/src/node/handle.rs
@@ -12,24 +12,24 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot};
 use tokio::time::Instant;
 
-use super::body::{Incoming, Patience, read_body};
+use super::body::{ReadTimeout, ReceivedBody, read_body};
 use super::endpoint::Endpoint;
-use super::engines::Engine;
-use super::one::One;
-use super::received::{ReceivedRequest, Work};
+use super::engine_handle::EngineHandle;
+use super::received_request::{ReceivedRequest, Work};
+use super::single_request::SingleRequest;
 use crate::config::ConfigError;
 use crate::counts::{ClassCounts, Counts};
-use crate::engine::Happening;
+use crate::engine::EngineMessage;
 use crate::error::{BodyError, BoxError, CallError, Closed, InvalidRequest};
 use crate::fleet::{Ask, Asks, GossipView, ask};
 use crate::http::Rendering;
 use crate::intake::{Head, Intake, ext};
-use crate::payload::{Coming, Payload};
+use crate::payload::{Payload, StreamingPayload};
 use crate::snapshot::Snapshot;
 use crate::types::Answer;
 
 /// How long a body may take in any case.
-const BODY_LEAST: Duration = Duration::from_millis(20);
+const MIN_BODY_READ_TIME: Duration = Duration::from_millis(20);
 
 /// The way to a node: cheap to clone, and usable from any thread.
 ///
@@ -49,54 +49,54 @@
 pub struct Handle {
     pub(super) shared: Arc<Shared>,
     /// The one shard that it is for; without it, for all.
-    pub(super) home: Option<usize>,
+    pub(super) shard: Option<usize>,
 }
 
 /// What all handles of a node share.
 pub(super) struct Shared {
-    pub(super) engines: Vec<Arc<Engine>>,
+    pub(super) engines: Vec<Arc<EngineHandle>>,
     pub(super) intake: Arc<Intake>,
     /// The way to its gossip, where there is any.
     pub(super) gossip: Option<Asks>,
     pub(super) class_names: Vec<String>,
     pub(super) graphql: Option<Endpoint>,
-    pub(super) body_most: usize,
-    pub(super) stream_most: u64,
-    pub(super) places: Arc<Semaphore>,
+    pub(super) max_body_bytes: usize,
+    pub(super) max_stream_bytes: u64,
+    pub(super) request_permits: Arc<Semaphore>,
     /// Room for bodies that are passed on, in either direction.
     pub(super) transfers: Arc<Semaphore>,
     /// Whether it takes nothing more.
     pub(super) closing: AtomicBool,
     /// Whether it says that it is not ready, as it is worse off than the fleet.
-    pub(super) aside: Arc<AtomicBool>,
+    pub(super) withdrawn: Arc<AtomicBool>,
 }
 
 impl Handle {
     /// The engines that this handle speaks for.
-    fn engines(&self) -> &[Arc<Engine>] {
-        match self.home {
-            Some(home) => std::slice::from_ref(&self.shared.engines[home]),
+    fn engines(&self) -> &[Arc<EngineHandle>] {
+        match self.shard {
+            Some(shard) => std::slice::from_ref(&self.shared.engines[shard]),
             None => &self.shared.engines,
         }
     }
 
     /// Who gets the next request: of two shards the one with fewer open, so that one which stands still gets no
     /// more than its share of what is open.
-    pub(super) fn engine(&self) -> &Arc<Engine> {
+    pub(super) fn engine(&self) -> &Arc<EngineHandle> {
         match self.engines() {
             [only] => only,
             engines => {
-                let (one, two) = (fastrand::usize(..engines.len()), fastrand::usize(1..engines.len()));
-                let two = (one + two) % engines.len();
-                let open = |at: usize| engines[at].waiting.load(Ordering::Relaxed);
-                &engines[if open(two) < open(one) { two } else { one }]
+                let (first, second) = (fastrand::usize(..engines.len()), fastrand::usize(1..engines.len()));
+                let second = (first + second) % engines.len();
+                let open = |index: usize| engines[index].waiting_calls.load(Ordering::Relaxed);
+                &engines[if open(second) < open(first) { second } else { first }]
             }
         }
     }
 
     /// The same node by one of its shards alone.
-    pub(super) fn at_home(&self, shard: usize) -> Handle {
-        Handle { home: Some(shard), ..self.clone() }
+    pub(super) fn for_shard(&self, shard: usize) -> Handle {
+        Handle { shard: Some(shard), ..self.clone() }
     }
 
     /// Takes a request and waits for its one final answer, which comes before the request's deadline. Dropped
@@ -126,30 +126,30 @@
     pub async fn receive<B>(
         &self,
         request: Request<B>,
-        within: Option<Instant>,
+        read_by: Option<Instant>,
     ) -> Result<ReceivedRequest, CallError>
     where
         B: Body + Send + 'static,
         B::Error: Into<BoxError>,
     {
-        let place = self.places().try_acquire_owned().ok();
-        self.receive_in(request, within, place).await
+        let permit = self.request_permits().try_acquire_owned().ok();
+        self.receive_with_permit(request, read_by, permit).await
     }
 
     /// The same with a place that was taken before, or without one: then it will be refused.
-    pub(crate) async fn receive_in<B>(
+    pub(crate) async fn receive_with_permit<B>(
         &self,
         request: Request<B>,
-        within: Option<Instant>,
-        place: Option<OwnedSemaphorePermit>,
+        read_by: Option<Instant>,
+        permit: Option<OwnedSemaphorePermit>,
     ) -> Result<ReceivedRequest, CallError>
     where
         B: Body + Send + 'static,
         B::Error: Into<BoxError>,
     {
-        let received = self.read(request, within, place).await;
+        let received = self.read(request, read_by, permit).await;
         if matches!(received, Err(CallError::Invalid(_) | CallError::Body(_) | CallError::GraphQl { .. })) {
-            self.engine().tally.invalid();
+            self.engine().counters.count_invalid();
         }
         received
     }
@@ -157,8 +157,8 @@
     async fn read<B>(
         &self,
         request: Request<B>,
-        within: Option<Instant>,
-        place: Option<OwnedSemaphorePermit>,
+        read_by: Option<Instant>,
+        permit: Option<OwnedSemaphorePermit>,
     ) -> Result<ReceivedRequest, CallError>
     where
         B: Body + Send + 'static,
@@ -168,73 +168,91 @@
             return Err(CallError::Closed);
         }
         let (parts, body) = request.into_parts();
-        let whole_at = parts.extensions.get::<ext::ReceivedAt>().map(|came| Instant::from_std(came.0));
-        let came = whole_at.unwrap_or_else(Instant::now);
+        let body_received_at =
+            parts.extensions.get::<ext::ReceivedAt>().map(|received_at| Instant::from_std(received_at.0));
+        let received_at = body_received_at.unwrap_or_else(Instant::now);
         if let Some(endpoint) = self.endpoint(&parts) {
-            return self.read_graphql(endpoint, (parts, body), came, within, place).await;
+            return self.read_graphql(endpoint, (parts, body), received_at, read_by, permit).await;
         }
-        let mut head = self.shared.intake.head(&parts, came)?;
-        let least = within.map_or(head.patience(), |within| within.saturating_duration_since(came));
-        let patience = Patience::new(least.max(BODY_LEAST));
-        let most = self.shared.stream_most;
-        let (body, first, rest) = match read_body(body, self.shared.body_most, most, patience).await? {
-            Incoming::Whole(body) => (Payload::Whole(body.clone()), body, None),
-            Incoming::Coming(rest) => {
-                let first = rest.first.clone();
-                let (coming, inlet) = Coming::new(rest.length, first.clone(), head.patience());
-                (Payload::Coming(coming), first, Some((rest, inlet)))
-            }
-        };
+        let mut head = self.shared.intake.head(&parts, received_at)?;
+        let base_timeout =
+            read_by.map_or(head.client_timeout(), |read_by| read_by.saturating_duration_since(received_at));
+        let read_timeout = ReadTimeout::new(base_timeout.max(MIN_BODY_READ_TIME));
+        let max_streamed = self.shared.max_stream_bytes;
+        let (body, first, remaining) =
+            match read_body(body, self.shared.max_body_bytes, max_streamed, read_timeout).await? {
+                ReceivedBody::Complete(body) => (Payload::Buffered(body.clone()), body, None),
+                ReceivedBody::Streaming(remaining) => {
+                    let first = remaining.first.clone();
+                    let (streaming, sender) =
+                        StreamingPayload::new(remaining.length, first.clone(), head.client_timeout());
+                    (Payload::Streaming(streaming), first, Some((remaining, sender)))
+                }
+            };
         // Who gets no room is refused at once, not half served.
-        let room = rest.as_ref().map(|_| self.shared.transfers.clone().try_acquire_owned());
-        let place = place.filter(|_| !matches!(room, Some(Err(_))));
+        let transfer_permit = remaining.as_ref().map(|_| self.shared.transfers.clone().try_acquire_owned());
+        let permit = permit.filter(|_| !matches!(transfer_permit, Some(Err(_))));
         // The client waits from its last byte on.
-        head.begin(whole_at.unwrap_or_else(Instant::now));
-        let one = One { rest, room: room.and_then(Result::ok), ..self.one(head, parts, body, place)? };
-        let (deadline, rendering) = (one.head.deadline, Rendering::Plain);
-        Ok(ReceivedRequest { body: first, deadline, rendering, work: Work::One(one) })
+        head.restart_deadline(body_received_at.unwrap_or_else(Instant::now));
+        let request = SingleRequest {
+            remaining,
+            transfer_permit: transfer_permit.and_then(Result::ok),
+            ..self.single_request(head, parts, body, permit)?
+        };
+        let (deadline, rendering) = (request.head.deadline, Rendering::Plain);
+        Ok(ReceivedRequest { body: first, deadline, rendering, work: Work::Single(request) })
     }
 
     /// Reads a body that has to be held whole, until its request's deadline or `within`; it has a little time in any
     /// case.
-    pub(super) async fn read_whole<B>(
+    pub(super) async fn read_buffered<B>(
         &self,
         body: B,
-        came: Instant,
+        received_at: Instant,
         deadline: Instant,
-        within: Option<Instant>,
+        read_by: Option<Instant>,
     ) -> Result<Bytes, BodyError>
     where
         B: Body + Send + 'static,
         B::Error: Into<BoxError>,
     {
-        let by = within.map_or(deadline, |within| within.min(deadline)).max(came + BODY_LEAST);
-        let patience = Patience::new(by.saturating_duration_since(came));
-        let held = self.shared.body_most;
-        match read_body(body, held, 0, patience).await? {
-            Incoming::Whole(body) => Ok(body),
-            Incoming::Coming(_) => Err(BodyError::TooLarge { limit: held }),
+        let read_until =
+            read_by.map_or(deadline, |read_by| read_by.min(deadline)).max(received_at + MIN_BODY_READ_TIME);
+        let read_timeout = ReadTimeout::new(read_until.saturating_duration_since(received_at));
+        let max_buffered = self.shared.max_body_bytes;
+        match read_body(body, max_buffered, 0, read_timeout).await? {
+            ReceivedBody::Complete(body) => Ok(body),
+            ReceivedBody::Streaming(_) => Err(BodyError::TooLarge { limit: max_buffered }),
         }
     }
 
     /// One request for the engine, under its id.
-    pub(super) fn one(
+    pub(super) fn single_request(
         &self,
         head: Head,
         parts: Parts,
         body: Payload,
-        place: Option<OwnedSemaphorePermit>,
-    ) -> Result<One, InvalidRequest> {
+        permit: Option<OwnedSemaphorePermit>,
+    ) -> Result<SingleRequest, InvalidRequest> {
         let engine = self.engine();
-        let number = engine.mailbox.number();
-        let claimed = self.shared.intake.claim(head.id.as_deref(), number)?;
-        let outgoing = Arc::new(head.outgoing(parts, body, &claimed)?);
-        Ok(One { engine: engine.clone(), head, outgoing, number, claimed, place, room: None, rest: None })
+        let request_id = engine.mailbox.next_request_id();
+        let id_claim = self.shared.intake.claim(head.id.as_deref(), request_id)?;
+        let outgoing = Arc::new(head.outgoing(parts, body, &id_claim)?);
+        Ok(SingleRequest {
+            engine: engine.clone(),
+            head,
+            outgoing,
+            request_id,
+            id_claim,
+            permit,
+            transfer_permit: None,
+            remaining: None,
+        })
     }
 
     /// The places for open requests.
-    pub(crate) fn places(&self) -> Arc<Semaphore> {
-        self.shared.places.clone()
+    pub(crate) fn request_permits(&self) -> Arc<Semaphore> {
+        self.shared.request_permits.clone()
     }
 
     /// Whether there is any server to send to, for every shard, and the node has not stepped aside: one that is worse
@@ -245,13 +263,13 @@
 
     /// Whether the node says that it is not ready, as it is worse off than the fleet.
     pub fn is_withdrawn(&self) -> bool {
-        self.shared.aside.load(Ordering::Acquire)
+        self.shared.withdrawn.load(Ordering::Acquire)
     }
 
     /// Whether the list's source has told anything since the start, to every shard. Before that the node goes by the
     /// list that it was given, which may be old.
     pub fn has_list(&self) -> bool {
-        self.engines().iter().all(|engine| engine.tally.has_list())
+        self.engines().iter().all(|engine| engine.counters.has_list())
     }
 
     /// Whether the node takes nothing more.
@@ -261,16 +279,17 @@
 
     /// How requests ended since the start; after the end too.
     pub fn counts(&self) -> Counts {
-        self.engines().iter().map(|engine| engine.tally.counts()).fold(Counts::default(), Counts::plus)
+        self.engines().iter().map(|engine| engine.counters.counts()).fold(Counts::default(), Counts::plus)
     }
 
     /// How requests of each class ended since the start.
     pub fn class_counts(&self) -> BTreeMap<&str, ClassCounts> {
         let mut counts: BTreeMap<&str, ClassCounts> = BTreeMap::new();
         for engine in self.engines() {
-            for (name, more) in self.shared.class_names.iter().zip(engine.tally.class_counts()) {
+            for (name, counts_of_engine) in self.shared.class_names.iter().zip(engine.counters.class_counts())
+            {
                 let sum = counts.entry(name).or_default();
-                *sum = sum.plus(more);
+                *sum = sum.plus(counts_of_engine);
             }
         }
         counts
@@ -278,13 +297,15 @@
 
     /// Attempts that were written whole to servers, since the start.
     pub fn attempts(&self) -> u64 {
-        self.engines().iter().map(|engine| engine.tally.attempts()).sum()
+        self.engines().iter().map(|engine| engine.counters.attempts()).sum()
     }
 
     /// Requests that were taken and have no answer yet, as their callers count them, and answers that are being
     /// passed on.
     pub fn outstanding(&self) -> usize {
-        let open = |engine: &Arc<Engine>| engine.waiting.load(Ordering::Relaxed) + engine.tally.transfers();
+        let open = |engine: &Arc<EngineHandle>| {
+            engine.waiting_calls.load(Ordering::Relaxed) + engine.counters.transfers()
+        };
         self.engines().iter().map(open).sum()
     }
 
@@ -294,22 +315,22 @@
     ///
     /// It has ended; its [`Handle::counts`] can still be read.
     pub async fn snapshot(&self) -> Result<Snapshot, Closed> {
-        let ask = |engine: &Arc<Engine>| {
-            let (ask, told) = oneshot::channel();
-            engine.mailbox.send(Happening::Look(ask));
-            told
+        let request_snapshot = |engine: &Arc<EngineHandle>| {
+            let (reply, receiver) = oneshot::channel();
+            engine.mailbox.send(EngineMessage::Snapshot(reply));
+            receiver
         };
         // All are asked before any is waited for.
-        let asked: Vec<_> = self.engines().iter().map(ask).collect();
-        let mut whole: Option<Snapshot> = None;
-        for told in asked {
-            let seen = told.await.map_err(|_| Closed)?;
-            match &mut whole {
-                Some(whole) => whole.add(seen),
-                None => whole = Some(seen),
+        let replies: Vec<_> = self.engines().iter().map(request_snapshot).collect();
+        let mut total: Option<Snapshot> = None;
+        for reply in replies {
+            let snapshot = reply.await.map_err(|_| Closed)?;
+            match &mut total {
+                Some(total) => total.add(snapshot),
+                None => total = Some(snapshot),
             }
         }
-        whole.ok_or(Closed)
+        total.ok_or(Closed)
     }
 
     /// What other nodes tell, where the configuration wants gossip.
@@ -323,10 +344,10 @@
     /// # Errors
     ///
     /// There is no gossip, or it can't be decided: why not.
-    pub async fn evict_or_restore(&self, name: &str, how: Option<(u64, String)>) -> Result<(), String> {
-        let put = |tell| Ask::Put(name.to_owned(), how, tell);
-        let told = ask(self.shared.gossip.as_ref(), put).await;
-        told.unwrap_or_else(|| Err("this node does not gossip".into()))
+    pub async fn evict_or_restore(&self, name: &str, eviction: Option<(u64, String)>) -> Result<(), String> {
+        let request = |reply| Ask::Put(name.to_owned(), eviction, reply);
+        let reply = ask(self.shared.gossip.as_ref(), request).await;
+        reply.unwrap_or_else(|| Err("this node does not gossip".into()))
     }
 
     /// Reads the keys of gossip again and tells how many names there are; nothing where there is no gossip.
@@ -345,7 +366,7 @@
 
     /// Closes the connection to a server that has been idle for longest: the process is out of descriptors.
     pub fn close_idle_connection(&self) {
-        self.engine().mailbox.send(Happening::Evict);
+        self.engine().mailbox.send(EngineMessage::EvictIdleConnection);
     }
 
     /// As [`Node::shutdown`](crate::Node::shutdown), for all owners of the node.
@@ -363,7 +384,7 @@
         // A time beyond the clock's end is far enough away as any.
         let at = now.checked_add(deadline).unwrap_or(now + Duration::from_secs(86_400));
         for engine in self.engines() {
-            engine.mailbox.send(Happening::Shutdown(at));
+            engine.mailbox.send(EngineMessage::Shutdown(at));
         }
     }
 }
--- a/crates/dunelink/src/node/mod.rs
+++ b/crates/dunelink/src/node/mod.rs
@@ -3,28 +3,28 @@
 mod batch;
 mod body;
 mod endpoint;
-mod engineering;
-mod engines;
+mod engine_handle;
+mod engine_setup;
 mod graphql;
 mod handle;
-mod one;
-mod received;
+mod received_request;
 mod running;
 mod shards;
+mod single_request;
 
 use std::io;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 pub use handle::Handle;
-pub use one::Completion;
-pub use received::ReceivedRequest;
+pub use received_request::ReceivedRequest;
 pub use running::Node;
 pub use shards::{NodeParts, ServerListReader, Shard};
+pub use single_request::Completion;
 
 use crate::config::{Config, ConfigError, RosterConfig};
 use crate::error::StartError;
 use crate::roster::{self, Fixed, Roster, Watch};
-use crate::thread::on_thread;
+use crate::thread::spawn_local_thread;
 
 /// Sets a node up.
 ///
@@ -84,25 +84,25 @@
     pub fn start(self) -> Result<Node, StartError> {
         // Shards that have started end with the node if a later one can't.
         let NodeParts { node, shards, source, gossip } = self.split()?;
-        let (begun, begins) = std::sync::mpsc::channel();
+        let (started, start_signals) = std::sync::mpsc::channel();
         let count = shards.len();
         for shard in shards {
-            let begun = begun.clone();
+            let started = started.clone();
             let name = format!("dunelink {}", shard.config().name);
-            on_thread(name, move || {
-                let running = shard.run();
-                let _ = begun.send(());
-                running
+            spawn_local_thread(name, move || {
+                let engine = shard.run();
+                let _ = started.send(());
+                engine
             })?;
         }
         if let Some(source) = source {
-            on_thread("dunelink roster".into(), move || source.run())?;
+            spawn_local_thread("dunelink roster".into(), move || source.run())?;
         }
         if let Some(gossip) = gossip {
             gossip.start()?;
         }
         for _ in 0..count {
-            begins.recv().map_err(|_| io::Error::other("it ended at once"))?;
+            start_signals.recv().map_err(|_| io::Error::other("it ended at once"))?;
         }
         Ok(node)
     }
@@ -124,9 +124,9 @@
             gossip.start()?;
         }
         match (shards.pop(), shards.is_empty()) {
-            (Some(only), true) => {
+            (Some(shard), true) => {
                 // Not tied to the node's value: it has answers to give when that is dropped.
-                tokio::task::spawn_local(only.run());
+                tokio::task::spawn_local(shard.run());
                 Ok(node)
             }
             _ => Err(ConfigError::whole("fleet.shards: expected 1, as one thread runs one").into()),
--- a/crates/dunelink/src/node/received.rs
+++ b/crates/dunelink/src/node/received_request.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::batch::Batch;
-use super::one::{Completion, One};
+use super::single_request::{Completion, SingleRequest};
 use crate::error::CallError;
 use crate::http::Rendering;
 use crate::types::Answer;
@@ -36,7 +36,7 @@
 
 /// One request for the engine, or several in one.
 pub(super) enum Work {
-    One(One),
+    Single(SingleRequest),
     Batch(Batch),
 }
 
@@ -48,7 +48,7 @@
 
     /// Whether its body is there as a whole.
     pub fn is_fully_received(&self) -> bool {
-        !matches!(&self.work, Work::One(One { rest: Some(_), .. }))
+        !matches!(&self.work, Work::Single(SingleRequest { remaining: Some(_), .. }))
     }
 
     /// The request's body; of one that is passed on, what has come.
@@ -64,7 +64,7 @@
     /// Refuses the request without asking the engine: its front has no room for it.
     pub fn refuse(self, retry_after: Duration) -> Answer {
         match self.work {
-            Work::One(one) => one.refuse(Some(retry_after)),
+            Work::Single(request) => request.refuse(Some(retry_after)),
             Work::Batch(batch) => batch.refuse(retry_after),
         }
     }
@@ -85,7 +85,7 @@
     /// As for [`ReceivedRequest::answer`].
     pub async fn finish(self) -> Result<Completion, CallError> {
         match self.work {
-            Work::One(one) => one.finish().await,
+            Work::Single(request) => request.finish().await,
             Work::Batch(batch) => Ok(Completion { answer: batch.answer().await, body_unread: false }),
         }
     }
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -11,19 +11,19 @@
 use tokio_util::sync::CancellationToken;
 
 use super::endpoint::Endpoint;
-use super::engineering::Engineering;
-use super::engines::Engine;
+use super::engine_handle::EngineHandle;
+use super::engine_setup::EngineSetup;
 use super::handle::{Handle, Shared};
 use super::running::Node;
 use crate::config::{Config, ConfigError};
-use crate::counts::Tally;
+use crate::counts::Counters;
 use crate::engine::Mailbox;
 use crate::fleet::Gossiper;
 use crate::intake::Intake;
 use crate::roster::{Feed, Hub, Roster, RosterFuture};
 
 /// Between the seeds of two shards (the golden ratio in 64 bits).
-const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+const SHARD_SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A node in parts: for a front that gives each shard a thread of its own. Dropping the node ends all shards.
 ///
@@ -66,7 +66,7 @@
 
 /// One shard of a node.
 pub struct Shard {
-    engineering: Engineering,
+    setup: EngineSetup,
     handle: Handle,
 }
 
@@ -78,13 +78,13 @@
 
     /// The part of the configuration that falls to it: of limits, and its rank among all shards of all nodes.
     pub fn config(&self) -> &Config {
-        &self.engineering.config
+        &self.setup.config
     }
 
     /// Takes in the list that is known at the start; the engine then runs in the future, until the node is shut
     /// down. It needs a tokio `LocalSet`.
     pub fn run(self) -> impl Future<Output = ()> + 'static {
-        self.engineering.begin()
+        self.setup.start()
     }
 }
 
@@ -103,7 +103,7 @@
         let ServerListReader { roster, config, seed, hub, ended } = self;
         let running = roster.run(Feed::new(&config, seed, hub));
         Box::pin(async move {
-            let all = async {
+            let all_ended = async {
                 for ended in &ended {
                     ended.cancelled().await;
                 }
@@ -114,7 +114,7 @@
                 std::future::pending::<()>().await;
             };
             tokio::select! {
-                () = all => {}
+                () = all_ended => {}
                 () = reading => {}
             }
         })
@@ -138,31 +138,31 @@
     }
     let transfers = Arc::new(Semaphore::new(config.limits.transfers));
     let mut roster = Some(roster);
-    let (mut engines, mut engineerings) = (Vec::new(), Vec::new());
-    for number in 0..count {
-        let config = config.shard(number);
-        let seed = seed.wrapping_add(SEED_STEP.wrapping_mul(u64::from(number)));
+    let (mut engines, mut setups) = (Vec::new(), Vec::new());
+    for index in 0..count {
+        let config = config.shard(index);
+        let seed = seed.wrapping_add(SHARD_SEED_STEP.wrapping_mul(u64::from(index)));
         let balancer = Balancer::new(config.settings(), seed).map_err(|e| ConfigError::whole(e.0))?;
         let (mailbox, inbox) = Mailbox::new(seed);
-        let engine = Engine {
+        let engine = EngineHandle {
             mailbox: mailbox.clone(),
-            tally: Arc::new(Tally::new(config.classes.len())),
+            counters: Arc::new(Counters::new(config.classes.len())),
             any_ready: Arc::new(AtomicBool::default()),
-            waiting: AtomicUsize::new(0),
+            waiting_calls: AtomicUsize::new(0),
             ended: CancellationToken::new(),
         };
         let roster: Box<dyn Roster> = match (&hub, &mut roster) {
-            (Some(hub), _) => Box::new(hub.branch(number as usize)),
+            (Some(hub), _) => Box::new(hub.branch(index as usize)),
             (None, roster) => roster.take().ok_or_else(|| ConfigError::whole("no roster"))?,
         };
-        engineerings.push(Engineering {
+        setups.push(EngineSetup {
             seed,
             balancer,
             roster,
             transfers: transfers.clone(),
             mailbox,
             inbox,
-            tally: engine.tally.clone(),
+            counters: engine.counters.clone(),
             any_ready: engine.any_ready.clone(),
             ended: engine.ended.clone(),
             config,
@@ -170,26 +170,26 @@
         engines.push(Arc::new(engine));
     }
     let ended = engines.iter().map(|engine| engine.ended.clone()).collect();
-    let mailboxes = engines.iter().map(|engine: &Arc<Engine>| engine.mailbox.clone()).collect();
-    let tallies = engines.iter().map(|engine: &Arc<Engine>| engine.tally.clone()).collect();
-    let aside = Arc::new(AtomicBool::new(false));
-    let (gossip, asks) = Gossiper::new(&config, (mailboxes, tallies), aside.clone())?.unzip();
+    let mailboxes = engines.iter().map(|engine: &Arc<EngineHandle>| engine.mailbox.clone()).collect();
+    let counters = engines.iter().map(|engine: &Arc<EngineHandle>| engine.counters.clone()).collect();
+    let withdrawn = Arc::new(AtomicBool::new(false));
+    let (gossip, asks) = Gossiper::new(&config, (mailboxes, counters), withdrawn.clone())?.unzip();
     let shared = Shared {
         engines,
         gossip: asks,
         class_names: config.classes.iter().map(|class| class.name.clone()).collect(),
         intake,
         graphql,
-        body_most: config.limits.body,
-        stream_most: config.limits.stream,
+        max_body_bytes: config.limits.body,
+        max_stream_bytes: config.limits.stream,
         transfers: transfers.clone(),
-        places: Arc::new(Semaphore::new(config.limits.requests)),
+        request_permits: Arc::new(Semaphore::new(config.limits.requests)),
         closing: AtomicBool::new(false),
-        aside,
+        withdrawn,
     };
-    let handle = Handle { shared: Arc::new(shared), home: None };
-    let shard = |(number, engineering)| Shard { engineering, handle: handle.at_home(number) };
-    let shards = engineerings.into_iter().enumerate().map(shard).collect();
+    let handle = Handle { shared: Arc::new(shared), shard: None };
+    let shard = |(index, setup)| Shard { setup, handle: handle.for_shard(index) };
+    let shards = setups.into_iter().enumerate().map(shard).collect();
     let source = hub.zip(roster).map(|(hub, roster)| ServerListReader { roster, config, seed, hub, ended });
     Ok(NodeParts { node: Node { handle }, shards, source, gossip })
 }
--- a/crates/dunelink/src/payload.rs
+++ b/crates/dunelink/src/payload.rs
@@ -18,12 +18,12 @@
 
 /// The body of a request.
 pub(crate) enum Payload {
-    Whole(Bytes),
-    Coming(Arc<Coming>),
+    Buffered(Bytes),
+    Streaming(Arc<StreamingPayload>),
 }
 
 /// One that is passed on as it comes.
-pub(crate) struct Coming {
+pub(crate) struct StreamingPayload {
     /// Its length, if its sender has stated it.
     length: Option<u64>,
     /// What was read before it was known to be long.
@@ -33,25 +33,36 @@
     /// When the client gives up; known once the last byte has come.
     deadline: watch::Receiver<Option<Instant>>,
     /// Whether an attempt has been given its end.
-    ended: AtomicBool,
-    patience: Duration,
+    fully_sent: AtomicBool,
+    client_timeout: Duration,
 }
 
 /// The other end, where the body comes in.
-pub(crate) struct Inlet {
+pub(crate) struct PayloadSender {
     /// Dropped before the end is told, the body is broken.
-    pub(crate) pieces: mpsc::Sender<Bytes>,
+    pub(crate) chunks: mpsc::Sender<Bytes>,
     pub(crate) deadline: watch::Sender<Option<Instant>>,
 }
 
-impl Coming {
-    pub(crate) fn new(length: Option<u64>, first: Bytes, patience: Duration) -> (Arc<Coming>, Inlet) {
+impl StreamingPayload {
+    pub(crate) fn new(
+        length: Option<u64>,
+        first: Bytes,
+        client_timeout: Duration,
+    ) -> (Arc<StreamingPayload>, PayloadSender) {
         // One piece waits while another is on its way to the socket.
-        let (pieces, rest) = mpsc::channel(1);
-        let (tell, deadline) = watch::channel(None);
+        let (chunks, rest) = mpsc::channel(1);
+        let (deadline_sender, deadline) = watch::channel(None);
         let rest = Mutex::new(Some(rest));
-        let coming = Coming { length, first, rest, deadline, ended: AtomicBool::new(false), patience };
-        (Arc::new(coming), Inlet { pieces, deadline: tell })
+        let streaming = StreamingPayload {
+            length,
+            first,
+            rest,
+            deadline,
+            fully_sent: AtomicBool::new(false),
+            client_timeout,
+        };
+        (Arc::new(streaming), PayloadSender { chunks, deadline: deadline_sender })
     }
 
     fn rest(&self) -> MutexGuard<'_, Option<mpsc::Receiver<Bytes>>> {
@@ -63,32 +74,34 @@
     /// Its length, if that is known.
     pub(crate) fn length(&self) -> Option<u64> {
         match self {
-            Payload::Whole(bytes) => Some(bytes.len() as u64),
-            Payload::Coming(coming) => coming.length,
+            Payload::Buffered(bytes) => Some(bytes.len() as u64),
+            Payload::Streaming(streaming) => streaming.length,
         }
     }
 
     /// How long a client that is asked now waits, where its patience has not begun.
-    pub(crate) fn patience(&self) -> Option<Duration> {
+    pub(crate) fn client_timeout(&self) -> Option<Duration> {
         match self {
-            Payload::Coming(coming) if coming.deadline.borrow().is_none() => Some(coming.patience),
+            Payload::Streaming(streaming) if streaming.deadline.borrow().is_none() => {
+                Some(streaming.client_timeout)
+            }
             _ => None,
         }
     }
 
     /// When the client gives up, if its patience has begun.
-    pub(crate) fn by(&self, deadline: Instant) -> Option<Instant> {
+    pub(crate) fn client_deadline(&self, deadline: Instant) -> Option<Instant> {
         match self {
-            Payload::Whole(_) => Some(deadline),
-            Payload::Coming(coming) => *coming.deadline.borrow(),
+            Payload::Buffered(_) => Some(deadline),
+            Payload::Streaming(streaming) => *streaming.deadline.borrow(),
         }
     }
 
     /// Waits until the client has given up.
-    pub(crate) async fn over(&self, deadline: Instant) {
-        let Payload::Coming(coming) = self else { return sleep_until(deadline).await };
-        let mut told = coming.deadline.clone();
-        match told.wait_for(Option::is_some).await.map(|at| *at) {
+    pub(crate) async fn client_deadline_passed(&self, deadline: Instant) {
+        let Payload::Streaming(streaming) = self else { return sleep_until(deadline).await };
+        let mut deadline_watch = streaming.deadline.clone();
+        match deadline_watch.wait_for(Option::is_some).await.map(|at| *at) {
             Ok(Some(at)) => sleep_until(at).await,
             // It broke off: whoever reads it has left.
             _ => pending().await,
@@ -96,61 +109,69 @@
     }
 
     /// When its last byte came, if that is known and matters.
-    pub(crate) fn whole_since(&self) -> Option<Instant> {
+    pub(crate) fn fully_received_at(&self) -> Option<Instant> {
         match self {
-            Payload::Whole(_) => None,
-            Payload::Coming(coming) => coming.deadline.borrow().map(|at| at - coming.patience),
+            Payload::Buffered(_) => None,
+            Payload::Streaming(streaming) => {
+                streaming.deadline.borrow().map(|at| at - streaming.client_timeout)
+            }
         }
     }
 
     /// Whether an attempt has been given all of it.
-    pub(crate) fn has_ended(&self) -> bool {
+    pub(crate) fn is_fully_sent(&self) -> bool {
         match self {
-            Payload::Whole(_) => true,
-            Payload::Coming(coming) => coming.ended.load(Ordering::Acquire),
+            Payload::Buffered(_) => true,
+            Payload::Streaming(streaming) => streaming.fully_sent.load(Ordering::Acquire),
         }
     }
 
     /// Whether some of it is gone, so that it can't be sent once more.
-    pub(crate) fn is_spent(&self) -> bool {
-        matches!(self, Payload::Coming(coming) if coming.rest().is_none())
+    pub(crate) fn is_consumed(&self) -> bool {
+        matches!(self, Payload::Streaming(streaming) if streaming.rest().is_none())
     }
 
     /// The body for an attempt; none if it is spent or out.
-    pub(crate) fn body(&self) -> Option<OutgoingBody> {
+    pub(crate) fn attempt_body(&self) -> Option<OutgoingBody> {
         match self {
-            Payload::Whole(bytes) => Some(OutgoingBody::Left(Full::new(bytes.clone()))),
-            Payload::Coming(coming) => {
-                let rest = coming.rest().take()?;
-                let first = coming.first.clone();
-                let coming = coming.clone();
-                Some(OutgoingBody::Right(Sending { coming, first, rest: Some(rest), begun: false, sent: 0 }))
+            Payload::Buffered(bytes) => Some(OutgoingBody::Left(Full::new(bytes.clone()))),
+            Payload::Streaming(streaming) => {
+                let rest = streaming.rest().take()?;
+                let first = streaming.first.clone();
+                let streaming = streaming.clone();
+                Some(OutgoingBody::Right(StreamingPayloadBody {
+                    streaming,
+                    first,
+                    rest: Some(rest),
+                    consumed: false,
+                    sent_bytes: 0,
+                }))
             }
         }
     }
 }
 
 /// A body as an attempt sends it.
-pub(crate) type OutgoingBody = Either<Full<Bytes>, Sending>;
+pub(crate) type OutgoingBody = Either<Full<Bytes>, StreamingPayloadBody>;
 
 /// One that is passed on. Dropped before any of what comes was taken, it can be had again.
-pub(crate) struct Sending {
-    coming: Arc<Coming>,
+pub(crate) struct StreamingPayloadBody {
+    streaming: Arc<StreamingPayload>,
     first: Bytes,
     rest: Option<mpsc::Receiver<Bytes>>,
-    begun: bool,
-    sent: u64,
+    consumed: bool,
+    sent_bytes: u64,
 }
 
-impl Drop for Sending {
+impl Drop for StreamingPayloadBody {
     fn drop(&mut self) {
-        if !self.begun {
-            *self.coming.rest() = self.rest.take();
+        if !self.consumed {
+            *self.streaming.rest() = self.rest.take();
         }
     }
 }
 
-impl Body for Sending {
+impl Body for StreamingPayloadBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -159,23 +180,23 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         if !self.first.is_empty() {
-            self.sent = self.first.len() as u64;
+            self.sent_bytes = self.first.len() as u64;
             return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.first)))));
         }
         let Some(rest) = &mut self.rest else { return Poll::Ready(None) };
         let polled = std::task::ready!(rest.poll_recv(cx));
-        self.begun = true;
+        self.consumed = true;
         match polled {
-            Some(piece) => {
-                self.sent += piece.len() as u64;
+            Some(chunk) => {
+                self.sent_bytes += chunk.len() as u64;
                 // Where its length is stated, nobody asks for its end.
-                if self.coming.length == Some(self.sent) {
-                    self.coming.ended.store(true, Ordering::Release);
+                if self.streaming.length == Some(self.sent_bytes) {
+                    self.streaming.fully_sent.store(true, Ordering::Release);
                 }
-                Poll::Ready(Some(Ok(Frame::data(piece))))
+                Poll::Ready(Some(Ok(Frame::data(chunk))))
             }
-            None if self.coming.deadline.borrow().is_some() => {
-                self.coming.ended.store(true, Ordering::Release);
+            None if self.streaming.deadline.borrow().is_some() => {
+                self.streaming.fully_sent.store(true, Ordering::Release);
                 Poll::Ready(None)
             }
             // A body without its end must not look whole.
@@ -184,6 +205,6 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.coming.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.streaming.length.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/dunelink/src/listing.rs
+++ b/crates/dunelink/src/platform_list.rs
@@ -4,19 +4,19 @@
 
 use serde::Deserialize;
 
-use crate::entries::{Server, ServerState, Update};
+use crate::server_list::{Server, ServerState, Update};
 
 /// What discovery says on one line, and the configuration of the list as it was last held.
 #[derive(Default, Deserialize)]
-pub(crate) struct Line {
+pub(crate) struct PlatformList {
     rev: u64,
     /// Whether it is the whole list, not changes.
     all: bool,
-    targets: Vec<Target>,
+    targets: Vec<PlatformServer>,
 }
 
 #[derive(Deserialize)]
-struct Target {
+struct PlatformServer {
     uid: String,
     endpoint: SocketAddr,
     #[serde(default)]
@@ -32,9 +32,9 @@
     boot_ms: u64,
 }
 
-impl From<Line> for Update {
-    fn from(line: Line) -> Update {
-        let server = |target: Target| Server {
+impl From<PlatformList> for Update {
+    fn from(list: PlatformList) -> Update {
+        let server = |target: PlatformServer| Server {
             uid: target.uid,
             endpoint: target.endpoint,
             state: target.state,
@@ -44,7 +44,7 @@
             weight: target.capacity_hint.max(0.0),
             started_ms: target.boot_ms,
         };
-        Update { rev: line.rev, whole: line.all, servers: line.targets.into_iter().map(server).collect() }
+        Update { rev: list.rev, whole: list.all, servers: list.targets.into_iter().map(server).collect() }
     }
 }
 
@@ -55,6 +55,6 @@
     ///
     /// It is not JSON of that form; keys beyond it are passed over.
     pub fn from_watch_line(line: &[u8]) -> Result<Update, serde_json::Error> {
-        serde_json::from_slice::<Line>(line).map(Update::from)
+        serde_json::from_slice::<PlatformList>(line).map(Update::from)
     }
 }
--- a/crates/dunelink/src/roster/channel.rs
+++ b/crates/dunelink/src/roster/channel.rs
@@ -1,7 +1,7 @@
 use tokio::sync::mpsc;
 
 use super::{Feed, Roster, RosterFuture};
-use crate::entries::Update;
+use crate::server_list::Update;
 
 /// How many updates may wait for the engine's thread, which takes them as they come.
 const WAITING_MOST: usize = 64;
--- a/crates/dunelink/src/roster/file.rs
+++ b/crates/dunelink/src/roster/file.rs
@@ -5,7 +5,7 @@
 
 use super::{Feed, Roster, RosterFuture};
 use crate::config::{ConfigError, servers_from_toml};
-use crate::entries::Update;
+use crate::server_list::Update;
 
 /// A list in a TOML file of `[[servers]]` entries, read again when its text changes. A file that is missing or
 /// wrong changes nothing and is logged once; so is one without any server, which is hardly ever meant.
--- a/crates/dunelink/src/roster/fixed.rs
+++ b/crates/dunelink/src/roster/fixed.rs
@@ -1,5 +1,5 @@
 use super::{Feed, Roster, RosterFuture};
-use crate::entries::{Server, Update};
+use crate::server_list::{Server, Update};
 
 /// A list that never changes.
 ///
--- a/crates/dunelink/src/roster/hub.rs
+++ b/crates/dunelink/src/roster/hub.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 use super::{Fed, Feed, News, Roster, RosterFuture};
-use crate::entries::{Server, ServerState, Update};
+use crate::server_list::{Server, ServerState, Update};
 
 /// Servers that take requests by the list as it was last read, and where.
 #[derive(Default)]
--- a/crates/dunelink/src/roster/mod.rs
+++ b/crates/dunelink/src/roster/mod.rs
@@ -37,7 +37,7 @@
 pub use watch::{Watch, WatchMover};
 
 use crate::config::Config;
-use crate::entries::Update;
+use crate::server_list::Update;
 
 /// What a roster does for as long as the node runs. It may end earlier: the list then stays as it is.
 pub type RosterFuture = Pin<Box<dyn Future<Output = ()>>>;
--- a/crates/dunelink/src/roster/watch.rs
+++ b/crates/dunelink/src/roster/watch.rs
@@ -15,7 +15,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::{Feed, Roster, RosterFuture};
-use crate::entries::Update;
+use crate::server_list::Update;
 
 /// A watch that says nothing for this long is dead: a line comes every 2 s. A change counts as told after
 /// 6 s at the latest, so a second watch has to be up by then.
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -18,255 +18,260 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::answer_body::Tap;
+use crate::answer_body::ReaderState;
 use crate::config::{Answers, Config};
-use crate::counts::Tally;
-use crate::entries::Server;
-use crate::idle::Order;
-use crate::line::{Line, Place, ServerSocket};
+use crate::counted_socket::{ConnectionSlot, CountedSocket, HyperSocket};
+use crate::counts::Counters;
+use crate::idle_order::IdleOrder;
 use crate::payload::OutgoingBody;
 use crate::roster::Ready;
+use crate::server_list::Server;
 use crate::types::Outgoing;
 
 /// What a connection may buffer; it bounds headers too.
-const BUFFER_MOST: usize = 32 * 1024;
+const MAX_CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
 /// An idle connection is retired after this part of the time for which servers keep it.
-const IDLE_PART: f64 = 0.7;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 /// How long an idle connection rests before it is used again: what a server sends behind an answer comes right
 /// behind it, and must have come before the next request goes out.
-const REST: Duration = Duration::from_millis(5);
+const REUSE_DELAY: Duration = Duration::from_millis(5);
 /// For how long kept connections are not trusted with what must not run twice, after one broke.
-const WARY: Duration = Duration::from_secs(10);
+const IDLE_DISTRUST: Duration = Duration::from_secs(10);
 /// A server that answers nothing for this long may have vanished.
-const SILENT: Duration = Duration::from_secs(1);
+const SILENCE_THRESHOLD: Duration = Duration::from_secs(1);
 /// One that answered within this time answers.
-const ANSWERS: Duration = Duration::from_secs(5);
+const RECENT_ANSWER_WINDOW: Duration = Duration::from_secs(5);
 /// A server that gives nothing more of a long answer for this long, while its reader waits, is cut off.
-const GIVES_WITHIN: Duration = Duration::from_secs(10);
+const TRANSFER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a connection may take to show that nothing comes behind its answer.
-const READY_WITHIN: Duration = Duration::from_millis(300);
+const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A connection to a server; dropping it closes it.
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<OutgoingBody>,
-    pub(crate) line: Rc<Line>,
+    pub(crate) socket: Rc<CountedSocket>,
     pub(crate) endpoint: SocketAddr,
     /// When its server had started as it was opened.
-    pub(crate) started: Micros,
+    pub(crate) server_started: Micros,
     idle_since: Instant,
     /// Its number among those that became idle.
-    number: u64,
+    idle_number: u64,
     _task: AbortOnDropHandle<()>,
 }
 
-struct Member {
+struct KnownServer {
     uid: Arc<str>,
     endpoint: SocketAddr,
     started: Micros,
     ready: bool,
     zone: Arc<str>,
     /// When it last answered.
-    heard: Instant,
+    last_answer: Instant,
     /// Whether it ever did.
     answered: bool,
     /// Since when it has answered none of the attempts that were made, if there were any.
-    unanswered: Option<Instant>,
+    unanswered_since: Option<Instant>,
     /// The freshest last.
     idle: Vec<Connection>,
 }
 
 /// Where among a server's idle connections this one is. Numbers grow along each server's list.
-fn idle_at(members: &HashMap<ServerId, Member>, server: ServerId, number: u64) -> Option<usize> {
-    members.get(&server)?.idle.binary_search_by_key(&number, |c| c.number).ok()
+fn idle_position(known: &HashMap<ServerId, KnownServer>, server: ServerId, number: u64) -> Option<usize> {
+    known.get(&server)?.idle.binary_search_by_key(&number, |c| c.idle_number).ok()
 }
 
 /// A connection that an attempt has left over, for [`Servers::keep`].
-pub(crate) struct Spare {
+pub(crate) struct ReusableConnection {
     pub(crate) server: ServerId,
     pub(crate) connection: Connection,
 }
 
 /// All servers that discovery has named, and the connections to them.
 pub(crate) struct Servers {
-    members: RefCell<HashMap<ServerId, Member>>,
+    known: RefCell<HashMap<ServerId, KnownServer>>,
     /// Whether there is any to send to, for other threads.
     any_ready: Arc<AtomicBool>,
     /// Who became idle when, over all servers.
-    order: RefCell<Order<ServerId>>,
-    open: Rc<Cell<usize>>,
-    most: usize,
+    idle_order: RefCell<IdleOrder<ServerId>>,
+    open_connections: Rc<Cell<usize>>,
+    max_connections: usize,
     /// The most bytes in an answer's body.
-    pub(crate) body_most: usize,
+    pub(crate) max_body_bytes: usize,
     /// The most bytes of one that is passed on as it comes.
-    pub(crate) stream_most: u64,
-    pub(crate) tally: Arc<Tally>,
+    pub(crate) max_stream_bytes: u64,
+    pub(crate) counters: Arc<Counters>,
     /// Room for bodies that are passed on. What must not run twice can't be refused any more, so that answers take
     /// room from requests, and are bounded by their connections.
     transfers: Arc<Semaphore>,
     /// Which answers are the client's.
     pub(crate) answers: Answers,
     connect_timeout: Duration,
-    idle_most: Duration,
+    idle_timeout: Duration,
     /// What a reader on another thread knows to take requests, where there is one: it hears of drains first.
-    ready: OnceCell<Arc<Ready>>,
+    ready_servers: OnceCell<Arc<Ready>>,
     /// Until when kept connections are known to break at their next request.
-    wary_until: Cell<Option<Instant>>,
+    distrust_idle_until: Cell<Option<Instant>>,
     /// Answers that are being passed on, and who waits until none are.
-    passing: Cell<usize>,
-    passed: Notify,
+    active_transfers: Cell<usize>,
+    transfer_ended: Notify,
     /// Whether it is kept how servers answer.
-    reach: bool,
+    tracks_reach: bool,
 }
 
 impl Servers {
     pub(crate) fn new(
         config: &Config,
         any_ready: Arc<AtomicBool>,
-        tally: Arc<Tally>,
+        counters: Arc<Counters>,
         transfers: Arc<Semaphore>,
     ) -> Servers {
         Servers {
-            members: RefCell::default(),
-            tally,
+            known: RefCell::default(),
+            counters,
             transfers,
             any_ready,
-            order: RefCell::default(),
-            open: Rc::default(),
-            most: config.limits.to_servers(),
-            body_most: config.limits.body,
-            stream_most: config.limits.stream,
-            passing: Cell::new(0),
-            passed: Notify::new(),
+            idle_order: RefCell::default(),
+            open_connections: Rc::default(),
+            max_connections: config.limits.to_servers(),
+            max_body_bytes: config.limits.body,
+            max_stream_bytes: config.limits.stream,
+            active_transfers: Cell::new(0),
+            transfer_ended: Notify::new(),
             answers: config.attempts.answers,
             connect_timeout: config.fleet.connect_timeout,
-            idle_most: config.fleet.keepalive.mul_f64(IDLE_PART),
-            ready: OnceCell::new(),
-            wary_until: Cell::new(None),
-            reach: config.gossip.as_ref().is_some_and(|gossip| !gossip.electors.is_empty()),
+            idle_timeout: config.fleet.keepalive.mul_f64(IDLE_TIMEOUT_FRACTION),
+            ready_servers: OnceCell::new(),
+            distrust_idle_until: Cell::new(None),
+            tracks_reach: config.gossip.as_ref().is_some_and(|gossip| !gossip.electors.is_empty()),
         }
     }
 
     /// Whether this request should have a new connection: one that breaks under a request leaves open
     /// whether it ran, and this one could then neither go again nor be refused.
-    pub(crate) fn wary(&self, outgoing: &Outgoing) -> bool {
-        outgoing.once && self.wary_until.get().is_some_and(|until| until > Instant::now())
+    pub(crate) fn needs_new_connection(&self, outgoing: &Outgoing) -> bool {
+        outgoing.at_most_once && self.distrust_idle_until.get().is_some_and(|until| until > Instant::now())
     }
 
     /// A kept connection broke under a request.
-    pub(crate) fn be_wary(&self) {
-        self.wary_until.set(Some(Instant::now() + WARY));
+    pub(crate) fn distrust_idle_connections(&self) {
+        self.distrust_idle_until.set(Some(Instant::now() + IDLE_DISTRUST));
     }
 
     /// How many answers are being passed on.
-    pub(crate) fn passing(&self) -> usize {
-        self.passing.get()
+    pub(crate) fn active_transfers(&self) -> usize {
+        self.active_transfers.get()
     }
 
     /// Waits until one of them has come to its end.
-    pub(crate) async fn passed(&self) {
-        self.passed.notified().await;
+    pub(crate) async fn transfer_ended(&self) {
+        self.transfer_ended.notified().await;
     }
 
     /// Sees an answer off that is passed on as it comes: `ended` is told at its end, and then its connection can be
     /// used again. A server that gives nothing for too long while the reader waits is cut off.
-    pub(crate) async fn see_off(&self, spare: Spare, tap: Arc<Tap>, ended: oneshot::Receiver<()>) {
-        let _room = self.transfers.try_acquire();
-        self.passing.set(self.passing.get() + 1);
-        let line = spare.connection.line.clone();
-        let silent = async {
+    pub(crate) async fn watch_transfer(
+        &self,
+        reusable: ReusableConnection,
+        reader: Arc<ReaderState>,
+        ended: oneshot::Receiver<()>,
+    ) {
+        let _permit = self.transfers.try_acquire();
+        self.active_transfers.set(self.active_transfers.get() + 1);
+        let socket = reusable.connection.socket.clone();
+        let stalled = async {
             loop {
-                let read = line.read();
-                sleep(GIVES_WITHIN).await;
-                if tap.waits() && line.read() == read {
+                let read = socket.read();
+                sleep(TRANSFER_STALL_TIMEOUT).await;
+                if reader.waiting() && socket.read() == read {
                     return;
                 }
             }
         };
-        let whole = tokio::select! {
+        let completed = tokio::select! {
             ended = ended => ended.is_ok(),
-            () = silent => false,
+            () = stalled => false,
         };
-        if whole {
-            self.keep(spare).await;
+        if completed {
+            self.keep(reusable).await;
         } else {
-            drop(spare);
+            drop(reusable);
         }
-        self.passing.set(self.passing.get() - 1);
-        self.passed.notify_one();
+        self.active_transfers.set(self.active_transfers.get() - 1);
+        self.transfer_ended.notify_one();
     }
 
     /// How many connections to servers are open.
     pub(crate) fn connections(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
     /// Those that take requests: id, name, address and how many idle connections there are.
-    pub(crate) fn view(&self) -> Vec<(ServerId, Arc<str>, SocketAddr, usize)> {
-        let members = self.members.borrow();
-        members.iter().map(|(id, m)| (*id, m.uid.clone(), m.endpoint, m.idle.len())).collect()
+    pub(crate) fn list(&self) -> Vec<(ServerId, Arc<str>, SocketAddr, usize)> {
+        let known = self.known.borrow();
+        known.iter().map(|(id, s)| (*id, s.uid.clone(), s.endpoint, s.idle.len())).collect()
     }
 
     /// Takes in the whole list or changes. Idle connections to an old address, or to a server that wants
     /// nothing new, are closed.
-    pub(crate) fn list_changed<'a>(
+    pub(crate) fn apply_list<'a>(
         &self,
         list: impl Iterator<Item = (ServerEntry, &'a Server)>,
-        whole: bool,
+        is_full: bool,
     ) {
-        let mut members = self.members.borrow_mut();
-        members.values_mut().filter(|_| whole).for_each(|m| m.ready = false);
+        let mut known = self.known.borrow_mut();
+        known.values_mut().filter(|_| is_full).for_each(|s| s.ready = false);
         for (entry, Server { uid, endpoint, zone, .. }) in list {
             let (ready, endpoint) = (entry.state == ServerState::Ready, *endpoint);
-            let (started, heard) = (entry.ready_at, Instant::now());
-            let fresh = || Member {
+            let (started, last_answer) = (entry.ready_at, Instant::now());
+            let new_server = || KnownServer {
                 uid: uid.as_str().into(),
                 endpoint,
                 started,
                 ready,
                 zone: zone.as_str().into(),
-                heard,
+                last_answer,
                 answered: false,
-                unanswered: None,
+                unanswered_since: None,
                 idle: Vec::new(),
             };
-            let member = members.entry(entry.id).or_insert_with(fresh);
+            let known_server = known.entry(entry.id).or_insert_with(new_server);
             // A machine that vanished and is back has forgotten its connections, and they say nothing of it.
-            if member.endpoint != endpoint || member.started != started {
-                *member = fresh();
+            if known_server.endpoint != endpoint || known_server.started != started {
+                *known_server = new_server();
             }
-            member.ready = ready;
+            known_server.ready = ready;
         }
-        members.values_mut().filter(|m| !m.ready).for_each(|m| m.idle.clear());
+        known.values_mut().filter(|s| !s.ready).for_each(|s| s.idle.clear());
         // One that drains or is gone is sent nothing, so nothing need be kept of it.
-        members.retain(|_, m| m.ready);
-        self.any_ready.store(!members.is_empty(), Ordering::Release);
+        known.retain(|_, s| s.ready);
+        self.any_ready.store(!known.is_empty(), Ordering::Release);
     }
 
     /// Where to reach the server and when it started, if it takes requests.
-    pub(crate) fn whereabouts(&self, server: ServerId) -> Option<(SocketAddr, Micros)> {
-        let there = self.members.borrow().get(&server).map(|m| (m.endpoint, m.started))?;
-        self.ready.get().is_none_or(|ready| ready.has(server, there.0)).then_some(there)
+    pub(crate) fn ready_endpoint(&self, server: ServerId) -> Option<(SocketAddr, Micros)> {
+        let target = self.known.borrow().get(&server).map(|s| (s.endpoint, s.started))?;
+        self.ready_servers.get().is_none_or(|ready| ready.has(server, target.0)).then_some(target)
     }
 
     /// From now on nothing new goes to a server that is not among these.
-    pub(crate) fn heed(&self, ready: Arc<Ready>) {
+    pub(crate) fn set_ready_servers(&self, ready: Arc<Ready>) {
         // A shard has one reader for its whole life.
-        let _ = self.ready.set(ready);
+        let _ = self.ready_servers.set(ready);
     }
 
     /// The freshest idle connection that has rested and is quiet; older ones are retired in time.
     pub(crate) fn take_idle(&self, server: ServerId) -> Option<Connection> {
-        let mut members = self.members.borrow_mut();
-        let idle = &mut members.get_mut(&server)?.idle;
+        let mut known = self.known.borrow_mut();
+        let idle = &mut known.get_mut(&server)?.idle;
         let now = Instant::now();
         let idle_for = |c: &Connection| now.saturating_duration_since(c.idle_since);
-        while let Some(at) = idle.iter().rposition(|c| idle_for(c) >= REST) {
-            let connection = idle.remove(at);
-            let fresh = idle_for(&connection) < self.idle_most;
+        while let Some(position) = idle.iter().rposition(|c| idle_for(c) >= REUSE_DELAY) {
+            let connection = idle.remove(position);
+            let is_young = idle_for(&connection) < self.idle_timeout;
             // What has come since would be read as the next request's answer.
-            if fresh && connection.sender.is_ready() && connection.line.is_quiet() {
+            if is_young && connection.sender.is_ready() && connection.socket.has_no_pending_input() {
                 return Some(connection);
             }
         }
@@ -274,81 +279,85 @@
     }
 
     /// Keeps a connection for the next attempt, if the server still takes any.
-    pub(crate) async fn keep(&self, Spare { server, mut connection }: Spare) {
+    pub(crate) async fn keep(&self, ReusableConnection { server, mut connection }: ReusableConnection) {
         // hyper says it is ready once it has found nothing behind the answer that it has read.
-        if !matches!(timeout(READY_WITHIN, connection.sender.ready()).await, Ok(Ok(()))) {
+        if !matches!(timeout(REUSE_CHECK_TIMEOUT, connection.sender.ready()).await, Ok(Ok(()))) {
             return;
         }
         connection.idle_since = Instant::now();
-        let mut members = self.members.borrow_mut();
-        let there = members.get(&server).map(|m| (m.endpoint, m.started));
-        if there != Some((connection.endpoint, connection.started)) {
+        let mut known = self.known.borrow_mut();
+        let target = known.get(&server).map(|s| (s.endpoint, s.started));
+        if target != Some((connection.endpoint, connection.server_started)) {
             return;
         }
-        let still = |server, number| idle_at(&members, server, number).is_some();
-        connection.number = self.order.borrow_mut().push(server, self.open.get(), still);
-        if let Some(member) = members.get_mut(&server) {
-            member.idle.push(connection);
+        let is_live = |server, number| idle_position(&known, server, number).is_some();
+        connection.idle_number =
+            self.idle_order.borrow_mut().push(server, self.open_connections.get(), is_live);
+        if let Some(known_server) = known.get_mut(&server) {
+            known_server.idle.push(connection);
         }
     }
 
     /// Notes that a server has answered.
-    pub(crate) fn heard(&self, server: ServerId) {
-        if let Some(member) = self.members.borrow_mut().get_mut(&server) {
-            member.heard = Instant::now();
-            (member.answered, member.unanswered) = (true, None);
+    pub(crate) fn record_answer(&self, server: ServerId) {
+        if let Some(known_server) = self.known.borrow_mut().get_mut(&server) {
+            known_server.last_answer = Instant::now();
+            (known_server.answered, known_server.unanswered_since) = (true, None);
         }
     }
 
     /// Notes that an attempt at a server is made, where other nodes want to know how servers answer this one.
-    pub(crate) fn tries(&self, server: ServerId) {
-        if self.reach
-            && let Some(member) = self.members.borrow_mut().get_mut(&server)
+    pub(crate) fn record_attempt(&self, server: ServerId) {
+        if self.tracks_reach
+            && let Some(known_server) = self.known.borrow_mut().get_mut(&server)
         {
-            member.unanswered.get_or_insert_with(Instant::now);
+            known_server.unanswered_since.get_or_insert_with(Instant::now);
         }
     }
 
     /// How servers answer, by zone. One that was not tried lately is not among them.
-    pub(crate) fn reach(&self) -> Vec<ZoneReach> {
+    pub(crate) fn zone_reach(&self) -> Vec<ZoneReach> {
         let mut zones: BTreeMap<Arc<str>, ZoneReach> = BTreeMap::new();
-        for member in self.members.borrow().values() {
-            let silent = member.unanswered.is_some_and(|since| since.elapsed() >= SILENT);
-            let answers = member.answered && !silent && member.heard.elapsed() <= ANSWERS;
-            let zone = zones.entry(member.zone.clone()).or_default();
+        for known_server in self.known.borrow().values() {
+            let silent =
+                known_server.unanswered_since.is_some_and(|since| since.elapsed() >= SILENCE_THRESHOLD);
+            let answers = known_server.answered
+                && !silent
+                && known_server.last_answer.elapsed() <= RECENT_ANSWER_WINDOW;
+            let zone = zones.entry(known_server.zone.clone()).or_default();
             zone.silent = zone.silent.saturating_add(silent.into());
             zone.answer = zone.answer.saturating_add(answers.into());
         }
-        let named = |(zone, reach): (Arc<str>, ZoneReach)| ZoneReach { zone: zone.to_string(), ..reach };
-        zones.into_iter().map(named).collect()
+        let with_zone = |(zone, reach): (Arc<str>, ZoneReach)| ZoneReach { zone: zone.to_string(), ..reach };
+        zones.into_iter().map(with_zone).collect()
     }
 
     /// Closes a server's idle connections if it has answered nothing since `sent`, some time ago.
-    pub(crate) fn doubt(&self, server: ServerId, sent: Instant) {
-        if let Some(member) = self.members.borrow_mut().get_mut(&server)
-            && sent.elapsed() >= SILENT
-            && member.heard < sent
+    pub(crate) fn close_idle_if_silent(&self, server: ServerId, sent_at: Instant) {
+        if let Some(known_server) = self.known.borrow_mut().get_mut(&server)
+            && sent_at.elapsed() >= SILENCE_THRESHOLD
+            && known_server.last_answer < sent_at
         {
-            member.idle.clear();
+            known_server.idle.clear();
         }
     }
 
     /// Closes the connection that has been idle for longest; tells whether there was one.
     pub(crate) fn evict(&self) -> bool {
-        let mut members = self.members.borrow_mut();
-        let find = |server, number| Some((server, idle_at(&members, server, number)?));
-        let oldest = self.order.borrow_mut().pop(find);
-        oldest.and_then(|(server, at)| Some(members.get_mut(&server)?.idle.remove(at))).is_some()
+        let mut known = self.known.borrow_mut();
+        let locate = |server, number| Some((server, idle_position(&known, server, number)?));
+        let oldest = self.idle_order.borrow_mut().pop(locate);
+        oldest.and_then(|(server, position)| Some(known.get_mut(&server)?.idle.remove(position))).is_some()
     }
 
     /// Retires idle connections well before servers close them: a request that crosses a close is lost.
     pub(crate) async fn sweep(&self) {
         loop {
-            sleep(SWEEP).await;
+            sleep(SWEEP_INTERVAL).await;
             let now = Instant::now();
             let idle_for = |c: &Connection| now.saturating_duration_since(c.idle_since);
-            let fits = |c: &Connection| idle_for(c) < self.idle_most && !c.sender.is_closed();
-            self.members.borrow_mut().values_mut().for_each(|m| m.idle.retain(fits));
+            let keeps = |c: &Connection| idle_for(c) < self.idle_timeout && !c.sender.is_closed();
+            self.known.borrow_mut().values_mut().for_each(|s| s.idle.retain(keeps));
         }
     }
 
@@ -356,34 +365,42 @@
         &self,
         (endpoint, started): (SocketAddr, Micros),
     ) -> Result<Connection, Outcome> {
-        if self.open.get() >= self.most && !self.evict() {
+        if self.open_connections.get() >= self.max_connections && !self.evict() {
             return Err(Outcome::NotSent);
         }
-        let place = Place::taken(&self.open);
+        let slot = ConnectionSlot::acquire(&self.open_connections);
         let stream = match timeout(self.connect_timeout, TcpStream::connect(endpoint)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) if out_of_sockets(&error) => {
+            Ok(Err(error)) if out_of_descriptors(&error) => {
                 self.evict();
                 return Err(Outcome::NotSent);
             }
             _ => return Err(Outcome::ConnectFailed),
         };
         stream.set_nodelay(true).map_err(|_| Outcome::ConnectFailed)?;
-        let line = Rc::new(Line::new(stream, place, self.tally.clone()));
-        let socket = TokioIo::new(ServerSocket(line.clone()));
-        let builder = http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(socket).await;
+        let socket = Rc::new(CountedSocket::new(stream, slot, self.counters.clone()));
+        let io = TokioIo::new(HyperSocket(socket.clone()));
+        let builder = http1::Builder::new().max_buf_size(MAX_CONNECTION_BUFFER_BYTES).handshake(io).await;
         let (sender, connection) = builder.map_err(|_| Outcome::ConnectFailed)?;
         let task = tokio::task::spawn_local(async move {
             // Its errors show in the attempts.
             let _ = connection.await;
         });
         let _task = AbortOnDropHandle::new(task);
-        Ok(Connection { sender, line, endpoint, started, idle_since: Instant::now(), number: 0, _task })
+        Ok(Connection {
+            sender,
+            socket,
+            endpoint,
+            server_started: started,
+            idle_since: Instant::now(),
+            idle_number: 0,
+            _task,
+        })
     }
 }
 
 /// Whether the node or its machine has no descriptor left.
-fn out_of_sockets(error: &io::Error) -> bool {
+fn out_of_descriptors(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
--- a/crates/dunelink/src/snapshot.rs
+++ b/crates/dunelink/src/snapshot.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::counts::Counts;
-use crate::entries::server_id;
+use crate::server_list::server_id;
 
 /// How a node stands.
 ///
@@ -45,12 +45,12 @@
     /// Adds another shard's.
     pub(crate) fn add(&mut self, other: Snapshot) {
         for server in other.servers {
-            match self.servers.binary_search_by(|own| own.uid.cmp(&server.uid)) {
-                Ok(at) => {
-                    self.servers[at].in_flight += server.in_flight;
-                    self.servers[at].idle += server.idle;
+            match self.servers.binary_search_by(|known| known.uid.cmp(&server.uid)) {
+                Ok(index) => {
+                    self.servers[index].in_flight += server.in_flight;
+                    self.servers[index].idle += server.idle;
                 }
-                Err(at) => self.servers.insert(at, server),
+                Err(index) => self.servers.insert(index, server),
             }
         }
         self.open += other.open;
--- a/crates/dunelink/src/tower.rs
+++ b/crates/dunelink/src/tower.rs
@@ -29,40 +29,40 @@
 pub type AnswerFuture = Pin<Box<dyn Future<Output = Result<Response<AnswerBody>, CallError>> + Send>>;
 
 /// The places for open requests, one of which may be in hand.
-struct Places {
+struct RequestPermits {
     handle: Handle,
     semaphore: PollSemaphore,
-    taken: Option<OwnedSemaphorePermit>,
+    permit: Option<OwnedSemaphorePermit>,
 }
 
-impl Places {
-    fn new(handle: Handle) -> Places {
-        Places { semaphore: PollSemaphore::new(handle.places()), taken: None, handle }
+impl RequestPermits {
+    fn new(handle: Handle) -> RequestPermits {
+        RequestPermits { semaphore: PollSemaphore::new(handle.request_permits()), permit: None, handle }
     }
 
     /// Waits for a place.
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CallError>> {
+    fn poll_permit(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CallError>> {
         if self.handle.is_closed() {
             return Poll::Ready(Err(CallError::Closed));
         }
-        if self.taken.is_none() {
+        if self.permit.is_none() {
             // Nobody closes the semaphore.
-            self.taken = Some(ready!(self.semaphore.poll_acquire(cx)).ok_or(CallError::Closed)?);
+            self.permit = Some(ready!(self.semaphore.poll_acquire(cx)).ok_or(CallError::Closed)?);
         }
         Poll::Ready(Ok(()))
     }
 
     /// Sends a request to the fleet, in the place in hand or one that happens to be free.
-    fn ask<B>(&mut self, request: Request<B>) -> AnswerFuture
+    fn send<B>(&mut self, request: Request<B>) -> AnswerFuture
     where
         B: Body + Send + 'static,
         B::Data: Send,
         B::Error: Into<BoxError>,
     {
         let handle = self.handle.clone();
-        let place = self.taken.take().or_else(|| handle.places().try_acquire_owned().ok());
+        let permit = self.permit.take().or_else(|| handle.request_permits().try_acquire_owned().ok());
         Box::pin(async move {
-            let received = handle.receive_in(request, None, place).await?;
+            let received = handle.receive_with_permit(request, None, permit).await?;
             let rendering = received.rendering();
             Ok(rendering.respond(Ok(received.answer().await?)))
         })
@@ -70,9 +70,9 @@
 }
 
 /// A place is taken for each clone by itself.
-impl Clone for Places {
-    fn clone(&self) -> Places {
-        Places::new(self.handle.clone())
+impl Clone for RequestPermits {
+    fn clone(&self) -> RequestPermits {
+        RequestPermits::new(self.handle.clone())
     }
 }
 
@@ -100,13 +100,13 @@
 /// ```
 #[derive(Clone)]
 pub struct FleetService {
-    places: Places,
+    permits: RequestPermits,
 }
 
 impl FleetService {
     /// The fleet that this node knows.
     pub fn new(handle: Handle) -> FleetService {
-        FleetService { places: Places::new(handle) }
+        FleetService { permits: RequestPermits::new(handle) }
     }
 }
 
@@ -121,11 +121,11 @@
     type Future = AnswerFuture;
 
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CallError>> {
-        self.places.poll(cx)
+        self.permits.poll_permit(cx)
     }
 
     fn call(&mut self, request: Request<B>) -> AnswerFuture {
-        self.places.ask(request)
+        self.permits.send(request)
     }
 }
 
@@ -165,13 +165,13 @@
 pub struct FleetLayer {
     handle: Handle,
     route: Route,
-    waits: bool,
+    waits_for_capacity: bool,
 }
 
 impl FleetLayer {
     /// Requests for which `route` is true go to the fleet that this node knows.
     pub fn new(handle: Handle, route: impl Fn(&mut Parts) -> bool + Send + Sync + 'static) -> FleetLayer {
-        FleetLayer { handle, route: Arc::new(route), waits: false }
+        FleetLayer { handle, route: Arc::new(route), waits_for_capacity: false }
     }
 
     /// Requests whose path begins with this go to the fleet.
@@ -209,14 +209,14 @@
     /// `poll_ready` waits for a place at the node too. That holds the inner service's requests back as well;
     /// without it, what comes when there is no place is refused at once and told when to come back.
     pub fn wait_for_capacity(mut self) -> FleetLayer {
-        self.waits = true;
+        self.waits_for_capacity = true;
         self
     }
 }
 
 impl fmt::Debug for FleetLayer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("FleetLayer").field("waits", &self.waits).finish_non_exhaustive()
+        f.debug_struct("FleetLayer").field("waits", &self.waits_for_capacity).finish_non_exhaustive()
     }
 }
 
@@ -226,9 +226,9 @@
     fn layer(&self, inner: S) -> Fleet<S> {
         Fleet {
             inner,
-            places: Places::new(self.handle.clone()),
+            permits: RequestPermits::new(self.handle.clone()),
             route: self.route.clone(),
-            waits: self.waits,
+            waits_for_capacity: self.waits_for_capacity,
         }
     }
 }
@@ -237,9 +237,9 @@
 #[derive(Clone)]
 pub struct Fleet<S> {
     inner: S,
-    places: Places,
+    permits: RequestPermits,
     route: Route,
-    waits: bool,
+    waits_for_capacity: bool,
 }
 
 impl<S: fmt::Debug> fmt::Debug for Fleet<S> {
@@ -261,8 +261,8 @@
 
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), S::Error>> {
         // A node that has ended is told by its refusals; the inner service lives on.
-        if self.waits && !self.places.handle.is_closed() {
-            let _ = ready!(self.places.poll(cx));
+        if self.waits_for_capacity && !self.permits.handle.is_closed() {
+            let _ = ready!(self.permits.poll_permit(cx));
         }
         self.inner.poll_ready(cx)
     }
@@ -270,13 +270,13 @@
     fn call(&mut self, request: Request<B>) -> Self::Future {
         let (mut head, body) = request.into_parts();
         let to_fleet = (self.route)(&mut head);
-        let rendering = self.places.handle.rendering(&head);
+        let rendering = self.permits.handle.rendering(&head);
         let request = Request::from_parts(head, body);
         if !to_fleet {
             // A place in hand is for the next one.
             return FleetFuture::Inner { future: self.inner.call(request) };
         }
-        FleetFuture::Fleet { future: self.places.ask(request), rendering }
+        FleetFuture::Fleet { future: self.permits.send(request), rendering }
     }
 }
 
--- a/crates/dunelink/src/types.rs
+++ b/crates/dunelink/src/types.rs
@@ -58,9 +58,9 @@
     /// When no answer is of use any more.
     pub(crate) deadline: Instant,
     /// Whether it must never run twice.
-    pub(crate) once: bool,
+    pub(crate) at_most_once: bool,
     /// Whether nobody wants its answer any more.
-    over: AtomicBool,
+    ended: AtomicBool,
 }
 
 impl Outgoing {
@@ -68,20 +68,21 @@
         (method, target, headers): (Method, PathAndQuery, HeaderMap),
         body: Payload,
         deadline: Instant,
-        once: bool,
+        at_most_once: bool,
     ) -> Outgoing {
-        Outgoing { method, target, headers, body, deadline, once, over: AtomicBool::new(false) }
+        Outgoing { method, target, headers, body, deadline, at_most_once, ended: AtomicBool::new(false) }
     }
 
     /// It has its final answer, or its client has gone: no attempt begins from now on, on whatever thread that is known
     /// and whatever the attempt waits for.
     pub(crate) fn end(&self) {
-        self.over.store(true, Ordering::Release);
+        self.ended.store(true, Ordering::Release);
     }
 
     /// Whether an attempt may still begin, as far as its client is concerned.
-    pub(crate) fn is_wanted(&self) -> bool {
-        let in_time = || self.body.by(self.deadline).is_none_or(|by| Instant::now() < by);
-        !self.over.load(Ordering::Acquire) && in_time()
+    pub(crate) fn awaits_answer(&self) -> bool {
+        let in_time =
+            || self.body.client_deadline(self.deadline).is_none_or(|deadline| Instant::now() < deadline);
+        !self.ended.load(Ordering::Acquire) && in_time()
     }
 }
