--- a/crates/dunelink/src/answer_body.rs
+++ b/crates/dunelink/src/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer: whole, or passed on as it comes.
+//! The body of an answer: buffered, or streamed from the server.
 
 use std::fmt;
 use std::pin::Pin;
@@ -15,9 +15,9 @@
 use crate::counts::Transfer;
 use crate::error::{BodyError, BoxError};
 
-/// The body of an answer. Up to `limits.body` bytes are there as a whole; a longer one is passed on as its server
-/// gives it and as fast as it is read. It ends with an error if its server or the way to it breaks: what came before
-/// is then not the answer.
+/// The body of an answer. Up to `limits.body` bytes are buffered; a longer body is streamed from the server
+/// as fast as it is read. A streamed body ends with an error if the server or the connection to it fails: the
+/// bytes received until then are not a complete answer.
 ///
 /// ```
 /// use bytes::Bytes;
@@ -33,32 +33,34 @@
 pub struct AnswerBody(BodyKind);
 
 enum BodyKind {
-    /// Taken once it is read.
+    /// Empty once it has been read.
     Buffered(Bytes),
     Streaming(Box<StreamingBody>),
 }
 
-/// What is still to come, as the reader and who watches the server's connection share it.
+/// Whether the reader of a streamed body waits for data; shared with the task that watches the server's
+/// connection.
 #[derive(Default)]
 pub(crate) struct ReaderState {
     waiting: AtomicBool,
 }
 
 impl ReaderState {
-    /// Whether the reader has read all that came, and waits for more.
+    /// Whether the reader has consumed everything received so far and waits for more.
     pub(crate) fn waiting(&self) -> bool {
         self.waiting.load(Ordering::Relaxed)
     }
 }
 
 struct StreamingBody {
-    /// What came before it was known to be long.
+    /// The bytes received before the body turned out to exceed the buffer limit.
     first: Bytes,
     rest: Incoming,
-    /// How many bytes may still come.
+    /// How many more bytes the body may have.
     remaining_limit: u64,
     reader: Arc<ReaderState>,
-    /// Told when it has come to its end; dropped before that, its connection is of no more use.
+    /// Signalled when the body is complete; dropped without a signal, it tells that the connection can't be
+    /// reused.
     on_end: Option<oneshot::Sender<()>>,
     transfer: Option<Transfer>,
 }
@@ -76,7 +78,7 @@
         AnswerBody(BodyKind::Streaming(Box::new(streaming)))
     }
 
-    /// The body, if it is there as a whole and none of it was read.
+    /// The complete body, if it is buffered and has not been read yet; `None` for a streamed body.
     pub fn whole(&self) -> Option<&Bytes> {
         match &self.0 {
             BodyKind::Buffered(bytes) => Some(bytes),
@@ -84,11 +86,11 @@
         }
     }
 
-    /// Reads it to its end, if that comes within so many bytes.
+    /// Reads the body to its end, up to `max_bytes`.
     ///
     /// # Errors
     ///
-    /// There are more, or it broke off.
+    /// The body is longer than `max_bytes`, or the stream failed.
     pub async fn bytes(self, max_bytes: usize) -> Result<Bytes, BodyError> {
         match Limited::new(self, max_bytes).collect().await {
             Ok(collected) => Ok(collected.to_bytes()),
@@ -97,7 +99,8 @@
         }
     }
 
-    /// From now on its end counts as the answer's.
+    /// Counts the answer when the body ends; returns whether the body is streamed. A buffered body is left as
+    /// it is.
     pub(crate) fn attach_transfer(&mut self, transfer: impl FnOnce() -> Transfer) -> bool {
         match &mut self.0 {
             BodyKind::Buffered(_) => false,
@@ -162,13 +165,13 @@
                 }
                 Some(Err(error)) => return self.fail(error),
                 Some(Ok(frame)) => {
-                    // Trailers are of one hop unless both sides agreed on more.
+                    // Trailers are hop-by-hop unless both sides agreed to forward them.
                     let Ok(data) = frame.into_data() else { continue };
                     if data.len() as u64 > self.remaining_limit {
                         return self.fail("the answer is over the limit");
                     }
                     self.remaining_limit -= data.len() as u64;
-                    // Who knows its length does not ask for its end.
+                    // A reader that knows the length does not poll for the end of the stream.
                     if self.rest.is_end_stream() {
                         self.complete();
                     }
--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a server, from its connection to its outcome.
+//! A single attempt at a server, from its connection to its outcome.
 
 use std::cell::Cell;
 use std::pin::{Pin, pin};
@@ -27,9 +27,9 @@
 use crate::servers::{Connection, ReusableConnection, Servers};
 use crate::types::Outgoing;
 
-/// An answer of which nothing more comes for so long will never be whole.
+/// An answer is given up when no further bytes of it arrive for this long.
 const ANSWER_STALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// The most hints (1xx) ahead of an answer.
+/// The maximum number of informational (1xx) responses ahead of an answer.
 const MAX_INFORMATIONAL: usize = 16;
 
 impl Outgoing {
@@ -45,7 +45,7 @@
     }
 }
 
-/// How many bytes a request is on the socket, as hyper writes it when every header is given.
+/// The number of bytes of a request on the socket, as hyper writes it when every header is given.
 fn wire_length(request: &Request<OutgoingBody>, body: u64) -> u64 {
     let request_line =
         request.method().as_str().len() + request.uri().path_and_query().map_or(1, |p| p.as_str().len());
@@ -54,9 +54,10 @@
     (request_line + " HTTP/1.1\r\n".len() + 1 + headers + 2) as u64 + body
 }
 
-/// An attempt on its connection. A vanished machine is silent on all the connections that it had, and each
-/// idle one would cost another attempt, perhaps an unsafe one, its whole time; a new one fails at once, and
-/// surely never ran.
+/// When dropped, closes the server's idle connections if it has answered nothing since this attempt was sent.
+/// A crashed machine is silent on all its connections, and each idle one would cost another attempt, perhaps
+/// an unsafe one, its whole time limit; a new connection fails at once and proves that the request did not
+/// run.
 struct SilenceCheck<'a> {
     servers: &'a Servers,
     server: ServerId,
@@ -69,7 +70,8 @@
     }
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt; `response` is present exactly if the outcome is [`Outcome::Served`], `reusable`
+/// if its connection may serve another request.
 pub(crate) struct AttemptResult {
     pub(crate) outcome: Outcome,
     pub(crate) response: Option<Response<AnswerBody>>,
@@ -82,15 +84,15 @@
     }
 }
 
-/// What has been read of an answer's body.
+/// The result of reading an answer's body into the buffer.
 enum BodyRead {
     Complete(Bytes),
-    /// It is longer than what is held: this has come of it.
+    /// The body exceeds the buffer limit; these are the bytes read so far.
     TooLong(Bytes),
     Broken,
 }
 
-/// Reads a body as far as it can be held.
+/// Reads a body into memory, up to `max_bytes`.
 async fn read_body(body: &mut Incoming, max_bytes: usize) -> BodyRead {
     if body.size_hint().lower() > max_bytes as u64 {
         return BodyRead::TooLong(Bytes::new());
@@ -107,7 +109,7 @@
 }
 
 impl Servers {
-    /// One attempt, to its end. It may begin `until` then.
+    /// Runs one attempt to its end. It may start only before `start_before`, if that is set.
     pub(crate) async fn attempt(
         self: &Rc<Self>,
         outgoing: &Outgoing,
@@ -129,8 +131,9 @@
         }
     }
 
-    /// What every attempt passes last before its first byte, whatever it has waited for since it was decided on: whether
-    /// the request is still wanted, may still go again, and may still go to its server, by this connection.
+    /// The last check before an attempt's first byte, after any wait since the decision to send it: whether
+    /// the client still waits, whether the attempt may still start, and whether its server is still ready at
+    /// the address and in the incarnation to which the connection was opened.
     fn may_start(
         &self,
         outgoing: &Outgoing,
@@ -143,7 +146,8 @@
             && self.ready_endpoint(server) == Some((connection.endpoint, connection.server_started))
     }
 
-    /// Sends the request on an idle connection or a new one; `begun` is set once it may be on the socket.
+    /// Sends the request on an idle connection or a new one. `started` is set once bytes of it may be on the
+    /// socket.
     async fn send(
         self: &Rc<Self>,
         outgoing: &Outgoing,
@@ -166,7 +170,7 @@
                 }
             };
             if !self.may_start(outgoing, server, start_before, &connection) {
-                // What was just opened for it serves the next.
+                // A connection opened for this attempt is kept for the next one.
                 let reusable = Some(ReusableConnection { server, connection });
                 return AttemptResult { reusable, ..AttemptResult::without_response(Outcome::NotSent) };
             }
@@ -189,11 +193,11 @@
             let response = tokio::select! {
                 biased;
                 response = connection.sender.send_request(request) => response,
-                // What has come is no answer, nor will be one.
+                // An answer has begun to arrive and stalled; it will never be complete.
                 () = stalled.as_mut() => return AttemptResult::without_response(Outcome::Reset),
             };
             let written = socket.written() - written_before;
-            // Where no length is stated, its end is written with or after its last piece.
+            // Without a stated length, the terminating chunk is written with or after the last data.
             let fully_written = wire_length.map_or(outgoing.body.is_fully_sent(), |length| written >= length);
             if fully_written && wire_length.is_none() {
                 self.counters.count_attempt();
@@ -203,15 +207,17 @@
                     self.record_answer(server);
                     response
                 }
-                // Nothing of it has left: an idle connection that was closing. A new one is no second copy.
+                // No byte was written: the idle connection was being closed, so the request is sent on
+                // another one. A new connection that fails is not retried here.
                 Err(_) if written == 0 && !is_new => {
                     started.set(false);
                     continue;
                 }
-                // A server begins a request when its last byte has come.
+                // A server starts a request only when it has received its last byte.
                 Err(_) if !fully_written => return AttemptResult::without_response(Outcome::ConnectFailed),
                 Err(error) => {
-                    // Nothing came: not a spoilt answer, but the end of a connection that had looked well.
+                    // No response arrived: this is not an invalid answer but the end of an idle connection
+                    // that had looked usable.
                     if !is_new && !error.is_parse() {
                         self.distrust_idle_connections();
                     }
@@ -222,7 +228,8 @@
         }
     }
 
-    /// Reads an answer whole and keeps the connection if it can be used again, or begins to pass on a long one.
+    /// Reads an answer into memory and returns its connection for reuse where possible, or starts to stream a
+    /// long one.
     async fn finish(
         self: &Rc<Self>,
         reusable: ReusableConnection,
@@ -232,7 +239,8 @@
         let (mut parts, mut body) = response.into_parts();
         let framed = answer::states_its_end(&parts.headers, parts.version);
         let closes = answer::ends_with_connection(&parts.headers, parts.version);
-        // Of an answer that ends with its connection without a word, a part looks whole.
+        // A truncated answer would look complete if its end is marked only by an unannounced close of the
+        // connection.
         let ends_cleanly = framed || closes || answer::has_no_body(parts.status);
         if !ends_cleanly || body.size_hint().lower() > self.max_stream_bytes.max(self.max_body_bytes as u64) {
             return AttemptResult::without_response(Outcome::Reset);
@@ -269,15 +277,15 @@
                 );
                 AttemptResult { outcome, response: served(body), reusable: None }
             }
-            // Nobody wants to read on.
+            // The rest of a long error response is not read.
             BodyRead::TooLong(_) if outcome != Outcome::Served => AttemptResult::without_response(outcome),
             BodyRead::TooLong(_) | BodyRead::Broken => AttemptResult::without_response(Outcome::Reset),
         }
     }
 }
 
-/// Ends when an answer has begun to come and nothing more of it comes. Hints (1xx) may come long before the answer,
-/// but not without end.
+/// Completes when an answer has begun to arrive and no more of it follows. Informational (1xx) responses may
+/// arrive long before the answer, but only up to a limit.
 async fn stalled(socket: &CountedSocket, informational: &AtomicUsize) {
     let mut informational_before = 0;
     loop {
--- a/crates/dunelink/src/body_buffer.rs
+++ b/crates/dunelink/src/body_buffer.rs
@@ -1,8 +1,8 @@
-//! The pieces of a body that is held.
+//! A buffer for bodies that are read into memory.
 
 use bytes::{Bytes, BytesMut};
 
-/// What has come of a body. One that comes in one piece is not copied.
+/// The bytes received of a body. A body that arrives in one chunk is not copied.
 #[derive(Default)]
 pub(crate) struct BodyBuffer {
     first: Bytes,
--- a/crates/dunelink/src/counted_socket.rs
+++ b/crates/dunelink/src/counted_socket.rs
@@ -1,4 +1,4 @@
-//! A thin wrapper round a server's socket, for what hyper does not show of the bytes that pass.
+//! A wrapper around a server's socket that counts the bytes read and written, which hyper does not expose.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -15,7 +15,7 @@
 
 use crate::counts::Counters;
 
-/// A place in the budget for connections to servers.
+/// A slot in the limit on connections to servers, released on drop.
 pub(crate) struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
@@ -31,12 +31,13 @@
     }
 }
 
-/// A connection to a server, shared between hyper and who uses it.
+/// A connection to a server, shared between hyper and the attempt that uses it.
 pub(crate) struct CountedSocket {
     stream: RefCell<TcpStream>,
     written: Cell<u64>,
     read: Cell<u64>,
-    /// Where the attempt at hand ends among them, until it is counted.
+    /// The value of `written` at which the current attempt is fully written; `None` if that is unknown or it
+    /// has been counted.
     count_at: Cell<Option<u64>>,
     counters: Arc<Counters>,
     received: Cell<bool>,
@@ -58,22 +59,22 @@
         }
     }
 
-    /// How many bytes have been written to it.
+    /// The number of bytes written to the socket.
     pub(crate) fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// How many bytes have been read from it.
+    /// The number of bytes read from the socket.
     pub(crate) fn read(&self) -> u64 {
         self.read.get()
     }
 
-    /// The attempt at hand counts once so many bytes have been written, if that is known.
+    /// Counts the current attempt once this many bytes in total have been written, if that number is known.
     pub(crate) fn count_attempt_at(&self, count_at: Option<u64>) {
         self.count_at.set(count_at);
     }
 
-    /// Waits until some part of an answer has come.
+    /// Waits until some part of an answer has arrived.
     pub(crate) async fn wait_received(&self) {
         while !self.received.get() {
             self.notify.notified().await;
@@ -81,12 +82,12 @@
         self.received.set(false);
     }
 
-    /// What has come was another answer's.
+    /// Forgets bytes that belonged to an earlier answer.
     pub(crate) fn reset_received(&self) {
         self.received.set(false);
     }
 
-    /// Whether the kernel holds nothing of it that is still to be read, nor its end.
+    /// Whether the kernel holds no unread bytes of the connection, nor its end.
     pub(crate) fn has_no_pending_input(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&*self.stream.borrow()).peek(&mut byte);
@@ -106,7 +107,7 @@
     }
 }
 
-/// hyper's side of a [`Line`].
+/// The I/O interface of a [`CountedSocket`] for hyper.
 pub(crate) struct HyperSocket(pub(crate) Rc<CountedSocket>);
 
 impl AsyncRead for HyperSocket {
--- a/crates/dunelink/src/counts.rs
+++ b/crates/dunelink/src/counts.rs
@@ -1,11 +1,11 @@
-//! How requests ended: counted by class, by whoever learns of it, and read from any thread.
+//! Counters of how requests ended, by class; updated by engines and callers and read from any thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// How requests ended since the start. Each that was taken ends up in one of `served`, `refused`, `failed` and
-/// `left`.
+/// How requests ended since the start. Every accepted request is eventually counted in one of `served`,
+/// `refused`, `failed` and `left`.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -21,22 +21,22 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that the node took.
+    /// Requests that the node accepted.
     pub taken: u64,
     /// Answered by a server.
     pub served: u64,
-    /// Turned away, where trying again is harmless.
+    /// Refused by the node; a retry is harmless.
     pub refused: u64,
-    /// Failed, with no promise.
+    /// Failed; the request may have run.
     pub failed: u64,
-    /// Their clients went away before the answer.
+    /// Abandoned: the client left before the answer.
     pub left: u64,
-    /// Not taken, as something was wrong with them; not among `taken`.
+    /// Rejected as invalid; not counted in `taken`.
     pub invalid: u64,
 }
 
 impl Counts {
-    /// Both together.
+    /// The sum of both, field by field.
     pub(crate) fn plus(self, other: Counts) -> Counts {
         Counts {
             taken: self.taken + other.taken,
@@ -63,14 +63,14 @@
 pub struct ClassCounts {
     /// Answered by a server.
     pub served: u64,
-    /// Turned away, where trying again is harmless.
+    /// Refused by the node; a retry is harmless.
     pub refused: u64,
-    /// Failed, with no promise.
+    /// Failed; the request may have run.
     pub failed: u64,
 }
 
 impl ClassCounts {
-    /// Both together.
+    /// The sum of both, field by field.
     pub(crate) fn plus(self, other: ClassCounts) -> ClassCounts {
         ClassCounts {
             served: self.served + other.served,
@@ -80,7 +80,8 @@
     }
 }
 
-/// An answer that is being passed on. Dropped before its end, its client has left.
+/// A streamed answer in progress. If it is dropped before the end of the body, its client counts as having
+/// left.
 pub(crate) struct Transfer {
     counters: Arc<Counters>,
     class: usize,
@@ -88,13 +89,13 @@
 }
 
 impl Transfer {
-    /// It came to its end.
+    /// Counts the answer as served: the body was read to its end.
     pub(crate) fn served(mut self) {
         self.ended = true;
         self.counters.increment_class(self.class, SERVED);
     }
 
-    /// It broke off.
+    /// Counts the request as failed: the body broke off.
     pub(crate) fn failed(mut self) {
         self.ended = true;
         self.counters.increment_class(self.class, FAILED);
@@ -110,19 +111,20 @@
     }
 }
 
-/// Counts as the engine and its callers keep them.
+/// Counters of one shard, shared by its engine and the callers.
 pub(crate) struct Counters {
-    /// By class: served, refused, failed.
+    /// For each class the counts of [`SERVED`], [`REFUSED`] and [`FAILED`].
     classes: Box<[[AtomicU64; 3]]>,
     attempts: AtomicU64,
-    /// Answers that are being passed on.
+    /// Streamed answers in progress.
     transfers: AtomicU64,
     taken: AtomicU64,
     left: AtomicU64,
     invalid: AtomicU64,
-    /// Whether the list's source has told anything since the start.
+    /// Whether the source of the server list has delivered anything since the start.
     has_list: AtomicBool,
-    /// Since when the source is not heard, in milliseconds from `began` on and one; 0 while it is.
+    /// When the source of the list was lost, in milliseconds since `created` plus one; 0 while it is
+    /// connected.
     list_lost_at_ms: AtomicU64,
     created: Instant,
 }
@@ -158,19 +160,20 @@
         }
     }
 
-    /// The list's source has told something.
+    /// Records that the source of the list has delivered an update.
     pub(crate) fn list_received(&self) {
         self.has_list.store(true, Ordering::Release);
         self.list_lost_at_ms.store(0, Ordering::Relaxed);
     }
 
-    /// The list's source is not heard any more.
+    /// Records that the source of the list is lost.
     pub(crate) fn list_source_lost(&self) {
         let now = self.created.elapsed().as_millis() as u64 + 1;
         let _ = self.list_lost_at_ms.compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed);
     }
 
-    /// For how long the list's source has not been heard; nothing if it never was.
+    /// How long the source of the list has been lost; zero while it is connected, `None` if it never
+    /// delivered anything.
     pub(crate) fn list_source_silence(&self) -> Option<Duration> {
         let lost_at_ms = self.list_lost_at_ms.load(Ordering::Relaxed);
         let lost_for = || self.created.elapsed().saturating_sub(Duration::from_millis(lost_at_ms - 1));
@@ -181,7 +184,7 @@
         self.has_list.load(Ordering::Acquire)
     }
 
-    /// An attempt was written whole to a server.
+    /// Counts an attempt whose request was written completely to a server.
     pub(crate) fn count_attempt(&self) {
         increment(&self.attempts);
     }
@@ -221,19 +224,19 @@
         increment(&self.invalid);
     }
 
-    /// A request that was refused without the engine.
+    /// Counts a request that was refused without the engine.
     pub(crate) fn count_refused(&self, class: usize) {
         increment(&self.taken);
         self.increment_class(class, REFUSED);
     }
 
-    /// An answer that counts once it has been passed on to its end.
+    /// Starts a streamed answer, which is counted when its body ends.
     pub(crate) fn begin_transfer(self: &Arc<Self>, class: usize) -> Transfer {
         increment(&self.transfers);
         Transfer { counters: self.clone(), class, ended: false }
     }
 
-    /// A request has ended so.
+    /// Counts the final outcome of a request.
     pub(crate) fn count_outcome(&self, class: usize, outcome: FinalOutcome) {
         self.increment_class(class, outcome as usize);
     }
--- a/crates/dunelink/src/engine.rs
+++ b/crates/dunelink/src/engine.rs
@@ -1,5 +1,6 @@
-//! The engine: the decision module, its clock and timers, and the table of open requests. What happens on
-//! sockets comes in as a [`Happening`]; the module's actions are carried out here, and nowhere else.
+//! The engine: the decision module, its clock and timers, and the table of open requests. Everything that
+//! happens on sockets arrives as an [`EngineMessage`], and the module's actions are executed here and nowhere
+//! else.
 
 use std::collections::{HashMap, VecDeque};
 use std::future::{pending, poll_fn};
@@ -28,34 +29,35 @@
 use crate::snapshot::{ServerView, Snapshot};
 use crate::types::{Answer, Outgoing};
 
-/// The longest sleep that timers take.
+/// The longest delay of a timer.
 const MAX_TIMER: Duration = Duration::from_secs(3600);
 
-/// What the other parts tell the engine.
+/// Messages to the engine.
 pub(crate) enum EngineMessage {
-    /// A list, or what befell its source: the module's concern alone.
+    /// A server list or a failure of its source, passed on to the decision module unchanged.
     BalancerEvent(Event),
-    /// A request was taken, or has begun to arrive and is passed on as it comes.
+    /// A request was accepted. With an [`Upload`], its body is still being received and is streamed.
     RequestArrived(Request, Option<Upload>, Arc<Outgoing>, oneshot::Sender<Answer>),
-    /// The last byte of such a one has come, and its client waits for so long.
+    /// The last byte of a streamed request has arrived; its client waits for this much longer, in
+    /// microseconds.
     BodyReceived(RequestId, Micros),
     /// The client has left.
     ClientLeft(RequestId),
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded(RequestId, AttemptNo, Outcome, Option<Response<AnswerBody>>),
-    /// Someone wants to know how things stand.
+    /// Asks for a snapshot of the engine.
     Snapshot(oneshot::Sender<Snapshot>),
-    /// Other nodes are to be told what this one has seen of servers.
+    /// Asks for the engine's observations of servers, which gossip sends to other nodes.
     Observations(oneshot::Sender<Vec<ServerObservation>>),
-    /// Other nodes are to be told how servers answer this one.
+    /// Asks how servers answer this engine, by zone, which gossip sends to other nodes.
     ZoneReach(oneshot::Sender<Vec<ZoneReach>>),
-    /// The process is out of descriptors.
+    /// Closes the longest-idle connection, because the process is out of file descriptors.
     EvictIdleConnection,
-    /// Nothing more will be taken: the engine ends when all is answered, or at this time.
+    /// No more requests follow: the engine ends when all are answered, or at this time.
     Shutdown(Instant),
 }
 
-/// The way to the engine, from any thread.
+/// The sending side of an engine's queue, usable from any thread.
 #[derive(Clone)]
 pub(crate) struct Mailbox {
     sender: mpsc::UnboundedSender<EngineMessage>,
@@ -63,39 +65,41 @@
 }
 
 impl Mailbox {
-    /// The mailbox and what the engine reads from it. It holds no more than the open requests cause.
+    /// The mailbox and the receiving side for the engine. The queue is unbounded, but holds only messages
+    /// that open requests cause.
     pub(crate) fn new(seed: u64) -> (Mailbox, mpsc::UnboundedReceiver<EngineMessage>) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        // The module hashes ids with servers: nodes must not all count from the same number. The highest
-        // bits stay clear of the module's own timer tokens.
+        // The module hashes request ids together with servers, so nodes must not all count from the same
+        // number. The highest bits stay clear of the module's own timer tokens.
         (Mailbox { sender, next_id: Arc::new(AtomicU64::new(seed >> 2)) }, receiver)
     }
 
-    /// Tells the engine; whether there still is one.
+    /// Sends a message; returns whether the engine still runs.
     pub(crate) fn send(&self, message: EngineMessage) -> bool {
         self.sender.send(message).is_ok()
     }
 
-    /// A number for a request. A client's `Req-Id` might come twice, this does not.
+    /// A unique number for a request. A client's `Req-Id` may repeat, this number does not.
     pub(crate) fn next_request_id(&self) -> RequestId {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 }
 
-/// An open request, or one that is answered with attempts still out.
+/// An open request, or an answered one with attempts still in flight.
 struct OpenRequest {
     class: usize,
     outgoing: Arc<Outgoing>,
-    /// Taken once the final answer is given or the client has left.
+    /// `None` once the final answer is given or the client has left.
     answer: Option<oneshot::Sender<Answer>>,
     attempts: Vec<Attempt>,
     timed_out: bool,
-    /// The one time at which the module wants to look at it.
+    /// The timer of the request and when it fires; the module needs only the earliest.
     timer: Option<(Key, Micros)>,
 }
 
 impl OpenRequest {
-    /// Who waits for its answer, once: nothing begins for it from then on.
+    /// Ends the request: no attempt starts from here on. Returns its class and the channel to the client, the
+    /// first time only.
     fn finish(&mut self) -> Option<(usize, oneshot::Sender<Answer>)> {
         self.outgoing.end();
         Some((self.class, self.answer.take()?))
@@ -105,11 +109,11 @@
 struct Attempt {
     server: ServerId,
     sent_at: Micros,
-    /// Gone once the module was told how it ended.
+    /// `None` once the module has been informed of the attempt's end.
     task: Option<AbortHandle>,
 }
 
-/// Owns the decision module.
+/// Runs the decision module and executes its actions.
 pub(crate) struct Engine {
     balancer: Balancer,
     servers: Rc<Servers>,
@@ -117,18 +121,18 @@
     subscribe: Rc<Notify>,
     started: Instant,
     started_us: Micros,
-    /// The time of this turn of the loop: all that happens in one has one time.
+    /// The time of the current iteration of the loop: all events of one iteration have the same time.
     now: Micros,
     timers: DelayQueue<u64>,
     open: HashMap<RequestId, OpenRequest>,
     events: VecDeque<Event>,
     counters: Arc<Counters>,
-    /// When it ends at the latest, once it was told to.
+    /// When the engine ends at the latest, once it is shutting down.
     shutdown_at: Option<Instant>,
 }
 
 impl Engine {
-    /// An engine around the module.
+    /// Creates an engine around the decision module.
     pub(crate) fn new(
         balancer: Balancer,
         servers: Rc<Servers>,
@@ -136,7 +140,8 @@
         subscribe: Rc<Notify>,
         counters: Arc<Counters>,
     ) -> Engine {
-        // One clock: Unix time, so that the servers' start times compare, moved on by the monotonic one.
+        // The clock is Unix time, so that it compares with the servers' start times, advanced by the
+        // monotonic clock.
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started_us = unix_time.as_micros() as Micros;
         Engine {
@@ -159,7 +164,7 @@
         self.now = self.started_us + self.started.elapsed().as_micros() as Micros;
     }
 
-    /// Works until it is told to end. Everything taken has its answer then.
+    /// Runs until shutdown. Every accepted request has its answer then.
     pub(crate) async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<EngineMessage>) {
         loop {
             let all_answered = || self.open.values().all(|open| open.answer.is_none());
@@ -189,8 +194,8 @@
         self.answer_remaining(inbox);
     }
 
-    /// Answers what is still open as failed: no answer at all would be worse. What was told but not yet heard
-    /// was not sent either.
+    /// Answers requests that are still open as failed: no answer at all would be worse. Requests still in the
+    /// queue were never sent and are refused.
     fn answer_remaining(&mut self, mut inbox: mpsc::UnboundedReceiver<EngineMessage>) {
         inbox.close();
         while let Ok(message) = inbox.try_recv() {
@@ -299,7 +304,7 @@
         }
     }
 
-    /// Tells the module of an attempt's end, once: what a cancelled task still reports is passed over.
+    /// Informs the module of an attempt's end, once; later reports of a cancelled task are ignored.
     fn attempt_ended(&mut self, request: RequestId, attempt: AttemptNo, outcome: Outcome) {
         let now = self.now;
         let Some(open) = self.open.get_mut(&request) else { return };
@@ -309,7 +314,7 @@
             task.abort();
         }
         open.timed_out |= outcome == Outcome::TimedOut;
-        // The server begins with the last byte.
+        // The server starts when it has received the last byte.
         let fully_received = open
             .outgoing
             .body
@@ -329,7 +334,7 @@
         }));
     }
 
-    /// Hands the module all that has happened, and does what it says.
+    /// Passes all queued events to the module and executes the resulting actions.
     fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -365,7 +370,8 @@
         }
     }
 
-    /// Sets a timer. The module asks again only for an earlier look, so one for each request is enough.
+    /// Sets a timer. The module sets another one for a request only if it is earlier, so one per request is
+    /// enough.
     fn set_timer(&mut self, after: Micros, token: u64) {
         let wait = Duration::from_micros(after).min(MAX_TIMER);
         let now = self.now;
@@ -391,7 +397,7 @@
 
     fn send(&mut self, request: RequestId, server: ServerId, start_before: Option<Micros>) {
         let since_start = |at: Micros| Duration::from_micros(at.saturating_sub(self.started_us));
-        // A time beyond the clock's end never comes.
+        // A time beyond the range of the clock never comes and sets no limit.
         let start_before = start_before.and_then(|at| self.started.checked_add(since_start(at)));
         let sent_at = self.now;
         let Some(open) = self.open.get_mut(&request) else { return };
@@ -402,7 +408,7 @@
             let AttemptResult { outcome, response, reusable } =
                 servers.attempt(&outgoing, server, start_before).await;
             mailbox.send(EngineMessage::AttemptEnded(request, attempt_no, outcome, response));
-            // The answer does not wait for the connection to prove that it can be used again.
+            // The answer does not wait for the check whether the connection can be reused.
             if let Some(reusable) = reusable {
                 servers.keep(reusable).await;
             }
@@ -413,13 +419,13 @@
     fn answer(&mut self, id: RequestId, answer: Answer) {
         let open = self.open.get_mut(&id);
         if let Some((class, client)) = open.and_then(OpenRequest::finish) {
-            // A client that is just leaving hears no answer; its `Left` then finds the request finished.
+            // A client that is just leaving gets no answer; its `ClientLeft` then finds the request finished.
             deliver_answer(&self.counters, class, client, answer);
         }
         self.remove_if_finished(id);
     }
 
-    /// Forgets a request that is answered and has no attempt out.
+    /// Removes a request that is answered and has no attempt in flight.
     fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished =
             |open: &OpenRequest| open.answer.is_none() && open.attempts.iter().all(|a| a.task.is_none());
--- a/crates/dunelink/src/engine_feed.rs
+++ b/crates/dunelink/src/engine_feed.rs
@@ -1,4 +1,5 @@
-//! What an engine is fed of lists: addresses and states go to the servers' side at once, the rest to the module.
+//! Passes server lists on to an engine: addresses and states go to [`Servers`] at once, the rest to the
+//! decision module.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -15,7 +16,7 @@
 use crate::server_list::{Server, ServerState, Update};
 use crate::servers::Servers;
 
-/// Turns a list's entries into the module's.
+/// Converts the entries of a list to those of the decision module.
 struct EntryConverter {
     zones: HashMap<String, u8>,
     kinds: HashMap<String, u8>,
@@ -44,12 +45,12 @@
     }
 }
 
-/// An engine and its servers, as a roster feeds them.
+/// An engine and its servers as the receiver of lists from a roster.
 pub(crate) struct EngineFeed {
     converter: EntryConverter,
     servers: Rc<Servers>,
     engine: Mailbox,
-    /// Told when the module wants to be told of changes.
+    /// Notified when the module asks for changes to the list.
     list_wanted: Rc<Notify>,
 }
 
--- a/crates/dunelink/src/error.rs
+++ b/crates/dunelink/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong before a request is taken, and at a node's start.
+//! Errors of requests that are not accepted, and of a node's start.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use dunelink_graphql::{Media, Rejection};
 use http::StatusCode;
 
-/// An error of any kind, as tower's middleware hands them on.
+/// A boxed error of any kind, as tower's middleware passes on.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a request was not taken. Nothing of it was sent to a server.
+/// Why a request was not accepted. Nothing of it was sent to a server.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -26,29 +26,29 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CallError {
-    /// The request is not one that the node can take; the sender has to mend it.
+    /// The request is invalid; the sender has to correct it.
     #[error("{0}")]
     Invalid(#[from] InvalidRequest),
     /// Its body could not be read.
     #[error("{0}")]
     Body(#[from] BodyError),
-    /// The GraphQL in it is not to be passed on.
+    /// The GraphQL request was rejected.
     #[error("{rejection}")]
     GraphQl {
-        /// Why.
+        /// Why it was rejected.
         rejection: Rejection,
-        /// What its client reads.
+        /// The media type that the client accepts.
         media: Media,
     },
-    /// The node was shut down. Nothing ran; another node may be asked.
+    /// The node was shut down. Nothing ran; another node may be tried.
     #[error("the node was shut down")]
     Closed,
 }
 
 impl CallError {
-    /// The HTTP status for it: 4xx but never 429 for what the sender has to mend, 503 where a repeat elsewhere
-    /// is harmless. To a GraphQL client that reads `application/json` alone, a document that can't be run is told of
-    /// with 200, as that specification has it.
+    /// The HTTP status of the error: 4xx but never 429 if the sender has to correct the request, 503 if a
+    /// retry at another node is harmless. A GraphQL client that accepts only `application/json` gets 200 for
+    /// a document that can't be run, as the GraphQL-over-HTTP specification requires.
     pub fn status(&self) -> StatusCode {
         match self {
             CallError::Invalid(invalid) => invalid.status,
@@ -61,7 +61,7 @@
     }
 }
 
-/// What is wrong with a request.
+/// What is wrong with an invalid request.
 ///
 /// ```
 /// use dunelink::{CallError, InvalidRequest};
@@ -73,16 +73,16 @@
 #[error("{reason}")]
 #[non_exhaustive]
 pub struct InvalidRequest {
-    /// The status that tells its sender.
+    /// The HTTP status for the sender.
     pub status: StatusCode,
-    /// What is wrong, in words.
+    /// The text for the sender.
     pub reason: &'static str,
-    /// With status 405, the method that would do.
+    /// The allowed method, with status 405 only.
     pub allow: Option<&'static str>,
 }
 
 impl InvalidRequest {
-    /// What is wrong, and the status that says so.
+    /// An error with this status and text.
     pub const fn new(status: StatusCode, reason: &'static str) -> InvalidRequest {
         InvalidRequest { status, reason, allow: None }
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// What became of a body that could not be used.
+/// Why a body could not be read.
 ///
 /// ```
 /// use dunelink::{BodyError, CallError};
@@ -105,19 +105,19 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum BodyError {
-    /// It holds more than `limits.body` allows.
+    /// It is longer than `limits.body` allows, or, where bodies are streamed, `limits.stream`.
     #[error("the body is over {limit} bytes")]
     TooLarge {
-        /// The most bytes that a body may hold.
+        /// The maximum length of a body in bytes.
         limit: usize,
     },
-    /// It did not come to its end in time.
+    /// It was not complete in time.
     #[error("the body was not whole after {after:?}")]
     TimedOut {
-        /// How long it was waited for.
+        /// How long the node waited for it.
         after: Duration,
     },
-    /// Its stream failed, or ended early.
+    /// Its stream failed or ended early.
     #[error("the body is broken: {0}")]
     Broken(#[source] BoxError),
 }
@@ -133,10 +133,10 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// The configuration does not hold together.
+    /// The configuration is inconsistent.
     #[error(transparent)]
     Config(#[from] crate::config::ConfigError),
-    /// The thread or its runtime could not be made.
+    /// The thread or its runtime could not be created.
     #[error("the engine's thread could not be started: {0}")]
     Thread(#[from] std::io::Error),
 }
--- a/crates/dunelink/src/final_answer.rs
+++ b/crates/dunelink/src/final_answer.rs
@@ -1,4 +1,4 @@
-//! The final answer: given once, and counted.
+//! Delivery of final answers, each sent and counted once.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 use crate::counts::{Counters, FinalOutcome};
 use crate::types::Answer;
 
-/// Gives the final answer and counts it, or its client as left if nobody waits any more. One that is passed on as
-/// it comes counts once it has come to its end.
+/// Sends the final answer and counts it, or counts the client as having left if nobody waits any more. A
+/// streamed answer is counted when its body ends.
 pub(crate) fn deliver_answer(
     counters: &Arc<Counters>,
     class: usize,
@@ -18,7 +18,7 @@
     if let Answer::Served(response) = &mut answer
         && response.body_mut().attach_transfer(|| counters.begin_transfer(class))
     {
-        // Where nobody waits, it is dropped, and counts as left.
+        // If the client has left, the answer is dropped here and counted so by the `Transfer` in its body.
         let _ = client.send(answer);
         return;
     }
@@ -27,7 +27,7 @@
         Answer::Refused { .. } => FinalOutcome::Refused,
         Answer::Failed { .. } => FinalOutcome::Failed,
     };
-    // Counted first: who has the answer must find it in the counts.
+    // Counted before it is sent: a client that has its answer must find it in the counts.
     match client.is_closed() {
         true => counters.count_client_left(),
         false => {
--- a/crates/dunelink/src/headers.rs
+++ b/crates/dunelink/src/headers.rs
@@ -1,3 +1,3 @@
-//! The headers of the protocol that a host may read or write itself.
+//! Protocol headers that a host may read or write itself.
 
 pub use dunelink_edge::fields::{COST, DEADLINE, ID, KEY, OWNER};
--- a/crates/dunelink/src/http.rs
+++ b/crates/dunelink/src/http.rs
@@ -1,4 +1,4 @@
-//! The one mapping from answers and errors to HTTP.
+//! The mapping of answers and errors to HTTP responses.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::error::{CallError, InvalidRequest};
 use crate::types::Answer;
 
-/// How a response came to be; in the extensions of every response that [`respond`] makes.
+/// What a response stands for; set in the extensions of every response that [`respond`] builds.
 ///
 /// ```
 /// use dunelink::http::{Verdict, respond};
@@ -25,11 +25,11 @@
 pub enum Verdict {
     /// A server's answer.
     Served,
-    /// Trying again is harmless.
+    /// The request was refused; a retry is harmless.
     Refused,
-    /// It may have run.
+    /// The request failed and may have run.
     Failed,
-    /// The request was never taken.
+    /// The request was not accepted; nothing ran.
     NotTaken,
 }
 
@@ -66,7 +66,7 @@
     response
 }
 
-/// How what became of a request is written for its client.
+/// The format in which the result of a request is written for its client.
 ///
 /// ```
 /// use dunelink::http::Rendering;
@@ -77,9 +77,9 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rendering {
-    /// As plain HTTP, by [`respond`].
+    /// Plain HTTP, as by [`respond`].
     Plain,
-    /// As a GraphQL response of this media type, with [`respond`]'s status.
+    /// A GraphQL response of this media type, with the status of [`respond`].
     GraphQl(Media),
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-/// A response of one line of text.
+/// A response with a plain text body.
 ///
 /// ```
 /// let response = dunelink::http::plain(http::StatusCode::NOT_FOUND, "no such page");
@@ -120,14 +120,14 @@
         return rejected(rejection, *media);
     }
     let mut response = plain(error.status(), error.to_string());
-    // RFC 9110, 15.5.6.
+    // RFC 9110, section 15.5.6, requires `Allow` with status 405.
     if let CallError::Invalid(InvalidRequest { allow: Some(method), .. }) = error {
         response.headers_mut().insert(header::ALLOW, HeaderValue::from_static(method));
     }
     response
 }
 
-/// A GraphQL response of the node's own.
+/// A GraphQL response that the node builds itself.
 pub(crate) fn graphql<B>(status: StatusCode, media: Media, body: B) -> Response<B> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
--- a/crates/dunelink/src/idle_order.rs
+++ b/crates/dunelink/src/idle_order.rs
@@ -1,13 +1,13 @@
-//! In which order connections became idle, over all servers: who has been so for longest is found without a look at
-//! each server.
+//! The order in which connections of all servers became idle, so that the longest-idle one is found without
+//! looking at each server.
 
 use std::collections::VecDeque;
 
-/// Stale entries are thrown out once there are this many, and more than half are.
+/// Stale entries are removed once there are at least this many entries and more than half of them are stale.
 const MIN_STALE_ENTRIES: usize = 64;
 
-/// Entries in the order in which they came. One that is no more is not taken out at once: whoever asks says which
-/// ones still are.
+/// Entries in the order in which they were added. An entry that no longer exists is not removed at once: the
+/// caller tells which entries are live.
 #[derive(Debug)]
 pub(crate) struct IdleOrder<K> {
     entries: VecDeque<(K, u64)>,
@@ -21,7 +21,7 @@
 }
 
 impl<K: Copy> IdleOrder<K> {
-    /// Adds one, and tells its number. `live` is how many there are now, this one included.
+    /// Adds an entry and returns its number. `live` is the number of live entries, including this one.
     pub(crate) fn push(&mut self, key: K, live: usize, is_live: impl Fn(K, u64) -> bool) -> u64 {
         if self.entries.len() >= MIN_STALE_ENTRIES.max(2 * live) {
             self.entries.retain(|(key, number)| is_live(*key, *number));
@@ -32,7 +32,7 @@
         number
     }
 
-    /// Takes out the oldest that still is: what is found of it.
+    /// Removes entries from the oldest on until `lookup` finds a live one, and returns what it found.
     pub(crate) fn pop<T>(&mut self, lookup: impl Fn(K, u64) -> Option<T>) -> Option<T> {
         while let Some((key, number)) = self.entries.pop_front() {
             if let Some(found) = lookup(key, number) {
@@ -56,7 +56,7 @@
         for round in 0..10_000_u64 {
             let number = order.push(round % 7, live.len() + 1, |_, number| live.contains(&number));
             live.insert(number);
-            // All but every hundredth is used again at once.
+            // All but every hundredth entry are used again at once.
             if round % 100 != 0 {
                 live.remove(&number);
             }
--- a/crates/dunelink/src/intake.rs
+++ b/crates/dunelink/src/intake.rs
@@ -1,4 +1,4 @@
-//! What a request must look like, and what of it the decision module is told.
+//! Checks incoming requests and extracts what the decision module needs from them.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,19 +19,19 @@
 use crate::payload::Payload;
 use crate::types::Outgoing;
 
-/// The most bytes of headers, as they stand on the wire: what a server's connection buffers.
+/// The maximum size of the headers as written on the wire, which is what a connection to a server buffers.
 const MAX_HEADERS_BYTES: usize = 32 * 1024;
-/// How many parts the open ids are kept in.
+/// The number of shards of the set of open ids, each with its own lock.
 const ID_SHARDS: usize = 16;
-/// The longest id.
+/// The maximum length of a request id.
 pub(crate) const MAX_ID_BYTES: usize = 128;
-/// The host that a server is asked by, where the request names none.
+/// The `Host` header sent to servers where the request names none.
 const DEFAULT_HOST: &str = "origin.svc";
-/// A deadline counts from the client's sending; this much of it has passed when the request is read, and
-/// passes again before the answer is back.
+/// A client's deadline counts from its sending the request; this much of it has passed when the request is
+/// read, and passes again before the answer is back.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(3);
 
-/// What a host says of a request in its extensions, ahead of what path and headers say.
+/// Request extensions that a host may set. They take precedence over the path and headers.
 ///
 /// ```
 /// use dunelink::ext::{Class, Tenant};
@@ -45,58 +45,58 @@
     use std::borrow::Cow;
     use std::time::{Duration, Instant};
 
-    /// The request's class; without it, the first part of the path.
+    /// The request's class; without it, the first segment of the path.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub struct Class(pub Cow<'static, str>);
 
     impl Class {
-        /// A class of this name.
+        /// A class with this name.
         pub fn new(name: impl Into<Cow<'static, str>>) -> Class {
             Class(name.into())
         }
     }
 
-    /// The request's tenant; without it, what `Req-Owner` says. One that the configuration does not know
+    /// The request's tenant; without it, the value of `Req-Owner`. A tenant that is not in the configuration
     /// counts as none.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub struct Tenant(pub Cow<'static, str>);
 
     impl Tenant {
-        /// A tenant of this name.
+        /// A tenant with this name.
         pub fn new(name: impl Into<Cow<'static, str>>) -> Tenant {
             Tenant(name.into())
         }
     }
 
-    /// When no answer is of use any more; without it, `Req-Deadline` (seconds from now), else the class's
-    /// deadline. A later one than the class allows is cut.
+    /// The request's deadline; without it, `Req-Deadline` (seconds from now), else the deadline of the class,
+    /// which is also the upper limit.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub struct Deadline(pub Instant);
 
     impl Deadline {
-        /// This long from now.
+        /// A deadline this long from now.
         pub fn after(wait: Duration) -> Deadline {
             let now = Instant::now();
             Deadline(now.checked_add(wait.min(super::LONGEST)).unwrap_or(now))
         }
     }
 
-    /// The request's id, 1 to 128 graphic ASCII characters; without it, `Req-Id`, else a new one. Servers and
-    /// logs tell requests apart by it, so that no two open ones may share it.
+    /// The request's id, 1 to 128 graphic ASCII characters; without it, `Req-Id`, else a generated one.
+    /// Servers and logs identify requests by it, so no two open requests may share an id.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub struct Id(pub String);
 
-    /// When the request's last byte came, where it has waited since: a client's patience begins then, and not when
-    /// its turn has come. Without it, that is when the call has read it.
+    /// When the host received the request's last byte, for a request that has been queued since: the client's
+    /// timeout starts then. Without it, that is when the call has read the body.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub struct ReceivedAt(pub Instant);
 
-    /// A guess at the work; without it, `Req-Cost` (microseconds).
+    /// The estimated work of the request; without it, `Req-Cost` (microseconds).
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub struct ExpectedWork(pub Duration);
 }
 
-/// What a class of requests looks like on the wire.
+/// What the checks need to know of a class.
 #[derive(Clone, Copy)]
 struct ClassRule {
     index: usize,
@@ -104,30 +104,30 @@
     deadline: Duration,
 }
 
-/// Checks requests, and keeps the ids of all open ones: servers and logs tell requests apart by them.
+/// Checks requests and keeps the ids of all open ones, by which servers and logs identify them.
 pub(crate) struct Intake {
-    /// The numbers of classes.
+    /// The index of each class, by name.
     classes: HashMap<String, usize>,
     class_rules: Vec<ClassRule>,
     tenants: HashMap<String, u32>,
     rules: IntakeRules,
-    /// In parts, as shards share them.
+    /// The ids of open requests, sharded because all engines share them.
     ids: [Mutex<HashSet<Box<str>>>; ID_SHARDS],
 }
 
-/// What a request's head says, whatever its class is.
+/// The parts of a request's head that do not depend on its class.
 #[derive(Clone)]
 pub(crate) struct CommonHead {
     pub(crate) id: Option<Box<str>>,
-    /// When it came.
+    /// When the request was received.
     received_at: Instant,
-    /// How long its client waits, if it says so.
+    /// How long its client waits; `None` if it does not say.
     client_timeout: Option<Duration>,
     tenant: Option<u32>,
     expected_work: Option<u64>,
 }
 
-/// What was found in a request's head.
+/// A checked request head.
 pub(crate) struct Head {
     class: ClassRule,
     pub(crate) id: Option<Box<str>>,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Reads a request's target, and the fields that could give it another meaning.
+    /// Reads a request's target, and checks the header fields that could change its meaning.
     pub(crate) fn target<'a>(&self, parts: &'a Parts) -> Result<Target<'a>, InvalidRequest> {
         let headers = &parts.headers;
         let size = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum::<usize>();
@@ -173,7 +173,8 @@
         Ok(request::read(parts, hosting)?)
     }
 
-    /// Reads what a request's head says beside its target. Extensions go before headers.
+    /// Reads the parts of a request's head that do not depend on its class, except for its target. Extensions
+    /// take precedence over headers.
     pub(crate) fn common_head(
         &self,
         parts: &Parts,
@@ -221,11 +222,12 @@
         })
     }
 
-    /// Reads a request's head. Extensions go before headers and path.
+    /// Reads a request's head. Extensions take precedence over headers and path.
     pub(crate) fn head(&self, parts: &Parts, received_at: Instant) -> Result<Head, InvalidRequest> {
         let target = self.target(parts)?;
         let class_name = match parts.extensions.get::<ext::Class>() {
-            // The host may have found it in any part of the path.
+            // The host may have derived the class from any part of the path, so all of the path must be
+            // unambiguous.
             Some(class) => target.plain().map(|()| &*class.0)?,
             None => target.class(),
         };
@@ -238,8 +240,8 @@
         Ok(Head { key, ..common.for_class(class) })
     }
 
-    /// The head of a request whose class was found elsewhere, by its number. `work` stands in where the client says
-    /// nothing of it.
+    /// The head of a request whose class, given by index, was determined elsewhere. `work` is the estimate
+    /// where the client gives none.
     pub(crate) fn head_of(&self, class: usize, mut common: CommonHead, work: Option<Duration>) -> Head {
         let work = work.and_then(|work| u64::try_from(work.as_micros()).ok());
         common.expected_work = common.expected_work.or(work);
@@ -251,7 +253,7 @@
         self.ids[shard].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the request's id, or makes one, for as long as the request is open.
+    /// Reserves the request's id, or one generated from `number`, for as long as the request is open.
     pub(crate) fn claim(
         self: &Arc<Self>,
         id: Option<&str>,
@@ -269,7 +271,7 @@
     }
 }
 
-/// The id of an open request, free again once it is answered or its client has left.
+/// The reserved id of an open request, released on drop.
 pub(crate) struct IdClaim {
     id: Box<str>,
     intake: Arc<Intake>,
@@ -288,13 +290,14 @@
 }
 
 impl CommonHead {
-    /// When a client gives up at the latest, if no class says less.
+    /// The latest time until which a client waits, if no class limits it further.
     pub(crate) fn latest_deadline(&self, max_timeout: Duration) -> Instant {
         self.received_at + self.client_timeout.unwrap_or(max_timeout).min(max_timeout)
     }
 
     fn for_class(self, class: ClassRule) -> Head {
-        // No client waits longer than its class allows; this also bounds all that is done for it.
+        // The class's deadline limits the client's timeout, and with it everything that is done for the
+        // request.
         let client_timeout = self.client_timeout.unwrap_or(class.deadline);
         let client_timeout = client_timeout.min(class.deadline.saturating_sub(TRANSIT_ALLOWANCE));
         Head {
@@ -310,22 +313,22 @@
 }
 
 impl Head {
-    /// How long its client waits, from its last byte on.
+    /// How long its client waits, from the last byte of the request on.
     pub(crate) fn client_timeout(&self) -> Duration {
         self.client_timeout
     }
 
-    /// Its client's patience begins.
+    /// Starts the client's timeout at `now`.
     pub(crate) fn restart_deadline(&mut self, now: Instant) {
         self.deadline = now + self.client_timeout;
     }
 
-    /// The number of its class.
+    /// The index of its class.
     pub(crate) fn class(&self) -> usize {
         self.class.index
     }
 
-    /// What the decision module is told.
+    /// The request as the decision module sees it.
     pub(crate) fn request(&self, id: RequestId) -> cherryusher::Request {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         cherryusher::Request {
@@ -338,7 +341,7 @@
         }
     }
 
-    /// What goes on to servers.
+    /// The request as it is sent to servers.
     pub(crate) fn outgoing(
         &self,
         mut parts: Parts,
@@ -352,7 +355,7 @@
         request::onward(&mut parts, DEFAULT_HOST);
         let mut headers = parts.headers;
         headers.remove(DEADLINE);
-        // Without a length it goes on in chunks.
+        // Without a length, the body is sent in chunks.
         if let Some(length) = body.length().filter(|_| parts.method == Method::POST) {
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         }
@@ -365,14 +368,14 @@
     }
 }
 
-/// A time in seconds, with decimals; one below 0 is past.
+/// Parses a time in seconds, with decimals; a negative one counts as 0.
 fn seconds(text: &str) -> Option<Duration> {
     let only_number_chars = text.bytes().all(|b| b.is_ascii_digit() || b == b'.' || b == b'-' || b == b'+');
     let value: f64 = text.parse().ok().filter(|_| only_number_chars)?;
     Some(Duration::try_from_secs_f64(value.max(0.0)).unwrap_or(Duration::MAX))
 }
 
-/// The method follows from the class.
+/// Checks that the method and the idempotency key fit the class.
 fn check_method(class: &ClassRule, method: &Method, headers: &HeaderMap) -> Result<(), InvalidRequest> {
     let expected = if class.effect == Effect::Safe { "GET" } else { "POST" };
     if method.as_str() != expected {
--- a/crates/dunelink/src/lib.rs
+++ b/crates/dunelink/src/lib.rs
@@ -1,9 +1,10 @@
-//! dunelink as a library: a load-balancing node inside a host's own process.
+//! dunelink as a library: a load-balancing node embedded in a host process.
 //!
-//! A [`Node`] knows a fleet of servers and gives every request that it takes exactly one final [`Answer`]
-//! before its deadline: served, refused (trying again is harmless) or failed. What must not run twice is never
-//! sent again unless it is proven that it did not run. Which server gets a request, whether it is tried again
-//! and what is refused is decided by the crate `cherryusher`, just as in the daemon of the same name.
+//! A [`Node`] balances requests over a fleet of servers and gives every accepted request exactly one final
+//! [`Answer`] before its deadline: served, refused (a retry is harmless) or failed. A request that must not
+//! run twice is sent again only if the previous attempt provably did not run. The crate `cherryusher` decides
+//! which server gets a request, whether it is retried and what is refused, exactly as in the daemon of the
+//! same name.
 //!
 //! # Calling a fleet
 //!
@@ -32,20 +33,20 @@
 //! # Ok(()) }
 //! ```
 //!
-//! # NodeParts
+//! # Parts
 //!
-//! - [`Config`]: everything a node goes by, from TOML, from the platform's JSON, or made in code.
-//! - [`roster`]: where the list of servers comes from.
-//! - [`Handle`]: the way to a running node; cheap to clone, usable from any thread.
-//! - [`ext`]: what a host says of a request in its extensions.
+//! - [`Config`]: all settings of a node, read from TOML or from the platform's JSON, or built in code.
+//! - [`roster`]: sources of the server list.
+//! - [`Handle`]: the interface to a running node; cheap to clone, usable from any thread.
+//! - [`ext`]: request extensions through which a host sets class, tenant, deadline and id.
 //! - `tower` (feature `tower`): a layer and a client service.
-//! - [`http::respond`]: answers and errors as HTTP responses, in one place.
+//! - [`http::respond`]: the mapping of answers and errors to HTTP responses.
 //!
 //! # Threads and runtimes
 //!
-//! [`Builder::start`] gives the engine and its sockets a thread of their own, so that deadlines and drains are
-//! kept whatever the host's executor does. A call itself needs no runtime, except while a body is still coming
-//! in: its time limit uses the timers of the tokio runtime that polls the call.
+//! [`Builder::start`] runs the engine and its sockets on threads of their own, so that deadlines and drains
+//! are met whatever the host's executor does. A call itself needs no runtime, except while a request body is
+//! still being received: its time limit uses the timers of the tokio runtime that polls the call.
 
 mod answer_body;
 mod attempt;
@@ -77,13 +78,13 @@
 pub use answer_body::AnswerBody;
 pub use config::Config;
 pub use counts::{ClassCounts, Counts};
-/// What gossip tells of members and servers.
+/// Gossip between nodes: members, suspicions and packets.
 pub use dunelink_gossip as gossip;
-/// What a GraphQL request is, and what the node says of it.
+/// GraphQL-over-HTTP: classification of requests and the node's own responses.
 pub use dunelink_graphql as graphql;
-/// Who reaches whom.
+/// Reachability between nodes and zones.
 pub use dunelink_reach as reachability;
-/// What the fleet decides as one.
+/// Decisions that the fleet makes by quorum, such as evictions.
 pub use dunelink_view as consensus;
 pub use error::{BodyError, BoxError, CallError, Closed, InvalidRequest, StartError};
 pub use fleet::{FleetView, GossipView, Gossiper, NodeView, OutView};
--- a/crates/dunelink/src/node/batch.rs
+++ b/crates/dunelink/src/node/batch.rs
@@ -1,4 +1,5 @@
-//! A GraphQL batch: its parts run in the order that [`Order`] says, and their answers come back as one.
+//! A GraphQL batch: its parts run in the order that [`Order`] determines, and their answers are joined into
+//! one.
 
 use std::time::Duration;
 
@@ -18,30 +19,30 @@
 pub(super) struct Batch {
     pub(super) parts: Vec<BatchPart>,
     pub(super) media: Media,
-    /// The most bytes of a part's answer.
+    /// The maximum length of a part's answer in bytes.
     pub(super) max_body_bytes: usize,
-    /// The id of the batch itself; its parts' begin with it.
+    /// The id of the batch itself; the ids of its parts start with it.
     pub(super) _id_claim: IdClaim,
 }
 
 pub(super) struct BatchPart {
     /// Whether it only reads.
     pub(super) read_only: bool,
-    /// What is sent, or why it is not.
+    /// The request to send, or why it was rejected.
     pub(super) request: Result<SingleRequest, Rejection>,
 }
 
-/// What became of a part.
+/// The outcome of a part.
 enum PartOutcome {
     /// A server's answer.
     Answered(Bytes),
-    /// What the node says of it.
+    /// The node's own answer, where there is none of a server.
     NodeAnswered(Fate),
     Rejected(Rejection),
 }
 
 impl PartOutcome {
-    /// Answers are joined, so that each has to be held.
+    /// Reads the answer into memory, because the answers of all parts are joined.
     async fn of(answer: Answer, max_bytes: usize) -> (PartOutcome, End) {
         match answer {
             Answer::Served(response) => match response.into_body().bytes(max_bytes).await {
@@ -109,8 +110,8 @@
     }
 }
 
-/// The answers as one. Where all parts were refused, so is the batch; otherwise each client has to see which part
-/// came to what.
+/// Joins the answers. If all parts were refused, the batch is refused; otherwise the client needs to see the
+/// outcome of each part.
 fn combine(outcomes: Vec<PartOutcome>, media: Media) -> Answer {
     let is_refused = |outcome: &PartOutcome| {
         matches!(outcome, PartOutcome::NodeAnswered(Fate::Refused(_) | Fate::Skipped))
@@ -124,10 +125,15 @@
     }
     let any_answered = outcomes.iter().any(|outcome| matches!(outcome, PartOutcome::Answered(_)));
     let any_failed = |timed_out| {
-        let has_failed = |o: &PartOutcome| matches!(o, PartOutcome::NodeAnswered(Fate::Failed { timed_out: t }) if *t == timed_out);
+        let has_failed = |o: &PartOutcome| {
+            matches!(
+                o,
+                PartOutcome::NodeAnswered(Fate::Failed { timed_out: t }) if *t == timed_out
+            )
+        };
         outcomes.iter().any(has_failed)
     };
-    // A client that looks at the status alone must not take a batch for done of which nothing was.
+    // A client that checks only the status must not consider a batch successful if none of its parts was.
     let status = match any_answered {
         true => StatusCode::OK,
         false if any_failed(true) => StatusCode::GATEWAY_TIMEOUT,
--- a/crates/dunelink/src/node/body.rs
+++ b/crates/dunelink/src/node/body.rs
@@ -1,4 +1,5 @@
-//! Reading a request's body: whole, if it is short enough to be held; else as far as that goes, and then piece by piece.
+//! Reads the body of a request: into memory if it is short enough, else its first part, with the rest
+//! streamed chunk by chunk.
 
 use std::future::{Future, poll_fn};
 use std::pin::pin;
@@ -16,16 +17,17 @@
 use crate::error::{BodyError, BoxError};
 use crate::payload::PayloadSender;
 
-/// The least pace of a body, in bytes a second, beyond what its sender is waited for in any case.
+/// The minimum rate at which a body has to arrive once the base time is used up.
 const MIN_RATE_BYTES_PER_S: u64 = 32 * 1024;
-/// The pace of a slow sender who means well.
+/// The rate expected of a slow but legitimate sender.
 const EXPECTED_RATE_BYTES_PER_S: u64 = 64 * 1024;
-/// How long a body of unknown length is expected to take.
+/// The expected duration of an upload of unknown length.
 const UNKNOWN_LENGTH_DURATION: Duration = Duration::from_secs(2);
 
-/// For how long the sender of a body is waited for. What the node itself makes it wait does not count.
+/// The time limit for receiving a body: a base time plus time for the bytes received at the minimum rate.
+/// Only time spent waiting for the sender counts, not time for which the node itself makes it wait.
 pub(super) struct ReadTimeout {
-    /// Until when it is waited for in any case, and the bytes that have come.
+    /// The base time, and the number of bytes received.
     base: Duration,
     received: u64,
     waited: Duration,
@@ -36,10 +38,10 @@
         ReadTimeout { base, received: 0, waited: Duration::ZERO }
     }
 
-    /// Waits for a sender who is in time.
+    /// Waits for the next part of the body within the time limit.
     async fn wait<F: Future>(&mut self, next: F) -> Result<F::Output, BodyError> {
         let mut next = pin!(next);
-        // What is there already needs no timer, nor a runtime that has one.
+        // Data that is already there needs no timer, nor a runtime that has one.
         if let Poll::Ready(now) = poll_fn(|cx| Poll::Ready(next.as_mut().poll(cx))).await {
             return Ok(now);
         }
@@ -50,20 +52,20 @@
     }
 }
 
-/// How long so many bytes take.
+/// How long a number of bytes takes at a rate in bytes per second.
 fn transfer_time(bytes: u64, rate: u64) -> Duration {
     Duration::from_millis(bytes.saturating_mul(1000) / rate)
 }
 
-/// A request's body.
+/// A request's body as received.
 pub(super) enum ReceivedBody {
     Complete(Bytes),
     Streaming(Box<RemainingBody>),
 }
 
-/// A body that is longer than what is held.
+/// A body that is longer than the buffer limit.
 pub(super) struct RemainingBody {
-    /// What has come of it.
+    /// The bytes received so far.
     pub(super) first: Bytes,
     pub(super) length: Option<u64>,
     body: UnsyncBoxBody<Bytes, BoxError>,
@@ -71,7 +73,7 @@
     max_streamed: u64,
 }
 
-/// Reads a body to its end, or as far as it can be held.
+/// Reads a body to its end, or until it exceeds `max_buffered` bytes.
 pub(super) async fn read_body<B>(
     body: B,
     max_buffered: usize,
@@ -101,7 +103,7 @@
     Ok(ReceivedBody::Streaming(Box::new(RemainingBody { first, length, body, read_timeout, max_streamed })))
 }
 
-/// Whether so many bytes can be held or passed on.
+/// Checks that a body of this length can be buffered or streamed.
 fn check_size(bytes: u64, max_buffered: usize, max_streamed: u64) -> Result<(), BodyError> {
     let limit = max_streamed.max(max_buffered as u64);
     match bytes > limit {
@@ -111,7 +113,7 @@
 }
 
 impl RemainingBody {
-    /// How long it may take.
+    /// The expected and the maximum duration of the rest of the upload.
     pub(super) fn upload(&self) -> Upload {
         let remaining = |length: u64| length.saturating_sub(self.read_timeout.received);
         let expected = self.length.map_or(UNKNOWN_LENGTH_DURATION, |length| {
@@ -123,7 +125,8 @@
         Upload { expected_duration: micros(expected), max_duration: micros(max) }
     }
 
-    /// Passes it on to its end; `patience` is the client's from then on. When nobody takes it any more, it is over.
+    /// Streams the rest of the body to its end and returns when the client gives up, `client_timeout` from
+    /// then on. If the attempt that takes the body is over before that, this never returns.
     pub(super) async fn forward(
         &mut self,
         sender: &PayloadSender,
@@ -141,10 +144,11 @@
             let Ok(data) = frame.map_err(BodyError::Broken)?.into_data() else { continue };
             self.read_timeout.received += data.len() as u64;
             check_size(self.read_timeout.received, 0, self.max_streamed)?;
-            // Where the length is stated, its end shows with the last piece, and is known before that is on its way.
+            // With a stated length, the end shows with the last chunk, and is recorded before that chunk is
+            // passed on.
             let deadline = self.body.is_end_stream().then(record_end);
             if sender.chunks.send(data).await.is_err() && deadline.is_none() {
-                // Its attempt is over; the answer is on its way.
+                // The attempt is over; the answer is on its way.
                 std::future::pending::<()>().await;
             }
             if let Some(deadline) = deadline {
--- a/crates/dunelink/src/node/endpoint.rs
+++ b/crates/dunelink/src/node/endpoint.rs
@@ -1,4 +1,4 @@
-//! The GraphQL endpoint of a node, if it has one: where it is, and what its documents are read by.
+//! The GraphQL endpoint of a node: its path, and the rules by which its documents are read.
 
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
@@ -11,10 +11,10 @@
 
 /// The endpoint, if a node has one.
 pub(super) struct Endpoint {
-    /// For reading the manifest anew.
+    /// The settings, from which the manifest can be reloaded.
     pub(super) settings: GraphQl,
     classes: Vec<Class>,
-    /// The longest that any client waits there.
+    /// The longest time that any client waits there.
     pub(super) longest_timeout: Duration,
     reader: RwLock<Arc<Reader>>,
 }
@@ -35,12 +35,12 @@
         self.reader.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Whether a request is for it. One whose host has found its class goes by that.
+    /// Whether a request is for the endpoint. A request whose class the host has set is not.
     pub(super) fn matches(&self, head: &Parts) -> bool {
         head.uri.path() == self.settings.path && head.extensions.get::<ext::Class>().is_none()
     }
 
-    /// Reads the manifest anew; tells how many documents it has. A wrong one changes nothing.
+    /// Reloads the manifest and returns its number of documents. On an error, the old one stays in use.
     pub(super) fn reload(&self) -> Result<usize, ConfigError> {
         let reader = Arc::new(self.settings.reader(&self.classes)?);
         let count = reader.documents.len();
--- a/crates/dunelink/src/node/engine_handle.rs
+++ b/crates/dunelink/src/node/engine_handle.rs
@@ -8,13 +8,13 @@
 use crate::counts::Counters;
 use crate::engine::Mailbox;
 
-/// One shard's engine, as its callers see it.
+/// The engine of one shard, as its callers see it.
 pub(super) struct EngineHandle {
     pub(super) mailbox: Mailbox,
     pub(super) counters: Arc<Counters>,
     pub(super) any_ready: Arc<AtomicBool>,
-    /// Calls that wait for it, as callers count them: an engine that stands still counts nothing.
+    /// The number of calls that wait for it, counted by the callers because a stalled engine counts nothing.
     pub(super) waiting_calls: AtomicUsize,
-    /// Told once it has ended.
+    /// Cancelled once the engine has ended.
     pub(super) ended: CancellationToken,
 }
--- a/crates/dunelink/src/node/engine_setup.rs
+++ b/crates/dunelink/src/node/engine_setup.rs
@@ -1,4 +1,4 @@
-//! An engine with all that it works with, from its parts to its end.
+//! Assembles an engine with its servers, roster and background tasks, and runs it.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use crate::roster::{Feed, Roster};
 use crate::servers::Servers;
 
-/// All that an engine's thread is given.
+/// Everything that an engine's thread needs to start it.
 pub(super) struct EngineSetup {
     pub(super) config: Config,
     pub(super) seed: u64,
@@ -32,8 +32,8 @@
 }
 
 impl EngineSetup {
-    /// Takes in the list that is known at the start: what is asked from now on finds it. The node then runs in
-    /// the future, which needs a `LocalSet`; whatever it began ends with it.
+    /// Applies the initial server list, so that requests from here on find it. The returned future runs the
+    /// engine and needs a `LocalSet`; all tasks that it spawns end with it.
     pub(super) fn start(mut self) -> impl Future<Output = ()> + 'static {
         let ended = self.ended.drop_guard();
         let servers = Servers::new(&self.config, self.any_ready, self.counters.clone(), self.transfers);
@@ -51,7 +51,7 @@
             let roster = AbortOnDropHandle::new(tokio::task::spawn_local(roster));
             let sweep = AbortOnDropHandle::new(tokio::task::spawn_local(sweep));
             engine.run(inbox).await;
-            // Who hears that the node has ended must not find any of it at work.
+            // When the end of the node is signalled, none of its tasks may be running any more.
             for task in [roster, sweep] {
                 task.abort();
                 let _ = task.await;
--- a/crates/dunelink/src/node/graphql.rs
+++ b/crates/dunelink/src/node/graphql.rs
@@ -1,4 +1,5 @@
-//! Requests at the GraphQL endpoint: what they are is told by `dunelink_graphql`, all else is as for any other.
+//! Requests to the GraphQL endpoint: `dunelink_graphql` classifies them, everything else is as for any other
+//! request.
 
 use ::http::request::Parts;
 use dunelink_edge::fields::KEY;
@@ -19,24 +20,24 @@
 use crate::intake::{CommonHead, Head, MAX_ID_BYTES};
 use crate::payload::Payload;
 
-/// What stands in the way of a request at the endpoint.
+/// The error for a rejected request.
 fn rejection_error(media: Media) -> impl Fn(Rejection) -> CallError {
     move |rejection| CallError::GraphQl { rejection, media }
 }
 
 impl Handle {
-    /// The GraphQL endpoint that a request is for, if it is.
+    /// The GraphQL endpoint, if the request is for it.
     pub(super) fn endpoint(&self, head: &Parts) -> Option<&Endpoint> {
         self.shared.graphql.as_ref().filter(|endpoint| endpoint.matches(head))
     }
 
-    /// The path of the GraphQL endpoint, if there is one.
+    /// The path of the GraphQL endpoint, if the node has one.
     pub fn graphql_path(&self) -> Option<&str> {
         self.shared.graphql.as_ref().map(|endpoint| endpoint.settings.path.as_str())
     }
 
-    /// How what becomes of a request with this head is to be written for its client: as plain HTTP, or as a GraphQL
-    /// response in the media type that it reads.
+    /// The format in which the result of a request with this head is written for its client: plain HTTP, or a
+    /// GraphQL response in the media type that the client accepts.
     pub fn rendering(&self, head: &Parts) -> Rendering {
         match self.endpoint(head) {
             Some(_) => Rendering::GraphQl(Media::accepted(&head.headers).unwrap_or(Media::Response)),
@@ -44,17 +45,17 @@
         }
     }
 
-    /// Reads the manifest of the GraphQL endpoint anew; tells how many documents it has. Requests that were read
-    /// before go by the old one.
+    /// Reloads the manifest of the GraphQL endpoint and returns its number of documents, 0 if there is no
+    /// endpoint. Requests that were read before are not affected.
     ///
     /// # Errors
     ///
-    /// It can't be read, or has a document that would be turned down. The old one stays then.
+    /// The manifest can't be read, or has a document that would be rejected. The old one then stays in use.
     pub fn reload_graphql_documents(&self) -> Result<usize, ConfigError> {
         self.shared.graphql.as_ref().map_or(Ok(0), Endpoint::reload)
     }
 
-    /// Reads and checks a request at the endpoint.
+    /// Reads and checks a request to the endpoint, by `read_by` at the latest.
     pub(super) async fn read_graphql<B>(
         &self,
         endpoint: &Endpoint,
@@ -106,15 +107,15 @@
         }
     }
 
-    /// The head of a request of the class that it was taken for.
+    /// The head of a request of the class that the ruling gives it.
     fn head_of(&self, ruling: &Ruling, common: CommonHead) -> Head {
         let work = ruling.operation.as_ref().map(|operation| operation.work);
         self.shared.intake.head_of(ruling.class.index, common, work)
     }
 
-    /// The parts of a batch. Each has an id and a place of its own; keyed ones but the first have a key of their own
-    /// too, or servers would drop them as repeats of the first. A client that sends the same batch again sends the
-    /// same keys.
+    /// Builds the parts of a batch. Each has an id and a permit of its own; keyed parts after the first also
+    /// get an idempotency key of their own, or servers would drop them as repeats of the first. A client that
+    /// sends the same batch again sends the same keys.
     fn batch(
         &self,
         parts: &Parts,
--- a/crates/dunelink/src/node/handle.rs
+++ b/crates/dunelink/src/node/handle.rs
@@ -1,4 +1,4 @@
-//! The way to a running node, from any thread.
+//! The interface to a running node, usable from any thread.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,10 +28,10 @@
 use crate::snapshot::Snapshot;
 use crate::types::Answer;
 
-/// How long a body may take in any case.
+/// The minimum time limit for receiving a body.
 const MIN_BODY_READ_TIME: Duration = Duration::from_millis(20);
 
-/// The way to a node: cheap to clone, and usable from any thread.
+/// The interface to a running node: cheap to clone, and usable from any thread.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -48,31 +48,31 @@
 #[derive(Clone)]
 pub struct Handle {
     pub(super) shared: Arc<Shared>,
-    /// The one shard that it is for; without it, for all.
+    /// The shard to which this handle is limited; `None` for all shards.
     pub(super) shard: Option<usize>,
 }
 
-/// What all handles of a node share.
+/// The state shared by all handles of a node.
 pub(super) struct Shared {
     pub(super) engines: Vec<Arc<EngineHandle>>,
     pub(super) intake: Arc<Intake>,
-    /// The way to its gossip, where there is any.
+    /// The channel to the node's gossip, if it has any.
     pub(super) gossip: Option<Asks>,
     pub(super) class_names: Vec<String>,
     pub(super) graphql: Option<Endpoint>,
     pub(super) max_body_bytes: usize,
     pub(super) max_stream_bytes: u64,
     pub(super) request_permits: Arc<Semaphore>,
-    /// Room for bodies that are passed on, in either direction.
+    /// Permits for streamed bodies, in either direction.
     pub(super) transfers: Arc<Semaphore>,
-    /// Whether it takes nothing more.
+    /// Whether the node accepts no more requests.
     pub(super) closing: AtomicBool,
-    /// Whether it says that it is not ready, as it is worse off than the fleet.
+    /// Whether the node reports itself as not ready because it is worse off than the rest of the fleet.
     pub(super) withdrawn: Arc<AtomicBool>,
 }
 
 impl Handle {
-    /// The engines that this handle speaks for.
+    /// The engines to which this handle sends requests.
     fn engines(&self) -> &[Arc<EngineHandle>] {
         match self.shard {
             Some(shard) => std::slice::from_ref(&self.shared.engines[shard]),
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Who gets the next request: of two shards the one with fewer open, so that one which stands still gets no
-    /// more than its share of what is open.
+    /// The engine for the next request: of two random shards the one with fewer open requests, so that a
+    /// stalled shard gets no more than its share of the open requests.
     pub(super) fn engine(&self) -> &Arc<EngineHandle> {
         match self.engines() {
             [only] => only,
@@ -94,21 +94,22 @@
         }
     }
 
-    /// The same node by one of its shards alone.
+    /// A handle to the same node that is limited to one shard.
     pub(super) fn for_shard(&self, shard: usize) -> Handle {
         Handle { shard: Some(shard), ..self.clone() }
     }
 
-    /// Takes a request and waits for its one final answer, which comes before the request's deadline. Dropped
-    /// before that, the client counts as left: attempts that are out are cancelled and nothing is sent again.
+    /// Accepts a request and waits for its one final answer, which comes before the request's deadline. If
+    /// the future is dropped before that, the client counts as having left: attempts in flight are cancelled
+    /// and nothing is sent again.
     ///
-    /// The class comes from [`ext::Class`](crate::ext::Class) or the first part of the path, the tenant, id and
-    /// deadline from [`ext`](crate::ext) or their headers. A body over `limits.body` bytes is passed on as it comes, up to
-    /// `limits.stream` bytes; its client's patience counts from its end.
+    /// The class comes from [`ext::Class`](crate::ext::Class) or the first segment of the path, the tenant,
+    /// id and deadline from [`ext`](crate::ext) or their headers. A body over `limits.body` bytes is
+    /// streamed, up to `limits.stream` bytes; its client's timeout starts at its end.
     ///
     /// # Errors
     ///
-    /// The request is not one that the node can take, its body broke off, or the node was shut down. Nothing ran then.
+    /// The request is invalid, its body broke off, or the node was shut down. Nothing ran then.
     pub async fn call<B>(&self, request: Request<B>) -> Result<Answer, CallError>
     where
         B: Body + Send + 'static,
@@ -117,8 +118,9 @@
         self.receive(request, None).await?.answer().await
     }
 
-    /// Reads and checks a request, by `within` at the latest, without taking it yet. For fronts that have more
-    /// to check once the body is there; [`Handle::call`] is this and [`ReceivedRequest::answer`].
+    /// Reads and checks a request, by `read_by` at the latest, without accepting it yet. For frontends that
+    /// have more to check once the body is there; [`Handle::call`] is this followed by
+    /// [`ReceivedRequest::answer`].
     ///
     /// # Errors
     ///
@@ -136,7 +138,7 @@
         self.receive_with_permit(request, read_by, permit).await
     }
 
-    /// The same with a place that was taken before, or without one: then it will be refused.
+    /// [`Handle::receive`] with a permit that was acquired before; without one, the request will be refused.
     pub(crate) async fn receive_with_permit<B>(
         &self,
         request: Request<B>,
@@ -189,10 +191,10 @@
                     (Payload::Streaming(streaming), first, Some((remaining, sender)))
                 }
             };
-        // Who gets no room is refused at once, not half served.
+        // A request without a transfer permit is refused at once rather than half served.
         let transfer_permit = remaining.as_ref().map(|_| self.shared.transfers.clone().try_acquire_owned());
         let permit = permit.filter(|_| !matches!(transfer_permit, Some(Err(_))));
-        // The client waits from its last byte on.
+        // The client's timeout starts with its last byte.
         head.restart_deadline(body_received_at.unwrap_or_else(Instant::now));
         let request = SingleRequest {
             remaining,
@@ -203,8 +205,8 @@
         Ok(ReceivedRequest { body: first, deadline, rendering, work: Work::Single(request) })
     }
 
-    /// Reads a body that has to be held whole, until its request's deadline or `within`; it has a little time in any
-    /// case.
+    /// Reads a body that has to be buffered, by the request's deadline and `read_by`, but with at least
+    /// [`MIN_BODY_READ_TIME`].
     pub(super) async fn read_buffered<B>(
         &self,
         body: B,
@@ -226,7 +228,7 @@
         }
     }
 
-    /// One request for the engine, under its id.
+    /// Builds a request for an engine and reserves its id.
     pub(super) fn single_request(
         &self,
         head: Head,
@@ -250,34 +252,35 @@
         })
     }
 
-    /// The places for open requests.
+    /// The permits for open requests.
     pub(crate) fn request_permits(&self) -> Arc<Semaphore> {
         self.shared.request_permits.clone()
     }
 
-    /// Whether there is any server to send to, for every shard, and the node has not stepped aside: one that is worse
-    /// off than the fleet may, where the configuration says so. It serves whoever asks it all the same.
+    /// Whether every shard has a server to send to and the node has not withdrawn. A node that is worse off
+    /// than the rest of the fleet may withdraw, if the configuration allows it. It still serves all requests
+    /// that it gets.
     pub fn is_ready(&self) -> bool {
         !self.is_withdrawn() && self.engines().iter().all(|engine| engine.any_ready.load(Ordering::Acquire))
     }
 
-    /// Whether the node says that it is not ready, as it is worse off than the fleet.
+    /// Whether the node reports itself as not ready because it is worse off than the rest of the fleet.
     pub fn is_withdrawn(&self) -> bool {
         self.shared.withdrawn.load(Ordering::Acquire)
     }
 
-    /// Whether the list's source has told anything since the start, to every shard. Before that the node goes by the
-    /// list that it was given, which may be old.
+    /// Whether the source of the server list has delivered anything to every shard since the start. Before
+    /// that, the node uses its initial list, which may be outdated.
     pub fn has_list(&self) -> bool {
         self.engines().iter().all(|engine| engine.counters.has_list())
     }
 
-    /// Whether the node takes nothing more.
+    /// Whether the node accepts no more requests.
     pub fn is_closed(&self) -> bool {
         self.shared.closing.load(Ordering::Acquire)
     }
 
-    /// How requests ended since the start; after the end too.
+    /// How requests ended since the start; can still be read after the node's end.
     pub fn counts(&self) -> Counts {
         self.engines().iter().map(|engine| engine.counters.counts()).fold(Counts::default(), Counts::plus)
     }
@@ -295,13 +298,13 @@
         counts
     }
 
-    /// Attempts that were written whole to servers, since the start.
+    /// The number of attempts that were fully written to servers since the start.
     pub fn attempts(&self) -> u64 {
         self.engines().iter().map(|engine| engine.counters.attempts()).sum()
     }
 
-    /// Requests that were taken and have no answer yet, as their callers count them, and answers that are being
-    /// passed on.
+    /// The number of accepted requests without an answer, as their callers count them, plus streamed answers
+    /// in progress.
     pub fn outstanding(&self) -> usize {
         let open = |engine: &Arc<EngineHandle>| {
             engine.waiting_calls.load(Ordering::Relaxed) + engine.counters.transfers()
@@ -309,18 +312,18 @@
         self.engines().iter().map(open).sum()
     }
 
-    /// How the node stands, all its shards together.
+    /// The state of the node, all its shards together.
     ///
     /// # Errors
     ///
-    /// It has ended; its [`Handle::counts`] can still be read.
+    /// The node has ended; its [`Handle::counts`] can still be read.
     pub async fn snapshot(&self) -> Result<Snapshot, Closed> {
         let request_snapshot = |engine: &Arc<EngineHandle>| {
             let (reply, receiver) = oneshot::channel();
             engine.mailbox.send(EngineMessage::Snapshot(reply));
             receiver
         };
-        // All are asked before any is waited for.
+        // All engines are asked before the first reply is awaited.
         let replies: Vec<_> = self.engines().iter().map(request_snapshot).collect();
         let mut total: Option<Snapshot> = None;
         for reply in replies {
@@ -333,43 +336,45 @@
         total.ok_or(Closed)
     }
 
-    /// What other nodes tell, where the configuration wants gossip.
+    /// The state of gossip with other nodes; `None` if the node does not gossip.
     pub async fn gossip(&self) -> Option<GossipView> {
         ask(self.shared.gossip.as_ref(), Ask::Look).await
     }
 
-    /// Has the fleet put a node out for so many seconds (at most a week, for a reason of at most 40 bytes), or let one in
-    /// again. That it has been decided shows in [`GossipView::fleet`].
+    /// Asks the fleet to evict a node for a number of seconds (at most a week) and a reason (at most 40
+    /// bytes), or to restore it if `eviction` is `None`. Once decided, the change shows in
+    /// [`GossipView::fleet`].
     ///
     /// # Errors
     ///
-    /// There is no gossip, or it can't be decided: why not.
+    /// The node does not gossip, or the change can't be decided; the text says why.
     pub async fn evict_or_restore(&self, name: &str, eviction: Option<(u64, String)>) -> Result<(), String> {
         let request = |reply| Ask::Put(name.to_owned(), eviction, reply);
         let reply = ask(self.shared.gossip.as_ref(), request).await;
         reply.unwrap_or_else(|| Err("this node does not gossip".into()))
     }
 
-    /// Reads the keys of gossip again and tells how many names there are; nothing where there is no gossip.
+    /// Reloads the keys of gossip and returns the number of names among them; `None` if the node does not
+    /// gossip.
     ///
     /// # Errors
     ///
-    /// The files can't be used; the keys stay as they were.
+    /// The files can't be used; the old keys stay in use.
     pub async fn reload_gossip_keys(&self) -> Option<Result<usize, ConfigError>> {
         ask(self.shared.gossip.as_ref(), Ask::Keys).await
     }
 
-    /// Tells other nodes that this one goes: its part is kept for it for a minute.
+    /// Tells other nodes that this one leaves; its part of the fleet stays reserved for a minute.
     pub async fn leave_gossip(&self) {
         ask(self.shared.gossip.as_ref(), Ask::Leave).await;
     }
 
-    /// Closes the connection to a server that has been idle for longest: the process is out of descriptors.
+    /// Closes the longest-idle connection to a server, for a process that has run out of file descriptors.
     pub fn close_idle_connection(&self) {
         self.engine().mailbox.send(EngineMessage::EvictIdleConnection);
     }
 
-    /// As [`Node::shutdown`](crate::Node::shutdown), for all owners of the node.
+    /// Like [`Node::shutdown`](crate::Node::shutdown), from any handle.
     pub async fn shutdown(&self, deadline: Duration) -> Counts {
         self.close(deadline);
         for engine in self.engines() {
@@ -381,7 +386,7 @@
     pub(super) fn close(&self, deadline: Duration) {
         self.shared.closing.store(true, Ordering::Release);
         let now = Instant::now();
-        // A time beyond the clock's end is far enough away as any.
+        // A deadline beyond the range of the clock is replaced by one a day away.
         let at = now.checked_add(deadline).unwrap_or(now + Duration::from_secs(86_400));
         for engine in self.engines() {
             engine.mailbox.send(EngineMessage::Shutdown(at));
--- a/crates/dunelink/src/node/mod.rs
+++ b/crates/dunelink/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A running node: how it is started and ended.
+//! Starts and ends nodes.
 
 mod batch;
 mod body;
@@ -26,7 +26,7 @@
 use crate::roster::{self, Fixed, Roster, Watch};
 use crate::thread::spawn_local_thread;
 
-/// Sets a node up.
+/// Configures and starts a node.
 ///
 /// ```
 /// use dunelink::config::{Class, Effect};
@@ -44,24 +44,24 @@
     roster: Option<Box<dyn Roster>>,
 }
 
-/// Without a seed, starts and nodes still differ.
+/// A seed for a configuration without one: it differs between starts and between nodes.
 fn seed_from(name: &str) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), now.as_nanos() as u64)
 }
 
 impl Builder {
-    /// Where the list of servers comes from, ahead of what the configuration says.
+    /// Sets the source of the server list, which takes precedence over the one in the configuration.
     pub fn roster(mut self, roster: impl Roster) -> Builder {
         self.roster = Some(Box::new(roster));
         self
     }
 
-    /// The node in parts, for a front that gives each shard a thread of its own.
+    /// Splits the node into its parts, for a frontend that runs each shard on a thread of its own.
     ///
     /// # Errors
     ///
-    /// The configuration does not hold together.
+    /// The configuration is inconsistent.
     pub fn split(self) -> Result<NodeParts, ConfigError> {
         let Builder { config, roster } = self;
         config.validate()?;
@@ -75,14 +75,14 @@
         shards::split(config, roster, seed)
     }
 
-    /// Starts the node on threads of its own, one for each of `fleet.shards`: what the host does to its executor
-    /// delays nothing here. Returns when the list that is known at the start has been taken in.
+    /// Starts the node on threads of its own, one for each of `fleet.shards`: whatever the host does to its
+    /// executor delays nothing here. Returns when the initial server list has been applied.
     ///
     /// # Errors
     ///
-    /// The configuration does not hold together, or there is no thread or descriptor to be had.
+    /// The configuration is inconsistent, or a thread or file descriptor could not be created.
     pub fn start(self) -> Result<Node, StartError> {
-        // Shards that have started end with the node if a later one can't.
+        // If a later shard can't start, the node is dropped and ends those that have.
         let NodeParts { node, shards, source, gossip } = self.split()?;
         let (started, start_signals) = std::sync::mpsc::channel();
         let count = shards.len();
@@ -107,12 +107,12 @@
         Ok(node)
     }
 
-    /// Starts the node as tasks of the current `LocalSet`: for a program that gives it the whole thread, as the
-    /// daemon does. Whoever blocks that thread delays the node's answers and drains.
+    /// Starts the node as tasks of the current `LocalSet`, for a program that gives it the entire thread, as
+    /// the daemon does. Blocking that thread delays the node's answers and drains.
     ///
     /// # Errors
     ///
-    /// The configuration does not hold together or wants several shards, or there is no tokio runtime here.
+    /// The configuration is inconsistent or asks for several shards, or there is no current tokio runtime.
     ///
     /// # Panics
     ///
@@ -125,7 +125,8 @@
         }
         match (shards.pop(), shards.is_empty()) {
             (Some(shard), true) => {
-                // Not tied to the node's value: it has answers to give when that is dropped.
+                // The task is not tied to the `Node` value: it still has requests to answer when that is
+                // dropped.
                 tokio::task::spawn_local(shard.run());
                 Ok(node)
             }
@@ -135,7 +136,7 @@
 }
 
 impl Node {
-    /// A node that goes by this.
+    /// A builder for a node with this configuration.
     pub fn builder(config: Config) -> Builder {
         Builder { config, roster: None }
     }
--- a/crates/dunelink/src/node/received_request.rs
+++ b/crates/dunelink/src/node/received_request.rs
@@ -1,4 +1,4 @@
-//! A request that the node can take, and its one final answer.
+//! A request that has been read and checked, and its one final answer.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use crate::http::Rendering;
 use crate::types::Answer;
 
-/// A request that the node can take: whole, and in order. It counts as taken once [`ReceivedRequest::answer`] is
-/// polled; dropped before that, nothing has happened.
+/// A request that has been read and checked. It counts as accepted once [`ReceivedRequest::answer`] is
+/// polled; dropped before that, it has no effect.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -34,34 +34,34 @@
     pub(super) work: Work,
 }
 
-/// One request for the engine, or several in one.
+/// A single request to an engine, or a batch of several.
 pub(super) enum Work {
     Single(SingleRequest),
     Batch(Batch),
 }
 
 impl ReceivedRequest {
-    /// When no answer is of use any more.
+    /// When the client gives up.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Whether its body is there as a whole.
+    /// Whether its body has been received completely.
     pub fn is_fully_received(&self) -> bool {
         !matches!(&self.work, Work::Single(SingleRequest { remaining: Some(_), .. }))
     }
 
-    /// The request's body; of one that is passed on, what has come.
+    /// The request's body; if it is streamed, the bytes received so far.
     pub fn body(&self) -> &Bytes {
         &self.body
     }
 
-    /// How its answer is to be written for the client.
+    /// The format in which its answer is written for the client.
     pub fn rendering(&self) -> Rendering {
         self.rendering
     }
 
-    /// Refuses the request without asking the engine: its front has no room for it.
+    /// Refuses the request without asking the engine, because its frontend has no capacity for it.
     pub fn refuse(self, retry_after: Duration) -> Answer {
         match self.work {
             Work::Single(request) => request.refuse(Some(retry_after)),
@@ -69,16 +69,17 @@
         }
     }
 
-    /// Takes the request and waits for its one final answer, as [`Handle::call`](crate::Handle::call) does.
+    /// Accepts the request and waits for its one final answer, as [`Handle::call`](crate::Handle::call) does.
     ///
     /// # Errors
     ///
-    /// Its body broke off on the way, so that it was not taken. Nothing ran.
+    /// Its body broke off while it was streamed, so that the request was not accepted. Nothing ran.
     pub async fn answer(self) -> Result<Answer, CallError> {
         Ok(self.finish().await?.answer)
     }
 
-    /// The same, and whether some of the body was not read: the answer does not wait for that.
+    /// Like [`ReceivedRequest::answer`], but also tells whether part of the body was not read: the answer
+    /// does not wait for that.
     ///
     /// # Errors
     ///
--- a/crates/dunelink/src/node/running.rs
+++ b/crates/dunelink/src/node/running.rs
@@ -5,8 +5,8 @@
 use super::handle::Handle;
 use crate::counts::Counts;
 
-/// A running node. It ends when it is dropped: what is open is then answered as failed. [`Node::shutdown`]
-/// gives it time.
+/// A running node. It ends when this is dropped: open requests are then answered as failed.
+/// [`Node::shutdown`] gives them time to finish.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -30,13 +30,13 @@
 }
 
 impl Node {
-    /// The way to it, for as many owners as there are.
+    /// The handle to the node, to be cloned for each user.
     pub fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// Takes nothing more, and waits until all that is open has its answer or `deadline` has passed: what is
-    /// still open then is answered as failed. Tells how its requests ended.
+    /// Accepts no more requests, and waits until all open ones are answered or `deadline`, counted from now,
+    /// has passed; those that are then still open are answered as failed. Returns how requests ended.
     pub async fn shutdown(self, deadline: Duration) -> Counts {
         self.handle.shutdown(deadline).await
     }
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -1,6 +1,6 @@
-//! A node of several shards: engines that share nothing but the ids of open requests, the places for them, and
-//! one reader of the list of servers. Each counts as a balancer of its own, so that shares, limits and the reach
-//! of cold servers add up over all shards of all nodes.
+//! Nodes with several shards: engines that share only the ids of open requests, the permits for requests and
+//! streamed bodies, and one reader of the server list. Each shard counts as a balancer of its own, so that
+//! shares, limits and the allowance of cold servers add up over all shards of all nodes.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -22,10 +22,11 @@
 use crate::intake::Intake;
 use crate::roster::{Feed, Hub, Roster, RosterFuture};
 
-/// Between the seeds of two shards (the golden ratio in 64 bits).
+/// The difference between the seeds of consecutive shards (the golden ratio in 64 bits).
 const SHARD_SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A node in parts: for a front that gives each shard a thread of its own. Dropping the node ends all shards.
+/// A node split into parts, for a frontend that runs each shard on a thread of its own. Dropping the node
+/// ends all shards.
 ///
 /// ```
 /// use dunelink::config::{Class, Effect, Fleet};
@@ -54,13 +55,14 @@
 /// ```
 #[non_exhaustive]
 pub struct NodeParts {
-    /// The whole node.
+    /// The node itself.
     pub node: Node,
     /// Its shards, each to be run on a thread of its own.
     pub shards: Vec<Shard>,
-    /// The reader of the list, where there are several shards; to be run on a thread that nothing blocks.
+    /// The reader of the server list if there are several shards, to be run on a thread that nothing blocks;
+    /// `None` if the only shard reads the list itself.
     pub source: Option<ServerListReader>,
-    /// Gossip with the other nodes, where the configuration wants it; it is to be started.
+    /// Gossip with the other nodes, to be started; `None` if it is not configured.
     pub gossip: Option<Gossiper>,
 }
 
@@ -71,24 +73,25 @@
 }
 
 impl Shard {
-    /// The way to this shard alone.
+    /// A handle to this shard alone.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// The part of the configuration that falls to it: of limits, and its rank among all shards of all nodes.
+    /// This shard's share of the configuration: its part of the limits, and its rank among all shards of all
+    /// nodes.
     pub fn config(&self) -> &Config {
         &self.setup.config
     }
 
-    /// Takes in the list that is known at the start; the engine then runs in the future, until the node is shut
-    /// down. It needs a tokio `LocalSet`.
+    /// Applies the initial server list. The returned future runs the engine until the node is shut down; it
+    /// needs a tokio `LocalSet`.
     pub fn run(self) -> impl Future<Output = ()> + 'static {
         self.setup.start()
     }
 }
 
-/// Reads the list of servers for all shards.
+/// Reads the server list for all shards.
 pub struct ServerListReader {
     roster: Box<dyn Roster>,
     config: Config,
@@ -98,7 +101,7 @@
 }
 
 impl ServerListReader {
-    /// Runs until all shards have ended. It needs a tokio `LocalSet`.
+    /// Runs until all shards have ended. The future needs a tokio `LocalSet`.
     pub fn run(self) -> RosterFuture {
         let ServerListReader { roster, config, seed, hub, ended } = self;
         let running = roster.run(Feed::new(&config, seed, hub));
@@ -110,7 +113,7 @@
             };
             let reading = async {
                 running.await;
-                // A roster may end before the node: the list stays as it is.
+                // A roster may end before the node: the list then stays as it is.
                 std::future::pending::<()>().await;
             };
             tokio::select! {
@@ -121,7 +124,7 @@
     }
 }
 
-/// Makes a node's parts of a configuration that holds together.
+/// Creates the parts of a node from a valid configuration.
 pub(super) fn split(
     mut config: Config,
     mut roster: Box<dyn Roster>,
@@ -132,7 +135,7 @@
     let graphql = Endpoint::new(&config)?;
     let hub = (count > 1).then(|| Hub::new(count as usize));
     if let Some(hub) = &hub {
-        // The source may be read by another thread before the shards have begun.
+        // Another thread may read the list before the shards have started.
         config.known = roster.known().unwrap_or(config.known);
         hub.begin(&config.known);
     }
--- a/crates/dunelink/src/node/single_request.rs
+++ b/crates/dunelink/src/node/single_request.rs
@@ -1,4 +1,4 @@
-//! One request for the engine, and its one final answer.
+//! A single request to an engine, and its one final answer.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,19 +16,19 @@
 use crate::payload::PayloadSender;
 use crate::types::{Answer, Outgoing};
 
-/// For how long what comes beyond `limits.requests` is told to stay away.
+/// The advised time to stay away for requests beyond `limits.requests`.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The final answer to a request.
+/// The final answer to a request, with the state of its body.
 #[derive(Debug)]
 pub struct Completion {
     /// The answer.
     pub answer: Answer,
-    /// Whether some of the request's body was not read.
+    /// Whether part of the request's body was not read.
     pub body_unread: bool,
 }
 
-/// One request for the engine.
+/// A single request to an engine.
 pub(super) struct SingleRequest {
     pub(super) engine: Arc<EngineHandle>,
     pub(super) head: Head,
@@ -36,29 +36,29 @@
     pub(super) request_id: RequestId,
     pub(super) id_claim: IdClaim,
     pub(super) permit: Option<OwnedSemaphorePermit>,
-    /// Its room among the bodies that are passed on.
+    /// The permit for streaming its body.
     pub(super) transfer_permit: Option<OwnedSemaphorePermit>,
-    /// The body that is still coming, and where it goes.
+    /// The rest of a body that is still being received, and where to send it.
     pub(super) remaining: Option<(Box<RemainingBody>, PayloadSender)>,
 }
 
 impl SingleRequest {
-    /// Refuses it without asking the engine.
+    /// Refuses the request without asking the engine.
     pub(super) fn refuse(self, retry_after: Option<Duration>) -> Answer {
         self.engine.counters.count_refused(self.head.class());
         Answer::Refused { retry_after }
     }
 
-    /// Takes it and waits for its one final answer.
+    /// Accepts the request and waits for its one final answer.
     pub(super) async fn answer(self) -> Answer {
         match self.finish().await {
             Ok(Completion { answer, .. }) => answer,
-            // Only a body that is passed on can break off.
+            // Only a streamed body can break off.
             Err(_) => Answer::Failed { timed_out: false },
         }
     }
 
-    /// The same for one whose body may still be coming.
+    /// Like [`SingleRequest::answer`], also for a request whose body is still being received.
     pub(super) async fn finish(self) -> Result<Completion, CallError> {
         let body_unread = self.remaining.is_some();
         if self.permit.is_none() {
@@ -77,7 +77,8 @@
         let (sender, mut answer) = oneshot::channel();
         let class = head.class();
         let upload = remaining.as_ref().map(|(remaining, _)| remaining.upload());
-        // Dropped before the body's inlet: what breaks off is not a server's failure.
+        // Declared after `remaining` and so dropped before the body's sender: a client that breaks off must
+        // not look like a failure of the server.
         let mut call = WaitingCall::new(request_id, &engine, outgoing.clone());
         if !engine.mailbox.send(EngineMessage::RequestArrived(
             head.request(request_id),
@@ -89,15 +90,15 @@
             engine.counters.count_refused(class);
             return Ok(Completion { answer: Answer::Refused { retry_after: None }, body_unread });
         }
-        // The engine answers all that it has heard of; without an answer its thread has died.
+        // The engine answers every request that it receives; without an answer, its thread has died.
         let engine_died = |_| Answer::Failed { timed_out: false };
         if let Some((remaining, body_sender)) = &mut remaining {
             let early_answer = tokio::select! {
                 biased;
                 early_answer = &mut answer => Some(early_answer.unwrap_or_else(engine_died)),
                 forwarded = remaining.forward(body_sender, head.client_timeout()) => {
-                    let client_remaining = forwarded?.saturating_duration_since(Instant::now());
-                    engine.mailbox.send(EngineMessage::BodyReceived(request_id, client_remaining.as_micros() as u64));
+                    let remaining = forwarded?.saturating_duration_since(Instant::now());
+                    engine.mailbox.send(EngineMessage::BodyReceived(request_id, remaining.as_micros() as u64));
                     None
                 }
             };
@@ -106,7 +107,7 @@
                 return Ok(Completion { answer, body_unread });
             }
         }
-        // Its body has come to its end.
+        // The body is complete.
         drop((remaining, transfer_permit));
         let answer = answer.await;
         call.answered = true;
@@ -114,7 +115,8 @@
     }
 }
 
-/// A call that waits for its engine. Tells it if the client goes away first: its future is then dropped.
+/// A call that waits for its engine. When it is dropped without an answer because the client has left, it
+/// informs the engine.
 struct WaitingCall<'a> {
     request_id: RequestId,
     engine: &'a EngineHandle,
@@ -133,7 +135,7 @@
     fn drop(&mut self) {
         self.engine.waiting_calls.fetch_sub(1, Ordering::Relaxed);
         if !self.answered {
-            // Known to its attempts at once, and not only when the engine has come to it.
+            // The attempts learn this at once, not only when the engine processes the message.
             self.outgoing.end();
             self.engine.mailbox.send(EngineMessage::ClientLeft(self.request_id));
         }
--- a/crates/dunelink/src/payload.rs
+++ b/crates/dunelink/src/payload.rs
@@ -1,5 +1,5 @@
-//! The body of a request on its way to servers: whole, or passed on as it comes. What is passed on goes to one
-//! attempt; until some of it is gone, another one may have it.
+//! The body of a request sent to servers: buffered, or streamed as it arrives. A streamed body goes to one
+//! attempt at a time; until some of it has been consumed, another attempt may have it.
 
 use std::future::pending;
 use std::pin::Pin;
@@ -22,24 +22,24 @@
     Streaming(Arc<StreamingPayload>),
 }
 
-/// One that is passed on as it comes.
+/// A body that is streamed as it arrives.
 pub(crate) struct StreamingPayload {
-    /// Its length, if its sender has stated it.
+    /// Its length; `None` if its sender has not stated it.
     length: Option<u64>,
-    /// What was read before it was known to be long.
+    /// The bytes read before the body turned out to exceed the buffer limit.
     first: Bytes,
-    /// What comes after that, while nobody has taken any of it.
+    /// The chunks after `first`; `None` while an attempt has them, and for good once it has consumed any.
     rest: Mutex<Option<mpsc::Receiver<Bytes>>>,
-    /// When the client gives up; known once the last byte has come.
+    /// When the client gives up; `None` until the last byte has arrived.
     deadline: watch::Receiver<Option<Instant>>,
-    /// Whether an attempt has been given its end.
+    /// Whether an attempt has been given the end of the body.
     fully_sent: AtomicBool,
     client_timeout: Duration,
 }
 
-/// The other end, where the body comes in.
+/// The sending side, into which the body is read.
 pub(crate) struct PayloadSender {
-    /// Dropped before the end is told, the body is broken.
+    /// If it is dropped while `deadline` is unset, the body is incomplete.
     pub(crate) chunks: mpsc::Sender<Bytes>,
     pub(crate) deadline: watch::Sender<Option<Instant>>,
 }
@@ -50,7 +50,7 @@
         first: Bytes,
         client_timeout: Duration,
     ) -> (Arc<StreamingPayload>, PayloadSender) {
-        // One piece waits while another is on its way to the socket.
+        // One chunk is queued while another one is being written to the socket.
         let (chunks, rest) = mpsc::channel(1);
         let (deadline_sender, deadline) = watch::channel(None);
         let rest = Mutex::new(Some(rest));
@@ -71,7 +71,7 @@
 }
 
 impl Payload {
-    /// Its length, if that is known.
+    /// Its length; `None` if it is not known.
     pub(crate) fn length(&self) -> Option<u64> {
         match self {
             Payload::Buffered(bytes) => Some(bytes.len() as u64),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// How long a client that is asked now waits, where its patience has not begun.
+    /// How long the client will wait after the last byte, while that has not arrived; otherwise `None`.
     pub(crate) fn client_timeout(&self) -> Option<Duration> {
         match self {
             Payload::Streaming(streaming) if streaming.deadline.borrow().is_none() => {
@@ -89,7 +89,8 @@
         }
     }
 
-    /// When the client gives up, if its patience has begun.
+    /// When the client gives up; `None` while its timeout has not started. `deadline` is that of a buffered
+    /// body.
     pub(crate) fn client_deadline(&self, deadline: Instant) -> Option<Instant> {
         match self {
             Payload::Buffered(_) => Some(deadline),
@@ -97,18 +98,18 @@
         }
     }
 
-    /// Waits until the client has given up.
+    /// Waits until the client has given up. `deadline` is that of a buffered body.
     pub(crate) async fn client_deadline_passed(&self, deadline: Instant) {
         let Payload::Streaming(streaming) = self else { return sleep_until(deadline).await };
         let mut deadline_watch = streaming.deadline.clone();
         match deadline_watch.wait_for(Option::is_some).await.map(|at| *at) {
             Ok(Some(at)) => sleep_until(at).await,
-            // It broke off: whoever reads it has left.
+            // The body broke off: the call that reads it reports that the client has left.
             _ => pending().await,
         }
     }
 
-    /// When its last byte came, if that is known and matters.
+    /// When its last byte arrived; `None` if it has not, or if the body is buffered.
     pub(crate) fn fully_received_at(&self) -> Option<Instant> {
         match self {
             Payload::Buffered(_) => None,
@@ -126,12 +127,12 @@
         }
     }
 
-    /// Whether some of it is gone, so that it can't be sent once more.
+    /// Whether some of it has been consumed, or an attempt is using it, so that it can't be sent again.
     pub(crate) fn is_consumed(&self) -> bool {
         matches!(self, Payload::Streaming(streaming) if streaming.rest().is_none())
     }
 
-    /// The body for an attempt; none if it is spent or out.
+    /// The body for an attempt; `None` if it has been consumed or another attempt is using it.
     pub(crate) fn attempt_body(&self) -> Option<OutgoingBody> {
         match self {
             Payload::Buffered(bytes) => Some(OutgoingBody::Left(Full::new(bytes.clone()))),
@@ -151,10 +152,11 @@
     }
 }
 
-/// A body as an attempt sends it.
+/// The body as an attempt sends it.
 pub(crate) type OutgoingBody = Either<Full<Bytes>, StreamingPayloadBody>;
 
-/// One that is passed on. Dropped before any of what comes was taken, it can be had again.
+/// A streamed body in an attempt. If it is dropped before it took any queued chunk, another attempt can have
+/// the body.
 pub(crate) struct StreamingPayloadBody {
     streaming: Arc<StreamingPayload>,
     first: Bytes,
@@ -189,7 +191,7 @@
         match polled {
             Some(chunk) => {
                 self.sent_bytes += chunk.len() as u64;
-                // Where its length is stated, nobody asks for its end.
+                // With a stated length, nobody polls for the end.
                 if self.streaming.length == Some(self.sent_bytes) {
                     self.streaming.fully_sent.store(true, Ordering::Release);
                 }
@@ -199,7 +201,7 @@
                 self.streaming.fully_sent.store(true, Ordering::Release);
                 Poll::Ready(None)
             }
-            // A body without its end must not look whole.
+            // A truncated body must not look complete.
             None => Poll::Ready(Some(Err("the client broke its request off".into()))),
         }
     }
--- a/crates/dunelink/src/platform_list.rs
+++ b/crates/dunelink/src/platform_list.rs
@@ -1,4 +1,4 @@
-//! The platform's form of a list of servers: in its configuration, and on the lines of its watch.
+//! The platform's format of server lists, in its configuration and on the lines of its watch stream.
 
 use std::net::SocketAddr;
 
@@ -6,11 +6,11 @@
 
 use crate::server_list::{Server, ServerState, Update};
 
-/// What discovery says on one line, and the configuration of the list as it was last held.
+/// A list or changes to one: a line of the watch stream, or the initial list in the configuration.
 #[derive(Default, Deserialize)]
 pub(crate) struct PlatformList {
     rev: u64,
-    /// Whether it is the whole list, not changes.
+    /// Whether this is the complete list rather than changes to it.
     all: bool,
     targets: Vec<PlatformServer>,
 }
@@ -49,11 +49,11 @@
 }
 
 impl Update {
-    /// Reads a line of the platform's watch.
+    /// Parses a line of the platform's watch stream.
     ///
     /// # Errors
     ///
-    /// It is not JSON of that form; keys beyond it are passed over.
+    /// The line is not JSON of that form. Unknown keys are ignored.
     pub fn from_watch_line(line: &[u8]) -> Result<Update, serde_json::Error> {
         serde_json::from_slice::<PlatformList>(line).map(Update::from)
     }
--- a/crates/dunelink/src/server_list.rs
+++ b/crates/dunelink/src/server_list.rs
@@ -1,11 +1,12 @@
-//! What lists say of servers: the lowest room, as configuration, rosters and the node's own views all speak of them.
+//! Entries of server lists, shared by configuration, rosters and views. This module depends on no other of
+//! the crate.
 
 use std::net::SocketAddr;
 
 use cherryusher::ServerId;
 use serde::{Deserialize, Serialize};
 
-/// What a list says of a server.
+/// The state of a server in a list.
 ///
 /// ```
 /// use dunelink::{Server, ServerState};
@@ -17,16 +18,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerState {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has and is sent nothing new.
+    /// It finishes its requests and gets no new ones.
     Draining,
-    /// It is no more.
+    /// It no longer exists.
     Gone,
 }
 
-/// One server in a list.
+/// A server in a list.
 ///
 /// ```
 /// use dunelink::Server;
@@ -40,24 +41,25 @@
 pub struct Server {
     /// Its name, the same at every node and after a restart: pools are built from it.
     pub uid: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub endpoint: SocketAddr,
-    /// What it does.
+    /// Its state; ready if not given.
     #[serde(default)]
     pub state: ServerState,
     /// Its zone; empty if unknown.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub zone: String,
-    /// What kind of machine it is; empty if unknown.
+    /// The kind of machine; empty if unknown.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub kind: String,
-    /// Its cell: servers that know each other's idempotency keys.
+    /// Its cell: servers of one cell share their record of idempotency keys.
     #[serde(default)]
     pub cell: u16,
-    /// Its size against other servers, 0 if unknown.
+    /// Its capacity relative to other servers; 0 if unknown.
     #[serde(default)]
     pub weight: f64,
-    /// When it last started, in Unix time, milliseconds; 0 for long ago. A server is cold for a while after.
+    /// When it last started, in milliseconds of Unix time; 0 for long ago. A server counts as cold for a
+    /// while after its start.
     #[serde(default)]
     pub started_ms: u64,
 }
@@ -83,8 +85,8 @@
         self
     }
 
-    /// The number under which the decision module knows it: a fixed hash of its name, as every node, and this
-    /// one after a restart, must build the same pools.
+    /// The number by which the decision module identifies the server: a stable hash of its name, because
+    /// every node, also after a restart, must build the same pools.
     pub fn id(&self) -> ServerId {
         server_id(&self.uid)
     }
@@ -107,24 +109,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Update {
-    /// The list's version.
+    /// The version of the list.
     #[serde(default)]
     pub rev: u64,
-    /// Whether it is the whole list: a server that is missing is gone. Else these are changes.
+    /// Whether this is the complete list, in which a missing server is gone; otherwise these are changes.
     #[serde(default)]
     pub whole: bool,
-    /// The servers.
+    /// The servers of the list, or those that changed.
     #[serde(default)]
     pub servers: Vec<Server>,
 }
 
 impl Update {
-    /// A whole list, of version 0.
+    /// A complete list, with version 0.
     pub fn whole(servers: impl IntoIterator<Item = Server>) -> Update {
         Update { rev: 0, whole: true, servers: servers.into_iter().collect() }
     }
 
-    /// Changes to a list, of version 0.
+    /// Changes to a list, with version 0.
     pub fn changes(servers: impl IntoIterator<Item = Server>) -> Update {
         Update { rev: 0, whole: false, servers: servers.into_iter().collect() }
     }
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -1,4 +1,4 @@
-//! The servers' side: who they are, the idle connections to them, and one attempt at a time on each.
+//! The known servers, the idle connections to them, and their reachability.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -28,24 +28,24 @@
 use crate::server_list::Server;
 use crate::types::Outgoing;
 
-/// What a connection may buffer; it bounds headers too.
+/// The maximum read buffer of a connection; it also bounds the size of response headers.
 const MAX_CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
-/// An idle connection is retired after this part of the time for which servers keep it.
+/// An idle connection is closed after this fraction of the time for which servers keep it open.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
-/// How long an idle connection rests before it is used again: what a server sends behind an answer comes right
-/// behind it, and must have come before the next request goes out.
+/// How long an idle connection rests before it is used again: bytes that a server wrongly sends after an
+/// answer follow it immediately, and must have arrived before the next request is sent.
 const REUSE_DELAY: Duration = Duration::from_millis(5);
-/// For how long kept connections are not trusted with what must not run twice, after one broke.
+/// How long requests that must not run twice avoid idle connections after one of them broke.
 const IDLE_DISTRUST: Duration = Duration::from_secs(10);
-/// A server that answers nothing for this long may have vanished.
+/// A server that answers nothing for this long may have crashed.
 const SILENCE_THRESHOLD: Duration = Duration::from_secs(1);
-/// One that answered within this time answers.
+/// A server counts as answering if it answered within this time.
 const RECENT_ANSWER_WINDOW: Duration = Duration::from_secs(5);
-/// A server that gives nothing more of a long answer for this long, while its reader waits, is cut off.
+/// A streamed answer is cut off if the server sends nothing for this long while its reader waits.
 const TRANSFER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection may take to show that nothing comes behind its answer.
+/// How long a connection may take to show that nothing follows its answer.
 const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often idle connections are looked through.
+/// How often expired idle connections are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A connection to a server; dropping it closes it.
@@ -53,10 +53,11 @@
     pub(crate) sender: SendRequest<OutgoingBody>,
     pub(crate) socket: Rc<CountedSocket>,
     pub(crate) endpoint: SocketAddr,
-    /// When its server had started as it was opened.
+    /// When its server had started, as known when the connection was opened. Identifies the incarnation of
+    /// the server.
     pub(crate) server_started: Micros,
     idle_since: Instant,
-    /// Its number among those that became idle.
+    /// Its number in the order in which connections became idle.
     idle_number: u64,
     _task: AbortOnDropHandle<()>,
 }
@@ -67,56 +68,58 @@
     started: Micros,
     ready: bool,
     zone: Arc<str>,
-    /// When it last answered.
+    /// When it last answered; at first when it was added.
     last_answer: Instant,
-    /// Whether it ever did.
+    /// Whether it has ever answered.
     answered: bool,
-    /// Since when it has answered none of the attempts that were made, if there were any.
+    /// When the first attempt since its last answer was made; `None` if there was none.
     unanswered_since: Option<Instant>,
-    /// The freshest last.
+    /// Its idle connections, the most recently used last.
     idle: Vec<Connection>,
 }
 
-/// Where among a server's idle connections this one is. Numbers grow along each server's list.
+/// The position of a connection among its server's idle ones. Numbers increase along each server's list.
 fn idle_position(known: &HashMap<ServerId, KnownServer>, server: ServerId, number: u64) -> Option<usize> {
     known.get(&server)?.idle.binary_search_by_key(&number, |c| c.idle_number).ok()
 }
 
-/// A connection that an attempt has left over, for [`Servers::keep`].
+/// A connection that an attempt no longer needs, for [`Servers::keep`].
 pub(crate) struct ReusableConnection {
     pub(crate) server: ServerId,
     pub(crate) connection: Connection,
 }
 
-/// All servers that discovery has named, and the connections to them.
+/// The ready servers that discovery has named, and the connections to them.
 pub(crate) struct Servers {
     known: RefCell<HashMap<ServerId, KnownServer>>,
-    /// Whether there is any to send to, for other threads.
+    /// Whether any server is ready, for other threads.
     any_ready: Arc<AtomicBool>,
-    /// Who became idle when, over all servers.
+    /// The order in which connections became idle, over all servers.
     idle_order: RefCell<IdleOrder<ServerId>>,
     open_connections: Rc<Cell<usize>>,
     max_connections: usize,
-    /// The most bytes in an answer's body.
+    /// The maximum length in bytes of a buffered answer body.
     pub(crate) max_body_bytes: usize,
-    /// The most bytes of one that is passed on as it comes.
+    /// The maximum length in bytes of a streamed answer body.
     pub(crate) max_stream_bytes: u64,
     pub(crate) counters: Arc<Counters>,
-    /// Room for bodies that are passed on. What must not run twice can't be refused any more, so that answers take
-    /// room from requests, and are bounded by their connections.
+    /// Permits for streamed bodies, shared with streamed requests. An answer is streamed even without a permit,
+    /// because a request that must not run twice can't be refused any more at that point: answers take
+    /// permits from requests and are bounded by their connections.
     transfers: Arc<Semaphore>,
-    /// Which answers are the client's.
+    /// Which responses of servers count as answers for the client.
     pub(crate) answers: Answers,
     connect_timeout: Duration,
     idle_timeout: Duration,
-    /// What a reader on another thread knows to take requests, where there is one: it hears of drains first.
+    /// The ready servers as another thread that reads the list knows them, if there is one: it learns of
+    /// drains first.
     ready_servers: OnceCell<Arc<Ready>>,
-    /// Until when kept connections are known to break at their next request.
+    /// Until when idle connections are likely to break at their next request; `None` if none broke.
     distrust_idle_until: Cell<Option<Instant>>,
-    /// Answers that are being passed on, and who waits until none are.
+    /// The number of streamed answers in progress, and a notification whenever one ends.
     active_transfers: Cell<usize>,
     transfer_ended: Notify,
-    /// Whether it is kept how servers answer.
+    /// Whether to record how servers answer, which is needed only if the fleet has electors.
     tracks_reach: bool,
 }
 
@@ -148,29 +151,30 @@
         }
     }
 
-    /// Whether this request should have a new connection: one that breaks under a request leaves open
-    /// whether it ran, and this one could then neither go again nor be refused.
+    /// Whether this request needs a new connection. An idle connection that breaks under a request leaves
+    /// open whether the request ran, and a request that must not run twice could then neither be retried nor
+    /// be refused.
     pub(crate) fn needs_new_connection(&self, outgoing: &Outgoing) -> bool {
         outgoing.at_most_once && self.distrust_idle_until.get().is_some_and(|until| until > Instant::now())
     }
 
-    /// A kept connection broke under a request.
+    /// Avoids idle connections for a while, because one broke under a request.
     pub(crate) fn distrust_idle_connections(&self) {
         self.distrust_idle_until.set(Some(Instant::now() + IDLE_DISTRUST));
     }
 
-    /// How many answers are being passed on.
+    /// The number of streamed answers in progress.
     pub(crate) fn active_transfers(&self) -> usize {
         self.active_transfers.get()
     }
 
-    /// Waits until one of them has come to its end.
+    /// Waits until a streamed answer has ended.
     pub(crate) async fn transfer_ended(&self) {
         self.transfer_ended.notified().await;
     }
 
-    /// Sees an answer off that is passed on as it comes: `ended` is told at its end, and then its connection can be
-    /// used again. A server that gives nothing for too long while the reader waits is cut off.
+    /// Watches a streamed answer until `ended` is signalled; its connection can then be reused. A server that
+    /// sends nothing for too long while the reader waits is cut off.
     pub(crate) async fn watch_transfer(
         &self,
         reusable: ReusableConnection,
@@ -202,18 +206,18 @@
         self.transfer_ended.notify_one();
     }
 
-    /// How many connections to servers are open.
+    /// The number of open connections to servers.
     pub(crate) fn connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    /// Those that take requests: id, name, address and how many idle connections there are.
+    /// The ready servers: id, name, address and number of idle connections.
     pub(crate) fn list(&self) -> Vec<(ServerId, Arc<str>, SocketAddr, usize)> {
         let known = self.known.borrow();
         known.iter().map(|(id, s)| (*id, s.uid.clone(), s.endpoint, s.idle.len())).collect()
     }
 
-    /// Takes in the whole list or changes. Idle connections to an old address, or to a server that wants
+    /// Applies a complete list or changes. Idle connections to an old address, or to a server that takes
     /// nothing new, are closed.
     pub(crate) fn apply_list<'a>(
         &self,
@@ -237,31 +241,32 @@
                 idle: Vec::new(),
             };
             let known_server = known.entry(entry.id).or_insert_with(new_server);
-            // A machine that vanished and is back has forgotten its connections, and they say nothing of it.
+            // A machine that crashed and is back has lost its connections without closing them.
             if known_server.endpoint != endpoint || known_server.started != started {
                 *known_server = new_server();
             }
             known_server.ready = ready;
         }
         known.values_mut().filter(|s| !s.ready).for_each(|s| s.idle.clear());
-        // One that drains or is gone is sent nothing, so nothing need be kept of it.
+        // A server that drains or is gone gets no requests, so nothing about it needs to be kept.
         known.retain(|_, s| s.ready);
         self.any_ready.store(!known.is_empty(), Ordering::Release);
     }
 
-    /// Where to reach the server and when it started, if it takes requests.
+    /// The server's address and start time, if it is ready.
     pub(crate) fn ready_endpoint(&self, server: ServerId) -> Option<(SocketAddr, Micros)> {
         let target = self.known.borrow().get(&server).map(|s| (s.endpoint, s.started))?;
         self.ready_servers.get().is_none_or(|ready| ready.has(server, target.0)).then_some(target)
     }
 
-    /// From now on nothing new goes to a server that is not among these.
+    /// From here on, requests go only to servers that are in this set too.
     pub(crate) fn set_ready_servers(&self, ready: Arc<Ready>) {
-        // A shard has one reader for its whole life.
+        // A shard has the same list reader for its whole life, so this is set once.
         let _ = self.ready_servers.set(ready);
     }
 
-    /// The freshest idle connection that has rested and is quiet; older ones are retired in time.
+    /// The most recently used idle connection that has rested and has no unread input. Expired ones are
+    /// dropped.
     pub(crate) fn take_idle(&self, server: ServerId) -> Option<Connection> {
         let mut known = self.known.borrow_mut();
         let idle = &mut known.get_mut(&server)?.idle;
@@ -270,7 +275,7 @@
         while let Some(position) = idle.iter().rposition(|c| idle_for(c) >= REUSE_DELAY) {
             let connection = idle.remove(position);
             let is_young = idle_for(&connection) < self.idle_timeout;
-            // What has come since would be read as the next request's answer.
+            // Bytes that have arrived since would be read as the next request's answer.
             if is_young && connection.sender.is_ready() && connection.socket.has_no_pending_input() {
                 return Some(connection);
             }
@@ -278,9 +283,9 @@
         None
     }
 
-    /// Keeps a connection for the next attempt, if the server still takes any.
+    /// Keeps a connection for the next attempt, if the server is still ready.
     pub(crate) async fn keep(&self, ReusableConnection { server, mut connection }: ReusableConnection) {
-        // hyper says it is ready once it has found nothing behind the answer that it has read.
+        // hyper reports the connection as ready once it has found nothing after the answer that it read.
         if !matches!(timeout(REUSE_CHECK_TIMEOUT, connection.sender.ready()).await, Ok(Ok(()))) {
             return;
         }
@@ -298,7 +303,7 @@
         }
     }
 
-    /// Notes that a server has answered.
+    /// Records that a server has answered.
     pub(crate) fn record_answer(&self, server: ServerId) {
         if let Some(known_server) = self.known.borrow_mut().get_mut(&server) {
             known_server.last_answer = Instant::now();
@@ -306,7 +311,7 @@
         }
     }
 
-    /// Notes that an attempt at a server is made, where other nodes want to know how servers answer this one.
+    /// Records that an attempt at a server is made, if other nodes want to know how servers answer this one.
     pub(crate) fn record_attempt(&self, server: ServerId) {
         if self.tracks_reach
             && let Some(known_server) = self.known.borrow_mut().get_mut(&server)
@@ -315,7 +320,7 @@
         }
     }
 
-    /// How servers answer, by zone. One that was not tried lately is not among them.
+    /// How servers answer, by zone. A server without recent attempts counts as neither answering nor silent.
     pub(crate) fn zone_reach(&self) -> Vec<ZoneReach> {
         let mut zones: BTreeMap<Arc<str>, ZoneReach> = BTreeMap::new();
         for known_server in self.known.borrow().values() {
@@ -332,7 +337,8 @@
         zones.into_iter().map(with_zone).collect()
     }
 
-    /// Closes a server's idle connections if it has answered nothing since `sent`, some time ago.
+    /// Closes a server's idle connections if it has answered nothing since `sent_at`, and that is long enough
+    /// ago.
     pub(crate) fn close_idle_if_silent(&self, server: ServerId, sent_at: Instant) {
         if let Some(known_server) = self.known.borrow_mut().get_mut(&server)
             && sent_at.elapsed() >= SILENCE_THRESHOLD
@@ -342,7 +348,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest; tells whether there was one.
+    /// Closes the longest-idle connection; returns whether there was one.
     pub(crate) fn evict(&self) -> bool {
         let mut known = self.known.borrow_mut();
         let locate = |server, number| Some((server, idle_position(&known, server, number)?));
@@ -350,7 +356,7 @@
         oldest.and_then(|(server, position)| Some(known.get_mut(&server)?.idle.remove(position))).is_some()
     }
 
-    /// Retires idle connections well before servers close them: a request that crosses a close is lost.
+    /// Closes idle connections well before servers close them: a request that crosses a close is lost.
     pub(crate) async fn sweep(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -383,7 +389,7 @@
         let builder = http1::Builder::new().max_buf_size(MAX_CONNECTION_BUFFER_BYTES).handshake(io).await;
         let (sender, connection) = builder.map_err(|_| Outcome::ConnectFailed)?;
         let task = tokio::task::spawn_local(async move {
-            // Its errors show in the attempts.
+            // Its errors show up in the attempts.
             let _ = connection.await;
         });
         let _task = AbortOnDropHandle::new(task);
@@ -399,7 +405,7 @@
     }
 }
 
-/// Whether the node or its machine has no descriptor left.
+/// Whether the process or its machine has run out of file descriptors.
 fn out_of_descriptors(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
--- a/crates/dunelink/src/snapshot.rs
+++ b/crates/dunelink/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a node knows of itself, for its host.
+//! A node's view of itself, for its host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use crate::counts::Counts;
 use crate::server_list::server_id;
 
-/// How a node stands.
+/// The state of a node, all its shards together.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -21,28 +21,29 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The servers that it may send to, by name. One that drains or is gone is not among them.
+    /// The servers to which it may send, sorted by name. Draining and gone servers are not included.
     pub servers: Vec<ServerView>,
-    /// Requests without their final answer.
+    /// Requests that have no final answer yet.
     pub open: usize,
-    /// Requests of which anything is tracked: open ones, and answered ones with an attempt still out.
+    /// Requests of which any state is kept: open ones, and answered ones with an attempt still in flight.
     pub tracked: usize,
-    /// Open requests that wait in the queue for a server with room.
+    /// Open requests in the queue for a server with free capacity.
     pub queued: usize,
-    /// Attempts out.
+    /// Attempts in flight.
     pub in_flight: usize,
-    /// Connections to servers, idle ones included.
+    /// Open connections to servers, idle ones included.
     pub connections: usize,
-    /// Servers in the list, those that drain included.
+    /// Servers in the list, draining ones included.
     pub listed: usize,
-    /// Servers that take requests and that the node avoids now; of several shards, the most that one avoids.
+    /// Ready servers that the node currently ejects as outliers; with several shards, the largest number of
+    /// any shard.
     pub ejected: usize,
     /// How requests ended.
     pub counts: Counts,
 }
 
 impl Snapshot {
-    /// Adds another shard's.
+    /// Adds the snapshot of another shard.
     pub(crate) fn add(&mut self, other: Snapshot) {
         for server in other.servers {
             match self.servers.binary_search_by(|known| known.uid.cmp(&server.uid)) {
@@ -58,13 +59,13 @@
         self.queued += other.queued;
         self.in_flight += other.in_flight;
         self.connections += other.connections;
-        // Each shard has the whole list.
+        // Each shard has the complete list.
         (self.listed, self.ejected) = (self.listed.max(other.listed), self.ejected.max(other.ejected));
         self.counts = self.counts.plus(other.counts);
     }
 }
 
-/// A server, as the node sees it.
+/// A server as the node sees it.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -82,16 +83,16 @@
 pub struct ServerView {
     /// Its name in the list.
     pub uid: Arc<str>,
-    /// Where it listens.
+    /// The address on which it listens.
     pub endpoint: SocketAddr,
-    /// This node's attempts out on it.
+    /// This node's attempts in flight at it.
     pub in_flight: usize,
     /// This node's idle connections to it.
     pub idle: usize,
 }
 
 impl ServerView {
-    /// The number under which nodes speak of it.
+    /// The number that identifies it between nodes.
     pub fn id(&self) -> u64 {
         server_id(&self.uid)
     }
--- a/crates/dunelink/src/tower.rs
+++ b/crates/dunelink/src/tower.rs
@@ -1,8 +1,8 @@
 //! Middleware for tower, and so for axum, hyper and tonic.
 //!
-//! [`FleetLayer`] stands in front of a host's own routes: a predicate says which requests go to the fleet, and
-//! all others pass to the inner service untouched. [`FleetService`] is the fleet by itself: for the host's own
-//! outgoing calls, or as a route's whole service.
+//! [`FleetLayer`] wraps a host's own routes: a predicate says which requests go to the fleet, and all others
+//! pass to the inner service untouched. [`FleetService`] is the fleet alone: for the host's own outgoing
+//! calls, or as the complete service of a route.
 
 use std::fmt;
 use std::future::Future;
@@ -25,10 +25,10 @@
 use crate::http::Rendering;
 use crate::node::Handle;
 
-/// A call on its way to its response.
+/// The future of a call to the fleet.
 pub type AnswerFuture = Pin<Box<dyn Future<Output = Result<Response<AnswerBody>, CallError>> + Send>>;
 
-/// The places for open requests, one of which may be in hand.
+/// The node's permits for open requests, one of which may have been acquired for the next call.
 struct RequestPermits {
     handle: Handle,
     semaphore: PollSemaphore,
@@ -40,19 +40,19 @@
         RequestPermits { semaphore: PollSemaphore::new(handle.request_permits()), permit: None, handle }
     }
 
-    /// Waits for a place.
+    /// Waits for a permit.
     fn poll_permit(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CallError>> {
         if self.handle.is_closed() {
             return Poll::Ready(Err(CallError::Closed));
         }
         if self.permit.is_none() {
-            // Nobody closes the semaphore.
+            // The semaphore is never closed.
             self.permit = Some(ready!(self.semaphore.poll_acquire(cx)).ok_or(CallError::Closed)?);
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Sends a request to the fleet, in the place in hand or one that happens to be free.
+    /// Sends a request to the fleet, with the acquired permit or one that is free right now.
     fn send<B>(&mut self, request: Request<B>) -> AnswerFuture
     where
         B: Body + Send + 'static,
@@ -69,19 +69,19 @@
     }
 }
 
-/// A place is taken for each clone by itself.
+/// Each clone acquires a permit of its own.
 impl Clone for RequestPermits {
     fn clone(&self) -> RequestPermits {
         RequestPermits::new(self.handle.clone())
     }
 }
 
-/// The fleet as a service: every request goes there.
+/// The fleet as a service: every request goes to it.
 ///
-/// `poll_ready` waits while `limits.requests` requests are open; one that is called without it, when there is
-/// no place, is refused at once. Answers are mapped to HTTP by [`respond`](crate::http::respond), at the GraphQL endpoint
-/// by its [`Rendering`]; how they came to be is in their
-/// extensions, as a [`Verdict`](crate::http::Verdict). An error is a request that was not taken.
+/// `poll_ready` waits while `limits.requests` requests are open; a request that is called without it and
+/// finds no free permit is refused at once. Answers are mapped to HTTP by [`respond`](crate::http::respond),
+/// at the GraphQL endpoint by its [`Rendering`]; their extensions contain a
+/// [`Verdict`](crate::http::Verdict). An error means that the request was not accepted.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -104,7 +104,7 @@
 }
 
 impl FleetService {
-    /// The fleet that this node knows.
+    /// A service for the fleet of this node.
     pub fn new(handle: Handle) -> FleetService {
         FleetService { permits: RequestPermits::new(handle) }
     }
@@ -135,14 +135,14 @@
     }
 }
 
-/// Says which requests go to the fleet. It may read the head, and set extensions such as
+/// Decides which requests go to the fleet. It may read the head, and set extensions such as
 /// [`ext::Class`](crate::ext::Class) on those that do.
 type Route = Arc<dyn Fn(&mut Parts) -> bool + Send + Sync>;
 
 /// Sends some requests to the fleet and all others to the inner service.
 ///
-/// Errors of a request that was not taken become responses here, as the inner service's error type is the
-/// host's.
+/// Errors of requests that were not accepted become responses here, because the inner service's error type is
+/// the host's.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -169,18 +169,18 @@
 }
 
 impl FleetLayer {
-    /// Requests for which `route` is true go to the fleet that this node knows.
+    /// A layer that sends requests for which `route` returns true to the fleet of this node.
     pub fn new(handle: Handle, route: impl Fn(&mut Parts) -> bool + Send + Sync + 'static) -> FleetLayer {
         FleetLayer { handle, route: Arc::new(route), waits_for_capacity: false }
     }
 
-    /// Requests whose path begins with this go to the fleet.
+    /// A layer for requests whose path starts with `prefix`.
     pub fn prefix(handle: Handle, prefix: impl Into<String>) -> FleetLayer {
         let prefix = prefix.into();
         FleetLayer::new(handle, move |head| head.uri.path().starts_with(&prefix))
     }
 
-    /// Requests at the node's GraphQL endpoint, `graphql.path`, go to the fleet; none if it has no endpoint.
+    /// A layer for requests to the node's GraphQL endpoint, `graphql.path`; for none if it has no endpoint.
     ///
     /// ```
     /// # #[tokio::main(flavor = "current_thread")]
@@ -206,8 +206,8 @@
         FleetLayer::new(handle, move |head| path.as_deref() == Some(head.uri.path()))
     }
 
-    /// `poll_ready` waits for a place at the node too. That holds the inner service's requests back as well;
-    /// without it, what comes when there is no place is refused at once and told when to come back.
+    /// Makes `poll_ready` also wait until the node has capacity. That holds back the inner service's requests
+    /// too; without it, requests beyond the capacity are refused at once with a time to stay away.
     pub fn wait_for_capacity(mut self) -> FleetLayer {
         self.waits_for_capacity = true;
         self
@@ -233,7 +233,7 @@
     }
 }
 
-/// The service that [`FleetLayer`] makes.
+/// The service that [`FleetLayer`] creates.
 #[derive(Clone)]
 pub struct Fleet<S> {
     inner: S,
@@ -260,7 +260,7 @@
     type Future = FleetFuture<S::Future>;
 
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), S::Error>> {
-        // A node that has ended is told by its refusals; the inner service lives on.
+        // A node that has ended refuses by itself; the inner service keeps working.
         if self.waits_for_capacity && !self.permits.handle.is_closed() {
             let _ = ready!(self.permits.poll_permit(cx));
         }
@@ -273,7 +273,7 @@
         let rendering = self.permits.handle.rendering(&head);
         let request = Request::from_parts(head, body);
         if !to_fleet {
-            // A place in hand is for the next one.
+            // An acquired permit is kept for the next request.
             return FleetFuture::Inner { future: self.inner.call(request) };
         }
         FleetFuture::Fleet { future: self.permits.send(request), rendering }
@@ -287,7 +287,7 @@
     pub enum FleetFuture<F> {
         /// The request went to the fleet.
         Fleet { future: AnswerFuture, rendering: Rendering },
-        /// It went to the inner service.
+        /// The request went to the inner service.
         Inner { #[pin] future: F },
     }
 }
--- a/crates/dunelink/src/types.rs
+++ b/crates/dunelink/src/types.rs
@@ -1,4 +1,4 @@
-//! What the rooms of this crate hand to each other: a request on its way, its answer.
+//! Types shared by the modules of this crate: an answer, and a request as it is sent.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::answer_body::AnswerBody;
 use crate::payload::Payload;
 
-/// The one final answer to a request. [`crate::http::respond`] says what it looks like in HTTP.
+/// The one final answer to a request. [`crate::http::respond`] maps it to HTTP.
 ///
 /// ```
 /// use dunelink::Answer;
@@ -21,16 +21,16 @@
 #[derive(Debug)]
 #[must_use]
 pub enum Answer {
-    /// The first whole 200 of a server, its headers without those of one hop.
+    /// A server's answer, without the hop-by-hop headers.
     Served(Response<AnswerBody>),
-    /// Turned away: nothing ran, or a repeat is harmless.
+    /// Refused: nothing ran, or a repeat is harmless.
     Refused {
-        /// For how long the client should stay away, if it should.
+        /// How long the client should stay away; `None` for no advice.
         retry_after: Option<Duration>,
     },
-    /// No promise: it may have run, or may yet.
+    /// Failed: the request may have run, or may still run.
     Failed {
-        /// Whether it was time that ran out.
+        /// Whether the request ran out of time.
         timed_out: bool,
     },
 }
@@ -41,13 +41,13 @@
         matches!(self, Answer::Served(_))
     }
 
-    /// Whether trying again is harmless.
+    /// Whether the request was refused, so that a retry is harmless.
     pub fn is_refused(&self) -> bool {
         matches!(self, Answer::Refused { .. })
     }
 }
 
-/// A request as it goes on to servers; attempts share it.
+/// A request as it is sent to servers, shared by its attempts.
 pub(crate) struct Outgoing {
     pub(crate) method: Method,
     /// Path and query, unchanged.
@@ -55,11 +55,11 @@
     /// All headers but the deadline.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Payload,
-    /// When no answer is of use any more.
+    /// When the client gives up; for a streamed body, the body's own deadline counts instead.
     pub(crate) deadline: Instant,
     /// Whether it must never run twice.
     pub(crate) at_most_once: bool,
-    /// Whether nobody wants its answer any more.
+    /// Whether it has its final answer or its client has left.
     ended: AtomicBool,
 }
 
@@ -73,13 +73,13 @@
         Outgoing { method, target, headers, body, deadline, at_most_once, ended: AtomicBool::new(false) }
     }
 
-    /// It has its final answer, or its client has gone: no attempt begins from now on, on whatever thread that is known
-    /// and whatever the attempt waits for.
+    /// Marks the request as answered or abandoned: no attempt starts from here on, whichever thread learns of
+    /// it and whatever the attempt is waiting for.
     pub(crate) fn end(&self) {
         self.ended.store(true, Ordering::Release);
     }
 
-    /// Whether an attempt may still begin, as far as its client is concerned.
+    /// Whether the client still waits, so that an attempt may start.
     pub(crate) fn awaits_answer(&self) -> bool {
         let in_time =
             || self.body.client_deadline(self.deadline).is_none_or(|deadline| Instant::now() < deadline);
