--- a/crates/dunelink/src/answer_body.rs
+++ b/crates/dunelink/src/answer_body.rs
@@ -168,7 +168,7 @@
                     // Trailers are hop-by-hop unless both sides agreed to forward them.
                     let Ok(data) = frame.into_data() else { continue };
                     if data.len() as u64 > self.remaining_limit {
-                        return self.fail("the answer is over the limit");
+                        return self.fail("the response body exceeds the size limit");
                     }
                     self.remaining_limit -= data.len() as u64;
                     // A reader that knows the length does not poll for the end of the stream.
--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -124,7 +124,7 @@
         tokio::select! {
             biased;
             ended = self.send(outgoing, server, start_before, &started) => ended,
-            () = outgoing.body.client_deadline_passed(outgoing.deadline) => match started.get() {
+            () = outgoing.body.wait_client_deadline(outgoing.deadline) => match started.get() {
                 true => AttemptResult::without_response(Outcome::TimedOut),
                 false => AttemptResult::without_response(Outcome::NotSent),
             },
--- a/crates/dunelink/src/engine.rs
+++ b/crates/dunelink/src/engine.rs
@@ -118,7 +118,7 @@
     balancer: Balancer,
     servers: Rc<Servers>,
     mailbox: Mailbox,
-    subscribe: Rc<Notify>,
+    list_wanted: Rc<Notify>,
     started: Instant,
     started_us: Micros,
     /// The time of the current iteration of the loop: all events of one iteration have the same time.
@@ -137,7 +137,7 @@
         balancer: Balancer,
         servers: Rc<Servers>,
         mailbox: Mailbox,
-        subscribe: Rc<Notify>,
+        list_wanted: Rc<Notify>,
         counters: Arc<Counters>,
     ) -> Engine {
         // The clock is Unix time, so that it compares with the servers' start times, advanced by the
@@ -149,7 +149,7 @@
             balancer,
             servers,
             mailbox,
-            subscribe,
+            list_wanted,
             started: Instant::now(),
             started_us,
             timers: DelayQueue::new(),
@@ -366,7 +366,7 @@
             }
             Action::Cancel(request, attempt) => self.attempt_ended(request, attempt, Outcome::Cancelled),
             Action::SetTimer { after, token } => self.set_timer(after, token),
-            Action::Subscribe => self.subscribe.notify_one(),
+            Action::Subscribe => self.list_wanted.notify_one(),
         }
     }
 
--- a/crates/dunelink/src/engine_feed.rs
+++ b/crates/dunelink/src/engine_feed.rs
@@ -28,7 +28,7 @@
         EntryConverter { zones: indexed(&config.fleet.zones), kinds: indexed(&config.fleet.kinds) }
     }
 
-    fn entry(&self, server: &Server) -> ServerEntry {
+    fn convert(&self, server: &Server) -> ServerEntry {
         ServerEntry {
             id: server.id(),
             state: match server.state {
@@ -72,7 +72,7 @@
             News::Current if update.whole => Event::ServerList,
             News::Current => Event::ServerChanges,
         };
-        let list: Vec<ServerEntry> = update.servers.iter().map(|s| self.converter.entry(s)).collect();
+        let list: Vec<ServerEntry> = update.servers.iter().map(|s| self.converter.convert(s)).collect();
         self.servers.apply_list(list.iter().copied().zip(&update.servers), update.whole);
         self.engine.send(EngineMessage::BalancerEvent(event(list)));
     }
--- a/crates/dunelink/src/http.rs
+++ b/crates/dunelink/src/http.rs
@@ -53,14 +53,14 @@
 pub fn respond(result: Result<Answer, CallError>) -> Response<AnswerBody> {
     let (mut response, verdict) = match result {
         Ok(Answer::Served(response)) => (response, Verdict::Served),
-        Ok(Answer::Refused { retry_after }) => (refused(retry_after), Verdict::Refused),
+        Ok(Answer::Refused { retry_after }) => (refused_response(retry_after), Verdict::Refused),
         Ok(Answer::Failed { timed_out: true }) => {
             (plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"), Verdict::Failed)
         }
         Ok(Answer::Failed { timed_out: false }) => {
             (plain(StatusCode::BAD_GATEWAY, "no answer"), Verdict::Failed)
         }
-        Err(error) => (not_taken(&error), Verdict::NotTaken),
+        Err(error) => (error_response(&error), Verdict::NotTaken),
     };
     response.extensions_mut().insert(verdict);
     response
@@ -115,9 +115,9 @@
     response
 }
 
-fn not_taken(error: &CallError) -> Response<AnswerBody> {
+fn error_response(error: &CallError) -> Response<AnswerBody> {
     if let CallError::GraphQl { rejection, media } = error {
-        return rejected(rejection, *media);
+        return rejected_response(rejection, *media);
     }
     let mut response = plain(error.status(), error.to_string());
     // RFC 9110, section 15.5.6, requires `Allow` with status 405.
@@ -128,22 +128,22 @@
 }
 
 /// A GraphQL response that the node builds itself.
-pub(crate) fn graphql<B>(status: StatusCode, media: Media, body: B) -> Response<B> {
+pub(crate) fn graphql_response<B>(status: StatusCode, media: Media, body: B) -> Response<B> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(media.name()));
     response
 }
 
-fn rejected(rejection: &Rejection, media: Media) -> Response<AnswerBody> {
-    let mut response = graphql(rejection.status(media), media, AnswerBody::from(rejection.body()));
+fn rejected_response(rejection: &Rejection, media: Media) -> Response<AnswerBody> {
+    let mut response = graphql_response(rejection.status(media), media, AnswerBody::from(rejection.body()));
     if rejection.code == Code::MethodNotAllowed {
         response.headers_mut().insert(header::ALLOW, HeaderValue::from_static("GET, POST"));
     }
     response
 }
 
-fn refused(retry_after: Option<Duration>) -> Response<AnswerBody> {
+fn refused_response(retry_after: Option<Duration>) -> Response<AnswerBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
     let value = retry_after.and_then(|d| HeaderValue::from_str(&format!("{:.3}", d.as_secs_f64())).ok());
     value.into_iter().for_each(|v| {
--- a/crates/dunelink/src/intake.rs
+++ b/crates/dunelink/src/intake.rs
@@ -196,7 +196,7 @@
         let client_timeout = match ext.get::<ext::Deadline>() {
             Some(at) => Some(at.0.saturating_duration_since(received_at.into_std())),
             None if headers.contains_key(&DEADLINE) || self.rules.deadline == Absent::Refuse => {
-                let timeout = only(headers, &DEADLINE).and_then(seconds);
+                let timeout = only(headers, &DEADLINE).and_then(parse_seconds);
                 Some(
                     timeout
                         .ok_or(bad_request("Req-Deadline is missing or unreadable"))?
@@ -242,13 +242,18 @@
 
     /// The head of a request whose class, given by index, was determined elsewhere. `work` is the estimate
     /// where the client gives none.
-    pub(crate) fn head_of(&self, class: usize, mut common: CommonHead, work: Option<Duration>) -> Head {
+    pub(crate) fn head_for_class(
+        &self,
+        class: usize,
+        mut common: CommonHead,
+        work: Option<Duration>,
+    ) -> Head {
         let work = work.and_then(|work| u64::try_from(work.as_micros()).ok());
         common.expected_work = common.expected_work.or(work);
         common.for_class(self.class_rules[class])
     }
 
-    fn ids(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
+    fn lock_ids(&self, id: &str) -> MutexGuard<'_, HashSet<Box<str>>> {
         let shard = xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as usize % ID_SHARDS;
         self.ids[shard].lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -260,7 +265,7 @@
         number: RequestId,
     ) -> Result<IdClaim, InvalidRequest> {
         let id = id.map_or_else(|| format!("{number:016x}").into(), Box::from);
-        let inserted = self.ids(&id).insert(id.clone());
+        let inserted = self.lock_ids(&id).insert(id.clone());
         match inserted {
             true => Ok(IdClaim { id, intake: self.clone() }),
             false => {
@@ -285,7 +290,7 @@
 
 impl Drop for IdClaim {
     fn drop(&mut self) {
-        self.intake.ids(&self.id).remove(&self.id);
+        self.intake.lock_ids(&self.id).remove(&self.id);
     }
 }
 
@@ -324,7 +329,7 @@
     }
 
     /// The index of its class.
-    pub(crate) fn class(&self) -> usize {
+    pub(crate) fn class_index(&self) -> usize {
         self.class.index
     }
 
@@ -369,7 +374,7 @@
 }
 
 /// Parses a time in seconds, with decimals; a negative one counts as 0.
-fn seconds(text: &str) -> Option<Duration> {
+fn parse_seconds(text: &str) -> Option<Duration> {
     let only_number_chars = text.bytes().all(|b| b.is_ascii_digit() || b == b'.' || b == b'-' || b == b'+');
     let value: f64 = text.parse().ok().filter(|_| only_number_chars)?;
     Some(Duration::try_from_secs_f64(value.max(0.0)).unwrap_or(Duration::MAX))
--- a/crates/dunelink/src/node/batch.rs
+++ b/crates/dunelink/src/node/batch.rs
@@ -11,7 +11,7 @@
 
 use super::single_request::SingleRequest;
 use crate::answer_body::AnswerBody;
-use crate::http::graphql;
+use crate::http::graphql_response;
 use crate::intake::IdClaim;
 use crate::types::Answer;
 
@@ -142,5 +142,5 @@
         false => StatusCode::BAD_REQUEST,
     };
     let bodies: Vec<Bytes> = outcomes.iter().map(PartOutcome::body).collect();
-    Answer::Served(graphql(status, media, AnswerBody::from(join(&bodies))))
+    Answer::Served(graphql_response(status, media, AnswerBody::from(join(&bodies))))
 }
--- a/crates/dunelink/src/node/graphql.rs
+++ b/crates/dunelink/src/node/graphql.rs
@@ -85,7 +85,7 @@
         match verdict.map_err(rejection_error(media))? {
             Verdict::Single(ruling) => {
                 let request = self.single_request(
-                    self.head_of(&ruling, common),
+                    self.head_for_class(&ruling, common),
                     parts,
                     Payload::Buffered(body.clone()),
                     permit,
@@ -108,9 +108,9 @@
     }
 
     /// The head of a request of the class that the ruling gives it.
-    fn head_of(&self, ruling: &Ruling, common: CommonHead) -> Head {
+    fn head_for_class(&self, ruling: &Ruling, common: CommonHead) -> Head {
         let work = ruling.operation.as_ref().map(|operation| operation.work);
-        self.shared.intake.head_of(ruling.class.index, common, work)
+        self.shared.intake.head_for_class(ruling.class.index, common, work)
     }
 
     /// Builds the parts of a batch. Each has an id and a permit of its own; keyed parts after the first also
@@ -155,8 +155,12 @@
                 ));
             }
             let permit = permit.take().or_else(|| self.request_permits().try_acquire_owned().ok());
-            let request =
-                self.single_request(self.head_of(&ruling, common), parts, Payload::Buffered(body), permit)?;
+            let request = self.single_request(
+                self.head_for_class(&ruling, common),
+                parts,
+                Payload::Buffered(body),
+                permit,
+            )?;
             batch_parts
                 .push(BatchPart { read_only: ruling.class.effect == Effect::Safe, request: Ok(request) });
         }
--- a/crates/dunelink/src/node/mod.rs
+++ b/crates/dunelink/src/node/mod.rs
@@ -102,7 +102,7 @@
             gossip.start()?;
         }
         for _ in 0..count {
-            start_signals.recv().map_err(|_| io::Error::other("it ended at once"))?;
+            start_signals.recv().map_err(|_| io::Error::other("a shard's thread ended during startup"))?;
         }
         Ok(node)
     }
@@ -130,7 +130,10 @@
                 tokio::task::spawn_local(shard.run());
                 Ok(node)
             }
-            _ => Err(ConfigError::whole("fleet.shards: expected 1, as one thread runs one").into()),
+            _ => {
+                Err(ConfigError::whole("fleet.shards: expected 1, because a local node runs a single shard")
+                    .into())
+            }
         }
     }
 }
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -176,10 +176,10 @@
     let mailboxes = engines.iter().map(|engine: &Arc<EngineHandle>| engine.mailbox.clone()).collect();
     let counters = engines.iter().map(|engine: &Arc<EngineHandle>| engine.counters.clone()).collect();
     let withdrawn = Arc::new(AtomicBool::new(false));
-    let (gossip, asks) = Gossiper::new(&config, (mailboxes, counters), withdrawn.clone())?.unzip();
+    let (gossip, gossip_requests) = Gossiper::new(&config, (mailboxes, counters), withdrawn.clone())?.unzip();
     let shared = Shared {
         engines,
-        gossip: asks,
+        gossip: gossip_requests,
         class_names: config.classes.iter().map(|class| class.name.clone()).collect(),
         intake,
         graphql,
--- a/crates/dunelink/src/node/single_request.rs
+++ b/crates/dunelink/src/node/single_request.rs
@@ -45,7 +45,7 @@
 impl SingleRequest {
     /// Refuses the request without asking the engine.
     pub(super) fn refuse(self, retry_after: Option<Duration>) -> Answer {
-        self.engine.counters.count_refused(self.head.class());
+        self.engine.counters.count_refused(self.head.class_index());
         Answer::Refused { retry_after }
     }
 
@@ -75,7 +75,7 @@
             mut remaining,
         } = self;
         let (sender, mut answer) = oneshot::channel();
-        let class = head.class();
+        let class = head.class_index();
         let upload = remaining.as_ref().map(|(remaining, _)| remaining.upload());
         // Declared after `remaining` and so dropped before the body's sender: a client that breaks off must
         // not look like a failure of the server.
@@ -98,7 +98,9 @@
                 early_answer = &mut answer => Some(early_answer.unwrap_or_else(engine_died)),
                 forwarded = remaining.forward(body_sender, head.client_timeout()) => {
                     let remaining = forwarded?.saturating_duration_since(Instant::now());
-                    engine.mailbox.send(EngineMessage::BodyReceived(request_id, remaining.as_micros() as u64));
+                    engine
+                        .mailbox
+                        .send(EngineMessage::BodyReceived(request_id, remaining.as_micros() as u64));
                     None
                 }
             };
--- a/crates/dunelink/src/payload.rs
+++ b/crates/dunelink/src/payload.rs
@@ -65,7 +65,7 @@
         (Arc::new(streaming), PayloadSender { chunks, deadline: deadline_sender })
     }
 
-    fn rest(&self) -> MutexGuard<'_, Option<mpsc::Receiver<Bytes>>> {
+    fn lock_rest(&self) -> MutexGuard<'_, Option<mpsc::Receiver<Bytes>>> {
         self.rest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -99,7 +99,7 @@
     }
 
     /// Waits until the client has given up. `deadline` is that of a buffered body.
-    pub(crate) async fn client_deadline_passed(&self, deadline: Instant) {
+    pub(crate) async fn wait_client_deadline(&self, deadline: Instant) {
         let Payload::Streaming(streaming) = self else { return sleep_until(deadline).await };
         let mut deadline_watch = streaming.deadline.clone();
         match deadline_watch.wait_for(Option::is_some).await.map(|at| *at) {
@@ -129,7 +129,7 @@
 
     /// Whether some of it has been consumed, or an attempt is using it, so that it can't be sent again.
     pub(crate) fn is_consumed(&self) -> bool {
-        matches!(self, Payload::Streaming(streaming) if streaming.rest().is_none())
+        matches!(self, Payload::Streaming(streaming) if streaming.lock_rest().is_none())
     }
 
     /// The body for an attempt; `None` if it has been consumed or another attempt is using it.
@@ -137,11 +137,11 @@
         match self {
             Payload::Buffered(bytes) => Some(OutgoingBody::Left(Full::new(bytes.clone()))),
             Payload::Streaming(streaming) => {
-                let rest = streaming.rest().take()?;
+                let rest = streaming.lock_rest().take()?;
                 let first = streaming.first.clone();
                 let streaming = streaming.clone();
                 Some(OutgoingBody::Right(StreamingPayloadBody {
-                    streaming,
+                    payload: streaming,
                     first,
                     rest: Some(rest),
                     consumed: false,
@@ -158,7 +158,7 @@
 /// A streamed body in an attempt. If it is dropped before it took any queued chunk, another attempt can have
 /// the body.
 pub(crate) struct StreamingPayloadBody {
-    streaming: Arc<StreamingPayload>,
+    payload: Arc<StreamingPayload>,
     first: Bytes,
     rest: Option<mpsc::Receiver<Bytes>>,
     consumed: bool,
@@ -168,7 +168,7 @@
 impl Drop for StreamingPayloadBody {
     fn drop(&mut self) {
         if !self.consumed {
-            *self.streaming.rest() = self.rest.take();
+            *self.payload.lock_rest() = self.rest.take();
         }
     }
 }
@@ -192,21 +192,23 @@
             Some(chunk) => {
                 self.sent_bytes += chunk.len() as u64;
                 // With a stated length, nobody polls for the end.
-                if self.streaming.length == Some(self.sent_bytes) {
-                    self.streaming.fully_sent.store(true, Ordering::Release);
+                if self.payload.length == Some(self.sent_bytes) {
+                    self.payload.fully_sent.store(true, Ordering::Release);
                 }
                 Poll::Ready(Some(Ok(Frame::data(chunk))))
             }
-            None if self.streaming.deadline.borrow().is_some() => {
-                self.streaming.fully_sent.store(true, Ordering::Release);
+            None if self.payload.deadline.borrow().is_some() => {
+                self.payload.fully_sent.store(true, Ordering::Release);
                 Poll::Ready(None)
             }
             // A truncated body must not look complete.
-            None => Poll::Ready(Some(Err("the client broke its request off".into()))),
+            None => Poll::Ready(Some(Err(
+                "the client closed the connection before the end of its request body".into(),
+            ))),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.streaming.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.payload.length.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -65,7 +65,7 @@
 struct KnownServer {
     uid: Arc<str>,
     endpoint: SocketAddr,
-    started: Micros,
+    started_at: Micros,
     ready: bool,
     zone: Arc<str>,
     /// When it last answered; at first when it was added.
@@ -103,9 +103,9 @@
     /// The maximum length in bytes of a streamed answer body.
     pub(crate) max_stream_bytes: u64,
     pub(crate) counters: Arc<Counters>,
-    /// Permits for streamed bodies, shared with streamed requests. An answer is streamed even without a permit,
-    /// because a request that must not run twice can't be refused any more at that point: answers take
-    /// permits from requests and are bounded by their connections.
+    /// Permits for streamed bodies, shared with streamed requests. An answer is streamed even without a
+    /// permit, because a request that must not run twice can't be refused any more at that point: answers
+    /// take permits from requests and are bounded by their connections.
     transfers: Arc<Semaphore>,
     /// Which responses of servers count as answers for the client.
     pub(crate) answers: Answers,
@@ -228,11 +228,11 @@
         known.values_mut().filter(|_| is_full).for_each(|s| s.ready = false);
         for (entry, Server { uid, endpoint, zone, .. }) in list {
             let (ready, endpoint) = (entry.state == ServerState::Ready, *endpoint);
-            let (started, last_answer) = (entry.ready_at, Instant::now());
+            let (started_at, last_answer) = (entry.ready_at, Instant::now());
             let new_server = || KnownServer {
                 uid: uid.as_str().into(),
                 endpoint,
-                started,
+                started_at,
                 ready,
                 zone: zone.as_str().into(),
                 last_answer,
@@ -242,7 +242,7 @@
             };
             let known_server = known.entry(entry.id).or_insert_with(new_server);
             // A machine that crashed and is back has lost its connections without closing them.
-            if known_server.endpoint != endpoint || known_server.started != started {
+            if known_server.endpoint != endpoint || known_server.started_at != started_at {
                 *known_server = new_server();
             }
             known_server.ready = ready;
@@ -255,7 +255,7 @@
 
     /// The server's address and start time, if it is ready.
     pub(crate) fn ready_endpoint(&self, server: ServerId) -> Option<(SocketAddr, Micros)> {
-        let target = self.known.borrow().get(&server).map(|s| (s.endpoint, s.started))?;
+        let target = self.known.borrow().get(&server).map(|s| (s.endpoint, s.started_at))?;
         self.ready_servers.get().is_none_or(|ready| ready.has(server, target.0)).then_some(target)
     }
 
@@ -291,7 +291,7 @@
         }
         connection.idle_since = Instant::now();
         let mut known = self.known.borrow_mut();
-        let target = known.get(&server).map(|s| (s.endpoint, s.started));
+        let target = known.get(&server).map(|s| (s.endpoint, s.started_at));
         if target != Some((connection.endpoint, connection.server_started)) {
             return;
         }
@@ -369,7 +369,7 @@
 
     pub(crate) async fn connect(
         &self,
-        (endpoint, started): (SocketAddr, Micros),
+        (endpoint, started_at): (SocketAddr, Micros),
     ) -> Result<Connection, Outcome> {
         if self.open_connections.get() >= self.max_connections && !self.evict() {
             return Err(Outcome::NotSent);
@@ -397,7 +397,7 @@
             sender,
             socket,
             endpoint,
-            server_started: started,
+            server_started: started_at,
             idle_since: Instant::now(),
             idle_number: 0,
             _task,
