--- a/crates/dunelink/examples/client.rs
+++ b/crates/dunelink/examples/client.rs
@@ -1,4 +1,4 @@
-//! A program that calls out to the fleet through a node of its own, and moves a server while it does.
+//! A program that calls the fleet through a node of its own, and drains a server meanwhile.
 //!
 //!     cargo run -p dunelink --example client
 
@@ -11,7 +11,7 @@
 use dunelink::{Answer, Config, Node, Server, ServerState, Update, roster};
 use tokio::net::TcpListener;
 
-/// A stand-in for a payroll server.
+/// A stand-in for a payroll server that answers with its name.
 async fn payroll_server(name: &'static str) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -20,14 +20,14 @@
     Ok(address)
 }
 
-fn say(what: &str, answer: &Answer) {
+fn print_answer(what: &str, answer: &Answer) {
     match answer {
         Answer::Served(response) => {
             let body = response.body().whole().map(|body| String::from_utf8_lossy(body));
             println!("{what}: served by {}", body.unwrap_or("a long answer".into()));
         }
-        Answer::Refused { retry_after: Some(after) } => println!("{what}: refused; again after {after:?}"),
-        Answer::Refused { retry_after: None } => println!("{what}: refused; trying again is harmless"),
+        Answer::Refused { retry_after: Some(after) } => println!("{what}: refused; retry after {after:?}"),
+        Answer::Refused { retry_after: None } => println!("{what}: refused; a retry is harmless"),
         Answer::Failed { .. } => println!("{what}: failed; it may have run"),
     }
 }
@@ -57,17 +57,17 @@
     while !fleet.is_ready() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    say("a payslip", &fleet.call(http::Request::get("/payslip-view/7").body(String::new())?).await?);
+    print_answer("a payslip", &fleet.call(http::Request::get("/payslip-view/7").body(String::new())?).await?);
     let order = http::Request::post("/transfer-order/7").body(String::from("300000 yen"))?;
-    say("an order", &fleet.call(order).await?);
+    print_answer("an order", &fleet.call(order).await?);
 
     list.send(Update::changes([one.with_state(ServerState::Draining), two])).await?;
-    // The order of messages from two senders is not fixed: look until the node has heard.
+    // List changes and calls are not ordered: wait until the node has applied the change.
     while fleet.snapshot().await?.servers.iter().any(|server| &*server.uid == "one") {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let hours = http::Request::post("/timesheet-submit/7").header("idempotency-key", "5c0f6e1a");
-    say("hours", &fleet.call(hours.body(String::from("38.5"))?).await?);
+    print_answer("hours", &fleet.call(hours.body(String::from("38.5"))?).await?);
 
     let wrong = fleet.call(http::Request::get("/no-such-class/7").body(String::new())?).await;
     println!("a mistake: {}", wrong.map(|_| ()).unwrap_err());
--- a/crates/dunelink/examples/portal.rs
+++ b/crates/dunelink/examples/portal.rs
@@ -1,8 +1,9 @@
-//! A payroll portal on axum: its own pages, and payslips that come from the fleet.
+//! A payroll portal on axum: its own pages, and payslips from the fleet.
 //!
 //!     cargo run -p dunelink --example portal
 //!
-//! It starts three stand-in servers, serves on a loopback port, and asks itself for a page of each kind.
+//! It starts three stand-in servers, listens on a loopback port, and requests a page of each kind from
+//! itself.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
 use tokio::net::TcpListener;
 use tower::ServiceExt;
 
-/// A stand-in for a payroll server.
+/// A stand-in for a payroll server that answers with its name.
 async fn payroll_server(name: &'static str) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -38,13 +39,13 @@
     };
     let node = Node::builder(config).roster(roster::Fixed::new(servers)).start()?;
 
-    // Which requests go to the fleet, and what they are there. All others never hear of it.
+    // Selects the requests for the fleet and sets their class. All others go to the portal's own routes.
     let layer = FleetLayer::new(node.handle().clone(), |head| {
-        let ours = head.uri.path().starts_with("/payslips/");
-        if ours {
+        let to_fleet = head.uri.path().starts_with("/payslips/");
+        if to_fleet {
             head.extensions.insert(ext::Class::new("payslip-view"));
         }
-        ours
+        to_fleet
     });
     let portal = Router::new()
         .route("/", get(|| async { "the portal's own page\n" }))
@@ -59,13 +60,13 @@
         let body = axum::body::to_bytes(response.into_body(), 1 << 20).await?;
         print!("GET {path}: {}", String::from_utf8_lossy(&body));
     }
-    // The same node, for the portal's own calls.
+    // The same node serves the portal's own calls.
     let fleet = FleetService::new(node.handle().clone());
     let response = fleet.oneshot(http::Request::get("/payslip-view/7f3a").body(String::new())?).await?;
     println!("the portal's own call: {}", response.status());
 
-    // `--stay` serves until it is interrupted.
-    if std::env::args().any(|word| word == "--stay") {
+    // With `--stay`, the portal serves until it is interrupted.
+    if std::env::args().any(|argument| argument == "--stay") {
         let interrupted = async { drop(tokio::signal::ctrl_c().await) };
         axum::serve(listener, portal).with_graceful_shutdown(interrupted).await?;
     }
--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -143,7 +143,7 @@
     ) -> bool {
         outgoing.awaits_answer()
             && start_before.is_none_or(|start_before| Instant::now() < start_before)
-            && self.ready_endpoint(server) == Some((connection.endpoint, connection.server_started))
+            && self.ready_endpoint(server) == Some((connection.endpoint, connection.server_started_at))
     }
 
     /// Sends the request on an idle connection or a new one. `started` is set once bytes of it may be on the
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -55,7 +55,7 @@
     pub(crate) endpoint: SocketAddr,
     /// When its server had started, as known when the connection was opened. Identifies the incarnation of
     /// the server.
-    pub(crate) server_started: Micros,
+    pub(crate) server_started_at: Micros,
     idle_since: Instant,
     /// Its number in the order in which connections became idle.
     idle_number: u64,
@@ -292,7 +292,7 @@
         connection.idle_since = Instant::now();
         let mut known = self.known.borrow_mut();
         let target = known.get(&server).map(|s| (s.endpoint, s.started_at));
-        if target != Some((connection.endpoint, connection.server_started)) {
+        if target != Some((connection.endpoint, connection.server_started_at)) {
             return;
         }
         let is_live = |server, number| idle_position(&known, server, number).is_some();
@@ -397,7 +397,7 @@
             sender,
             socket,
             endpoint,
-            server_started: started_at,
+            server_started_at: started_at,
             idle_since: Instant::now(),
             idle_number: 0,
             _task,
--- a/crates/dunelink/tests/config.rs
+++ b/crates/dunelink/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations: what people write, what the platform writes, and what is said about mistakes in either.
+//! Configurations from TOML and from the platform: parsing, defaults, round trips and error messages.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -10,39 +10,39 @@
 use serde_json::json;
 use testkit::corpus;
 
-const LEAST: &str = "[[classes]]\nname = \"view\"\neffect = \"safe\"\ndeadline = \"2s\"\n";
+const MINIMAL: &str = "[[classes]]\nname = \"view\"\neffect = \"safe\"\ndeadline = \"2s\"\n";
 
-fn deploy(name: &str) -> PathBuf {
+fn deploy_file(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "..", "..", "deploy", name].iter().collect()
 }
 
 #[test]
-fn the_example_file_can_be_used_and_says_all_there_is() {
-    let text = std::fs::read_to_string(deploy("dunelink.toml")).unwrap();
+fn example_file_is_valid_and_complete() {
+    let text = std::fs::read_to_string(deploy_file("dunelink.toml")).unwrap();
     let config = Config::from_toml(&text).unwrap();
     assert_eq!(config.classes.len(), 4);
-    // What it only mentions can be used too.
-    let switched_on: String = text
+    // Settings that are commented out must be valid too.
+    let uncommented: String = text
         .lines()
         .map(|line| match line.strip_prefix("#= ") {
             Some(setting) => format!("{setting}\n"),
             None => format!("{line}\n"),
         })
         .collect();
-    let whole = Config::from_toml(&switched_on).unwrap();
-    // Every key that a configuration can have is in it.
-    let written = whole.to_toml().unwrap();
+    let complete = Config::from_toml(&uncommented).unwrap();
+    // Every key that a configuration can have must be in the file.
+    let written = complete.to_toml().unwrap();
     for line in written.lines() {
         if let Some((key, _)) = line.split_once(" = ") {
-            assert!(text.contains(key.trim()), "the example does not mention {key}");
+            assert!(text.contains(key.trim()), "the example file does not mention {key}");
         }
     }
-    assert!(whole.seed.is_some() && whole.limits.server_connections.is_some());
+    assert!(complete.seed.is_some() && complete.limits.server_connections.is_some());
 }
 
 #[test]
-fn a_small_file_has_defaults_for_all_else() {
-    let config = Config::from_toml(LEAST).unwrap();
+fn minimal_file_uses_defaults() {
+    let config = Config::from_toml(MINIMAL).unwrap();
     assert_eq!(config.limits.body, 65_536);
     assert_eq!((config.intake.id, config.intake.deadline), (Absent::Default, Absent::Default));
     assert_eq!(config.classes[0].aim(), Duration::from_secs(2));
@@ -50,58 +50,70 @@
 }
 
 #[test]
-fn mistakes_in_a_file_name_line_key_and_what_was_expected() {
-    let with = |more: &str| format!("{LEAST}{more}");
+fn toml_errors_name_line_key_and_expectation() {
+    let with_suffix = |suffix: &str| format!("{MINIMAL}{suffix}");
     let cases = [
-        ("rank = 1\n".to_string() + LEAST, "line 1: rank: unknown field `rank`, expected one of"),
-        (with("[limits]\nsokets = 3\n"), "line 6: limits.sokets: unknown field `sokets`, expected one of"),
-        (with("[limits]\n\nsockets = \"many\"\n"), "line 7: limits.sockets: invalid type: string \"many\""),
-        (with("deadline = \"3s\"\n"), "line 5: duplicate key"),
-        (LEAST.replace("\"2s\"", "\"2 parsecs\""), "line 4: classes[0].deadline: invalid value"),
-        (LEAST.replace("\"2s\"", "2"), "line 4: classes[0].deadline: invalid type: integer `2`"),
-        (LEAST.replace("\"2s\"", "\"0s\""), "line 4: classes[0].deadline: expected a time above 0"),
+        ("rank = 1\n".to_string() + MINIMAL, "line 1: rank: unknown field `rank`, expected one of"),
         (
-            LEAST.replace("safe", "harmless"),
+            with_suffix("[limits]\nsokets = 3\n"),
+            "line 6: limits.sokets: unknown field `sokets`, expected one of",
+        ),
+        (
+            with_suffix("[limits]\n\nsockets = \"many\"\n"),
+            "line 7: limits.sockets: invalid type: string \"many\"",
+        ),
+        (with_suffix("deadline = \"3s\"\n"), "line 5: duplicate key"),
+        (MINIMAL.replace("\"2s\"", "\"2 parsecs\""), "line 4: classes[0].deadline: invalid value"),
+        (MINIMAL.replace("\"2s\"", "2"), "line 4: classes[0].deadline: invalid type: integer `2`"),
+        (MINIMAL.replace("\"2s\"", "\"0s\""), "line 4: classes[0].deadline: expected a time above 0"),
+        (
+            MINIMAL.replace("safe", "harmless"),
             "line 3: classes[0].effect: unknown variant `harmless`, expected",
         ),
-        (LEAST.replace("safe", "keyed"), "line 1: classes[0].dedup: expected { group"),
-        (with(LEAST), "line 6: classes[1].name: expected a name that no other class has"),
+        (MINIMAL.replace("safe", "keyed"), "line 1: classes[0].dedup: expected { group"),
+        (with_suffix(MINIMAL), "line 6: classes[1].name: expected a name that no other class has"),
         (
-            with(&LEAST.replace("view", "VIEW")),
+            with_suffix(&MINIMAL.replace("view", "VIEW")),
             "line 6: classes[1].name: expected a name that no other class has, in whatever case",
         ),
-        (LEAST.replace("view", "a;b"), "line 2: classes[0].name: expected letters, digits and "),
-        (LEAST.replace("view", ".."), "line 2: classes[0].name: expected letters, digits and "),
-        (with("[fleet]\nnodes = 2\nrank = 2\n"), "line 7: fleet.rank: expected a number below fleet.nodes"),
-        (with("[fleet]\nzone = \"x\"\n"), "line 6: fleet.zone: expected one of the names in fleet.zones"),
+        (MINIMAL.replace("view", "a;b"), "line 2: classes[0].name: expected letters, digits and "),
+        (MINIMAL.replace("view", ".."), "line 2: classes[0].name: expected letters, digits and "),
+        (
+            with_suffix("[fleet]\nnodes = 2\nrank = 2\n"),
+            "line 7: fleet.rank: expected a number below fleet.nodes",
+        ),
+        (
+            with_suffix("[fleet]\nzone = \"x\"\n"),
+            "line 6: fleet.zone: expected one of the names in fleet.zones",
+        ),
         (
-            with("[[tenants]]\nname = \"a\"\nquota_per_s = -1.0\nshare = 1.0\n"),
+            with_suffix("[[tenants]]\nname = \"a\"\nquota_per_s = -1.0\nshare = 1.0\n"),
             "line 7: tenants[0].quota_per_s:",
         ),
-        (with("[[tenants]]\nname = \"a\"\n"), "line 5: tenants[0]: missing field `quota_per_s`"),
-        (with("[roster]\nfrom = \"watch\"\n"), "line 5: roster: missing field `address`"),
+        (with_suffix("[[tenants]]\nname = \"a\"\n"), "line 5: tenants[0]: missing field `quota_per_s`"),
+        (with_suffix("[roster]\nfrom = \"watch\"\n"), "line 5: roster: missing field `address`"),
         (
-            with("[roster]\nfrom = \"stars\"\n"),
+            with_suffix("[roster]\nfrom = \"stars\"\n"),
             "line 6: roster.from: unknown variant `stars`, expected one of",
         ),
-        (with("[attempts]\nmost = 0\n"), "line 6: attempts.most: expected at least 1"),
+        (with_suffix("[attempts]\nmost = 0\n"), "line 6: attempts.most: expected at least 1"),
         (
-            "seed = \"xyz\"\n".to_string() + LEAST,
+            "seed = \"xyz\"\n".to_string() + MINIMAL,
             "line 1: seed: invalid value: string \"xyz\", expected up to 16",
         ),
-        ("name = \"x\n".to_string() + LEAST, "line 1: "),
+        ("name = \"x\n".to_string() + MINIMAL, "line 1: "),
         (String::new(), "classes: expected at least one [[classes]] entry"),
     ];
     for (text, expected) in cases {
         let error = Config::from_toml(&text).unwrap_err().to_string();
-        assert!(error.starts_with(expected), "\n{text}\nsays: {error}\nnot:  {expected}");
+        assert!(error.starts_with(expected), "\n{text}\nfails with: {error}\nexpected:   {expected}");
         assert_eq!(error.lines().count(), 1, "{error}");
     }
 }
 
 #[test]
-fn a_graphql_endpoint_makes_light_of_no_effect() {
-    let least = r#"
+fn graphql_rules_reject_unsafe_class_mappings() {
+    let minimal = r#"
 [[classes]]
 name = "read"
 effect = "safe"
@@ -120,72 +132,81 @@
 query = "read"
 mutation = "pay"
 "#;
-    assert!(Config::from_toml(least).is_ok());
-    let line = |kind: &str, class: &str, more: &str| {
-        format!("{least}[[graphql.operations]]\ntype = \"{kind}\"\nclass = \"{class}\"\n{more}")
+    assert!(Config::from_toml(minimal).is_ok());
+    let with_operation = |kind: &str, class: &str, suffix: &str| {
+        format!("{minimal}[[graphql.operations]]\ntype = \"{kind}\"\nclass = \"{class}\"\n{suffix}")
     };
-    assert!(Config::from_toml(&line("mutation", "submit", "fields = [\"submit\"]\n")).is_ok());
+    assert!(Config::from_toml(&with_operation("mutation", "submit", "fields = [\"submit\"]\n")).is_ok());
     for (text, expected) in [
         (
-            least.replace("query = \"read\"", "query = \"pay\""),
+            minimal.replace("query = \"read\"", "query = \"pay\""),
             "line 17: graphql.query: expected a class whose",
         ),
         (
-            least.replace("mutation = \"pay\"", "mutation = \"submit\""),
+            minimal.replace("mutation = \"pay\"", "mutation = \"submit\""),
             "line 18: graphql.mutation: expected a class",
         ),
         (
-            least.replace("query = \"read\"", "query = \"reed\""),
+            minimal.replace("query = \"read\"", "query = \"reed\""),
             "line 17: graphql.query: expected the name of one",
         ),
         (
-            least.replace("/api/graphql", "/Pay/graphql"),
+            minimal.replace("/api/graphql", "/Pay/graphql"),
             "line 16: graphql.path: expected a path that does not begin",
         ),
         (
-            least.replace("/api/graphql", "/_health"),
+            minimal.replace("/api/graphql", "/_health"),
             "line 16: graphql.path: expected a path that does not begin",
         ),
-        (least.replace("/api/graphql", "graphql"), "line 16: graphql.path: expected a path such as"),
-        (least.replace("/api/graphql", "/api/../x"), "line 16: graphql.path: expected a path such as"),
-        (line("mutation", "submit", ""), "line 19: graphql.operations[0].fields: expected the root fields"),
+        (minimal.replace("/api/graphql", "graphql"), "line 16: graphql.path: expected a path such as"),
+        (minimal.replace("/api/graphql", "/api/../x"), "line 16: graphql.path: expected a path such as"),
+        (
+            with_operation("mutation", "submit", ""),
+            "line 19: graphql.operations[0].fields: expected the root fields",
+        ),
         (
-            line("mutation", "read", "fields = [\"a\"]\n"),
+            with_operation("mutation", "read", "fields = [\"a\"]\n"),
             "line 21: graphql.operations[0].class: expected a class",
         ),
-        (line("query", "submit", ""), "line 21: graphql.operations[0].class: expected a class whose"),
-        (line("subscription", "read", ""), "line 20: graphql.operations[0].type: unknown variant"),
         (
-            least.to_string() + "parameters = [\"Query\"]\n",
+            with_operation("query", "submit", ""),
+            "line 21: graphql.operations[0].class: expected a class whose",
+        ),
+        (with_operation("subscription", "read", ""), "line 20: graphql.operations[0].type: unknown variant"),
+        (
+            minimal.to_string() + "parameters = [\"Query\"]\n",
             "line 19: graphql.parameters[0]: expected letters",
         ),
         (
-            least.to_string() + "[graphql.limits]\ndepth = 65\n",
+            minimal.to_string() + "[graphql.limits]\ndepth = 65\n",
             "line 20: graphql.limits.depth: expected at most 64",
         ),
     ] {
         let error = Config::from_toml(&text).unwrap_err().to_string();
-        assert!(error.starts_with(expected), "\n{text}\nsays: {error}\nnot:  {expected}");
+        assert!(error.starts_with(expected), "\n{text}\nfails with: {error}\nexpected:   {expected}");
     }
 }
 
 #[test]
-fn mistakes_name_their_file() {
+fn errors_name_the_file() {
     let path = std::env::temp_dir().join(format!("dunelink-config-{}.toml", std::process::id()));
     let missing = Config::read_toml(&path).unwrap_err().to_string();
     assert!(missing.starts_with(&format!("{}: can't be read: ", path.display())), "{missing}");
-    std::fs::write(&path, format!("{LEAST}x = 1\n")).unwrap();
-    let wrong = Config::read_toml(&path).unwrap_err().to_string();
+    std::fs::write(&path, format!("{MINIMAL}x = 1\n")).unwrap();
+    let invalid = Config::read_toml(&path).unwrap_err().to_string();
     std::fs::remove_file(&path).unwrap();
-    assert!(wrong.starts_with(&format!("{}:5: classes[0].x: unknown field `x`", path.display())), "{wrong}");
+    assert!(
+        invalid.starts_with(&format!("{}:5: classes[0].x: unknown field `x`", path.display())),
+        "{invalid}"
+    );
 }
 
-fn platform() -> serde_json::Value {
+fn platform_json() -> serde_json::Value {
     testkit::peers::config(([127, 0, 0, 1], 8500).into(), &[], 1024)
 }
 
 #[test]
-fn the_platforms_file_maps_onto_the_same_type() {
+fn platform_file_maps_to_config() {
     let target = testkit::peers::target("s-1", ([127, 0, 0, 1], 9001).into(), 3, "draining");
     let mut json = testkit::peers::config(([127, 0, 0, 1], 8500).into(), &[target], 777);
     json["settings"]["prices"] = json!({"wholly": "unknown"});
@@ -203,77 +224,83 @@
     assert_eq!((config.known.rev, config.known.whole), (41, true));
     let server = &config.known.servers[0];
     assert_eq!((&*server.uid, server.cell, server.state), ("s-1", 3, ServerState::Draining));
-    // And back: an operator can start from what the platform wrote.
+    // An operator can start from the TOML form of the platform's configuration.
     assert_eq!(Config::from_toml(&config.to_toml().unwrap()).unwrap(), config);
 }
 
 #[test]
-fn mistakes_in_the_platforms_file_name_line_and_key_too() {
-    let text = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut json = platform();
+fn platform_errors_name_line_and_key() {
+    let changed = |change: &dyn Fn(&mut serde_json::Value)| {
+        let mut json = platform_json();
         change(&mut json);
         serde_json::to_string_pretty(&json).unwrap()
     };
-    let line_of = |text: &str, nth: usize, what: &str| {
-        text.lines().enumerate().filter(|(_, line)| line.contains(what)).nth(nth).unwrap().0 + 1
+    let line_number = |text: &str, occurrence: usize, needle: &str| {
+        text.lines().enumerate().filter(|(_, line)| line.contains(needle)).nth(occurrence).unwrap().0 + 1
     };
-    let zero = text(&|json| json["settings"]["services"][1]["deadline_us"] = 0.into());
+    let zero = changed(&|json| json["settings"]["services"][1]["deadline_us"] = 0.into());
     let cases = [
         (
             zero.clone(),
             format!(
                 "line {}: settings.services[1].deadline_us: expected a time",
-                line_of(&zero, 1, "\"deadline_us\"")
+                line_number(&zero, 1, "\"deadline_us\"")
             ),
         ),
-        (text(&|json| json["settings"]["rank"] = 9.into()), "settings.rank: expected a number below".into()),
-        (text(&|json| json["listen"] = "here".into()), "listen: invalid".into()),
-        (text(&|json| json["control"] = "there".into()), "control: invalid".into()),
         (
-            text(&|json| json["settings"]["allowed"]["cancelling"] = 2.into()),
+            changed(&|json| json["settings"]["rank"] = 9.into()),
+            "settings.rank: expected a number below".into(),
+        ),
+        (changed(&|json| json["listen"] = "here".into()), "listen: invalid".into()),
+        (changed(&|json| json["control"] = "there".into()), "control: invalid".into()),
+        (
+            changed(&|json| json["settings"]["allowed"]["cancelling"] = 2.into()),
             "settings.allowed.cancelling: invalid value: integer `2`, expected true, false, 1 or 0".into(),
         ),
         (
-            text(&|json| json["settings"]["services"][0]["idempotency"] = "pur".into()),
+            changed(&|json| json["settings"]["services"][0]["idempotency"] = "pur".into()),
             "settings.services[0].idempotency: unknown variant `pur`, expected one of".into(),
         ),
         (
-            text(&|json| drop(json.as_object_mut().unwrap().remove("settings"))),
+            changed(&|json| drop(json.as_object_mut().unwrap().remove("settings"))),
             "missing field `settings`".into(),
         ),
-        (platform().to_string() + "x", "line 1: expected nothing behind the object".into()),
+        (platform_json().to_string() + "x", "line 1: expected nothing behind the object".into()),
         ("{".into(), "line 1: EOF".into()),
     ];
     for (text, expected) in cases {
         let error = Config::from_platform(&text).unwrap_err().to_string();
-        assert!(error.contains(&expected), "{error}\nnot: {expected}");
+        assert!(error.contains(&expected), "{error}\nexpected: {expected}");
         assert_eq!(error.lines().count(), 1, "{error}");
         assert!(error.starts_with("line "), "{error}");
     }
 }
 
 #[test]
-fn what_fuzzing_met_does_no_harm() {
-    let mut good = [0; 3];
+fn fuzz_corpora_parse_without_panic() {
+    let mut valid_counts = [0; 3];
     for text in corpus("config_toml") {
         if let Ok(config) = Config::from_toml(&String::from_utf8_lossy(&text)) {
             assert_eq!(Config::from_toml(&config.to_toml().unwrap()).unwrap(), config);
-            good[0] += 1;
+            valid_counts[0] += 1;
         }
     }
     for text in corpus("config_platform") {
         if let Ok(config) = Config::from_platform(&String::from_utf8_lossy(&text)) {
             config.settings().check().unwrap();
-            good[1] += 1;
+            valid_counts[1] += 1;
         }
     }
     for line in corpus("watch_line") {
         if let Ok(update) = Update::from_watch_line(&line) {
             assert!(update.servers.iter().all(|server| server.weight >= 0.0));
-            good[2] += 1;
+            valid_counts[2] += 1;
         }
     }
-    assert!(good.iter().all(|count| *count > 0), "each corpus has something that can be used: {good:?}");
+    assert!(
+        valid_counts.iter().all(|count| *count > 0),
+        "every corpus must contain a valid input: {valid_counts:?}"
+    );
 }
 
 fn duration() -> impl Strategy<Value = Duration> {
@@ -284,7 +311,7 @@
     prop_oneof![Just(0.0), 0.0..1000.0, Just(1e-9), Just(1e12)]
 }
 
-/// The name of a class, which is one part of a path.
+/// The name of a class, which is one segment of a path.
 fn class_name() -> impl Strategy<Value = String> {
     "[A-Za-z0-9._~!$&'()*,=:@-]{0,12}[a-z]"
 }
@@ -362,22 +389,22 @@
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_is_written_is_read_back(config in config()) {
+    fn toml_round_trips(config in config()) {
         let text = config.to_toml().unwrap();
         prop_assert_eq!(Config::from_toml(&text).expect(&text), config);
     }
 
     #[test]
-    fn no_text_does_harm(text in "\\PC{0,200}", at in any::<prop::sample::Index>(), byte in any::<char>()) {
+    fn arbitrary_text_never_panics(text in "\\PC{0,200}", at in any::<prop::sample::Index>(), byte in any::<char>()) {
         let _ = Config::from_toml(&text);
         let _ = Config::from_platform(&text);
-        // Nor does a good one with a mistake somewhere.
-        for (good, platform) in [(LEAST.to_string(), false), (platform().to_string(), true)] {
-            let mut chars: Vec<char> = good.chars().collect();
+        // Neither does a valid text with one changed character.
+        for (valid, from_platform) in [(MINIMAL.to_string(), false), (platform_json().to_string(), true)] {
+            let mut chars: Vec<char> = valid.chars().collect();
             let at = at.index(chars.len());
             chars[at] = byte;
             let text: String = chars.into_iter().collect();
-            let read = if platform { Config::from_platform(&text) } else { Config::from_toml(&text) };
+            let read = if from_platform { Config::from_platform(&text) } else { Config::from_toml(&text) };
             if let Err(error) = read {
                 prop_assert_eq!(error.to_string().lines().count(), 1);
             }
--- a/crates/dunelink/tests/conformance/main.rs
+++ b/crates/dunelink/tests/conformance/main.rs
@@ -1,4 +1,5 @@
-//! The conformance suite against the library: an axum host with the layer, whose node has a thread of its own.
+//! Runs the conformance suite against the library: an axum host with the layer, whose node has threads of its
+//! own.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use testkit::peers::Answers;
 use tokio::runtime::Runtime;
 
-/// A host whose node has so many shards, among which calls are dealt out.
+/// A host whose node has `SHARDS` shards, among which calls are distributed.
 struct Library<const SHARDS: u32> {
     host: Runtime,
     node: Option<Node>,
@@ -22,13 +23,13 @@
 
 impl<const SHARDS: u32> Subject for Library<SHARDS> {
     fn start(config: &Value) -> Self {
-        Self::of(Config::from_platform(&config.to_string()).unwrap())
+        Self::start_node(Config::from_platform(&config.to_string()).unwrap())
     }
 
-    fn start_with(config: &Value, more: &str) -> Self {
+    fn start_with(config: &Value, extra_toml: &str) -> Self {
         let mut config = Config::from_platform(&config.to_string()).unwrap();
         config.attempts.answers = dunelink::config::Answers::Http;
-        Self::of(Config::from_toml(&(config.to_toml().unwrap() + more)).unwrap())
+        Self::start_node(Config::from_toml(&(config.to_toml().unwrap() + extra_toml)).unwrap())
     }
 
     fn address(&self) -> SocketAddr {
@@ -43,12 +44,12 @@
 }
 
 impl<const SHARDS: u32> Library<SHARDS> {
-    fn of(mut config: Config) -> Self {
+    fn start_node(mut config: Config) -> Self {
         config.fleet.shards = SHARDS;
         let node = Node::builder(config).start().unwrap();
-        let (handle, seen) = (node.handle().clone(), node.handle().clone());
+        let (handle, health_handle) = (node.handle().clone(), node.handle().clone());
         let health = get(|| async move {
-            match seen.is_ready() {
+            match health_handle.is_ready() {
                 true => (StatusCode::OK, "ok"),
                 false => (StatusCode::SERVICE_UNAVAILABLE, "not serving"),
             }
--- a/crates/dunelink/tests/host/fleet.rs
+++ b/crates/dunelink/tests/host/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet for hosts under test.
+//! Helpers that start a node with a small fleet for the host tests.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use http::Request;
 use testkit::peers::Server;
 
-/// One class of each kind, with a deadline of 2 s.
+/// A configuration with one class of each effect, all with a deadline of 2 s.
 pub(crate) fn config() -> Config {
-    let wait = Duration::from_secs(2);
+    let deadline = Duration::from_secs(2);
     Config {
         name: "host".into(),
         seed: Some(0x8c1f_30d2_7a5b_e964),
         classes: vec![
-            Class::new("view", Effect::Safe, wait),
+            Class::new("view", Effect::Safe, deadline),
             Class {
-                dedup: Some(Dedup { group: Group::Cell, window: 5 * wait }),
-                ..Class::new("submit", Effect::Keyed, wait)
+                dedup: Some(Dedup { group: Group::Cell, window: 5 * deadline }),
+                ..Class::new("submit", Effect::Keyed, deadline)
             },
-            Class::new("order", Effect::Unsafe, wait),
+            Class::new("order", Effect::Unsafe, deadline),
         ],
         tenants: vec![Tenant { name: "acme".into(), quota_per_s: 100.0, share: 1.0 }],
         ..Config::default()
@@ -30,15 +30,15 @@
     Entry::new(uid, server.address)
 }
 
-/// A node that knows these servers.
+/// Starts a node with these servers.
 pub(crate) fn start<const N: usize>(servers: [Entry; N]) -> Node {
     start_with(config(), servers)
 }
 
-/// A node that goes by this and knows these servers.
+/// Starts a node with this configuration and these servers.
 pub(crate) fn start_with<const N: usize>(config: Config, servers: [Entry; N]) -> Node {
     let node = Node::builder(config).roster(roster::Fixed::new(servers)).start().unwrap();
-    assert!(node.handle().is_ready(), "a list that is known is there from the start");
+    assert!(node.handle().is_ready(), "the initial list must be applied before the start returns");
     node
 }
 
@@ -50,7 +50,7 @@
     Request::post(format!("/order/{key}")).body("300 yen".into()).unwrap()
 }
 
-/// Waits until the node knows a server.
+/// Waits until the node has a ready server.
 pub(crate) async fn ready(fleet: &Handle) {
     while !fleet.is_ready() {
         tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/dunelink/tests/host/main.rs
+++ b/crates/dunelink/tests/host/main.rs
@@ -1,4 +1,5 @@
-//! Hosts that misbehave: they block, panic, leave, shut down, send odd bodies. The node's rules hold all the same.
+//! Hosts that block, panic, leave, shut down or send invalid bodies: the node's guarantees must hold all the
+//! same.
 
 mod fleet;
 
@@ -25,17 +26,17 @@
 use fleet::*;
 
 /// Polls a future once.
-async fn once<F: Future + Unpin>(future: &mut F) -> Poll<F::Output> {
+async fn poll_once<F: Future + Unpin>(future: &mut F) -> Poll<F::Output> {
     poll_fn(|cx| Poll::Ready(Pin::new(&mut *future).poll(cx))).await
 }
 
-/// A host that finds the class in the whole path is held to a path that all read alike.
+/// Where the host sets the class, every part of the path must still have a single interpretation.
 #[test]
-fn a_class_that_the_host_found_wants_a_path_that_has_one_reading() {
+fn host_set_class_requires_unambiguous_path() {
     let server = Server::new(|_, _| ok("slip"));
     let node = start([entry("a", &server)]);
     let runtime = Runtime::new().unwrap();
-    let ask = |path: &str| {
+    let call = |path: &str| {
         let mut request = Request::get(path).body(String::new()).unwrap();
         request.extensions_mut().insert(ext::Class::new("view"));
         runtime.block_on(node.handle().call(request))
@@ -43,15 +44,15 @@
     for path in
         ["/portal//orders/7", "/portal/%6frders/7", "/portal/a%2Forders", "/portal/a;b/c", "/portal/../x"]
     {
-        let status = ask(path).map(|_| ()).unwrap_err().status();
+        let status = call(path).map(|_| ()).unwrap_err().status();
         assert_eq!(status, 400, "{path}");
     }
     assert_eq!(server.count(), 0);
-    assert!(ask("/portal/payslips/%E7%B5%A6%20%2B1").unwrap().is_served());
+    assert!(call("/portal/payslips/%E7%B5%A6%20%2B1").unwrap().is_served());
 }
 
 #[test]
-fn a_host_that_blocks_all_its_threads_delays_neither_answers_nor_drains() {
+fn blocked_host_threads_delay_no_answer_or_drain() {
     let (silent, other) = (Server::new(|_, _| Act::Wait), Server::new(|_, _| Act::Wait));
     let (list, roster) = roster::channel();
     let node = Node::builder(config()).roster(roster).start().unwrap();
@@ -68,22 +69,23 @@
             released.wait();
         });
     }
-    // Both workers hang from here on. The list still reaches the node, and the order still fails in time.
+    // Both workers are blocked from here on. The list must still reach the node, and the order must still
+    // fail in time.
     list.try_send(Update::changes([
         entry("a", &silent).with_state(ServerState::Draining),
         entry("b", &other),
     ]))
     .unwrap();
-    wait_for("the order's failure", || node.handle().counts().failed == 1);
-    assert!(!call.is_finished(), "the host was blocked all the while");
-    assert_eq!((silent.count(), other.count()), (1, 0), "an order that may have run goes nowhere else");
+    wait_for("the order to fail", || node.handle().counts().failed == 1);
+    assert!(!call.is_finished(), "the host must have been blocked throughout");
+    assert_eq!((silent.count(), other.count()), (1, 0), "an order that may have run must not be sent again");
     released.wait();
     let answer = host.block_on(call).unwrap().unwrap();
     assert!(matches!(answer, Answer::Failed { timed_out: true }), "{answer:?}");
 }
 
 #[test]
-fn a_drain_is_heard_while_the_host_blocks() {
+fn drain_applied_while_host_blocks() {
     let (one, two) = (Server::new(|_, _| ok("one")), Server::new(|_, _| ok("two")));
     let (list, roster) = roster::channel();
     let node = Node::builder(config()).roster(roster).start().unwrap();
@@ -94,7 +96,7 @@
         ready(&fleet).await;
         assert!(fleet.call(view("1")).await.unwrap().is_served());
     });
-    // The host does nothing at all meanwhile; the idle connection ends all the same.
+    // The host does nothing in the meantime; the idle connection must be closed nevertheless.
     list.try_send(Update::changes([entry("a", &one).with_state(ServerState::Draining), entry("b", &two)]))
         .unwrap();
     assert_eq!(one.ended(), 0);
@@ -109,47 +111,47 @@
 }
 
 #[test]
-fn a_runtime_that_never_polls_again_still_has_a_final_answer_waiting() {
+fn unpolled_call_still_gets_final_answer() {
     let silent = Server::new(|_, _| Act::Wait);
     let node = start([entry("a", &silent)]);
     let host = tokio::runtime::Builder::new_current_thread().build().unwrap();
     let mut call = Box::pin(node.handle().call(order("1")));
-    assert!(host.block_on(once(&mut call)).is_pending());
+    assert!(host.block_on(poll_once(&mut call)).is_pending());
     let began = Instant::now();
-    wait_for("the order's failure", || node.handle().counts().failed == 1);
-    assert!(began.elapsed() < WITHIN, "nobody polled, yet it was final");
+    wait_for("the order to fail", || node.handle().counts().failed == 1);
+    assert!(began.elapsed() < WITHIN, "the answer must be final without a poll");
     let answer = host.block_on(call).unwrap();
     assert!(matches!(answer, Answer::Failed { timed_out: true }), "{answer:?}");
     assert_eq!(silent.count(), 1);
 }
 
 #[test]
-fn a_host_that_panics_half_way_has_left_and_its_id_is_free() {
+fn panicking_host_counts_as_left_and_frees_id() {
     let (one, two) = (Server::new(|_, _| Act::Wait), Server::new(|_, _| Act::Wait));
     let node = start([entry("a", &one), entry("b", &two)]);
     let host = Runtime::new().unwrap();
     let (fleet, mut request) = (node.handle().clone(), order("1"));
     request.extensions_mut().insert(ext::Id("the-one".into()));
-    let again = request.clone();
+    let same_id_request = request.clone();
     let panicked = host.spawn(async move {
         let mut call = Box::pin(fleet.call(request));
-        assert!(once(&mut call).await.is_pending());
+        assert!(poll_once(&mut call).await.is_pending());
         while fleet.snapshot().await.unwrap().in_flight == 0 {}
         panic!("the host's own fault");
     });
     assert!(host.block_on(panicked).unwrap_err().is_panic());
-    wait_for("nothing is kept", || host.block_on(node.handle().snapshot()).unwrap().tracked == 0);
+    wait_for("the request to be released", || host.block_on(node.handle().snapshot()).unwrap().tracked == 0);
     let counts = node.handle().counts();
     assert_eq!((counts.taken, counts.left, counts.failed), (1, 1, 0));
-    assert!(one.count() + two.count() <= 1, "the order went out once at most");
+    assert!(one.count() + two.count() <= 1, "the order must be sent at most once");
     // The same id can be used again at once.
     let fleet = node.handle().clone();
-    let mut call = Box::pin(fleet.call(again));
-    assert!(host.block_on(once(&mut call)).is_pending(), "no conflict");
+    let mut call = Box::pin(fleet.call(same_id_request));
+    assert!(host.block_on(poll_once(&mut call)).is_pending(), "the id must be free again");
 }
 
 #[test]
-fn an_inner_service_that_panics_harms_no_call_of_the_fleet() {
+fn inner_service_panic_leaves_fleet_calls_intact() {
     let server = Server::new(|_, _| ok("slip"));
     let node = start([entry("a", &server)]);
     let inner = service_fn(|_: Request<Full<Bytes>>| async {
@@ -172,7 +174,7 @@
 }
 
 #[test]
-fn one_of_two_nodes_in_a_process_ends_under_load_and_the_other_goes_on() {
+fn shutdown_under_load_leaves_other_node_running() {
     let (one, two) = (Server::new(|_, _| ok("one")), Server::new(|_, _| ok("two")));
     let first = start([entry("a", &one)]);
     let mut other = config();
@@ -180,10 +182,10 @@
     other.name = "other".into();
     let second = start_with(other, [entry("a", &two)]);
     let host = Runtime::new().unwrap();
-    let (sum, ended) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+    let (answered, ended) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let mut tasks = Vec::new();
     for task in 0..8 {
-        let (fleet, sum, ended) = (first.handle().clone(), sum.clone(), ended.clone());
+        let (fleet, answered, ended) = (first.handle().clone(), answered.clone(), ended.clone());
         tasks.push(host.spawn(async move {
             for i in 0.. {
                 match fleet.call(view(&format!("{task}-{i}"))).await {
@@ -192,13 +194,13 @@
                     Err(CallError::Closed) => break,
                     Err(error) => panic!("{error}"),
                 }
-                sum.fetch_add(1, Ordering::Relaxed);
+                answered.fetch_add(1, Ordering::Relaxed);
             }
             ended.fetch_add(1, Ordering::Relaxed);
         }));
     }
     host.block_on(async {
-        while sum.load(Ordering::Relaxed) < 200 {
+        while answered.load(Ordering::Relaxed) < 200 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let counts = first.shutdown(WITHIN).await;
@@ -207,8 +209,8 @@
         }
         assert_eq!(ended.load(Ordering::Relaxed), 8);
         assert_eq!(counts.taken, counts.served + counts.refused + counts.failed + counts.left);
-        assert_eq!(counts.left, 0, "everybody waited for their answer");
-        // The other has classes of its own, and serves on.
+        assert_eq!(counts.left, 0, "no client may count as left");
+        // The other node has classes of its own and must still serve.
         let peek = |i: u32| Request::get(format!("/peek/{i}")).body(String::new()).unwrap();
         for i in 0..20 {
             let Answer::Served(response) = second.handle().call(peek(i)).await.unwrap() else { panic!() };
@@ -220,7 +222,7 @@
 }
 
 #[test]
-fn a_runtime_that_is_shut_down_takes_its_calls_along() {
+fn runtime_shutdown_cancels_calls() {
     let server = Server::new(|_, _| Act::Wait);
     let node = start([entry("a", &server)]);
     let host = Runtime::new().unwrap();
@@ -228,13 +230,13 @@
     host.spawn(async move { fleet.call(order("1")).await });
     let (connection, _) = server.request();
     host.shutdown_background();
-    assert_eq!(server.ended(), connection, "the attempt's connection is closed");
-    wait_for("the client has left", || node.handle().counts().left == 1);
+    assert_eq!(server.ended(), connection, "the attempt's connection must be closed");
+    wait_for("the client to be counted as left", || node.handle().counts().left == 1);
     assert_eq!(server.count(), 1);
 }
 
 #[test]
-fn after_its_end_a_node_says_so_plainly() {
+fn ended_node_returns_closed() {
     let server = Server::new(|_, _| ok("slip"));
     let node = start([entry("a", &server)]);
     let host = Runtime::new().unwrap();
@@ -249,7 +251,7 @@
         fleet.snapshot().await.unwrap_err();
         let error = FleetService::new(fleet.clone()).oneshot(view("3")).await.unwrap_err();
         assert!(matches!(error, CallError::Closed));
-        // The layer's host has an error type of its own: it is answered, and its other routes live on.
+        // The layer's host has its own error type: it gets a response, and its other routes still work.
         let inner =
             service_fn(|_: Request<String>| async { Ok::<_, Infallible>(Response::new(String::new())) });
         let portal = FleetLayer::prefix(fleet.clone(), "/view/").wait_for_capacity().layer(inner);
@@ -257,15 +259,15 @@
         assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
         let about = Request::get("/about").body(String::new()).unwrap();
         assert_eq!(portal.oneshot(about).await.unwrap().status(), StatusCode::OK);
-        assert_eq!(fleet.shutdown(Duration::ZERO).await.served, 1, "twice does no harm");
+        assert_eq!(fleet.shutdown(Duration::ZERO).await.served, 1, "a second shutdown must be harmless");
     });
     server.ended();
 }
 
 #[test]
-fn a_shutdown_waits_for_answers_up_to_its_deadline() {
-    let turns = AtomicU64::new(0);
-    let server = Server::new(move |_, _| match turns.fetch_add(1, Ordering::SeqCst) {
+fn shutdown_waits_up_to_deadline() {
+    let request_count = AtomicU64::new(0);
+    let server = Server::new(move |_, _| match request_count.fetch_add(1, Ordering::SeqCst) {
         0 => Act::SayMore(Vec::new(), Duration::from_millis(300), testkit::peers::answer(200, "", "late")),
         _ => Act::Wait,
     });
@@ -284,7 +286,7 @@
 }
 
 #[test]
-fn a_node_dropped_without_shutdown_answers_what_is_open() {
+fn dropped_node_answers_open_requests() {
     let server = Server::new(|_, _| Act::Wait);
     let node = start([entry("a", &server)]);
     let host = Runtime::new().unwrap();
@@ -302,13 +304,13 @@
     assert_eq!(handle.counts().failed, 1);
 }
 
-/// A body that does as it is told.
-struct Odd {
+/// A body that returns these frames, last one first, and then ends or stays pending.
+struct ScriptedBody {
     frames: Vec<Result<Bytes, &'static str>>,
     ends: bool,
 }
 
-impl Body for Odd {
+impl Body for ScriptedBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -326,24 +328,24 @@
 }
 
 #[tokio::test]
-async fn odd_bodies_are_errors_and_nothing_of_them_is_sent() {
+async fn invalid_bodies_rejected_before_sending() {
     let server = Server::new(|_, _| ok("paid"));
     let mut config = config();
     config.limits.stream = 0;
     let node = Node::builder(config).roster(roster::Fixed::new([entry("a", &server)])).start().unwrap();
     let fleet = node.handle();
     let call = async |frames: Vec<Result<Bytes, &'static str>>, ends: bool| {
-        let mut request = Request::post("/order/1").body(Odd { frames, ends }).unwrap();
+        let mut request = Request::post("/order/1").body(ScriptedBody { frames, ends }).unwrap();
         request.extensions_mut().insert(ext::Deadline::after(Duration::from_millis(300)));
         fleet.call(request).await
     };
-    let part = || Ok(Bytes::from_static(b"half"));
-    let ended_early = call(vec![Err("the peer went away"), part()], true).await.unwrap_err();
+    let chunk = || Ok(Bytes::from_static(b"half"));
+    let ended_early = call(vec![Err("the peer went away"), chunk()], true).await.unwrap_err();
     assert_eq!(ended_early.status(), StatusCode::BAD_REQUEST);
     let CallError::Body(broken @ BodyError::Broken(_)) = &ended_early else { panic!("{ended_early}") };
-    let cause = std::error::Error::source(broken).expect("its cause").to_string();
+    let cause = std::error::Error::source(broken).expect("a source").to_string();
     assert_eq!(cause, "the peer went away");
-    let endless = call(vec![part()], false).await.unwrap_err();
+    let endless = call(vec![chunk()], false).await.unwrap_err();
     assert_eq!(endless.status(), StatusCode::REQUEST_TIMEOUT, "{endless}");
     let large = call(vec![Ok(Bytes::from(vec![0; 40_000])); 2], true).await.unwrap_err();
     assert_eq!(large.status(), StatusCode::PAYLOAD_TOO_LARGE);
@@ -351,26 +353,26 @@
     let stated = fleet.call(Request::post("/order/1").body("x".repeat(65_537)).unwrap()).await.unwrap_err();
     assert_eq!(stated.status(), StatusCode::PAYLOAD_TOO_LARGE);
     assert_eq!((server.count(), fleet.counts().taken, fleet.counts().invalid), (0, 0, 4));
-    // A body in pieces goes on whole.
-    let whole = vec![Ok(Bytes::from_static(b" yen")), Ok(Bytes::from_static(b"300"))];
-    assert!(call(whole, true).await.unwrap().is_served());
+    // A body in several chunks is sent as one.
+    let chunks = vec![Ok(Bytes::from_static(b" yen")), Ok(Bytes::from_static(b"300"))];
+    assert!(call(chunks, true).await.unwrap().is_served());
     assert_eq!(server.request().1.body, b"300 yen");
 }
 
 #[tokio::test]
-async fn extensions_go_before_headers_and_absent_ones_have_defaults() {
+async fn extensions_override_headers_and_have_defaults() {
     let server = Server::new(|_, _| ok("slip"));
     let node = start([entry("a", &server)]);
     let fleet = node.handle();
-    // Neither id nor deadline: the node makes the one, the class has the other.
+    // Neither id nor deadline: the node generates the id, and the class has the deadline.
     assert!(fleet.call(view("1")).await.unwrap().is_served());
     let (_, first) = server.request();
-    let id = first.header("req-id").expect("an id").to_string();
-    let left: f64 = first.header("req-deadline").unwrap().parse().unwrap();
-    assert!(left > 0.0 && left <= 2.0, "{left}");
+    let id = first.header("req-id").expect("a generated id").to_string();
+    let remaining: f64 = first.header("req-deadline").unwrap().parse().unwrap();
+    assert!(remaining > 0.0 && remaining <= 2.0, "{remaining}");
     assert!(fleet.call(view("2")).await.unwrap().is_served());
-    assert_ne!(server.request().1.header("req-id"), Some(&*id), "each has its own");
-    // A path that names no class, with an extension that does; both ids stated.
+    assert_ne!(server.request().1.header("req-id"), Some(&*id), "each request must have its own id");
+    // The path names no class, but an extension does; both sources give an id.
     let mut request =
         Request::get("/portal/payslips/7").header("req-id", "outer").body(String::new()).unwrap();
     request.extensions_mut().insert(ext::Class::new("view"));
@@ -383,7 +385,7 @@
         (&*request.first, request.header("req-id")),
         ("GET /portal/payslips/7 HTTP/1.1", Some("inner"))
     );
-    // What can't be told, or is wrong, is an error.
+    // Missing or invalid values are errors.
     let status = async |path: &str, ext: &dyn Fn(&mut http::Extensions)| {
         let mut request = Request::get(path).body(String::new()).unwrap();
         ext(request.extensions_mut());
@@ -391,10 +393,10 @@
     };
     assert_eq!(status("/portal/payslips/7", &|_| ()).await, 404);
     let unknown = |ext: &mut http::Extensions| drop(ext.insert(ext::Class::new("nothing")));
-    assert_eq!(status("/view/1", &unknown).await, 404, "an extension is not overruled by the path");
+    assert_eq!(status("/view/1", &unknown).await, 404, "the path must not override an extension");
     let bad_id = |ext: &mut http::Extensions| drop(ext.insert(ext::Id("a b".into())));
     assert_eq!(status("/view/1", &bad_id).await, 400);
-    // A deadline that is past: refused, and not sent.
+    // A deadline in the past: refused, and not sent.
     let mut late = view("1");
     late.extensions_mut().insert(ext::Deadline::after(Duration::ZERO));
     assert!(fleet.call(late).await.unwrap().is_refused());
@@ -402,7 +404,7 @@
 }
 
 #[tokio::test]
-async fn poll_ready_tells_of_back_pressure() {
+async fn poll_ready_applies_backpressure() {
     let server = Server::new(|_, _| Act::Wait);
     let mut config = config();
     config.limits.requests = 1;
@@ -416,8 +418,8 @@
     }
     let pending =
         poll_fn(|cx| Poll::Ready(Service::<Request<String>>::poll_ready(&mut other, cx).is_pending()));
-    assert!(pending.await, "its only place is taken");
-    // Called all the same, it refuses at once; so does the layer, whose inner service is not held back.
+    assert!(pending.await, "the only permit must be in use");
+    // Called without a permit, it refuses at once; so does the layer, whose inner service is not held back.
     let response = other.call(order("2")).await.unwrap();
     assert_eq!(response.extensions().get::<Verdict>(), Some(&Verdict::Refused));
     let inner =
@@ -432,31 +434,31 @@
     let mut waiting = layer.wait_for_capacity().layer(inner);
     let pending =
         poll_fn(|cx| Poll::Ready(Service::<Request<String>>::poll_ready(&mut waiting, cx).is_pending()));
-    assert!(pending.await, "this one was told to wait");
-    // The one place is free again once its request is over, or its client has left.
+    assert!(pending.await, "the waiting layer must not be ready");
+    // The only permit is free again once its request is answered or its client has left.
     open.abort();
     ServiceExt::<Request<String>>::ready(&mut other).await.unwrap();
-    ServiceExt::<Request<String>>::ready(&mut fleet.clone()).now_or_never_pending().await;
+    ServiceExt::<Request<String>>::ready(&mut fleet.clone()).assert_pending().await;
     drop(other);
     ServiceExt::<Request<String>>::ready(&mut waiting).await.unwrap();
 }
 
-/// Asserts that a future is not done at once.
-trait NotYet: Future + Sized {
-    async fn now_or_never_pending(self) {
+/// Asserts that a future is pending at its first poll.
+trait AssertPending: Future + Sized {
+    async fn assert_pending(self) {
         let mut future = Box::pin(self);
-        assert!(once(&mut future).await.is_pending());
+        assert!(poll_once(&mut future).await.is_pending());
     }
 }
 
-impl<F: Future> NotYet for F {}
+impl<F: Future> AssertPending for F {}
 
 #[test]
-fn a_call_needs_no_runtime_when_its_body_is_there() {
+fn buffered_call_needs_no_runtime() {
     let server = Server::new(|_, _| ok("slip"));
     let node = start([entry("a", &server)]);
-    wait_for("a server", || node.handle().is_ready());
-    // A bare executor: nothing but a thread that waits for its waker.
+    wait_for("a ready server", || node.handle().is_ready());
+    // A minimal executor: only a thread that waits for its waker.
     struct Unpark(thread::Thread);
     impl std::task::Wake for Unpark {
         fn wake(self: Arc<Self>) {
@@ -476,7 +478,7 @@
 }
 
 #[test]
-fn a_local_node_works_as_tasks_of_its_thread_and_ends_with_its_value() {
+fn local_node_runs_on_current_thread_until_dropped() {
     let server = Server::new(|count, _| if count == 0 { ok("slip") } else { Act::Wait });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -486,7 +488,7 @@
         ready(&fleet).await;
         assert!(fleet.call(view("1")).await.unwrap().is_served());
         let mut open = Box::pin(fleet.call(order("2")));
-        assert!(once(&mut open).await.is_pending());
+        assert!(poll_once(&mut open).await.is_pending());
         drop(node);
         assert!(matches!(open.await.unwrap(), Answer::Failed { .. }));
         assert!(matches!(fleet.call(view("3")).await, Err(CallError::Closed)));
@@ -494,23 +496,23 @@
 }
 
 #[test]
-fn nodes_with_wrong_configurations_do_not_start() {
-    let mut wrong = config();
-    wrong.fleet.rank = 7;
-    let error = Node::builder(wrong).start().map(|_| ()).unwrap_err();
+fn invalid_configuration_fails_start() {
+    let mut invalid = config();
+    invalid.fleet.rank = 7;
+    let error = Node::builder(invalid).start().map(|_| ()).unwrap_err();
     assert_eq!(error.to_string(), "fleet.rank: expected a number below fleet.nodes");
     let outside = Node::builder(config()).start_local().map(|_| ()).unwrap_err();
     assert!(outside.to_string().contains("runtime"), "{outside}");
 }
 
 #[tokio::test]
-async fn a_list_that_the_host_sends_moves_servers_at_once() {
+async fn channel_roster_moves_server_at_once() {
     let (one, two) = (Server::new(|_, _| ok("one")), Server::new(|_, _| ok("two")));
     let (list, roster) = roster::channel();
     let node = Node::builder(config()).roster(roster).start().unwrap();
     let fleet = node.handle();
     assert!(!fleet.is_ready());
-    assert!(fleet.call(view("0")).await.unwrap().is_refused(), "no server, so nothing ran");
+    assert!(fleet.call(view("0")).await.unwrap().is_refused(), "refused, because there is no server");
     list.send(Update::whole([entry("a", &one)])).await.unwrap();
     ready(fleet).await;
     assert!(fleet.call(view("1")).await.unwrap().is_served());
@@ -526,13 +528,13 @@
 }
 
 #[tokio::test]
-async fn a_file_with_the_list_is_read_again_when_it_changes() {
+async fn file_roster_reloads_on_change() {
     let (one, two) = (Server::new(|_, _| ok("one")), Server::new(|_, _| ok("two")));
     let path = std::env::temp_dir().join(format!("dunelink-roster-{}.toml", std::process::id()));
     let write = |text: String| {
-        let aside = path.with_extension("new");
-        std::fs::write(&aside, text).unwrap();
-        std::fs::rename(&aside, &path).unwrap();
+        let temporary = path.with_extension("new");
+        std::fs::write(&temporary, text).unwrap();
+        std::fs::rename(&temporary, &path).unwrap();
     };
     let list = |uid: &str, server: &Server, state: &str| {
         format!("[[servers]]\nuid = \"{uid}\"\nendpoint = \"{}\"\nstate = \"{state}\"\n", server.address)
@@ -543,11 +545,11 @@
     let fleet = node.handle();
     ready(fleet).await;
     assert!(fleet.call(view("1")).await.unwrap().is_served());
-    // Half a file, a wrong one, an empty one, none at all: the list stays.
-    for wrong in ["[[servers]]\nuid = \"a", "[[servers]]\nname = \"a\"\n", "servers = []\n"] {
-        write(wrong.into());
+    // A truncated file, an invalid one, an empty one or none at all: the list stays.
+    for invalid in ["[[servers]]\nuid = \"a", "[[servers]]\nname = \"a\"\n", "servers = []\n"] {
+        write(invalid.into());
         tokio::time::sleep(Duration::from_millis(60)).await;
-        assert!(fleet.call(view("1")).await.unwrap().is_served(), "{wrong}");
+        assert!(fleet.call(view("1")).await.unwrap().is_served(), "{invalid}");
     }
     std::fs::remove_file(&path).unwrap();
     tokio::time::sleep(Duration::from_millis(60)).await;
@@ -561,18 +563,18 @@
 }
 
 #[tokio::test]
-async fn a_roster_that_ends_leaves_the_list_as_it_was() {
+async fn ended_roster_keeps_list() {
     let server = Server::new(|_, _| ok("slip"));
-    struct Once(Vec<Entry>);
-    impl roster::Roster for Once {
+    struct SingleUpdate(Vec<Entry>);
+    impl roster::Roster for SingleUpdate {
         fn run(self: Box<Self>, mut feed: roster::Feed) -> roster::RosterFuture {
             Box::pin(async move { feed.update(&Update::whole(self.0)) })
         }
     }
-    let node = Node::builder(config()).roster(Once(vec![entry("a", &server)])).start().unwrap();
+    let node = Node::builder(config()).roster(SingleUpdate(vec![entry("a", &server)])).start().unwrap();
     ready(node.handle()).await;
     for i in 0..5 {
         assert!(node.handle().call(view(&i.to_string())).await.unwrap().is_served());
     }
-    pending::<()>().now_or_never_pending().await;
+    pending::<()>().assert_pending().await;
 }
--- a/crates/dunelink/tests/leaks.rs
+++ b/crates/dunelink/tests/leaks.rs
@@ -1,4 +1,5 @@
-//! Ten thousand calls dropped half way leave nothing behind. Alone in its process, as it counts descriptors.
+//! Ten thousand calls that are dropped halfway leak no request, connection, thread or descriptor. A program
+//! of its own, because it counts the descriptors of its process.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,20 +11,20 @@
 use http::Request;
 use testkit::peers::{Act, Server, WITHIN};
 
-/// Calls in all, and how many at a time.
+/// The total number of calls, and the number of tasks that share them.
 const CALLS: usize = 10_000;
 const TASKS: usize = 20;
 
-fn descriptors() -> usize {
+fn descriptor_count() -> usize {
     std::fs::read_dir("/proc/self/fd").map_or(0, |list| list.count())
 }
 
-fn threads() -> usize {
+fn thread_count() -> usize {
     std::fs::read_dir("/proc/self/task").map_or(0, |list| list.count())
 }
 
 #[test]
-fn ten_thousand_calls_dropped_half_way_leave_nothing_behind() {
+fn dropped_calls_leak_nothing() {
     let servers: Vec<Server> = (0..4).map(|_| Server::new(|_, _| Act::Wait)).collect();
     let list = servers.iter().enumerate().map(|(i, s)| Entry::new(format!("s-{i}"), s.address));
     let config = Config {
@@ -36,15 +37,15 @@
     let node = Node::builder(config).roster(roster::Fixed::new(list)).start().unwrap();
     let host = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
     let fleet = node.handle();
-    let settle = |what: &str, holds: &dyn Fn() -> bool| {
+    let wait_until = |what: &str, condition: &dyn Fn() -> bool| {
         let began = Instant::now();
-        while !holds() {
-            assert!(began.elapsed() < WITHIN, "waited for: {what}");
+        while !condition() {
+            assert!(began.elapsed() < WITHIN, "timed out waiting for {what}");
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    settle("servers", &|| fleet.is_ready());
-    let (descriptors_before, threads_before) = (descriptors(), threads());
+    wait_until("servers", &|| fleet.is_ready());
+    let (descriptors_before, threads_before) = (descriptor_count(), thread_count());
 
     let tasks: Vec<_> = (0..TASKS)
         .map(|task| {
@@ -57,7 +58,7 @@
                         false => Request::post(format!("/order/{task}-{i}")),
                     };
                     let mut call = Box::pin(fleet.call(request.body(String::new()).unwrap()));
-                    // Dropped right away, while it connects, or with its attempt out.
+                    // Dropped at once, while connecting, or with an attempt in flight.
                     let polled = std::future::poll_fn(|cx| Poll::Ready(Pin::new(&mut call).poll(cx))).await;
                     assert!(polled.is_pending());
                     match random.u8(..4) {
@@ -75,17 +76,17 @@
         }
     });
 
-    let look = || host.block_on(fleet.snapshot()).unwrap();
-    settle("requests are let go", &|| look().tracked == 0);
-    let end = look();
-    assert_eq!((end.open, end.queued, end.in_flight), (0, 0, 0));
-    assert_eq!((end.counts.taken, end.counts.left), (CALLS as u64, CALLS as u64), "{:?}", end.counts);
-    settle("connections are closed", &|| look().connections == 0);
-    // The servers are in this process too: one thread and two descriptors a connection.
-    settle("descriptors are back", &|| descriptors() <= descriptors_before);
-    settle("threads are back", &|| threads() <= threads_before);
-    let orders: usize = servers.iter().map(Server::count).sum();
-    assert!(orders > 0, "some came as far as a server");
+    let snapshot = || host.block_on(fleet.snapshot()).unwrap();
+    wait_until("requests to be released", &|| snapshot().tracked == 0);
+    let last = snapshot();
+    assert_eq!((last.open, last.queued, last.in_flight), (0, 0, 0));
+    assert_eq!((last.counts.taken, last.counts.left), (CALLS as u64, CALLS as u64), "{:?}", last.counts);
+    wait_until("connections to be closed", &|| snapshot().connections == 0);
+    // The servers run in this process too, with one thread and two descriptors per connection.
+    wait_until("descriptors to be closed", &|| descriptor_count() <= descriptors_before);
+    wait_until("threads to end", &|| thread_count() <= threads_before);
+    let request_count: usize = servers.iter().map(Server::count).sum();
+    assert!(request_count > 0, "some calls reached a server");
     drop(node);
-    settle("the engine's thread has ended", &|| threads() < threads_before);
+    wait_until("the engine's thread to end", &|| thread_count() < threads_before);
 }
--- a/crates/dunelink/tests/shards/main.rs
+++ b/crates/dunelink/tests/shards/main.rs
@@ -1,4 +1,4 @@
-//! A node of several shards: one stands still, the list changes meanwhile, ids and counts are the whole node's.
+//! Nodes with several shards: a stalled shard, list changes meanwhile, and ids and counts over all shards.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::JoinHandle;
@@ -12,11 +12,14 @@
 use tokio::task::{LocalSet, spawn_local};
 
 fn config(shards: u32) -> Config {
-    let wait = Duration::from_secs(15);
+    let deadline = Duration::from_secs(15);
     Config {
         name: "many".into(),
         seed: Some(0x8c1f_30d2_7a5b_e964),
-        classes: vec![Class::new("view", Effect::Safe, wait), Class::new("order", Effect::Unsafe, wait)],
+        classes: vec![
+            Class::new("view", Effect::Safe, deadline),
+            Class::new("order", Effect::Unsafe, deadline),
+        ],
         fleet: Fleet { shards, ..Fleet::default() },
         ..Config::default()
     }
@@ -26,117 +29,119 @@
     Request::get(format!("/view/{key}")).body(String::new()).unwrap()
 }
 
-/// A shard on a thread of its own that can be made to stand still.
-struct Stoppable {
+/// A shard on a thread of its own that can be stalled.
+struct StallableShard {
     handle: Handle,
-    still: tokio::sync::mpsc::UnboundedSender<(Sender<()>, Receiver<()>)>,
+    stall_requests: tokio::sync::mpsc::UnboundedSender<(Sender<()>, Receiver<()>)>,
     thread: JoinHandle<()>,
 }
 
-impl Stoppable {
-    fn new(shard: Shard) -> Stoppable {
+impl StallableShard {
+    fn new(shard: Shard) -> StallableShard {
         let handle = shard.handle();
-        let (still, mut stops) = tokio::sync::mpsc::unbounded_channel::<(Sender<()>, Receiver<()>)>();
+        let (stall_requests, mut receiver) =
+            tokio::sync::mpsc::unbounded_channel::<(Sender<()>, Receiver<()>)>();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             LocalSet::new().block_on(&runtime, async move {
                 spawn_local(async move {
-                    while let Some((stands, go_on)) = stops.recv().await {
-                        stands.send(()).unwrap();
-                        let _ = go_on.recv();
+                    while let Some((stalled, resume)) = receiver.recv().await {
+                        stalled.send(()).unwrap();
+                        let _ = resume.recv();
                     }
                 });
                 shard.run().await;
             });
         });
-        Stoppable { handle, still, thread }
+        StallableShard { handle, stall_requests, thread }
     }
 
-    /// Makes it stand still until what is given back is dropped.
-    fn stop(&self) -> Sender<()> {
-        let (stands, is_still) = channel();
-        let (go_on, told) = channel();
-        self.still.send((stands, told)).unwrap();
-        is_still.recv_timeout(WITHIN).unwrap();
-        go_on
+    /// Stalls the shard until the returned sender is dropped.
+    fn stall(&self) -> Sender<()> {
+        let (stalled, stalled_signal) = channel();
+        let (resume, resume_signal) = channel();
+        self.stall_requests.send((stalled, resume_signal)).unwrap();
+        stalled_signal.recv_timeout(WITHIN).unwrap();
+        resume
     }
 }
 
-/// A node of two shards, the first of which can be made to stand still, and who reads its list.
-fn two(list: roster::ChannelRoster) -> (Node, Vec<Stoppable>) {
+/// A node with two stallable shards, whose list is read on another thread.
+fn two_shard_node(list: roster::ChannelRoster) -> (Node, Vec<StallableShard>) {
     let parts = Node::builder(config(2)).roster(list).split().unwrap();
     let source = parts.source.unwrap();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         LocalSet::new().block_on(&runtime, async move { source.run().await });
     });
-    (parts.node, parts.shards.into_iter().map(Stoppable::new).collect())
+    (parts.node, parts.shards.into_iter().map(StallableShard::new).collect())
 }
 
-fn servers_of(runtime: &Runtime, handle: &Handle) -> Vec<String> {
-    let seen = runtime.block_on(handle.snapshot()).unwrap();
-    seen.servers.iter().map(|server| server.uid.to_string()).collect()
+fn server_names(runtime: &Runtime, handle: &Handle) -> Vec<String> {
+    let snapshot = runtime.block_on(handle.snapshot()).unwrap();
+    snapshot.servers.iter().map(|server| server.uid.to_string()).collect()
 }
 
-/// Sends nothing to what drained while it stood still, though its requests came before it could hear of that.
+/// Calls that were queued while the shard was stalled must not go to a server that drained meanwhile, even
+/// though they precede the list change in the shard's queue.
 #[test]
-fn a_shard_that_stood_still_heeds_a_drain_that_came_meanwhile() {
+fn stalled_shard_applies_drain_before_queued_calls() {
     let (a, b) = (Server::new(|_, _| ok("a")), Server::new(|_, _| ok("b")));
     let (list, roster) = roster::channel();
-    let (node, shards) = two(roster);
+    let (node, shards) = two_shard_node(roster);
     let runtime = Runtime::new().unwrap();
     list.try_send(Update::whole([Entry::new("a", a.address), Entry::new("b", b.address)])).unwrap();
-    wait_for("the list", || node.handle().is_ready());
-    let go_on = shards[0].stop();
+    wait_for("the list to be applied", || node.handle().is_ready());
+    let resume = shards[0].stall();
     let calls: Vec<_> = (0..20)
         .map(|key| {
             let handle = shards[0].handle.clone();
             runtime.spawn(async move { handle.call(view(key)).await.unwrap() })
         })
         .collect();
-    wait_for("the calls", || {
+    wait_for("the calls to be queued", || {
         !calls.iter().any(|call| call.is_finished()) && node.handle().counts().taken == 0
     });
     list.try_send(Update::changes([Entry::new("a", a.address).with_state(ServerState::Draining)])).unwrap();
-    wait_for("the drain", || servers_of(&runtime, &shards[1].handle) == ["b"]);
-    // The calls are in the first shard's mailbox by now, ahead of the change.
+    wait_for("the drain to be applied", || server_names(&runtime, &shards[1].handle) == ["b"]);
+    // The calls are in the first shard's queue by now, ahead of the list change.
     std::thread::sleep(Duration::from_millis(100));
-    drop(go_on);
+    drop(resume);
     for call in calls {
         match runtime.block_on(call).unwrap() {
             Answer::Served(response) => assert_eq!(response.body().whole().unwrap(), "b"),
             other => panic!("{other:?}"),
         }
     }
-    assert_eq!(a.count(), 0, "it was told to drain before any of them was sent");
+    assert_eq!(a.count(), 0, "the server drained before any of the calls was sent");
     let counts = runtime.block_on(node.shutdown(Duration::from_secs(1)));
     assert_eq!((counts.taken, counts.served), (20, 20));
     shards.into_iter().for_each(|shard| shard.thread.join().unwrap());
 }
 
-/// Whoever calls goes to another shard, but for the few that it had to be tried with.
+/// Calls go to the other shard, except for the few by which the stall shows.
 #[test]
-fn calls_go_past_a_shard_that_stands_still() {
+fn calls_avoid_stalled_shard() {
     let server = Server::new(|_, _| ok("slip"));
     let (list, roster) = roster::channel();
-    let (node, shards) = two(roster);
+    let (node, shards) = two_shard_node(roster);
     let runtime = Runtime::new().unwrap();
     list.try_send(Update::whole([Entry::new("a", server.address)])).unwrap();
-    wait_for("the list", || node.handle().is_ready());
-    let go_on = shards[0].stop();
+    wait_for("the list to be applied", || node.handle().is_ready());
+    let resume = shards[0].stall();
     let mut waiting = Vec::new();
     for key in 0..100 {
         let handle = node.handle().clone();
         let mut call = runtime.spawn(async move { handle.call(view(key)).await.unwrap() });
-        // An answer comes within milliseconds, or not before the shard goes on.
-        let soon =
+        // An answer arrives within milliseconds, or not before the shard resumes.
+        let result =
             runtime.block_on(async { tokio::time::timeout(Duration::from_millis(500), &mut call).await });
-        if soon.is_err() {
+        if result.is_err() {
             waiting.push(call);
         }
     }
     assert!((1..=3).contains(&waiting.len()), "{}", waiting.len());
-    drop(go_on);
+    drop(resume);
     for call in waiting {
         assert!(runtime.block_on(call).unwrap().is_served());
     }
@@ -145,7 +150,7 @@
 }
 
 #[test]
-fn ids_counts_and_servers_are_the_whole_nodes() {
+fn ids_counts_and_servers_span_all_shards() {
     let server =
         Server::new(|_, request| if request.first.contains("/order/") { Act::Wait } else { ok("slip") });
     let node = Node::builder(config(3))
@@ -163,23 +168,26 @@
     for key in 0..100 {
         assert!(runtime.block_on(node.handle().call(view(key))).unwrap().is_served());
     }
-    let seen = runtime.block_on(node.handle().snapshot()).unwrap();
-    assert_eq!((seen.servers.len(), seen.open, seen.counts.served, seen.counts.invalid), (1, 1, 100, 20));
-    assert_eq!((seen.servers[0].in_flight, seen.in_flight), (1, 1));
+    let snapshot = runtime.block_on(node.handle().snapshot()).unwrap();
+    assert_eq!(
+        (snapshot.servers.len(), snapshot.open, snapshot.counts.served, snapshot.counts.invalid),
+        (1, 1, 100, 20)
+    );
+    assert_eq!((snapshot.servers[0].in_flight, snapshot.in_flight), (1, 1));
     first.abort();
     let counts = runtime.block_on(node.shutdown(Duration::from_secs(1)));
     assert_eq!((counts.taken, counts.served, counts.left), (101, 100, 1));
 }
 
-/// Limits are divided; ranks are those of all shards of all nodes.
+/// Limits are divided among shards; ranks count all shards of all nodes.
 #[test]
-fn each_shard_is_a_balancer_of_its_own() {
+fn shards_split_limits_and_rank() {
     let fleet = Fleet { nodes: 3, rank: 1, shards: 4, ..Fleet::default() };
     let limits = Limits { sockets: 1024, server_connections: Some(100), ..Limits::default() };
     let parts = Node::builder(Config { fleet, limits, ..config(4) }).split().unwrap();
-    let places: Vec<(u32, u32)> =
+    let ranks: Vec<(u32, u32)> =
         parts.shards.iter().map(|s| (s.config().fleet.nodes, s.config().fleet.rank)).collect();
-    assert_eq!(places, [(12, 4), (12, 5), (12, 6), (12, 7)]);
+    assert_eq!(ranks, [(12, 4), (12, 5), (12, 6), (12, 7)]);
     let connections: usize = parts.shards.iter().map(|s| s.config().limits.connections()).sum();
     assert!((900..=1000).contains(&connections), "{connections}");
     assert!(parts.shards.iter().all(|s| s.config().limits.to_servers() == 25));
