--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -56,7 +56,7 @@
 
 /// When dropped, closes the server's idle connections if it has answered nothing since this attempt was sent.
 /// A crashed machine is silent on all its connections, and each idle one would cost another attempt, perhaps
-/// an unsafe one, its whole time limit; a new connection fails at once and proves that the request did not
+/// an unsafe one, its full time limit; a new connection fails at once and proves that the request did not
 /// run.
 struct SilenceCheck<'a> {
     servers: &'a Servers,
--- a/crates/dunelink/src/lib.rs
+++ b/crates/dunelink/src/lib.rs
@@ -26,8 +26,8 @@
 //! let request = http::Request::get("/view/7f3a").body(String::new())?;
 //! match node.handle().call(request).await? {
 //!     Answer::Served(response) => println!("{} bytes", response.into_body().bytes(1 << 20).await?.len()),
-//!     Answer::Refused { retry_after } => println!("come back after {retry_after:?}"),
-//!     Answer::Failed { timed_out } => println!("no promise; out of time: {timed_out}"),
+//!     Answer::Refused { retry_after } => println!("refused; retry after {retry_after:?}"),
+//!     Answer::Failed { timed_out } => println!("failed; timed out: {timed_out}"),
 //! }
 //! node.shutdown(Duration::from_secs(1)).await;
 //! # Ok(()) }
--- a/crates/dunelink/src/node/body.rs
+++ b/crates/dunelink/src/node/body.rs
@@ -27,9 +27,11 @@
 /// The time limit for receiving a body: a base time plus time for the bytes received at the minimum rate.
 /// Only time spent waiting for the sender counts, not time for which the node itself makes it wait.
 pub(super) struct ReadTimeout {
-    /// The base time, and the number of bytes received.
+    /// The time granted whatever the number of bytes.
     base: Duration,
+    /// The number of bytes received so far.
     received: u64,
+    /// The time spent waiting for the sender so far.
     waited: Duration,
 }
 
--- a/crates/dunelink/src/node/received_request.rs
+++ b/crates/dunelink/src/node/received_request.rs
@@ -22,7 +22,7 @@
 /// # let classes = vec![Class::new("view", Effect::Safe, Duration::from_secs(1))];
 /// # let node = Node::builder(Config { classes, ..Config::default() }).start()?;
 /// let received = node.handle().receive(http::Request::get("/view/7").body(String::new())?, None).await?;
-/// // A front that has no room itself turns it away; it still has its one final answer.
+/// // A frontend without capacity refuses it; the request still gets its one final answer.
 /// assert!(received.refuse(Duration::from_secs(1)).is_refused());
 /// assert_eq!(node.handle().counts().refused, 1);
 /// # Ok(()) }
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -43,7 +43,7 @@
 /// let threads: Vec<_> = parts.shards.into_iter().map(|shard| {
 ///     std::thread::spawn(move || {
 ///         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-///         // Requests that this thread takes go to its own engine.
+///         // Requests from this thread go to its own engine.
 ///         let own = shard.handle();
 ///         LocalSet::new().block_on(&runtime, async move { shard.run().await });
 ///         own.counts()
--- a/crates/dunelink/src/payload.rs
+++ b/crates/dunelink/src/payload.rs
@@ -41,6 +41,7 @@
 pub(crate) struct PayloadSender {
     /// If it is dropped while `deadline` is unset, the body is incomplete.
     pub(crate) chunks: mpsc::Sender<Bytes>,
+    /// Set when the last byte has arrived, to the time at which the client gives up.
     pub(crate) deadline: watch::Sender<Option<Instant>>,
 }
 
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -241,7 +241,7 @@
                 idle: Vec::new(),
             };
             let known_server = known.entry(entry.id).or_insert_with(new_server);
-            // A machine that crashed and is back has lost its connections without closing them.
+            // A machine that crashed and is back has lost its old connections without closing them.
             if known_server.endpoint != endpoint || known_server.started_at != started_at {
                 *known_server = new_server();
             }
@@ -261,7 +261,7 @@
 
     /// From here on, requests go only to servers that are in this set too.
     pub(crate) fn set_ready_servers(&self, ready: Arc<Ready>) {
-        // A shard has the same list reader for its whole life, so this is set once.
+        // A shard has the same list reader throughout its life, so this is set once.
         let _ = self.ready_servers.set(ready);
     }
 
