--- a/crates/proxy/src/arguments.rs
+++ b/crates/proxy/src/arguments.rs
@@ -1,56 +1,56 @@
-//! The command line.
+//! Command-line parsing.
 
 use dunelink_runtime::log::Format;
 use thiserror::Error;
 
-/// What `--help` shows.
+/// The text that `--help` prints.
 pub const HELP: &str = "\
 dunelink-proxy: the data plane of a front machine
 
-The settings file is named by DUNELINK_BOOT (/etc/dunelink/local.toml).
+The settings file is DUNELINK_BOOT (default: /etc/dunelink/local.toml).
 
-    --check          read the settings and end: 0 if they are valid, 2 if not
-    --log FORMAT     text (default) or json
-    --help           this page
+    --check          validate the settings and exit: 0 if they are valid, 2 if not
+    --log FORMAT     log format: text (default) or json
+    --help           print this help
 ";
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arguments {
-    /// Only the settings are read.
+    /// Validate the settings and exit.
     pub check: bool,
-    /// Only the help is shown.
+    /// Print the help text and exit.
     pub help: bool,
-    /// How events are logged.
+    /// Output format of log records.
     pub log: Format,
 }
 
-/// Why the command line can't be followed.
+/// Why the command line is invalid.
 #[derive(Debug, Error)]
 pub enum ArgumentsError {
-    /// An option lacks its value or has a wrong one.
+    /// An option has no value or an invalid one.
     #[error("{0}; see --help")]
     Option(#[from] pico_args::Error),
-    /// Something stands there that means nothing.
-    #[error("`{0}` is no option of dunelink-proxy; see --help")]
+    /// An argument that the program does not know.
+    #[error("unknown argument `{0}`; see --help")]
     Unknown(String),
 }
 
 impl Arguments {
-    /// Reads the process's command line.
+    /// Parses the arguments of the process.
     ///
     /// # Errors
     ///
-    /// An option is unknown, or its value is.
+    /// An argument is unknown, or the value of an option is missing or invalid.
     pub fn read() -> Result<Self, ArgumentsError> {
-        let mut given = pico_args::Arguments::from_env();
+        let mut remaining = pico_args::Arguments::from_env();
         let arguments = Self {
-            check: given.contains("--check"),
-            help: given.contains("--help"),
-            log: given.opt_value_from_str("--log")?.unwrap_or(Format::Text),
+            check: remaining.contains("--check"),
+            help: remaining.contains("--help"),
+            log: remaining.opt_value_from_str("--log")?.unwrap_or(Format::Text),
         };
-        match given.finish().first() {
-            Some(other) => Err(ArgumentsError::Unknown(other.to_string_lossy().into_owned())),
+        match remaining.finish().first() {
+            Some(unknown) => Err(ArgumentsError::Unknown(unknown.to_string_lossy().into_owned())),
             None => Ok(arguments),
         }
     }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/client_socket.rs
@@ -1,4 +1,5 @@
-//! A client's socket, for what hyper drops of a head before it hands a request on.
+//! A client socket that also scans the request heads, because hyper drops parts of a head before it passes a
+//! request on.
 
 use std::cell::RefCell;
 use std::io;
@@ -13,19 +14,19 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The heads of the requests on a connection as they stood on the wire.
+/// The request heads of a connection as they appeared on the wire.
 #[derive(Debug, Clone, Default)]
-pub struct Heads(Rc<RefCell<Followed>>);
+pub struct RequestHeads(Rc<RefCell<HeadScanState>>);
 
 #[derive(Debug, Default)]
-struct Followed {
+struct HeadScanState {
     scanner: Scanner,
-    /// Since when a part of a request is there, if the rest is not.
+    /// When the first bytes of an incomplete request arrived; `None` if there is none.
     partial_since: Option<Instant>,
 }
 
-impl Followed {
-    fn take(&mut self, bytes: &[u8]) {
+impl HeadScanState {
+    fn scan(&mut self, bytes: &[u8]) {
         self.scanner.take(bytes);
         if !self.scanner.has_begun() {
             self.partial_since = None;
@@ -35,18 +36,20 @@
     }
 }
 
-impl Heads {
-    /// Since when a part of a request is there, if the rest is not. Bodies in chunks are not followed.
+impl RequestHeads {
+    /// Returns when the first bytes of an incomplete request arrived; `None` if there is none. Chunked bodies
+    /// are not tracked.
     pub fn partial_since(&self) -> Option<Instant> {
         self.0.borrow().partial_since
     }
 
-    /// Whether the request that was just handed over ends where hyper says.
+    /// Checks that the request that hyper just passed on ends where hyper assumes it does.
     ///
     /// # Errors
     ///
-    /// It states its end in two ways, or it comes in chunks and its head could not be followed.
-    pub fn check(&self, headers: &HeaderMap) -> Result<(), Fault> {
+    /// The head states the end of the body in two ways, or the body is chunked and the head could not be
+    /// scanned.
+    pub fn check_framing(&self, headers: &HeaderMap) -> Result<(), Fault> {
         match self.0.borrow_mut().scanner.next_head() {
             Some(head) => head.check(),
             None if headers.contains_key(header::TRANSFER_ENCODING) => Err(Fault::TwoFramings),
@@ -54,21 +57,21 @@
         }
     }
 
-    /// The body in chunks of the request at hand has come whole: what comes next is a head.
-    pub fn end_chunks(&self) {
-        *self.0.borrow_mut() = Followed::default();
+    /// Records that the chunked body of the current request is complete: the next bytes are a head.
+    pub fn end_chunked_body(&self) {
+        *self.0.borrow_mut() = HeadScanState::default();
     }
 }
 
-/// hyper's side of a client's connection.
+/// The socket that hyper reads and writes.
 pub struct ClientSocket {
     stream: TcpStream,
-    heads: Heads,
+    heads: RequestHeads,
 }
 
 impl ClientSocket {
-    /// Follows the heads that come, in `heads`.
-    pub fn new(stream: TcpStream, heads: Heads) -> Self {
+    /// Creates a socket that records the scanned heads in `heads`.
+    pub fn new(stream: TcpStream, heads: RequestHeads) -> Self {
         Self { stream, heads }
     }
 }
@@ -81,7 +84,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        self.heads.0.borrow_mut().take(&buf.filled()[before..]);
+        self.heads.0.borrow_mut().scan(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -1,41 +1,42 @@
-//! The configuration in force, with what the data plane computes of it once.
+//! The active configuration, with values that the data plane computes from it once.
 
 use dunelink_grants::TenantQuota;
 use dunelink_routing::{EngineSpec, ServiceSpec};
 use dunelink_settings::{FleetConfig, QuotaUnit, Route, RouteKind};
 use http::HeaderValue;
 
-/// A configuration with the header values of its tenants.
+/// A fleet configuration with the precomputed header values of its tenants.
 #[derive(Debug)]
 pub struct Configuration {
-    /// As the operator gave it.
+    /// The configuration as the operator wrote it.
     pub fleet: FleetConfig,
     tenants: Vec<HeaderValue>,
-    /// Whether some requests are more urgent than others.
-    ranked: bool,
+    /// Whether routes and tenants use more than one priority.
+    has_priorities: bool,
 }
 
-/// The least urgent rank that servers know.
-const PRIORITY_LAST: u32 = 9;
+/// The largest value of the `priority` header that servers understand: the least urgent one.
+const LOWEST_PRIORITY: u32 = 9;
 
-/// What a route says of how its requests are treated.
+/// How the requests of a route are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoutePolicy {
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
-    /// Whether its answers are streams of events.
+    /// Whether responses are event streams.
     pub streaming: bool,
-    /// Whether a stream may be taken up at another server.
+    /// Whether a broken stream may be resumed at another server.
     pub resumable: bool,
-    /// Longest time that a request is held, in milliseconds.
+    /// Maximum time from the arrival of a request to its response, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full worth, in milliseconds.
+    /// Response time up to which a response has its full value, in milliseconds.
     pub target_latency_ms: u64,
-    /// Longest pause between events of a stream that keeps it in time, in milliseconds; 0 where none is told.
-    pub gap_aim_ms: u64,
-    /// Rank; 0 is the highest.
+    /// Longest gap between two events of a stream that still counts as on time, in milliseconds; 0 if the
+    /// route sets none.
+    pub target_event_gap_ms: u64,
+    /// Priority of requests; 0 is the most urgent.
     pub priority: u32,
-    /// Most servers that one request may run at.
+    /// Maximum number of servers that may execute one request.
     pub max_attempts: u32,
 }
 
@@ -47,7 +48,7 @@
             resumable: route.kind == RouteKind::Streaming && route.resumable,
             timeout_ms: route.timeout_ms,
             target_latency_ms: route.target_latency_ms,
-            gap_aim_ms: route.gap_aim_ms.unwrap_or(0),
+            target_event_gap_ms: route.gap_aim_ms.unwrap_or(0),
             priority: route.priority,
             max_attempts: route.max_attempts,
         }
@@ -55,28 +56,30 @@
 }
 
 impl Configuration {
-    /// Prepares a configuration.
+    /// Precomputes the values that requests need.
     pub fn new(fleet: FleetConfig) -> Self {
         let value = |name: &str| HeaderValue::from_str(name).unwrap_or(HeaderValue::from_static(""));
         let tenants = fleet.tenants.iter().map(|tenant| value(&tenant.name)).collect();
-        let ranked = is_ranked(&fleet);
-        Self { fleet, tenants, ranked }
+        let has_priorities = has_several_priorities(&fleet);
+        Self { fleet, tenants, has_priorities }
     }
 
-    /// The name of a tenant as a header value.
-    pub fn tenant_value(&self, tenant: usize) -> &HeaderValue {
+    /// Returns the tenant's name as a header value. `tenant` is an index into the configured tenants.
+    pub fn tenant_header(&self, tenant: usize) -> &HeaderValue {
         &self.tenants[tenant]
     }
 
-    /// What a server of this service is told of a request's urgency; nothing where all requests are alike, or where
-    /// servers do not heed it.
-    pub fn priority_value(&self, service: usize, priority: u32) -> Option<HeaderValue> {
-        let heeds = self.ranked && self.fleet.services[service].engine.is_some();
-        heeds.then(|| HeaderValue::from(priority.min(PRIORITY_LAST)))
+    /// Returns the value of the `priority` header for a server of this service. `None` if all requests have
+    /// the same priority, or if the service's servers do not run a model engine and so ignore the header.
+    pub fn priority_header(&self, service: usize, priority: u32) -> Option<HeaderValue> {
+        let uses_priority = self.has_priorities && self.fleet.services[service].engine.is_some();
+        uses_priority.then(|| HeaderValue::from(priority.min(LOWEST_PRIORITY)))
     }
 
-    /// What is charged for a request of a tenant: `tokens` if it states any and tokens are counted.
-    pub fn units(&self, tenant: usize, tokens: Option<u64>) -> f64 {
+    /// Returns the quota units to charge for a request of a tenant. `tokens` is the number of tokens that the
+    /// request states; it counts only for tenants whose quota is in tokens, and defaults to the tenant's
+    /// `plain_tokens`.
+    pub fn quota_units(&self, tenant: usize, tokens: Option<u64>) -> f64 {
         let tenant = &self.fleet.tenants[tenant];
         match tenant.unit {
             QuotaUnit::Requests => 1.0,
@@ -84,8 +87,8 @@
         }
     }
 
-    /// The services for the router.
-    pub fn services(&self) -> Vec<ServiceSpec> {
+    /// Returns the services as the router needs them.
+    pub fn service_specs(&self) -> Vec<ServiceSpec> {
         let engine = |engine: &dunelink_settings::Engine| EngineSpec {
             slots: engine.slots,
             kv_tokens: engine.kv_tokens,
@@ -101,10 +104,10 @@
             .collect()
     }
 
-    /// Names of the services that requests without a tenant go to.
+    /// Returns the names of the services that receive requests without a tenant.
     pub fn tenantless_services(&self) -> Vec<&str> {
-        let keys = self.fleet.asks_for_keys();
-        let routes = self.fleet.routes.iter().filter(|route| route.public || !keys);
+        let requires_keys = self.fleet.asks_for_keys();
+        let routes = self.fleet.routes.iter().filter(|route| route.public || !requires_keys);
         let targets = routes.flat_map(|route| &route.targets).filter(|target| target.weight > 0);
         let mut services: Vec<usize> = targets.map(|target| target.service).collect();
         services.sort_unstable();
@@ -112,8 +115,8 @@
         services.into_iter().map(|service| self.fleet.services[service].name.as_str()).collect()
     }
 
-    /// The tenants' quotas for the gate.
-    pub fn quotas(&self) -> Vec<TenantQuota> {
+    /// Returns the tenants' quotas as the quota gate needs them.
+    pub fn tenant_quotas(&self) -> Vec<TenantQuota> {
         let tenants = self.fleet.tenants.iter();
         tenants
             .map(|tenant| TenantQuota {
@@ -125,10 +128,10 @@
     }
 }
 
-/// Whether routes and tenants differ in priority.
-fn is_ranked(fleet: &FleetConfig) -> bool {
+/// Whether routes and tenants use more than one priority.
+fn has_several_priorities(fleet: &FleetConfig) -> bool {
     let routes = fleet.routes.iter().map(|route| route.priority);
     let tenants = fleet.tenants.iter().filter_map(|tenant| tenant.priority);
-    let mut all = routes.chain(tenants).map(|priority| priority.min(PRIORITY_LAST));
-    all.next().is_some_and(|first| all.any(|other| other != first))
+    let mut priorities = routes.chain(tenants).map(|priority| priority.min(LOWEST_PRIORITY));
+    priorities.next().is_some_and(|first| priorities.any(|other| other != first))
 }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of the process share. One thread runs them all.
+//! State that all tasks of the process share. A single thread runs all tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,53 +18,58 @@
 use tokio::time::Instant;
 
 use crate::configuration::Configuration;
-use crate::leaving::Leaving;
 use crate::open_requests::OpenRequests;
-use crate::upstream::Pool;
+use crate::shutdown_schedule::ShutdownSchedule;
+use crate::upstream::ConnectionPool;
 
-/// A configuration is known to be current while the agent's proof of that is younger than this, in milliseconds.
-const CONFIRMED_WITHIN_MS: u64 = 1_000;
-/// Descriptors that the platform keeps for files.
+/// A heartbeat confirms the active configuration only if the agent has confirmed it with the control plane
+/// more recently than this, in milliseconds.
+const MAX_CONFIRMATION_AGE_MS: u64 = 1_000;
+/// File descriptors that the platform reserves for files.
 const RESERVED_FDS: u64 = 200;
-/// Descriptors taken to be there where the settings name none.
-const DEFAULT_FDS: u64 = 1_024;
-/// Part of the descriptors that clients' connections may take.
-const CLIENT_PART: f64 = 0.6;
-/// One report of so many tells the load of every server. The reports of that time, 2 s, are what a leader waits for.
-const WHOLE_LOADS_EACH: u32 = 13;
+/// File descriptor limit that is assumed if the settings have none.
+const DEFAULT_MAX_FDS: u64 = 1_024;
+/// Share of the usable file descriptors that client connections may take; connections to servers take the
+/// rest.
+const CLIENT_FD_FRACTION: f64 = 0.6;
+/// Every n-th report contains the loads of all servers; the others contain only changes. A newly elected
+/// leader waits for the 2 s that this many reports take.
+const REPORTS_PER_FULL_LOADS: u32 = 13;
 
-/// State of the process.
+/// Shared state of the proxy process.
 pub struct Node {
-    /// Settings at the start.
+    /// Settings that were read at startup.
     pub boot: Boot,
-    /// Where events go.
+    /// Logger of the process.
     pub log: Logger,
-    /// The steady clock.
+    /// Monotonic clock of the process.
     pub clock: Clock,
-    /// Which server takes a request.
+    /// Chooses the server for each request.
     pub router: RefCell<Router>,
-    /// Quotas of tenants.
-    pub quota: RefCell<QuotaGate>,
+    /// Enforces the tenants' quotas.
+    pub quota_gate: RefCell<QuotaGate>,
     incarnation: u64,
-    /// Bound on repeats.
-    pub retries: RefCell<RetryBudget>,
+    /// Limits the retries of each service.
+    pub retry_budget: RefCell<RetryBudget>,
     /// Connections to servers.
-    pub pool: Rc<Pool>,
+    pub pool: Rc<ConnectionPool>,
     configuration: RefCell<Option<Rc<Configuration>>>,
-    confirmed: Cell<bool>,
+    /// Whether the active configuration was confirmed as current at least once.
+    configuration_confirmed: Cell<bool>,
     ready_servers: Cell<usize>,
-    leaving: Cell<Option<Leaving>>,
-    /// Requests that were read and whose answer is not written yet.
+    shutdown_schedule: Cell<Option<ShutdownSchedule>>,
+    /// Requests that were read and whose response is not fully written yet.
     pub open_requests: Rc<OpenRequests>,
+    /// Served and failed attempts per server id since the last report.
     observations: RefCell<HashMap<String, (u32, u32)>>,
-    /// Told when a report had better not wait for its time.
-    pub report_wanted: Notify,
-    /// Reports until the next one that tells the load of every server.
-    reports_to_whole_loads: Cell<u32>,
+    /// Notified when a report to the agent is needed before its regular time.
+    pub report_requested: Notify,
+    /// Number of reports left until the next one that contains the loads of all servers.
+    reports_until_full_loads: Cell<u32>,
 }
 
 impl Node {
-    /// A node that holds nothing yet.
+    /// Creates the state of a proxy without configuration, servers or grants.
     pub fn new(boot: Boot, log: Logger) -> Rc<Self> {
         let bounds = &boot.bounds;
         let quota = QuotaBounds {
@@ -80,91 +85,93 @@
         let router = Router::new(RouterSettings { zone: boot.zone.clone() }, fastrand::u64(..));
         let incarnation = fastrand::u64(..);
         let clock = Clock::start();
-        let gate = QuotaGate::new(quota, incarnation, clock.now());
-        let servers = Self::descriptors(&boot) - Self::client_descriptors(&boot);
+        let quota_gate = QuotaGate::new(quota, incarnation, clock.now());
+        let max_server_connections = Self::usable_fds(&boot) - Self::max_client_connections(&boot);
         Rc::new(Self {
             log,
             clock,
             router: RefCell::new(router),
-            quota: RefCell::new(gate),
+            quota_gate: RefCell::new(quota_gate),
             incarnation,
-            retries: RefCell::new(RetryBudget::new(retry)),
-            pool: Pool::new(servers),
+            retry_budget: RefCell::new(RetryBudget::new(retry)),
+            pool: ConnectionPool::new(max_server_connections),
             configuration: RefCell::default(),
-            confirmed: Cell::new(false),
+            configuration_confirmed: Cell::new(false),
             ready_servers: Cell::new(0),
-            leaving: Cell::new(None),
+            shutdown_schedule: Cell::new(None),
             open_requests: OpenRequests::new(),
             observations: RefCell::default(),
-            report_wanted: Notify::new(),
-            reports_to_whole_loads: Cell::new(0),
+            report_requested: Notify::new(),
+            reports_until_full_loads: Cell::new(0),
             boot,
         })
     }
 
-    fn descriptors(boot: &Boot) -> usize {
-        let all = if boot.limits.max_fds > 0 { boot.limits.max_fds } else { DEFAULT_FDS };
+    fn usable_fds(boot: &Boot) -> usize {
+        let all = if boot.limits.max_fds > 0 { boot.limits.max_fds } else { DEFAULT_MAX_FDS };
         all.saturating_sub(RESERVED_FDS).max(64) as usize
     }
 
-    /// Most connections of clients.
-    pub fn client_descriptors(boot: &Boot) -> usize {
-        (Self::descriptors(boot) as f64 * CLIENT_PART) as usize
+    /// Returns the maximum number of client connections.
+    pub fn max_client_connections(boot: &Boot) -> usize {
+        (Self::usable_fds(boot) as f64 * CLIENT_FD_FRACTION) as usize
     }
 
-    /// Drawn at random at the start: grants are for this start alone.
+    /// Returns a random number that identifies this run of the process. Grants apply to a single incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration, if there is one.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Version of the configuration in force; 0 for none.
-    pub fn version(&self) -> u64 {
+    /// Returns the version of the active configuration, or 0 if there is none.
+    pub fn configuration_version(&self) -> u64 {
         self.configuration.borrow().as_ref().map_or(0, |configuration| configuration.fleet.version)
     }
 
-    /// Puts a configuration in force, unless it is not newer than the one that is.
-    pub fn put_in_force(&self, configuration: Configuration) {
-        if configuration.fleet.version <= self.version() {
+    /// Activates a configuration, unless its version is not newer than the active one.
+    pub fn activate_configuration(&self, configuration: Configuration) {
+        if configuration.fleet.version <= self.configuration_version() {
             return;
         }
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
-        router.set_services(now, &configuration.services());
+        router.set_services(now, &configuration.service_specs());
         router.set_tenantless_services(&configuration.tenantless_services());
-        self.quota.borrow_mut().set_tenants(now, &configuration.quotas());
+        self.quota_gate.borrow_mut().set_tenants(now, &configuration.tenant_quotas());
         let services = configuration.fleet.services.iter();
-        self.pool.set_bounds(services.map(|service| (service.name.clone(), service.max_conns)).collect());
+        self.pool.set_connection_limits(
+            services.map(|service| (service.name.clone(), service.max_conns)).collect(),
+        );
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
     }
 
-    /// Takes over the whole list of servers.
+    /// Replaces the list of servers.
     pub fn set_servers(&self, servers: &[ServerInfo]) {
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
         router.update_servers(now, servers);
         self.ready_servers.set(servers.iter().filter(|server| server.ready).count());
-        self.pool.keep_only(|server| router.is_usable(server));
+        self.pool.retain_usable(|server| router.is_usable(server));
     }
 
-    /// Takes over grants.
+    /// Applies an update of quota grants and of the number of nodes.
     pub fn apply_grants(&self, update: &GrantUpdate) {
-        match self.quota.borrow_mut().apply(self.clock.now(), update) {
+        match self.quota_gate.borrow_mut().apply(self.clock.now(), update) {
             ApplyOutcome::Ignored => return,
-            ApplyOutcome::HistoryRequested => return self.report_wanted.notify_one(),
+            ApplyOutcome::HistoryRequested => return self.report_requested.notify_one(),
             ApplyOutcome::Applied => {}
         }
-        self.retries.borrow_mut().set_nodes(update.node_count);
+        self.retry_budget.borrow_mut().set_nodes(update.node_count);
         self.router.borrow_mut().set_fleet_size(update.node_count);
-        self.pool.set_nodes(update.node_count);
+        self.pool.set_node_count(update.node_count);
     }
 
-    /// Takes over which servers other nodes find failing.
-    pub fn suspect(&self, suspicions: &[ServerSuspicion]) {
+    /// Passes on to the router which servers other nodes report as failing.
+    pub fn apply_suspicions(&self, suspicions: &[ServerSuspicion]) {
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
         for suspicion in suspicions {
@@ -172,49 +179,50 @@
         }
     }
 
-    /// Takes in a sign of life of the agent. A proof from before the process started says nothing of a version that
-    /// was committed since.
-    pub fn tick(&self, tick: &Heartbeat) {
-        let version = self.version();
-        let own = self.clock.age().as_millis() as u64;
-        let proven = tick.confirmed_age_ms < CONFIRMED_WITHIN_MS.min(own.saturating_add(1));
-        if proven && tick.configuration_version <= version && version > 0 {
-            self.confirmed.set(true);
+    /// Processes a heartbeat of the agent. A confirmation from before this process started is ignored: a
+    /// newer version may have been committed since then.
+    pub fn observe_heartbeat(&self, heartbeat: &Heartbeat) {
+        let version = self.configuration_version();
+        let uptime_ms = self.clock.age().as_millis() as u64;
+        let is_recent = heartbeat.confirmed_age_ms < MAX_CONFIRMATION_AGE_MS.min(uptime_ms.saturating_add(1));
+        if is_recent && heartbeat.configuration_version <= version && version > 0 {
+            self.configuration_confirmed.set(true);
         }
     }
 
-    /// Whether the platform may send clients: the configuration was confirmed as current once, there is a server, and
-    /// the process is not about to end.
+    /// Whether the platform may send clients: the configuration was confirmed as current at least once, at
+    /// least one server is ready, and the process is not shutting down.
     pub fn is_ready(&self) -> bool {
-        self.confirmed.get() && self.ready_servers.get() > 0 && !self.is_leaving()
+        self.configuration_confirmed.get() && self.ready_servers.get() > 0 && !self.is_shutting_down()
     }
 
-    /// From now on each answer ends its connection, and the platform is told to send no more clients.
-    /// Gives when what stops.
-    pub fn leave(&self) -> Leaving {
+    /// Starts the shutdown and returns its schedule. From now on each response closes its connection, and
+    /// readiness checks fail.
+    pub fn begin_shutdown(&self) -> ShutdownSchedule {
         let grace = Duration::from_secs_f64(self.boot.bounds.grace_s);
-        let leaving = self.leaving.get().unwrap_or_else(|| Leaving::new(Instant::now(), grace));
-        self.leaving.set(Some(leaving));
-        leaving
+        let schedule =
+            self.shutdown_schedule.get().unwrap_or_else(|| ShutdownSchedule::new(Instant::now(), grace));
+        self.shutdown_schedule.set(Some(schedule));
+        schedule
     }
 
-    /// When what stops, once [`Self::leave`] was called.
-    pub fn leaving(&self) -> Option<Leaving> {
-        self.leaving.get()
+    /// Returns the shutdown schedule, once [`Self::begin_shutdown`] was called.
+    pub fn shutdown_schedule(&self) -> Option<ShutdownSchedule> {
+        self.shutdown_schedule.get()
     }
 
-    /// Whether [`Self::leave`] was called.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.get().is_some()
+    /// Whether [`Self::begin_shutdown`] was called.
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown_schedule.get().is_some()
     }
 
-    /// How many requests were read and have no written answer yet.
-    pub fn in_hand(&self) -> usize {
+    /// Returns the number of requests that were read and whose response is not fully written yet.
+    pub fn open_request_count(&self) -> usize {
         self.open_requests.count()
     }
 
-    /// Counts an attempt at a server for the next report.
-    pub fn observe(&self, server: &str, served: bool) {
+    /// Counts the outcome of an attempt at a server for the next report.
+    pub fn record_attempt(&self, server: &str, served: bool) {
         let mut observations = self.observations.borrow_mut();
         if !observations.contains_key(server) {
             observations.insert(server.to_owned(), (0, 0));
@@ -224,9 +232,9 @@
         }
     }
 
-    /// What the agent is told: demand, and the outcomes since the last report.
+    /// Builds the next report to the agent: quota demand, outcomes since the last report, and server loads.
     pub fn report(&self) -> ProxyReport {
-        let demand = self.quota.borrow_mut().demand_report(self.clock.now());
+        let demand = self.quota_gate.borrow_mut().demand_report(self.clock.now());
         let observations = self.observations.borrow_mut().drain().collect::<Vec<_>>();
         let observation =
             |(server, (served, failed)): (String, (u32, u32))| ServerObservation { server, served, failed };
@@ -234,24 +242,30 @@
         ProxyReport { demand, observations, loads: self.loads() }
     }
 
-    /// The next report tells the load of every server: what was told before may be lost.
-    pub fn repeat_loads(&self) {
-        self.reports_to_whole_loads.set(0);
+    /// Makes the next report contain the loads of all servers, because earlier reports may be lost.
+    pub fn request_full_loads(&self) {
+        self.reports_until_full_loads.set(0);
     }
 
-    /// Requests of this node at servers: all of them now and then, else what has changed.
+    /// Returns this node's in-flight requests per server: for all servers at a fixed interval of reports,
+    /// otherwise only those that changed.
     fn loads(&self) -> NodeLoads {
-        let is_whole = self.reports_to_whole_loads.get() == 0;
-        let left = if is_whole { WHOLE_LOADS_EACH } else { self.reports_to_whole_loads.get() };
-        self.reports_to_whole_loads.set(left - 1);
+        let is_full = self.reports_until_full_loads.get() == 0;
+        let remaining_reports =
+            if is_full { REPORTS_PER_FULL_LOADS } else { self.reports_until_full_loads.get() };
+        self.reports_until_full_loads.set(remaining_reports - 1);
         let mut servers = Vec::new();
-        self.router.borrow_mut().report_loads(is_whole, PROMPT_UNIT_TOKENS, |id, requests, unread| {
-            servers.push(ServerLoad {
-                server_key: server_key(id),
-                in_flight: requests,
-                pending_prompt_units: unread,
-            });
-        });
-        NodeLoads { is_full: is_whole, servers }
+        self.router.borrow_mut().report_loads(
+            is_full,
+            PROMPT_UNIT_TOKENS,
+            |id, requests, pending_prompt_units| {
+                servers.push(ServerLoad {
+                    server_key: server_key(id),
+                    in_flight: requests,
+                    pending_prompt_units,
+                });
+            },
+        );
+        NodeLoads { is_full, servers }
     }
 }
