--- a/crates/dunelink/src/answer_body.rs
+++ b/crates/dunelink/src/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer: whole, or passed on as it comes.
+//! The body of an answer: buffered, or streamed from the server.
 
 use std::fmt;
 use std::pin::Pin;
@@ -15,9 +15,9 @@
 use crate::counts::Transfer;
 use crate::error::{BodyError, BoxError};
 
-/// The body of an answer. Up to `limits.body` bytes are there as a whole; a longer one is passed on as its server
-/// gives it and as fast as it is read. It ends with an error if its server or the way to it breaks: what came before
-/// is then not the answer.
+/// The body of an answer. Up to `limits.body` bytes are buffered; a longer body is streamed from the server
+/// as fast as it is read. A streamed body ends with an error if the server or the connection to it fails: the
+/// bytes received until then are not a complete answer.
 ///
 /// ```
 /// use bytes::Bytes;
@@ -30,78 +30,82 @@
 /// assert_eq!(body.bytes(1024).await?, "paid");
 /// # Ok(()) }
 /// ```
-pub struct AnswerBody(Kind);
+pub struct AnswerBody(BodyKind);
 
-enum Kind {
-    /// Taken once it is read.
-    Whole(Bytes),
-    Passing(Box<Passing>),
+enum BodyKind {
+    /// Empty once it has been read.
+    Buffered(Bytes),
+    Streaming(Box<StreamingBody>),
 }
 
-/// What is still to come, as the reader and who watches the server's connection share it.
+/// Whether the reader of a streamed body waits for data; shared with the task that watches the server's
+/// connection.
 #[derive(Default)]
-pub(crate) struct Tap {
-    waits: AtomicBool,
+pub(crate) struct ReaderState {
+    waiting: AtomicBool,
 }
 
-impl Tap {
-    /// Whether the reader has read all that came, and waits for more.
-    pub(crate) fn waits(&self) -> bool {
-        self.waits.load(Ordering::Relaxed)
+impl ReaderState {
+    /// Whether the reader has consumed everything received so far and waits for more.
+    pub(crate) fn waiting(&self) -> bool {
+        self.waiting.load(Ordering::Relaxed)
     }
 }
 
-struct Passing {
-    /// What came before it was known to be long.
+struct StreamingBody {
+    /// The bytes received before the body turned out to exceed the buffer limit.
     first: Bytes,
     rest: Incoming,
-    /// How many bytes may still come.
-    most: u64,
-    tap: Arc<Tap>,
-    /// Told when it has come to its end; dropped before that, its connection is of no more use.
-    ended: Option<oneshot::Sender<()>>,
+    /// How many more bytes the body may have.
+    remaining_limit: u64,
+    reader: Arc<ReaderState>,
+    /// Signalled when the body is complete; dropped without a signal, it tells that the connection can't be
+    /// reused.
+    on_end: Option<oneshot::Sender<()>>,
     transfer: Option<Transfer>,
 }
 
 impl AnswerBody {
-    pub(crate) fn passing(
+    pub(crate) fn streaming(
         first: Bytes,
         rest: Incoming,
-        most: u64,
-        tap: Arc<Tap>,
-        ended: oneshot::Sender<()>,
+        remaining_limit: u64,
+        reader: Arc<ReaderState>,
+        on_end: oneshot::Sender<()>,
     ) -> AnswerBody {
-        let passing = Passing { first, rest, most, tap, ended: Some(ended), transfer: None };
-        AnswerBody(Kind::Passing(Box::new(passing)))
+        let streaming =
+            StreamingBody { first, rest, remaining_limit, reader, on_end: Some(on_end), transfer: None };
+        AnswerBody(BodyKind::Streaming(Box::new(streaming)))
     }
 
-    /// The body, if it is there as a whole and none of it was read.
+    /// The complete body, if it is buffered and has not been read yet; `None` for a streamed body.
     pub fn whole(&self) -> Option<&Bytes> {
         match &self.0 {
-            Kind::Whole(bytes) => Some(bytes),
-            Kind::Passing(_) => None,
+            BodyKind::Buffered(bytes) => Some(bytes),
+            BodyKind::Streaming(_) => None,
         }
     }
 
-    /// Reads it to its end, if that comes within so many bytes.
+    /// Reads the body to its end, up to `max_bytes`.
     ///
     /// # Errors
     ///
-    /// There are more, or it broke off.
-    pub async fn bytes(self, most: usize) -> Result<Bytes, BodyError> {
-        match Limited::new(self, most).collect().await {
-            Ok(whole) => Ok(whole.to_bytes()),
-            Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge { limit: most }),
+    /// The body is longer than `max_bytes`, or the stream failed.
+    pub async fn bytes(self, max_bytes: usize) -> Result<Bytes, BodyError> {
+        match Limited::new(self, max_bytes).collect().await {
+            Ok(collected) => Ok(collected.to_bytes()),
+            Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge { limit: max_bytes }),
             Err(error) => Err(BodyError::Broken(error)),
         }
     }
 
-    /// From now on its end counts as the answer's.
-    pub(crate) fn count(&mut self, transfer: impl FnOnce() -> Transfer) -> bool {
+    /// Counts the answer when the body ends; returns whether the body is streamed. A buffered body is left as
+    /// it is.
+    pub(crate) fn attach_transfer(&mut self, transfer: impl FnOnce() -> Transfer) -> bool {
         match &mut self.0 {
-            Kind::Whole(_) => false,
-            Kind::Passing(passing) => {
-                passing.transfer = Some(transfer());
+            BodyKind::Buffered(_) => false,
+            BodyKind::Streaming(streaming) => {
+                streaming.transfer = Some(transfer());
                 true
             }
         }
@@ -110,7 +114,7 @@
 
 impl<T: Into<Bytes>> From<T> for AnswerBody {
     fn from(bytes: T) -> AnswerBody {
-        AnswerBody(Kind::Whole(bytes.into()))
+        AnswerBody(BodyKind::Buffered(bytes.into()))
     }
 }
 
@@ -123,24 +127,24 @@
 impl fmt::Debug for AnswerBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
-            Kind::Whole(bytes) => f.debug_tuple("AnswerBody").field(bytes).finish(),
-            Kind::Passing(_) => f.debug_tuple("AnswerBody").finish_non_exhaustive(),
+            BodyKind::Buffered(bytes) => f.debug_tuple("AnswerBody").field(bytes).finish(),
+            BodyKind::Streaming(_) => f.debug_tuple("AnswerBody").finish_non_exhaustive(),
         }
     }
 }
 
-impl Passing {
-    fn done(&mut self) {
-        if let Some(ended) = self.ended.take() {
-            let _ = ended.send(());
+impl StreamingBody {
+    fn complete(&mut self) {
+        if let Some(on_end) = self.on_end.take() {
+            let _ = on_end.send(());
         }
         if let Some(transfer) = self.transfer.take() {
             transfer.served();
         }
     }
 
-    fn broken(&mut self, error: impl Into<BoxError>) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
-        self.ended = None;
+    fn fail(&mut self, error: impl Into<BoxError>) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
+        self.on_end = None;
         if let Some(transfer) = self.transfer.take() {
             transfer.failed();
         }
@@ -153,23 +157,23 @@
         }
         loop {
             let polled = Pin::new(&mut self.rest).poll_frame(cx);
-            self.tap.waits.store(polled.is_pending(), Ordering::Relaxed);
+            self.reader.waiting.store(polled.is_pending(), Ordering::Relaxed);
             match std::task::ready!(polled) {
                 None => {
-                    self.done();
+                    self.complete();
                     return Poll::Ready(None);
                 }
-                Some(Err(error)) => return self.broken(error),
+                Some(Err(error)) => return self.fail(error),
                 Some(Ok(frame)) => {
-                    // Trailers are of one hop unless both sides agreed on more.
+                    // Trailers are hop-by-hop unless both sides agreed to forward them.
                     let Ok(data) = frame.into_data() else { continue };
-                    if data.len() as u64 > self.most {
-                        return self.broken("the answer is over the limit");
+                    if data.len() as u64 > self.remaining_limit {
+                        return self.fail("the response body exceeds the size limit");
                     }
-                    self.most -= data.len() as u64;
-                    // Who knows its length does not ask for its end.
+                    self.remaining_limit -= data.len() as u64;
+                    // A reader that knows the length does not poll for the end of the stream.
                     if self.rest.is_end_stream() {
-                        self.done();
+                        self.complete();
                     }
                     return Poll::Ready(Some(Ok(Frame::data(data))));
                 }
@@ -187,24 +191,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match &mut self.0 {
-            Kind::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Kind::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Kind::Passing(passing) => passing.poll(cx),
+            BodyKind::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            BodyKind::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            BodyKind::Streaming(streaming) => streaming.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.0 {
-            Kind::Whole(bytes) => bytes.is_empty(),
-            Kind::Passing(passing) => passing.first.is_empty() && passing.rest.is_end_stream(),
+            BodyKind::Buffered(bytes) => bytes.is_empty(),
+            BodyKind::Streaming(streaming) => streaming.first.is_empty() && streaming.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.0 {
-            Kind::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Kind::Passing(passing) => match passing.rest.size_hint().exact() {
-                Some(rest) => SizeHint::with_exact(passing.first.len() as u64 + rest),
+            BodyKind::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            BodyKind::Streaming(streaming) => match streaming.rest.size_hint().exact() {
+                Some(rest) => SizeHint::with_exact(streaming.first.len() as u64 + rest),
                 None => SizeHint::default(),
             },
         }
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -1,6 +1,6 @@
-//! A node of several shards: engines that share nothing but the ids of open requests, the places for them, and
-//! one reader of the list of servers. Each counts as a balancer of its own, so that shares, limits and the reach
-//! of cold servers add up over all shards of all nodes.
+//! Nodes with several shards: engines that share only the ids of open requests, the permits for requests and
+//! streamed bodies, and one reader of the server list. Each shard counts as a balancer of its own, so that
+//! shares, limits and the allowance of cold servers add up over all shards of all nodes.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -11,21 +11,22 @@
 use tokio_util::sync::CancellationToken;
 
 use super::endpoint::Endpoint;
-use super::engineering::Engineering;
-use super::engines::Engine;
+use super::engine_handle::EngineHandle;
+use super::engine_setup::EngineSetup;
 use super::handle::{Handle, Shared};
 use super::running::Node;
 use crate::config::{Config, ConfigError};
-use crate::counts::Tally;
+use crate::counts::Counters;
 use crate::engine::Mailbox;
 use crate::fleet::Gossiper;
 use crate::intake::Intake;
 use crate::roster::{Feed, Hub, Roster, RosterFuture};
 
-/// Between the seeds of two shards (the golden ratio in 64 bits).
-const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The difference between the seeds of consecutive shards (the golden ratio in 64 bits).
+const SHARD_SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A node in parts: for a front that gives each shard a thread of its own. Dropping the node ends all shards.
+/// A node split into parts, for a frontend that runs each shard on a thread of its own. Dropping the node
+/// ends all shards.
 ///
 /// ```
 /// use dunelink::config::{Class, Effect, Fleet};
@@ -42,7 +43,7 @@
 /// let threads: Vec<_> = parts.shards.into_iter().map(|shard| {
 ///     std::thread::spawn(move || {
 ///         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-///         // Requests that this thread takes go to its own engine.
+///         // Requests from this thread go to its own engine.
 ///         let own = shard.handle();
 ///         LocalSet::new().block_on(&runtime, async move { shard.run().await });
 ///         own.counts()
@@ -54,41 +55,43 @@
 /// ```
 #[non_exhaustive]
 pub struct NodeParts {
-    /// The whole node.
+    /// The node itself.
     pub node: Node,
     /// Its shards, each to be run on a thread of its own.
     pub shards: Vec<Shard>,
-    /// The reader of the list, where there are several shards; to be run on a thread that nothing blocks.
+    /// The reader of the server list if there are several shards, to be run on a thread that nothing blocks;
+    /// `None` if the only shard reads the list itself.
     pub source: Option<ServerListReader>,
-    /// Gossip with the other nodes, where the configuration wants it; it is to be started.
+    /// Gossip with the other nodes, to be started; `None` if it is not configured.
     pub gossip: Option<Gossiper>,
 }
 
 /// One shard of a node.
 pub struct Shard {
-    engineering: Engineering,
+    setup: EngineSetup,
     handle: Handle,
 }
 
 impl Shard {
-    /// The way to this shard alone.
+    /// A handle to this shard alone.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// The part of the configuration that falls to it: of limits, and its rank among all shards of all nodes.
+    /// This shard's share of the configuration: its part of the limits, and its rank among all shards of all
+    /// nodes.
     pub fn config(&self) -> &Config {
-        &self.engineering.config
+        &self.setup.config
     }
 
-    /// Takes in the list that is known at the start; the engine then runs in the future, until the node is shut
-    /// down. It needs a tokio `LocalSet`.
+    /// Applies the initial server list. The returned future runs the engine until the node is shut down; it
+    /// needs a tokio `LocalSet`.
     pub fn run(self) -> impl Future<Output = ()> + 'static {
-        self.engineering.begin()
+        self.setup.start()
     }
 }
 
-/// Reads the list of servers for all shards.
+/// Reads the server list for all shards.
 pub struct ServerListReader {
     roster: Box<dyn Roster>,
     config: Config,
@@ -98,30 +101,30 @@
 }
 
 impl ServerListReader {
-    /// Runs until all shards have ended. It needs a tokio `LocalSet`.
+    /// Runs until all shards have ended. The future needs a tokio `LocalSet`.
     pub fn run(self) -> RosterFuture {
         let ServerListReader { roster, config, seed, hub, ended } = self;
         let running = roster.run(Feed::new(&config, seed, hub));
         Box::pin(async move {
-            let all = async {
+            let all_ended = async {
                 for ended in &ended {
                     ended.cancelled().await;
                 }
             };
             let reading = async {
                 running.await;
-                // A roster may end before the node: the list stays as it is.
+                // A roster may end before the node: the list then stays as it is.
                 std::future::pending::<()>().await;
             };
             tokio::select! {
-                () = all => {}
+                () = all_ended => {}
                 () = reading => {}
             }
         })
     }
 }
 
-/// Makes a node's parts of a configuration that holds together.
+/// Creates the parts of a node from a valid configuration.
 pub(super) fn split(
     mut config: Config,
     mut roster: Box<dyn Roster>,
@@ -132,37 +135,37 @@
     let graphql = Endpoint::new(&config)?;
     let hub = (count > 1).then(|| Hub::new(count as usize));
     if let Some(hub) = &hub {
-        // The source may be read by another thread before the shards have begun.
+        // Another thread may read the list before the shards have started.
         config.known = roster.known().unwrap_or(config.known);
         hub.begin(&config.known);
     }
     let transfers = Arc::new(Semaphore::new(config.limits.transfers));
     let mut roster = Some(roster);
-    let (mut engines, mut engineerings) = (Vec::new(), Vec::new());
-    for number in 0..count {
-        let config = config.shard(number);
-        let seed = seed.wrapping_add(SEED_STEP.wrapping_mul(u64::from(number)));
+    let (mut engines, mut setups) = (Vec::new(), Vec::new());
+    for index in 0..count {
+        let config = config.shard(index);
+        let seed = seed.wrapping_add(SHARD_SEED_STEP.wrapping_mul(u64::from(index)));
         let balancer = Balancer::new(config.settings(), seed).map_err(|e| ConfigError::whole(e.0))?;
         let (mailbox, inbox) = Mailbox::new(seed);
-        let engine = Engine {
+        let engine = EngineHandle {
             mailbox: mailbox.clone(),
-            tally: Arc::new(Tally::new(config.classes.len())),
+            counters: Arc::new(Counters::new(config.classes.len())),
             any_ready: Arc::new(AtomicBool::default()),
-            waiting: AtomicUsize::new(0),
+            waiting_calls: AtomicUsize::new(0),
             ended: CancellationToken::new(),
         };
         let roster: Box<dyn Roster> = match (&hub, &mut roster) {
-            (Some(hub), _) => Box::new(hub.branch(number as usize)),
+            (Some(hub), _) => Box::new(hub.branch(index as usize)),
             (None, roster) => roster.take().ok_or_else(|| ConfigError::whole("no roster"))?,
         };
-        engineerings.push(Engineering {
+        setups.push(EngineSetup {
             seed,
             balancer,
             roster,
             transfers: transfers.clone(),
             mailbox,
             inbox,
-            tally: engine.tally.clone(),
+            counters: engine.counters.clone(),
             any_ready: engine.any_ready.clone(),
             ended: engine.ended.clone(),
             config,
@@ -170,26 +173,26 @@
         engines.push(Arc::new(engine));
     }
     let ended = engines.iter().map(|engine| engine.ended.clone()).collect();
-    let mailboxes = engines.iter().map(|engine: &Arc<Engine>| engine.mailbox.clone()).collect();
-    let tallies = engines.iter().map(|engine: &Arc<Engine>| engine.tally.clone()).collect();
-    let aside = Arc::new(AtomicBool::new(false));
-    let (gossip, asks) = Gossiper::new(&config, (mailboxes, tallies), aside.clone())?.unzip();
+    let mailboxes = engines.iter().map(|engine: &Arc<EngineHandle>| engine.mailbox.clone()).collect();
+    let counters = engines.iter().map(|engine: &Arc<EngineHandle>| engine.counters.clone()).collect();
+    let withdrawn = Arc::new(AtomicBool::new(false));
+    let (gossip, gossip_requests) = Gossiper::new(&config, (mailboxes, counters), withdrawn.clone())?.unzip();
     let shared = Shared {
         engines,
-        gossip: asks,
+        gossip: gossip_requests,
         class_names: config.classes.iter().map(|class| class.name.clone()).collect(),
         intake,
         graphql,
-        body_most: config.limits.body,
-        stream_most: config.limits.stream,
+        max_body_bytes: config.limits.body,
+        max_stream_bytes: config.limits.stream,
         transfers: transfers.clone(),
-        places: Arc::new(Semaphore::new(config.limits.requests)),
+        request_permits: Arc::new(Semaphore::new(config.limits.requests)),
         closing: AtomicBool::new(false),
-        aside,
+        withdrawn,
     };
-    let handle = Handle { shared: Arc::new(shared), home: None };
-    let shard = |(number, engineering)| Shard { engineering, handle: handle.at_home(number) };
-    let shards = engineerings.into_iter().enumerate().map(shard).collect();
+    let handle = Handle { shared: Arc::new(shared), shard: None };
+    let shard = |(index, setup)| Shard { setup, handle: handle.for_shard(index) };
+    let shards = setups.into_iter().enumerate().map(shard).collect();
     let source = hub.zip(roster).map(|(hub, roster)| ServerListReader { roster, config, seed, hub, ended });
     Ok(NodeParts { node: Node { handle }, shards, source, gossip })
 }
