--- a/crates/control/examples/scale/main.rs
+++ b/crates/control/examples/scale/main.rs
@@ -1,8 +1,8 @@
 //! Measures what the control plane costs as nodes, servers and tenants grow.
 //!
-//! Starts real `dunelink-control` processes over loopback with a stand-in of the platform's list, and plays the
-//! agents in this process: each has a connection of its own, speaks the real protocol, and holds what it is fed. A
-//! run takes less than a minute and prints one line of JSON for each phase.
+//! Starts real `dunelink-control` processes over loopback with a stand-in of the platform's list, and plays
+//! the agents in this process: each has a connection of its own, speaks the real protocol, and holds what it
+//! is fed. A run takes less than a minute and prints one line of JSON for each phase.
 //!
 //! ```text
 //! cargo build --release -p dunelink-control --example scale
--- a/crates/control/tests/cluster/checks.rs
+++ b/crates/control/tests/cluster/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at every step.
+//! Invariants that hold at every step of a simulation.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -6,122 +6,158 @@
 use dunelink_control::node::Node;
 use dunelink_replication::{Replica, ReplicaId};
 
-/// An order as its operator sees it: the base and the body.
-pub(crate) type OrderKey = (u64, Bytes);
+/// A configuration change as its operator identifies it: the base version and the body.
+pub(crate) type ChangeKey = (u64, Bytes);
 
-/// What has been seen so far.
+/// What a simulation has observed so far.
 #[derive(Default)]
 pub(crate) struct Checks {
-    /// Versions seen in force anywhere, with what they were built on.
-    chain: BTreeMap<u64, Bytes>,
-    /// The version that took each base.
-    next_of: HashMap<u64, u64>,
-    /// Newest version that an operator was told of: by success, or as read.
-    pub(crate) floor: u64,
-    /// When it rose, with the version.
-    rises: Vec<(u64, u64)>,
-    /// Who led in each term.
-    leaders: HashMap<u64, ReplicaId>,
-    acknowledged: HashMap<OrderKey, u64>,
-    /// Orders that came into force.
-    taken: HashSet<OrderKey>,
-    refused: HashSet<OrderKey>,
-    /// Orders sent, by version.
-    pub(crate) sent: HashMap<u64, Vec<OrderKey>>,
-    /// Acknowledgements seen.
-    pub(crate) acknowledgements: usize,
+    /// Bodies of the versions that some machine has applied, by version.
+    bodies_by_version: BTreeMap<u64, Bytes>,
+    /// The version that was applied on top of each base version.
+    version_after_base: HashMap<u64, u64>,
+    /// Newest version that an operator has seen, acknowledged or read.
+    pub(crate) newest_reported: u64,
+    /// Each rise of `newest_reported`: the simulation time and the version.
+    reported_versions: Vec<(u64, u64)>,
+    /// The leader of each term.
+    leader_by_term: HashMap<u64, ReplicaId>,
+    /// Acknowledged changes, with their versions.
+    acknowledged_changes: HashMap<ChangeKey, u64>,
+    /// Changes that some machine has applied.
+    applied_changes: HashSet<ChangeKey>,
+    /// Changes that a machine has refused.
+    refused_changes: HashSet<ChangeKey>,
+    /// Changes that operators have sent, by version.
+    pub(crate) sent_changes: HashMap<u64, Vec<ChangeKey>>,
+    /// Number of acknowledgements sent to operators.
+    pub(crate) acknowledgement_count: usize,
 }
 
 impl Checks {
-    /// A node's state after an event.
-    pub(crate) fn state(&mut self, node: &Node) {
+    /// Checks a node's replicated state after an event.
+    pub(crate) fn check_state(&mut self, node: &Node) {
         let version = node.state().version();
         if version == 0 {
             return;
         }
         let body = node.state().body();
-        if let Some(known) = self.chain.get(&version) {
-            assert_eq!(known, body, "two contents of version {version}");
+        if let Some(known) = self.bodies_by_version.get(&version) {
+            assert_eq!(known, body, "two machines applied different bodies as version {version}");
             return;
         }
-        self.chain.insert(version, body.clone());
-        for taken in node.state().history() {
-            let known = *self.next_of.entry(taken.base).or_insert(taken.version);
-            assert_eq!(known, taken.version, "two versions in force on base {}", taken.base);
+        self.bodies_by_version.insert(version, body.clone());
+        for applied in node.state().history() {
+            let known = *self.version_after_base.entry(applied.base).or_insert(applied.version);
+            assert_eq!(known, applied.version, "two versions were applied on base {}", applied.base);
         }
-        let base = node.state().history().last().map_or(0, |taken| taken.base);
+        let base = node.state().history().last().map_or(0, |applied| applied.base);
         let key = (base, body.clone());
-        let sent = self.sent.get(&version).is_some_and(|orders| orders.contains(&key));
-        assert!(sent, "version {version} was never sent as it came into force");
-        assert!(!self.refused.contains(&key), "version {version} is in force and was refused");
-        self.taken.insert(key);
+        let was_sent = self.sent_changes.get(&version).is_some_and(|changes| changes.contains(&key));
+        assert!(was_sent, "no operator sent version {version} with the base and body that were applied");
+        assert!(!self.refused_changes.contains(&key), "version {version} was applied after it was refused");
+        self.applied_changes.insert(key);
     }
 
     /// At most one replica leads in a term.
-    pub(crate) fn leader(&mut self, replica: &Replica) {
+    pub(crate) fn check_leader(&mut self, replica: &Replica) {
         if let Some(leader) = replica.leader().filter(|_| replica.is_leader()) {
-            let known = *self.leaders.entry(replica.term()).or_insert(leader.id);
-            assert_eq!(known, leader.id, "two lead in term {}", replica.term());
+            let known = *self.leader_by_term.entry(replica.term()).or_insert(leader.id);
+            assert_eq!(known, leader.id, "two replicas lead in term {}", replica.term());
         }
     }
 
-    /// What a holder of the lease has in force.
-    pub(crate) fn holder(&self, number: usize, version: u64) {
+    /// Checks that a lease holder has applied every version that an operator has seen.
+    pub(crate) fn check_lease_holder(&self, number: usize, version: u64) {
         assert!(
-            version >= self.floor,
-            "machine {number} holds the lease with {version}, told was {}",
-            self.floor
+            version >= self.newest_reported,
+            "machine {number} holds the lease at version {version}, but an operator has seen {}",
+            self.newest_reported
         );
     }
 
-    /// What a machine feeds, and how old it says that this is at most, as a time of the run.
-    pub(crate) fn fed(&self, number: usize, version: u64, body: Option<&Bytes>, current_at: Option<u64>) {
+    /// Checks the configuration that a machine feeds to agents. `current_at` is the simulation time at which
+    /// the machine claims that it was current.
+    pub(crate) fn check_feed(
+        &self,
+        number: usize,
+        version: u64,
+        body: Option<&Bytes>,
+        current_at: Option<u64>,
+    ) {
         if version > 0 {
             assert_eq!(
-                self.chain.get(&version),
+                self.bodies_by_version.get(&version),
                 body,
-                "machine {number} feeds what is not in force: {version}"
+                "machine {number} feeds version {version} with a body that was not applied"
             );
         }
-        let Some(at) = current_at else { return };
-        let told = self.rises.iter().rev().find(|(rose, _)| *rose < at).map_or(0, |(_, told)| *told);
-        assert!(version >= told, "machine {number} feeds {version} as current, told was {told}");
+        let Some(current_at) = current_at else { return };
+        let reported = self
+            .reported_versions
+            .iter()
+            .rev()
+            .find(|(time, _)| *time < current_at)
+            .map_or(0, |(_, reported)| *reported);
+        assert!(
+            version >= reported,
+            "machine {number} feeds {version} as current, but an operator had seen {reported}"
+        );
     }
 
-    /// An answer of success leaves a machine.
-    pub(crate) fn success(&mut self, now: u64, key: &OrderKey, version: u64) {
-        assert!(!self.refused.contains(key), "version {version} was refused and is acknowledged");
-        assert!(self.taken.contains(key), "version {version} is acknowledged and not in force anywhere");
-        let clash = self.acknowledged.keys().find(|(base, body)| *base == key.0 && *body != key.1);
-        assert!(clash.is_none(), "two orders on base {} are acknowledged", key.0);
-        self.acknowledged.insert(key.clone(), version);
-        self.acknowledgements += 1;
-        self.raise(now, version);
+    /// Checks an acknowledgement that leaves a machine.
+    pub(crate) fn check_acknowledgement(&mut self, now: u64, key: &ChangeKey, version: u64) {
+        assert!(
+            !self.refused_changes.contains(key),
+            "version {version} is acknowledged after it was refused"
+        );
+        assert!(
+            self.applied_changes.contains(key),
+            "version {version} is acknowledged but no machine has applied it"
+        );
+        let conflicting =
+            self.acknowledged_changes.keys().find(|(base, body)| *base == key.0 && *body != key.1);
+        assert!(conflicting.is_none(), "two changes on base {} are acknowledged", key.0);
+        self.acknowledged_changes.insert(key.clone(), version);
+        self.acknowledgement_count += 1;
+        self.record_reported(now, version);
     }
 
-    /// A refusal leaves a machine.
-    pub(crate) fn refusal(&mut self, key: &OrderKey, current: Option<u64>) {
-        assert!(!self.taken.contains(key), "an order on base {} was taken and is refused", key.0);
+    /// Checks a refusal that leaves a machine; `current` is the version that it names, if any.
+    pub(crate) fn check_refusal(&mut self, key: &ChangeKey, current: Option<u64>) {
         assert!(
-            current.is_none_or(|current| current >= self.floor),
-            "a refusal names an old version: {current:?}"
+            !self.applied_changes.contains(key),
+            "a change on base {} is refused after it was applied",
+            key.0
         );
-        self.refused.insert(key.clone());
+        assert!(
+            current.is_none_or(|current| current >= self.newest_reported),
+            "a refusal names a version older than one that an operator has seen: {current:?}"
+        );
+        self.refused_changes.insert(key.clone());
     }
 
-    /// A configuration that was read.
-    pub(crate) fn read(&mut self, now: u64, version: u64, body: &Bytes) {
-        assert!(version >= self.floor, "read {version}, told before was {}", self.floor);
+    /// Checks a configuration that was read by an operator.
+    pub(crate) fn check_read(&mut self, now: u64, version: u64, body: &Bytes) {
+        assert!(
+            version >= self.newest_reported,
+            "read version {version}, but an operator has seen {}",
+            self.newest_reported
+        );
         if version > 0 {
-            assert_eq!(self.chain.get(&version), Some(body), "read {version}, which is not in force");
+            assert_eq!(
+                self.bodies_by_version.get(&version),
+                Some(body),
+                "read version {version} with a body that was not applied"
+            );
         }
-        self.raise(now, version);
+        self.record_reported(now, version);
     }
 
-    fn raise(&mut self, now: u64, version: u64) {
-        if version > self.floor {
-            self.floor = version;
-            self.rises.push((now, version));
+    fn record_reported(&mut self, now: u64, version: u64) {
+        if version > self.newest_reported {
+            self.newest_reported = version;
+            self.reported_versions.push((now, version));
         }
     }
 }
--- a/crates/control/tests/cluster/disk.rs
+++ b/crates/control/tests/cluster/disk.rs
@@ -1,4 +1,4 @@
-//! A simulated disk whose syncs may do nothing.
+//! A simulated disk whose syncs can be made no-ops.
 
 use std::io;
 
@@ -8,8 +8,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct MachineDisk {
     pub(crate) inner: SimulatedDisk,
-    pub(crate) skips_files: bool,
-    pub(crate) skips_folder: bool,
+    pub(crate) skip_file_syncs: bool,
+    pub(crate) skip_folder_syncs: bool,
 }
 
 impl Disk for MachineDisk {
@@ -38,10 +38,10 @@
     }
 
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
-        if self.skips_files { Ok(()) } else { self.inner.sync_file(name) }
+        if self.skip_file_syncs { Ok(()) } else { self.inner.sync_file(name) }
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        if self.skips_folder { Ok(()) } else { self.inner.sync_folder() }
+        if self.skip_folder_syncs { Ok(()) } else { self.inner.sync_folder() }
     }
 }
--- a/crates/control/tests/cluster/faults.rs
+++ b/crates/control/tests/cluster/faults.rs
@@ -1,168 +1,176 @@
-//! Faults by chance, then calm, in which the group has to work again.
+//! Random faults, followed by a fault-free period in which the group must recover.
 
 use super::machine::Machine;
-use super::mistake::Mistake;
+use super::mutation::Mutation;
 use super::world::{Event, World};
 use super::{MILLISECOND, SECOND};
 
-/// A machine that lost its disk may be lost again after so long in calm.
-const CATCH_UP: u64 = 4 * SECOND;
+/// Fault-free time in microseconds after which a machine that lost its disk counts as caught up and may lose
+/// it again.
+const CATCH_UP_US: u64 = 4 * SECOND;
 
-/// Faults of a run of many changes between two calm times.
-const FAULTS_BETWEEN_CALMS: u32 = 4;
+/// Faults between two recovery periods in a run of many changes.
+const FAULTS_BETWEEN_RECOVERIES: u32 = 4;
 
-/// What a run did.
+/// Totals of a run, compared to check that a seed replays it.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Outcome {
     pub(crate) steps: u64,
-    pub(crate) acknowledgements: usize,
+    pub(crate) acknowledgement_count: usize,
 }
 
-/// Runs faults by chance on so many machines, mends everything, and checks that the group works.
-pub(crate) fn run_schedule(size: usize, seed: u64, faults: u32, mistake: Option<Mistake>) -> Outcome {
-    let mut world = World::founded(size, seed, mistake);
+/// Runs `faults` random faults on `size` machines, ends all faults, and checks that the group recovers.
+pub(crate) fn run_schedule(size: usize, seed: u64, faults: u32, mutation: Option<Mutation>) -> Outcome {
+    let mut world = World::bootstrapped(size, seed, mutation);
     for _ in 0..faults {
-        world.fault_and_wait();
-        if !world.lost.is_empty() && world.random.u32(0..5) == 0 {
-            world.calm();
+        world.inject_fault_and_wait();
+        if !world.lost_machines.is_empty() && world.random.u32(0..5) == 0 {
+            world.recover_fully();
         }
     }
     world.finish()
 }
 
-/// Runs faults by chance and calm times by turns until so many changes are acknowledged.
+/// Alternates random faults and recovery periods until `changes` changes are acknowledged.
 pub(crate) fn run_changes(size: usize, seed: u64, changes: usize) -> Outcome {
-    let mut world = World::founded(size, seed, None);
+    let mut world = World::bootstrapped(size, seed, None);
     for _ in 0..changes {
-        if world.checks.acknowledgements >= changes {
+        if world.checks.acknowledgement_count >= changes {
             break;
         }
-        (0..FAULTS_BETWEEN_CALMS).for_each(|_| world.fault_and_wait());
-        world.calm();
+        (0..FAULTS_BETWEEN_RECOVERIES).for_each(|_| world.inject_fault_and_wait());
+        world.recover_fully();
     }
     world.finish()
 }
 
 impl World {
-    /// A group that has just been founded.
-    fn founded(size: usize, seed: u64, mistake: Option<Mistake>) -> Self {
-        let mut world = Self::new(size, seed, mistake);
-        assert!(world.run_until(10 * SECOND, Self::is_whole), "the group is not whole at the start");
-        // All founders have written who they are.
+    /// A group that has just been bootstrapped.
+    fn bootstrapped(size: usize, seed: u64, mutation: Option<Mutation>) -> Self {
+        let mut world = Self::new(size, seed, mutation);
+        assert!(
+            world.run_until(10 * SECOND, Self::has_lease_and_all_voters),
+            "the group has no lease holder or lacks voters after bootstrap"
+        );
+        // By now every founding machine has written its identity.
         world.run_for(2 * SECOND);
         world
     }
 
-    fn fault_and_wait(&mut self) {
-        self.fault();
+    fn inject_fault_and_wait(&mut self) {
+        self.inject_fault();
         let wait = self.random.u64(20 * MILLISECOND..900 * MILLISECOND);
         self.run_for(wait);
     }
 
-    /// All is mended, and the group has to work.
+    /// Ends all faults and checks that the group recovers.
     fn finish(mut self) -> Outcome {
-        self.mend();
-        self.assert_works();
-        Outcome { steps: self.steps, acknowledgements: self.checks.acknowledgements }
+        self.end_faults();
+        self.assert_recovers();
+        Outcome { steps: self.steps, acknowledgement_count: self.checks.acknowledgement_count }
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let running: Vec<usize> =
-            (0..self.machines.len()).filter(|place| !self.machines[*place].gone).collect();
+            (0..self.machines.len()).filter(|index| !self.machines[*index].removed).collect();
         let any = running[self.random.usize(0..running.len())];
-        let holder = self.holders().first().copied().unwrap_or(any);
-        let at = if self.random.bool() { holder } else { any };
+        let lease_holder = self.lease_holders().first().copied().unwrap_or(any);
+        let index = if self.random.bool() { lease_holder } else { any };
         let other = running[self.random.usize(0..running.len())];
         let wait = self.random.u64(50 * MILLISECOND..2 * SECOND);
         let kind = self.random.u32(0..28);
-        self.trace(|| format!("fault {kind} at {at} for {wait}"));
+        self.trace(|| format!("fault {kind} at {index} for {wait} us"));
         match kind {
             0 | 1 => {
-                self.machines[at].kill(&mut self.random);
-                self.after(wait, Event::Start(at));
+                self.machines[index].kill(&mut self.random);
+                self.schedule_after(wait, Event::Start(index));
             }
-            2 | 3 => self.lose_power(at, wait),
-            4 => running.iter().for_each(|at| self.lose_power(*at, wait)),
-            5 | 6 => self.machines[at].freeze(self.now, wait),
-            7 => self.machines[at].freeze(self.now, 5 * wait),
+            2 | 3 => self.lose_power(index, wait),
+            4 => running.iter().for_each(|index| self.lose_power(*index, wait)),
+            5 | 6 => self.machines[index].pause(self.now, wait),
+            7 => self.machines[index].pause(self.now, 5 * wait),
             8 | 9 => running.iter().for_each(|to| {
-                self.cuts.extend([(at, *to), (*to, at)]);
+                self.blocked_links.extend([(index, *to), (*to, index)]);
             }),
-            10 => drop(self.cuts.insert((at, other))),
-            11 => self.cuts.extend(running.iter().map(|to| (at, *to))),
-            12 => self.cuts.extend(running.iter().map(|from| (*from, at))),
-            13 => self.loss = self.random.u32(0..40),
-            14 => self.machines[at].disk_slowness = self.random.u64(2..500),
-            15 => self.machines[at].disk.inner.set_full(true),
-            16 | 17 => self.mend_disks(),
-            18 => self.terminate(at),
-            19 if self.may_lose(at) => self.lose_disk(at, false),
-            20 if self.may_lose(at) => self.lose_disk(at, true),
-            21 if self.may_lose(at) => self.replace(at, wait),
-            22 | 23 if self.lost.len() < self.tolerated => self.wipe_after_ack = Some(self.random.bool()),
-            24 => self.cut_in_halves(&running),
+            10 => drop(self.blocked_links.insert((index, other))),
+            11 => self.blocked_links.extend(running.iter().map(|to| (index, *to))),
+            12 => self.blocked_links.extend(running.iter().map(|from| (*from, index))),
+            13 => self.message_loss_percent = self.random.u32(0..40),
+            14 => self.machines[index].disk_slowness = self.random.u64(2..500),
+            15 => self.machines[index].disk.inner.set_full(true),
+            16 | 17 => self.repair_disks(),
+            18 => self.terminate_process(index),
+            19 if self.may_lose_disk(index) => self.lose_disk(index, false),
+            20 if self.may_lose_disk(index) => self.lose_disk(index, true),
+            21 if self.may_lose_disk(index) => self.replace_machine(index, wait),
+            22 | 23 if self.lost_machines.len() < self.tolerated_losses => {
+                self.wipe_after_acknowledgement = Some(self.random.bool())
+            }
+            24 => self.partition(&running),
             _ => {
-                self.cuts.clear();
-                self.loss = 0;
+                self.blocked_links.clear();
+                self.message_loss_percent = 0;
             }
         }
     }
 
-    /// Each machine reaches those of its half alone, whatever is tolerated; operators and agents reach both.
-    fn cut_in_halves(&mut self, running: &[usize]) {
+    /// Splits the machines into two halves that cannot reach each other, which may exceed the tolerated
+    /// losses. Operators and agents reach both halves.
+    fn partition(&mut self, running: &[usize]) {
         let (one, other): (Vec<usize>, Vec<usize>) = running.iter().partition(|_| self.random.bool());
         for from in &one {
-            self.cuts.extend(other.iter().flat_map(|to| [(*from, *to), (*to, *from)]));
+            self.blocked_links.extend(other.iter().flat_map(|to| [(*from, *to), (*to, *from)]));
         }
     }
 
-    fn may_lose(&self, at: usize) -> bool {
-        self.lost.len() < self.tolerated || (self.lost.contains(&at) && self.lost.len() <= self.tolerated)
+    fn may_lose_disk(&self, index: usize) -> bool {
+        self.lost_machines.len() < self.tolerated_losses
+            || (self.lost_machines.contains(&index) && self.lost_machines.len() <= self.tolerated_losses)
     }
 
-    fn mend_disks(&mut self) {
+    fn repair_disks(&mut self) {
         for machine in &mut self.machines {
             machine.disk.inner.set_full(false);
             machine.disk_slowness = 1;
         }
     }
 
-    fn lose_power(&mut self, at: usize, wait: u64) {
-        self.machines[at].lose_power(&mut self.random);
-        self.after(wait, Event::Start(at));
+    fn lose_power(&mut self, index: usize, wait: u64) {
+        self.machines[index].lose_power(&mut self.random);
+        self.schedule_after(wait, Event::Start(index));
     }
 
-    /// A disk is lost with all that it held; with `power`, the others lose power at that moment.
-    pub(crate) fn lose_disk(&mut self, at: usize, power: bool) {
-        if self.machines[at].gone || !self.may_lose(at) {
+    /// Wipes a disk; with `power_loss`, all other machines lose power at the same moment.
+    pub(crate) fn lose_disk(&mut self, index: usize, power_loss: bool) {
+        if self.machines[index].removed || !self.may_lose_disk(index) {
             return;
         }
-        self.note_lost(at);
-        self.machines[at].wipe(&mut self.random);
-        self.machines[at].bootstrap = self.mistake == Some(Mistake::SameIdentityAfterWipe);
+        self.mark_lost(index);
+        self.machines[index].wipe(&mut self.random);
+        self.machines[index].bootstrap = self.mutation == Some(Mutation::IdentityReusedAfterWipe);
         let wait = self.random.u64(50 * MILLISECOND..2 * SECOND);
-        self.after(wait, Event::Start(at));
-        for other in (0..self.machines.len()).filter(|other| power && *other != at) {
+        self.schedule_after(wait, Event::Start(index));
+        for other in (0..self.machines.len()).filter(|other| power_loss && *other != index) {
             self.lose_power(other, wait);
         }
     }
 
-    fn note_lost(&mut self, at: usize) {
-        if !self.lost.contains(&at) {
-            self.lost.push(at);
+    fn mark_lost(&mut self, index: usize) {
+        if !self.lost_machines.contains(&index) {
+            self.lost_machines.push(index);
         }
     }
 
-    /// A machine goes for good, and an empty one comes at another address.
-    fn replace(&mut self, at: usize, wait: u64) {
-        self.lost.retain(|lost| *lost != at);
-        self.machines[at].kill(&mut self.random);
-        self.machines[at].gone = true;
-        let place = self.machines.len();
-        let machine = Machine::new(place + 1, false, &mut self.random, self.mistake);
+    /// Removes a machine permanently and starts an empty one at another address.
+    fn replace_machine(&mut self, index: usize, wait: u64) {
+        self.lost_machines.retain(|lost_machines| *lost_machines != index);
+        self.machines[index].kill(&mut self.random);
+        self.machines[index].removed = true;
+        let new_index = self.machines.len();
+        let machine = Machine::new(new_index + 1, false, &mut self.random, self.mutation);
         self.machines.push(machine);
-        self.note_lost(place);
-        self.after(wait, Event::Start(place));
+        self.mark_lost(new_index);
+        self.schedule_after(wait, Event::Start(new_index));
         let seeds = self.seeds(false);
         for machine in &mut self.machines {
             if let Some(process) = &mut machine.process {
@@ -171,85 +179,100 @@
         }
     }
 
-    fn terminate(&mut self, at: usize) {
-        let Some(process) = &mut self.machines[at].process else { return };
-        process.ending = true;
+    fn terminate_process(&mut self, index: usize) {
+        let Some(process) = &mut self.machines[index].process else { return };
+        process.terminating = true;
         let number = process.number;
-        self.act(at, |node, now, effects| node.transfer_leadership(now, effects));
-        self.after(100 * MILLISECOND, Event::End { at, process: number });
+        self.with_node(index, |node, now, effects| node.transfer_leadership(now, effects));
+        self.schedule_after(100 * MILLISECOND, Event::EndProcess { index, process: number });
     }
 
     /// Ends all faults.
-    fn mend(&mut self) {
-        self.cuts.clear();
-        self.loss = 0;
-        self.wipe_after_ack = None;
-        self.mend_disks();
-        for place in 0..self.machines.len() {
-            self.after(0, Event::Start(place));
+    fn end_faults(&mut self) {
+        self.blocked_links.clear();
+        self.message_loss_percent = 0;
+        self.wipe_after_acknowledgement = None;
+        self.repair_disks();
+        for index in 0..self.machines.len() {
+            self.schedule_after(0, Event::Start(index));
         }
     }
 
-    /// All is well for as long as a machine that was lost may take to catch up.
-    fn calm(&mut self) {
-        self.mend();
-        let frozen = self.machines.iter().map(|machine| machine.frozen_until).max().unwrap_or(0);
-        // A turn of a slow disk, and the start of a machine, may take so long.
-        self.run_for(frozen.saturating_sub(self.now).max(3 * SECOND + 100 * MILLISECOND));
-        self.mend();
-        self.run_for(CATCH_UP);
-        self.trace(|| "calm".to_owned());
-        self.lost.clear();
+    /// Runs without faults for as long as a machine that lost its disk may take to catch up.
+    fn recover_fully(&mut self) {
+        self.end_faults();
+        let paused_until = self.machines.iter().map(|machine| machine.paused_until).max().unwrap_or(0);
+        // A command on a slow disk or the start of a machine may take this long.
+        self.run_for(paused_until.saturating_sub(self.now).max(3 * SECOND + 100 * MILLISECOND));
+        self.end_faults();
+        self.run_for(CATCH_UP_US);
+        self.trace(|| "recovery period over".to_owned());
+        self.lost_machines.clear();
     }
 
-    /// The group has a holder of the lease, operators get through, and all machines come to the same version.
-    fn assert_works(&mut self) {
-        let whole = self.run_until(15 * SECOND, World::is_whole);
-        assert!(whole, "the group is not whole again, lost {:?}:\n{}", self.lost, self.describe());
-        let before = self.checks.acknowledgements;
-        let works = self.run_until(15 * SECOND, |world| world.checks.acknowledgements > before);
-        assert!(works, "no order gets through: {:?}\n{}", self.operators, self.describe());
-        let floor = self.checks.floor;
-        let fed = self.run_until(10 * SECOND, |world| {
-            let mut there = world.machines.iter().filter(|machine| !machine.gone);
-            there.all(|machine| machine.process.as_ref().is_some_and(|process| process.fed >= floor))
+    /// Checks that the group has a lease holder, acknowledges changes, and brings all machines to the same
+    /// version.
+    fn assert_recovers(&mut self) {
+        let recovered = self.run_until(15 * SECOND, World::has_lease_and_all_voters);
+        assert!(
+            recovered,
+            "no lease holder or not all voters, lost machines {:?}:\n{}",
+            self.lost_machines,
+            self.describe()
+        );
+        let before = self.checks.acknowledgement_count;
+        let progressed = self.run_until(15 * SECOND, |world| world.checks.acknowledgement_count > before);
+        assert!(progressed, "no change is acknowledged: {:?}\n{}", self.operators, self.describe());
+        let expected = self.checks.newest_reported;
+        let caught_up = self.run_until(10 * SECOND, |world| {
+            let mut present = world.machines.iter().filter(|machine| !machine.removed);
+            present.all(|machine| {
+                machine.process.as_ref().is_some_and(|process| process.feed_version >= expected)
+            })
         });
-        assert!(fed, "not all machines feed version {floor}");
+        assert!(caught_up, "not all machines feed version {expected}");
     }
 
-    /// Whether there is a holder of the lease and the group has its number of voters.
-    fn is_whole(&self) -> bool {
-        let Some(holder) = self.holders().first().copied() else { return false };
-        let node = &self.machines[holder].process.as_ref().expect("a holder runs").node;
+    /// Whether a machine holds the lease and the group has its full number of voters outside a joint
+    /// configuration.
+    fn has_lease_and_all_voters(&self) -> bool {
+        let Some(lease_holder) = self.lease_holders().first().copied() else { return false };
+        let node = &self.machines[lease_holder].process.as_ref().expect("a lease holder runs").node;
         let members = node.replica().membership();
-        members.voters.len() == 2 * self.tolerated + 1 && members.incoming_voters.is_none()
+        members.voters.len() == 2 * self.tolerated_losses + 1 && members.incoming_voters.is_none()
     }
 
-    /// Writes a line about the run if `CLUSTER_TRACE` is set, to look into a seed that fails.
+    /// Prints a line about the run if `CLUSTER_TRACE` is set, to investigate a failing seed.
     fn trace(&self, what: impl Fn() -> String) {
         if std::env::var_os("CLUSTER_TRACE").is_none() {
             return;
         }
-        let stands = |machine: &Machine| {
+        let describe = |machine: &Machine| {
             let Some(process) = &machine.process else { return format!("{} down", machine.number) };
-            let status = process.node.replica().status(machine.local(self.now));
+            let status = process.node.replica().status(machine.local_time(self.now));
             let (role, term, commit) = (status.role, status.term, status.commit_index);
             let voters: Vec<_> =
                 status.membership.voters.iter().map(|voter| voter.internal_address.ip()).collect();
             format!("{} {role:?} {term}/{commit} {voters:?}", machine.number)
         };
-        let there = self.machines.iter().filter(|machine| !machine.gone).map(stands);
-        eprintln!("{} {} lost {:?}: {}", self.now, what(), self.lost, there.collect::<Vec<_>>().join("; "));
+        let machines = self.machines.iter().filter(|machine| !machine.removed).map(describe);
+        eprintln!(
+            "{} {} lost {:?}: {}",
+            self.now,
+            what(),
+            self.lost_machines,
+            machines.collect::<Vec<_>>().join("; ")
+        );
     }
 
-    /// How each machine stands, for the message of a check that fails.
+    /// The replication status of each machine, for failure messages.
     fn describe(&self) -> String {
         let mut text = String::new();
-        for machine in self.machines.iter().filter(|machine| !machine.gone) {
+        for machine in self.machines.iter().filter(|machine| !machine.removed) {
             let status = machine
                 .process
                 .as_ref()
-                .map(|process| process.node.replica().status(machine.local(self.now)));
+                .map(|process| process.node.replica().status(machine.local_time(self.now)));
             text.push_str(&format!("{}: {status:#?}\n", machine.number));
         }
         text
--- a/crates/control/tests/cluster/machine.rs
+++ b/crates/control/tests/cluster/machine.rs
@@ -1,4 +1,4 @@
-//! One control machine: a clock, a disk that outlasts the process, and the process if it runs.
+//! One control machine: a clock, a disk that outlives the process, and the process while it runs.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 
@@ -16,118 +16,128 @@
 
 use super::SECOND;
 use super::disk::MachineDisk;
-use super::mistake::Mistake;
+use super::mutation::Mutation;
 
 const INTERNAL_PORT: u16 = 7680;
-/// Segments end early, so that runs see many of them.
+/// Segments are small, so that runs go through many of them.
 const LIMITS: Limits = Limits { segment_bytes: 4_096, disk_bytes: 64 << 20 };
 
 /// Control address of the machine with this number.
-pub(crate) fn control(number: usize) -> SocketAddr {
+pub(crate) fn control_address(number: usize) -> SocketAddr {
     SocketAddr::from(([192, 0, 2, number as u8], 8665))
 }
 
 /// Internal address of the machine with this number.
-pub(crate) fn internal(number: usize) -> SocketAddr {
-    internal_address(control(number).ip(), INTERNAL_PORT)
+pub(crate) fn machine_internal_address(number: usize) -> SocketAddr {
+    internal_address(control_address(number).ip(), INTERNAL_PORT)
 }
 
-/// A running process.
+/// A running control process.
 pub(crate) struct Process {
     pub(crate) node: Node,
+    /// Number of identities that the process has had; disk events of an earlier one are ignored.
     pub(crate) generation: u64,
-    pub(crate) orders: Sender<DiskCommand>,
+    pub(crate) disk_commands: Sender<DiskCommand>,
     inbox: Receiver<DiskCommand>,
     events: UnboundedReceiver<DiskEvent>,
     worker: DiskWorker<MachineDisk>,
-    next: Option<DiskCommand>,
-    /// Whether a turn of the disk is under way.
+    next_command: Option<DiskCommand>,
+    /// Whether a disk command is in progress.
     pub(crate) disk_busy: bool,
-    /// Newest version that was fed.
-    pub(crate) fed: u64,
-    /// Number of the start.
+    /// Newest configuration version that the process has fed to agents.
+    pub(crate) feed_version: u64,
+    /// Random number that distinguishes this start of the process from others.
     pub(crate) number: u64,
-    /// It was told to end.
-    pub(crate) ending: bool,
+    /// Whether the process was asked to terminate.
+    pub(crate) terminating: bool,
 }
 
+/// A control machine.
 pub(crate) struct Machine {
     pub(crate) number: usize,
     pub(crate) disk: MachineDisk,
     pub(crate) process: Option<Process>,
-    /// It never comes back.
-    pub(crate) gone: bool,
-    /// When the last stop of its processes began and ends.
-    pub(crate) frozen_from: u64,
-    pub(crate) frozen_until: u64,
-    /// A turn of the disk takes so many times the usual.
+    /// Whether the machine was removed permanently.
+    pub(crate) removed: bool,
+    /// Start and end of the last pause of its processes, in simulation time.
+    pub(crate) paused_from: u64,
+    pub(crate) paused_until: u64,
+    /// Factor by which disk commands take longer than usual.
     pub(crate) disk_slowness: u64,
-    /// Steady clock: what it showed at the start of the run, and its rate in parts per thousand.
-    clock: (u64, u64),
+    /// Monotonic clock: its reading in microseconds at the start of the run, and its rate in parts per
+    /// thousand.
+    clock_offset_and_rate: (u64, u64),
+    /// Whether the next start may found the group.
     pub(crate) bootstrap: bool,
 }
 
 impl Machine {
-    pub(crate) fn new(number: usize, bootstrap: bool, random: &mut Rng, mistake: Option<Mistake>) -> Self {
-        let rates = if mistake == Some(Mistake::NoDriftMargin) { 600..1_400 } else { 991..1_009 };
+    pub(crate) fn new(number: usize, bootstrap: bool, random: &mut Rng, mutation: Option<Mutation>) -> Self {
+        let rates = if mutation == Some(Mutation::ClockDriftBeyondMargin) { 600..1_400 } else { 991..1_009 };
         Self {
             number,
             disk: MachineDisk {
                 inner: SimulatedDisk::new(),
-                skips_files: mistake == Some(Mistake::FilesNotSynced),
-                skips_folder: mistake == Some(Mistake::FolderNotSynced),
+                skip_file_syncs: mutation == Some(Mutation::FileSyncSkipped),
+                skip_folder_syncs: mutation == Some(Mutation::FolderSyncSkipped),
             },
             process: None,
-            gone: false,
-            frozen_from: 0,
-            frozen_until: 0,
+            removed: false,
+            paused_from: 0,
+            paused_until: 0,
             disk_slowness: 1,
-            clock: (random.u64(0..100 * SECOND), random.u64(rates)),
+            clock_offset_and_rate: (random.u64(0..100 * SECOND), random.u64(rates)),
             bootstrap,
         }
     }
 
-    /// What its steady clock shows.
-    pub(crate) fn local(&self, now: u64) -> u64 {
-        self.clock.0 + now * self.clock.1 / 1_000
+    /// Reading of its monotonic clock at simulation time `now`.
+    pub(crate) fn local_time(&self, now: u64) -> u64 {
+        self.clock_offset_and_rate.0 + now * self.clock_offset_and_rate.1 / 1_000
     }
 
-    /// The time of the run at which its clock shows `local`.
-    pub(crate) fn global(&self, local: u64) -> u64 {
-        (local.saturating_sub(self.clock.0)).saturating_mul(1_000) / self.clock.1 + 1
+    /// The simulation time at which its clock reads `local`.
+    pub(crate) fn simulation_time(&self, local: u64) -> u64 {
+        (local.saturating_sub(self.clock_offset_and_rate.0)).saturating_mul(1_000)
+            / self.clock_offset_and_rate.1
+            + 1
     }
 
-    pub(crate) fn is_up(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         self.process.is_some()
     }
 
-    /// Starts the process; false if the disk does not allow it yet.
+    /// Starts the process; returns false if the store cannot be opened yet.
     pub(crate) fn start(
         &mut self,
         now: u64,
         seeds: &[SocketAddr],
-        tolerated: usize,
+        tolerated_losses: usize,
         random: &mut Rng,
     ) -> bool {
         let Ok((store, recovered)) = LogStore::open(self.disk.clone(), LIMITS) else { return false };
-        let control = control(self.number);
+        let address = control_address(self.number);
         let me = Member {
-            id: founding_id(control),
-            internal_address: internal(self.number),
-            control_address: control,
+            id: founding_id(address),
+            internal_address: machine_internal_address(self.number),
+            control_address: address,
             zone: format!("z{}", self.number),
         };
         let opened = decode_recovered(recovered);
-        assert!(!opened.damaged, "machine {}: loss of power is no damage: {:?}", self.number, opened.notes);
-        let fresh = ReplicaId(random.u64(..));
-        let start = InitialState::determine(self.bootstrap, seeds, me, opened, |_| fresh);
+        assert!(
+            !opened.damaged,
+            "machine {}: a power loss was reported as damage: {:?}",
+            self.number, opened.notes
+        );
+        let new_id = ReplicaId(random.u64(..));
+        let start = InitialState::determine(self.bootstrap, seeds, me, opened, |_| new_id);
         self.bootstrap = false;
-        let mut replication = replication_settings(tolerated);
+        let mut replication = replication_settings(tolerated_losses);
         replication.snapshot_every_entries = 12;
         replication.keep_entries = 4;
         let quota = QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 0.0 };
         let settings = NodeSettings { replication, quota, seeds: seeds.to_vec() };
-        let (orders, inbox) = channel();
+        let (disk_commands, inbox) = channel();
         let (outbox, events) = unbounded_channel();
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let node = Node::new(
@@ -136,47 +146,48 @@
             start.founding,
             start.recovered,
             random.u64(..),
-            self.local(now),
+            self.local_time(now),
             log,
         );
-        orders.send(start.disk_command).expect("the inbox is there");
+        disk_commands.send(start.disk_command).expect("the process keeps the inbox open");
         self.process = Some(Process {
             node,
             generation: 1,
-            orders,
+            disk_commands,
             inbox,
             events,
             worker: DiskWorker::new(store, outbox),
-            next: None,
+            next_command: None,
             disk_busy: false,
-            fed: 0,
+            feed_version: 0,
             number: random.u64(..),
-            ending: false,
+            terminating: false,
         });
         true
     }
 
-    /// The processes stop for a while; a stop that is under way is not made shorter.
-    pub(crate) fn freeze(&mut self, now: u64, time: u64) {
-        if self.frozen_until <= now {
-            self.frozen_from = now;
+    /// Pauses the processes for `time` microseconds; never shortens a pause that is in progress.
+    pub(crate) fn pause(&mut self, now: u64, time: u64) {
+        if self.paused_until <= now {
+            self.paused_from = now;
         }
-        self.frozen_until = self.frozen_until.max(now + time);
+        self.paused_until = self.paused_until.max(now + time);
     }
 
-    /// The process ends at once; a turn of the disk may be cut off anywhere. What the system has taken stays.
+    /// Kills the process; a disk command in progress may be interrupted anywhere. Data that the operating
+    /// system has accepted stays.
     pub(crate) fn kill(&mut self, random: &mut Rng) {
         let Some(mut process) = self.process.take() else { return };
         if process.disk_busy {
             self.disk.inner.fail_at(self.disk.inner.operation_count() + random.u64(0..8), Fault::PowerLoss);
-            process.turn();
+            process.run_disk_command();
         }
         self.disk.inner = self.disk.inner.fork();
-        self.frozen_until = 0;
+        self.paused_until = 0;
         self.disk_slowness = 1;
     }
 
-    /// The power is lost: what no sync covers may be there, torn or gone.
+    /// Cuts the power: data that no sync covers may be kept, torn or lost.
     pub(crate) fn lose_power(&mut self, random: &mut Rng) {
         self.kill(random);
         self.disk.inner.lose_power(|_| match random.u32(0..3) {
@@ -186,7 +197,7 @@
         });
     }
 
-    /// The disk is empty when the process is started again.
+    /// Kills the process and empties the disk.
     pub(crate) fn wipe(&mut self, random: &mut Rng) {
         self.kill(random);
         self.disk.inner = SimulatedDisk::new();
@@ -194,29 +205,29 @@
 }
 
 impl Process {
-    /// Whether the disk has something to do.
-    pub(crate) fn has_orders(&mut self) -> bool {
-        if self.next.is_none() {
-            self.next = self.inbox.try_recv().ok();
+    /// Whether a disk command is pending.
+    pub(crate) fn has_pending_command(&mut self) -> bool {
+        if self.next_command.is_none() {
+            self.next_command = self.inbox.try_recv().ok();
         }
-        self.next.is_some()
+        self.next_command.is_some()
     }
 
-    /// Lets the disk carry out what waits; what it tells.
-    pub(crate) fn turn(&mut self) -> Vec<DiskEvent> {
+    /// Runs the pending disk command and returns the events that it produced.
+    pub(crate) fn run_disk_command(&mut self) -> Vec<DiskEvent> {
         self.disk_busy = false;
-        if self.has_orders()
-            && let Some(order) = self.next.take()
+        if self.has_pending_command()
+            && let Some(command) = self.next_command.take()
         {
-            self.next = match self.worker.carry_out(order, &self.inbox) {
+            self.next_command = match self.worker.carry_out(command, &self.inbox) {
                 NextStep::Idle => None,
-                NextStep::Next(order) | NextStep::Retry(order) => Some(order),
+                NextStep::Next(command) | NextStep::Retry(command) => Some(command),
             };
         }
-        let mut told = Vec::new();
+        let mut disk_events = Vec::new();
         while let Ok(event) = self.events.try_recv() {
-            told.push(event);
+            disk_events.push(event);
         }
-        told
+        disk_events
     }
 }
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -1,19 +1,20 @@
-//! Whole control clusters in memory: the shipped state machines and stores over simulated disks, links and clocks.
+//! Simulated control clusters: the production state machines and stores over simulated disks, links and
+//! clocks.
 //!
-//! One seed decides everything, so that it replays a run.
+//! One seed determines all random choices, so that it replays a run.
 
 mod calls;
-mod carrying;
 mod checks;
 mod disk;
+mod effects;
 mod faults;
 mod machine;
-mod mistake;
+mod mutation;
 mod operator;
 mod world;
 
 pub(crate) use faults::{run_changes, run_schedule};
-pub(crate) use mistake::Mistake;
+pub(crate) use mutation::Mutation;
 
 /// Microseconds in a millisecond.
 pub(crate) const MILLISECOND: u64 = 1_000;
--- a/crates/control/tests/cluster/operator.rs
+++ b/crates/control/tests/cluster/operator.rs
@@ -1,14 +1,15 @@
-//! Operators who read and replace the configuration, and send an order again unchanged until the answer is clear.
+//! Operators that read and replace the configuration, and retry a change unmodified until they receive a
+//! definite reply.
 
 use bytes::Bytes;
 use dunelink_control::change_queue::{CallId, Reply};
 use fastrand::Rng;
 
-use super::checks::OrderKey;
+use super::checks::ChangeKey;
 
-/// What an operator wants next.
+/// A request of an operator.
 #[derive(Clone, Debug)]
-pub(crate) enum Wish {
+pub(crate) enum OperatorRequest {
     Read,
     Replace { base: u64, version: u64, body: Bytes },
 }
@@ -16,63 +17,67 @@
 /// One operator.
 #[derive(Debug, Default)]
 pub(crate) struct Operator {
-    /// Newest version that it was told of.
-    pub(crate) known: u64,
-    pub(crate) wish: Option<Wish>,
-    /// The call that it waits for.
-    pub(crate) call: CallId,
-    orders: u64,
+    /// Newest version that it has seen in a reply.
+    pub(crate) known_version: u64,
+    /// The request in progress; `None` before the next one is chosen.
+    pub(crate) request: Option<OperatorRequest>,
+    /// The call that it waits for; 0 for none.
+    pub(crate) pending_call: CallId,
+    /// Changes chosen so far; makes each body unique.
+    change_count: u64,
 }
 
 impl Operator {
-    /// Chooses what to do next. Versions rise by some, and one order in twelve is not valid.
-    pub(crate) fn choose(&mut self, place: usize, random: &mut Rng) -> Wish {
+    /// Chooses the next request. Versions increase by 1 to 3, and one change in twelve is invalid.
+    pub(crate) fn choose_request(&mut self, operator_index: usize, random: &mut Rng) -> OperatorRequest {
         if random.u32(0..3) == 0 {
-            return Wish::Read;
+            return OperatorRequest::Read;
         }
-        self.orders += 1;
-        let version = self.known + random.u64(1..4);
+        self.change_count += 1;
+        let version = self.known_version + random.u64(1..4);
         let body = match random.u32(0..24) {
             0 => "{".to_owned(),
-            1 => body(self.known, place, self.orders, 10),
-            2 => body(version, place, self.orders, 9_000),
-            _ => body(version, place, self.orders, random.usize(0..300)),
+            1 => body(self.known_version, operator_index, self.change_count, 10),
+            2 => body(version, operator_index, self.change_count, 9_000),
+            _ => body(version, operator_index, self.change_count, random.usize(0..300)),
         };
-        Wish::Replace { base: self.known, version, body: Bytes::from(body) }
+        OperatorRequest::Replace { base: self.known_version, version, body: Bytes::from(body) }
     }
 
-    /// Takes an answer in; whether the call is over.
-    pub(crate) fn answered(&mut self, reply: &Reply) -> bool {
-        match (reply, &self.wish) {
-            (Reply::Accepted, Some(Wish::Replace { version, .. })) => self.known = *version,
-            (Reply::Conflict { current }, _) => self.known = *current,
-            (Reply::Configuration(body), _) => self.known = version_of(body),
+    /// Handles a reply; returns whether it ends the request.
+    pub(crate) fn handle_reply(&mut self, reply: &Reply) -> bool {
+        match (reply, &self.request) {
+            (Reply::Accepted, Some(OperatorRequest::Replace { version, .. })) => {
+                self.known_version = *version
+            }
+            (Reply::Conflict { current }, _) => self.known_version = *current,
+            (Reply::Configuration(body), _) => self.known_version = version_of(body),
             (Reply::Invalid(_) | Reply::NoConfiguration | Reply::Accepted, _) => {}
             (Reply::Redirect(_) | Reply::Unavailable(_), _) => return false,
         }
-        self.wish = None;
+        self.request = None;
         true
     }
 }
 
-/// The key of an order.
-pub(crate) fn key(wish: &Wish) -> Option<OrderKey> {
-    match wish {
-        Wish::Read => None,
-        Wish::Replace { base, body, .. } => Some((*base, body.clone())),
+/// The base and body that identify a change; `None` for a read.
+pub(crate) fn change_key(request: &OperatorRequest) -> Option<ChangeKey> {
+    match request {
+        OperatorRequest::Read => None,
+        OperatorRequest::Replace { base, body, .. } => Some((*base, body.clone())),
     }
 }
 
-/// The version in a configuration; 0 if it can't be read.
+/// The version in a configuration; 0 if it cannot be parsed.
 pub(crate) fn version_of(body: &[u8]) -> u64 {
     dunelink_settings::FleetConfig::parse(body).map_or(0, |config| config.version)
 }
 
-fn body(version: u64, place: usize, order: u64, padding: usize) -> String {
+fn body(version: u64, operator: usize, change: u64, padding: usize) -> String {
     let padding = "x".repeat(padding);
     format!(
         r#"{{"version":{version},"routes":[{{"name":"r","host":"h.example","pathPrefix":"/a/","kind":"safe",
         "timeoutMs":1000,"service":"s"}}],"services":[{{"name":"s"}}],
-        "tenants":[{{"name":"t","apiKeys":["k{place}-{order}{padding}"],"ratePerS":100,"burst":10}}]}}"#
+        "tenants":[{{"name":"t","apiKeys":["k{operator}-{change}{padding}"],"ratePerS":100,"burst":10}}]}}"#
     )
 }
--- a/crates/control/tests/engine_tasks.rs
+++ b/crates/control/tests/engine_tasks.rs
@@ -1,4 +1,4 @@
-//! The engine's tasks in one process: calls that wait, requests of the leader.
+//! The engine: pending calls, list requests from the leader, and delivery of grants to agents.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,14 +24,14 @@
     }
 }
 
-/// An engine whose writes and messages go nowhere.
+/// An engine whose disk writes and messages are discarded.
 fn engine() -> Engine {
     let clock = Clock::start();
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let quota = QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 0.0 };
     let settings = NodeSettings { replication: Settings::default(), quota, seeds: Vec::new() };
     let node = Node::new(settings, member(1), None, RecoveredState::default(), 1, clock.now(), log.clone());
-    let (disk, _orders) = std::sync::mpsc::channel();
+    let (disk, _commands) = std::sync::mpsc::channel();
     let hello = Hello {
         protocol_version: 1,
         link: LinkKind::Replica,
@@ -42,13 +42,13 @@
     Engine::new(clock, log, node, disk, PeerLinks::new(hello))
 }
 
-/// A message of the leader, machine 2.
-fn told(engine: &Engine, message: PeerMessage) {
+/// Delivers a message from machine 2, which is the leader after its heartbeat.
+fn receive_from_leader(engine: &Engine, message: PeerMessage) {
     let envelope = Envelope { from: ReplicaId(2), to: Some(ReplicaId(1)), message };
     engine.update(|node, now, effects| node.handle_message(now, envelope, effects));
 }
 
-fn heartbeat() -> PeerMessage {
+fn leader_heartbeat() -> PeerMessage {
     let leader = member(2);
     PeerMessage::Replication(Message::Heartbeat {
         term: 1,
@@ -65,42 +65,42 @@
 }
 
 #[test]
-fn of_several_requests_to_read_the_list_the_newest_counts() {
+fn newest_list_request_is_served() {
     block_on(async {
         let engine = engine();
-        told(&engine, heartbeat());
-        told(&engine, PeerMessage::ListRequest(1));
-        told(&engine, PeerMessage::ListRequest(2));
+        receive_from_leader(&engine, leader_heartbeat());
+        receive_from_leader(&engine, PeerMessage::ListRequest(1));
+        receive_from_leader(&engine, PeerMessage::ListRequest(2));
         let (request, to) = engine.next_list_request().await;
         assert_eq!((request, to.id), (2, ReplicaId(2)));
-        told(&engine, PeerMessage::ListRequest(3));
+        receive_from_leader(&engine, PeerMessage::ListRequest(3));
         assert_eq!(engine.next_list_request().await.0, 3);
     });
 }
 
 #[test]
-fn a_request_to_read_the_list_by_anyone_else_is_ignored() {
+fn list_request_before_leadership_is_ignored() {
     block_on(async {
         let engine = engine();
-        told(&engine, PeerMessage::ListRequest(1));
-        told(&engine, heartbeat());
-        told(&engine, PeerMessage::ListRequest(2));
+        receive_from_leader(&engine, PeerMessage::ListRequest(1));
+        receive_from_leader(&engine, leader_heartbeat());
+        receive_from_leader(&engine, PeerMessage::ListRequest(2));
         assert_eq!(engine.next_list_request().await.0, 2);
     });
 }
 
 #[test]
-fn a_call_without_an_answer_ends_and_a_late_answer_is_dropped() {
+fn call_times_out_and_late_reply_is_dropped() {
     block_on(async {
         let engine = engine();
-        let mut number = 0;
-        let reply = engine.call(Duration::ZERO, |_, _, call, _| number = call).await;
+        let mut expired_call = 0;
+        let reply = engine.call(Duration::ZERO, |_, _, call, _| expired_call = call).await;
         assert_eq!(reply, None);
-        assert!(number > 0);
+        assert!(expired_call > 0);
         let reply = engine
             .call(Duration::from_secs(1), |_, _, call, effects| {
                 effects.push(dunelink_control::node::Effect::Reply {
-                    call: number,
+                    call: expired_call,
                     reply: Reply::NoConfiguration,
                 });
                 effects.push(dunelink_control::node::Effect::Reply { call, reply: Reply::Accepted });
@@ -111,11 +111,11 @@
 }
 
 #[test]
-fn grants_go_to_the_agents_of_their_node_while_they_are_connected() {
+fn grants_reach_only_connected_agents_of_their_node() {
     block_on(async {
         let engine = engine();
         let registration = engine.register("front-1".to_owned());
-        let other = engine.register("front-2".to_owned());
+        let other_registration = engine.register("front-2".to_owned());
         let update = dunelink_protocol::GrantUpdate {
             valid_ms: 1_500,
             node_count: 2,
@@ -132,7 +132,7 @@
         });
         registration.mailbox.wakeup.notified().await;
         assert_eq!(registration.mailbox.take_grants(), Some(update));
-        assert_eq!(other.mailbox.take_grants(), None);
+        assert_eq!(other_registration.mailbox.take_grants(), None);
         drop(registration);
         assert_eq!(engine.agent_count(), 1);
     });
--- a/crates/control/tests/failing_servers.rs
+++ b/crates/control/tests/failing_servers.rs
@@ -1,30 +1,40 @@
-//! Servers that several nodes find failing are named, again and again while they fail.
+//! Servers that several nodes report as failing are suspected, and the suspicion is repeated while they fail.
 
 use dunelink_control::reports::OutcomePool;
 use dunelink_protocol::ServerObservation;
 
+/// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 
-fn failing() -> Vec<ServerObservation> {
+/// Outcomes of a server most of whose requests failed.
+fn failing_observations() -> Vec<ServerObservation> {
     vec![ServerObservation { server: "i-1".into(), served: 1, failed: 3 }]
 }
 
 #[test]
-fn one_node_alone_names_nobody() {
+fn reports_of_one_node_suspect_no_server() {
     let mut pool = OutcomePool::default();
-    pool.add(SECOND, "front-1", failing());
+    pool.add(SECOND, "front-1", failing_observations());
     assert_eq!(pool.changed_suspicions(SECOND), None);
 }
 
 #[test]
-fn servers_that_go_on_failing_are_named_again_and_well_ones_once_no_more() {
+fn suspicions_repeat_while_servers_fail_and_are_cleared_once() {
     let mut pool = OutcomePool::default();
-    pool.add(SECOND, "front-1", failing());
-    pool.add(SECOND, "front-2", failing());
-    let named = pool.changed_suspicions(SECOND).expect("two nodes saw it");
-    assert_eq!(named.len(), 1);
-    assert_eq!(pool.changed_suspicions(SECOND + SECOND / 2), None, "told half a second ago");
-    assert_eq!(pool.changed_suspicions(2 * SECOND), Some(named), "those that heard of it forget it");
-    assert_eq!(pool.changed_suspicions(10 * SECOND), Some(Vec::new()), "nothing was reported for long");
+    pool.add(SECOND, "front-1", failing_observations());
+    pool.add(SECOND, "front-2", failing_observations());
+    let suspicions = pool.changed_suspicions(SECOND).expect("two nodes reported the failures");
+    assert_eq!(suspicions.len(), 1);
+    assert_eq!(pool.changed_suspicions(SECOND + SECOND / 2), None, "sent half a second ago");
+    assert_eq!(
+        pool.changed_suspicions(2 * SECOND),
+        Some(suspicions),
+        "sent again, since recipients forget a suspicion"
+    );
+    assert_eq!(
+        pool.changed_suspicions(10 * SECOND),
+        Some(Vec::new()),
+        "no failure was reported for a long time"
+    );
     assert_eq!(pool.changed_suspicions(20 * SECOND), None);
 }
--- a/crates/control/tests/fleet_answers.rs
+++ b/crates/control/tests/fleet_answers.rs
@@ -1,4 +1,5 @@
-//! What a client is told when servers are silent, full, or say what proves nothing; and what passes unchanged.
+//! What a client is told when servers are silent, full, or say what proves nothing; and what passes
+//! unchanged.
 
 use std::time::{Duration, Instant};
 
--- a/crates/control/tests/fleet_configuration.rs
+++ b/crates/control/tests/fleet_configuration.rs
@@ -1,4 +1,5 @@
-//! The operator's configurations: taken once, never refused later, in force on every front in time and never back.
+//! The operator's configurations: taken once, never refused later, in force on every front in time and never
+//! back.
 
 use std::time::{Duration, Instant};
 
--- a/crates/control/tests/fleet_schedules.rs
+++ b/crates/control/tests/fleet_schedules.rs
@@ -1,5 +1,5 @@
-//! Random faults of the core from a seed, while an operator goes on sending changes: each acknowledged version is kept,
-//! versions only rise, and fronts follow.
+//! Random faults of the core from a seed, while an operator goes on sending changes: each acknowledged
+//! version is kept, versions only rise, and fronts follow.
 
 use std::time::{Duration, Instant};
 
--- a/crates/control/tests/fleet_shares.rs
+++ b/crates/control/tests/fleet_shares.rs
@@ -40,8 +40,8 @@
     scene.client(front).ask(request).await.expect("an answer")
 }
 
-/// Asks as fast as answers come on so many connections to each front, for a window; gives the numbers of served and
-/// of refused requests.
+/// Asks as fast as answers come on so many connections to each front, for a window; gives the numbers of
+/// served and of refused requests.
 async fn pressed(scene: &Scene, fronts: &[usize]) -> (u64, u64) {
     let (mut served, mut refused) = (0, 0);
     let end = tokio::time::Instant::now() + WINDOW;
--- a/crates/control/tests/fleet_streams.rs
+++ b/crates/control/tests/fleet_streams.rs
@@ -1,4 +1,5 @@
-//! Streams: events pass as they come, go on at another server where they may, and never end as whole when they are not.
+//! Streams: events pass as they come, go on at another server where they may, and never end as whole when
+//! they are not.
 
 use testkit::system::reply::{event_data, seal};
 use testkit::system::scene::{FIXED, RESUMABLE, Scene};
--- a/crates/control/tests/soak/mod.rs
+++ b/crates/control/tests/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak of planned work: clients that keep using their connections until the process is gone, while signals, restarts,
-//! configurations and changes of the list come in series and overlap.
+//! A soak of planned work: clients that keep using their connections until the process is gone, while
+//! signals, restarts, configurations and changes of the list come in series and overlap.
 
 mod clients;
 mod schedule;
--- a/crates/control/tests/soak/verdict.rs
+++ b/crates/control/tests/soak/verdict.rs
@@ -8,8 +8,8 @@
 use super::work::End;
 use super::{GRACE_S, time_of};
 
-/// A request that no server got may cross the close of its connection; one that was held for so long has been read
-/// (`lossSlackMs` of the rules).
+/// A request that no server got may cross the close of its connection; one that was held for so long has been
+/// read (`lossSlackMs` of the rules).
 const CROSSES_WITHIN: Duration = Duration::from_millis(200);
 /// A client may know of its cut so long after the process has ended.
 const KNOWN_WITHIN: Duration = Duration::from_secs(1);
--- a/crates/control/tests/soak/work.rs
+++ b/crates/control/tests/soak/work.rs
@@ -54,8 +54,8 @@
     pub(crate) slowest_look: Duration,
 }
 
-/// Sends a signal, unless the process has just started: before its first instructions any signal ends it. Gives
-/// whether it was sent.
+/// Sends a signal, unless the process has just started: before its first instructions any signal ends it.
+/// Gives whether it was sent.
 fn tell(process: &FleetProcess, signal: Signal) -> bool {
     let spoken = process.has_spoken();
     if spoken {
