--- a/crates/control/tests/fleet_soak.rs
+++ b/crates/control/tests/fleet_soak.rs
@@ -1,4 +1,4 @@
-//! Soaks of planned work on whole programs. By hand with other seeds and sizes:
+//! Soak tests of planned operations on the real programs. To run other seeds and sizes manually:
 //! `DUNELINK_SOAK_SEEDS=100..150 DUNELINK_SOAK_FRONTS=40 cargo test -p dunelink-control --test fleet_soak`.
 
 mod soak;
@@ -6,31 +6,35 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use soak::Size;
+use soak::SoakSize;
 
-const OWN: &str = env!("CARGO_BIN_EXE_dunelink-control");
-/// Seeds that every run of the tests plays.
-const SEEDS: Range<u64> = 1..7;
-/// Front machines of those runs.
-const FRONTS: u8 = 4;
+const CONTROL_BINARY: &str = env!("CARGO_BIN_EXE_dunelink-control");
+/// Seeds that every test run uses.
+const DEFAULT_SEEDS: Range<u64> = 1..7;
+/// Front machines in a test run by default.
+const DEFAULT_FRONTS: u8 = 4;
 
-fn seeds() -> Range<u64> {
-    let Ok(text) = std::env::var("DUNELINK_SOAK_SEEDS") else { return SEEDS };
+fn seeds_from_environment() -> Range<u64> {
+    let Ok(text) = std::env::var("DUNELINK_SOAK_SEEDS") else { return DEFAULT_SEEDS };
     let range = text.split_once("..").and_then(|(first, end)| Some(first.parse().ok()?..end.parse().ok()?));
-    range.expect("DUNELINK_SOAK_SEEDS: two numbers with `..` between them")
+    range.expect("DUNELINK_SOAK_SEEDS must be two numbers with `..` between them")
 }
 
-fn fronts() -> u8 {
+fn fronts_from_environment() -> u8 {
     let text = std::env::var("DUNELINK_SOAK_FRONTS");
-    text.map_or(FRONTS, |text| text.parse().expect("DUNELINK_SOAK_FRONTS: a number up to 50"))
+    text.map_or(DEFAULT_FRONTS, |text| text.parse().expect("DUNELINK_SOAK_FRONTS must be a number up to 50"))
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn planned_work_in_overlapping_series_loses_no_request() {
-    let size = Size { fronts: fronts(), clients_each: 12, length: Duration::from_secs(8) };
-    let mut wrong = Vec::new();
-    for seed in seeds() {
-        wrong.extend(soak::play(OWN, seed, size).await);
+async fn overlapping_planned_operations_lose_no_request() {
+    let size = SoakSize {
+        fronts: fronts_from_environment(),
+        clients_per_front: 12,
+        duration: Duration::from_secs(8),
+    };
+    let mut failures = Vec::new();
+    for seed in seeds_from_environment() {
+        failures.extend(soak::run_soak(CONTROL_BINARY, seed, size).await);
     }
-    assert!(wrong.is_empty(), "{} wrong:\n{}", wrong.len(), wrong.join("\n"));
+    assert!(failures.is_empty(), "{} failures:\n{}", failures.len(), failures.join("\n"));
 }
--- a/crates/control/tests/history.rs
+++ b/crates/control/tests/history.rs
@@ -1,4 +1,5 @@
-//! The history of applied versions: kept in snapshots, bounded, and empty after a snapshot of an older release.
+//! The history of applied versions: kept in snapshots, bounded, and empty after a snapshot of an older
+//! release.
 
 use dunelink_control::state::{AppliedVersion, Command, ConfigurationState, Digest, MAX_HISTORY_VERSIONS};
 use dunelink_replication::encode;
--- a/crates/control/tests/soak/clients.rs
+++ b/crates/control/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that keep their connections for as long as they stand, and note what became of each request.
+//! Clients that use each connection for as long as it stays open, and record the outcome of each request.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,129 +7,141 @@
 use testkit::system::scene::{FIXED, RESUMABLE, SAFE, Scene, UNSAFE};
 use testkit::system::{Connection, Request, TestClient};
 
-use super::Size;
+use super::SoakSize;
 
-/// Pause between two requests of one client.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Most events of a stream that may outlast a grace.
-const LONG_EVENTS: f64 = 90.0;
-/// Most events of another stream.
-const SHORT_EVENTS: u64 = 20;
-/// One of so many requests ends its client's use of the connection.
-const LEAVES: u8 = 8;
+/// Least time between the starts of two requests of one client.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+/// Most events of a resumable stream, which may outlast the grace period.
+const MAX_RESUMABLE_EVENTS: f64 = 90.0;
+/// Most events of a fixed stream.
+const MAX_FIXED_EVENTS: u64 = 20;
+/// A client closes its connection after one in this many requests.
+const CLOSE_ONE_IN_REQUESTS: u8 = 8;
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// A whole answer of this status.
-    Answered(u16),
-    /// A whole stream that lacks events, repeats them, or has more than were asked for.
-    Disordered(Vec<u64>),
-    /// The connection ended without a whole answer.
-    Cut {
-        /// Whether a head had come.
-        amid_answer: bool,
+pub(crate) enum Outcome {
+    /// A complete response with this status.
+    Completed(u16),
+    /// A complete stream with missing, repeated or surplus events; holds the received event ids.
+    UnexpectedEvents(Vec<u64>),
+    /// The connection ended without a complete response.
+    Interrupted {
+        /// Whether a response head was received.
+        response_started: bool,
     },
 }
 
 /// One request of a client.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
-    /// Its id.
+pub(crate) struct RequestRecord {
+    /// Its `X-Dunelink-Request-Id`.
     pub(crate) id: String,
     /// Its path.
     pub(crate) path: &'static str,
     /// The front machine that it was sent to.
     pub(crate) front: usize,
-    /// When its connection came up.
-    pub(crate) connected: Instant,
-    /// Requests that the connection had before.
-    pub(crate) before: usize,
+    /// When its connection was established.
+    pub(crate) connected_at: Instant,
+    /// Number of earlier requests on the connection.
+    pub(crate) earlier_requests: usize,
     /// Just before its first byte was sent.
-    pub(crate) sent: Instant,
-    /// When its fate was known.
-    pub(crate) known: Instant,
-    /// What became of it.
-    pub(crate) fate: Fate,
+    pub(crate) sent_at: Instant,
+    /// When its outcome was known.
+    pub(crate) completed_at: Instant,
+    /// Its outcome.
+    pub(crate) outcome: Outcome,
 }
 
-/// All clients of a fleet.
-pub(crate) struct Crowd {
+/// All clients of a soak.
+pub(crate) struct ClientPool {
     clients: Vec<Client>,
 }
 
-impl Crowd {
-    /// Clients for each front machine.
-    pub(crate) fn new(scene: &Scene, seed: u64, size: Size) -> Crowd {
+impl ClientPool {
+    /// `clients_per_front` clients for each front machine. Each client picks a random front for every
+    /// connection.
+    pub(crate) fn new(scene: &Scene, seed: u64, size: SoakSize) -> ClientPool {
         let fronts: Vec<TestClient> =
             (0..usize::from(size.fronts)).map(|front| scene.client(front)).collect();
         let client = |number: usize| Client {
             fronts: fronts.clone(),
             random: fastrand::Rng::with_seed(seed.wrapping_mul(1_000_003).wrapping_add(number as u64)),
-            asked: Vec::new(),
+            records: Vec::new(),
         };
-        Crowd { clients: (0..fronts.len() * size.clients_each).map(client).collect() }
+        ClientPool { clients: (0..fronts.len() * size.clients_per_front).map(client).collect() }
     }
 
-    /// Asks until `over`, each client in a task of its own, and gives all requests.
-    pub(crate) async fn ask(self, over: &Arc<AtomicBool>) -> Vec<Asked> {
-        let asking: Vec<_> =
-            self.clients.into_iter().map(|client| tokio::spawn(client.ask(over.clone()))).collect();
-        let mut asked = Vec::new();
-        for client in asking {
-            asked.extend(client.await.expect("a client that does not panic"));
+    /// Sends requests until `stop` is set, each client in its own task, and returns the records of all
+    /// requests.
+    pub(crate) async fn run(self, stop: &Arc<AtomicBool>) -> Vec<RequestRecord> {
+        let tasks: Vec<_> =
+            self.clients.into_iter().map(|client| tokio::spawn(client.run(stop.clone()))).collect();
+        let mut records = Vec::new();
+        for task in tasks {
+            records.extend(task.await.expect("the client does not panic"));
         }
-        asked
+        records
     }
 }
 
 struct Client {
     fronts: Vec<TestClient>,
     random: fastrand::Rng,
-    asked: Vec<Asked>,
+    records: Vec<RequestRecord>,
 }
 
 impl Client {
-    async fn ask(mut self, over: Arc<AtomicBool>) -> Vec<Asked> {
-        let mut pace = tokio::time::interval(PAUSE);
-        while !over.load(Ordering::Relaxed) {
+    async fn run(mut self, stop: Arc<AtomicBool>) -> Vec<RequestRecord> {
+        let mut pace = tokio::time::interval(REQUEST_INTERVAL);
+        while !stop.load(Ordering::Relaxed) {
             pace.tick().await;
             let front = self.random.usize(..self.fronts.len());
-            // A front that is down takes no connection.
+            // A front that is down accepts no connection.
             if let Ok(connection) = self.fronts[front].connect().await {
-                self.use_up(front, connection, &over).await;
+                self.use_connection(front, connection, &stop).await;
             }
         }
-        self.asked
+        self.records
     }
 
-    /// Asks on a connection for as long as it stands.
-    async fn use_up(&mut self, front: usize, mut connection: Connection, over: &AtomicBool) {
-        let connected = Instant::now();
-        let mut pace = tokio::time::interval(PAUSE);
-        for before in 0.. {
-            if over.load(Ordering::Relaxed) {
+    /// Sends requests on a connection until it closes, the client leaves it, or `stop` is set.
+    async fn use_connection(&mut self, front: usize, mut connection: Connection, stop: &AtomicBool) {
+        let connected_at = Instant::now();
+        let mut pace = tokio::time::interval(REQUEST_INTERVAL);
+        for earlier_requests in 0.. {
+            if stop.load(Ordering::Relaxed) {
                 return;
             }
             pace.tick().await;
-            let (path, events) = self.draw();
+            let (path, events) = self.choose_route();
             let request = self.request(front, path, events);
-            let sent = Instant::now();
-            let (fate, stands) = follow(&mut connection, &request, events).await;
-            let known = Instant::now();
-            self.asked.push(Asked { id: request.id, path, front, connected, before, sent, known, fate });
-            if !stands || self.random.u8(..LEAVES) == 0 {
+            let sent_at = Instant::now();
+            let (outcome, reusable) = send_and_receive(&mut connection, &request, events).await;
+            let completed_at = Instant::now();
+            self.records.push(RequestRecord {
+                id: request.id,
+                path,
+                front,
+                connected_at,
+                earlier_requests,
+                sent_at,
+                completed_at,
+                outcome,
+            });
+            if !reusable || self.random.u8(..CLOSE_ONE_IN_REQUESTS) == 0 {
                 return;
             }
         }
     }
 
-    fn draw(&mut self) -> (&'static str, Option<u64>) {
+    /// Chooses a route at random, and the number of events for a stream.
+    fn choose_route(&mut self) -> (&'static str, Option<u64>) {
         match self.random.u8(..10) {
             0..=2 => (SAFE, None),
             3..=5 => (UNSAFE, None),
-            6..=7 => (FIXED, Some(self.random.u64(1..=SHORT_EVENTS))),
-            _ => (RESUMABLE, Some(1 + (LONG_EVENTS * self.random.f64().powi(2)) as u64)),
+            6..=7 => (FIXED, Some(self.random.u64(1..=MAX_FIXED_EVENTS))),
+            _ => (RESUMABLE, Some(1 + (MAX_RESUMABLE_EVENTS * self.random.f64().powi(2)) as u64)),
         }
     }
 
@@ -142,27 +154,31 @@
     }
 }
 
-/// Sends a request and reads its answer; gives its fate, and whether the connection may be used again.
-async fn follow(connection: &mut Connection, request: &Request, events: Option<u64>) -> (Fate, bool) {
+/// Sends a request and reads its response; returns the outcome and whether the connection may be reused.
+async fn send_and_receive(
+    connection: &mut Connection,
+    request: &Request,
+    events: Option<u64>,
+) -> (Outcome, bool) {
     if connection.send(request).await.is_err() {
-        return (Fate::Cut { amid_answer: false }, false);
+        return (Outcome::Interrupted { response_started: false }, false);
     }
-    let Ok(mut answering) = connection.head().await else {
-        return (Fate::Cut { amid_answer: false }, false);
+    let Ok(mut response) = connection.head().await else {
+        return (Outcome::Interrupted { response_started: false }, false);
     };
-    let (status, closes) = (answering.head.status(), answering.head.closes());
+    let (status, closes) = (response.head.status(), response.head.closes());
     let Some(events) = events.filter(|_| status == 200) else {
-        return match answering.rest().await {
-            Ok(_) => (Fate::Answered(status), !closes),
-            Err(_) => (Fate::Cut { amid_answer: true }, false),
+        return match response.rest().await {
+            Ok(_) => (Outcome::Completed(status), !closes),
+            Err(_) => (Outcome::Interrupted { response_started: true }, false),
         };
     };
-    let (came, whole) = answering.events().await;
-    let ids: Vec<u64> = came.iter().map(|event| event.id).collect();
+    let (received, complete) = response.events().await;
+    let ids: Vec<u64> = received.iter().map(|event| event.id).collect();
     let in_order = ids.iter().copied().eq(1..=events);
-    match (whole, in_order) {
-        (true, true) => (Fate::Answered(status), !closes),
-        (true, false) => (Fate::Disordered(ids), false),
-        (false, _) => (Fate::Cut { amid_answer: true }, false),
+    match (complete, in_order) {
+        (true, true) => (Outcome::Completed(status), !closes),
+        (true, false) => (Outcome::UnexpectedEvents(ids), false),
+        (false, _) => (Outcome::Interrupted { response_started: true }, false),
     }
 }
