--- a/crates/control/tests/fleet_front_faults.rs
+++ b/crates/control/tests/fleet_front_faults.rs
@@ -1,15 +1,15 @@
-//! Front machines: agents and proxies that end, and what they may still do then.
+//! Front machines whose agents or proxies exit, and how the remaining or terminating processes behave.
 
 use testkit::system::scene::{FIRST_VERSION, HOST, POOL, SAFE, Scene, UNSAFE};
 use testkit::system::{Reply, Route, Signal};
 
 use std::sync::Arc;
 
-const OWN: &str = env!("CARGO_BIN_EXE_dunelink-control");
+const CONTROL_BINARY: &str = env!("CARGO_BIN_EXE_dunelink-control");
 
 #[tokio::test]
-async fn a_proxy_serves_on_without_its_agent_and_follows_a_new_one() {
-    let mut scene = Scene::small(OWN).await;
+async fn proxy_serves_without_agent_and_follows_a_new_one() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     scene.fleet.agent(0).kill();
     for _ in 0..20 {
         assert_eq!(scene.get(0, "POST", UNSAFE).await.status(), 200);
@@ -21,22 +21,22 @@
 }
 
 #[tokio::test]
-async fn a_proxy_that_starts_without_a_core_is_not_ready_until_there_is_one() {
-    let mut scene = Scene::small(OWN).await;
+async fn proxy_without_core_is_not_ready() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     (0..3).for_each(|core| scene.fleet.kill_core(core));
     scene.fleet.proxy(0).kill();
     scene.fleet.agent(0).kill();
     scene.fleet.start_front(0);
     scene.fleet.answers_not_ready(0).await;
-    assert_eq!(scene.get(1, "GET", SAFE).await.status(), 200, "a front that runs serves on");
+    assert_eq!(scene.get(1, "GET", SAFE).await.status(), 200, "a running front keeps serving");
     (0..3).for_each(|core| scene.fleet.start_core(core));
     scene.fleet.ready(0).await;
     scene.served(0).await;
 }
 
 #[tokio::test]
-async fn a_proxy_that_starts_beside_a_running_agent_has_the_newest_version_when_it_is_ready() {
-    let mut scene = Scene::small(OWN).await;
+async fn restarted_proxy_is_ready_with_the_newest_version() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     let mut base = FIRST_VERSION;
     for version in [8, 9, 10] {
         scene.fleet.proxy(0).kill();
@@ -46,27 +46,30 @@
         scene.fleet.start_proxy(0);
         scene.fleet.ready(0).await;
         let status = scene.get(0, "GET", &path).await.status();
-        assert!(matches!(status, 200 | 502 | 503), "{status}: ready with an older version than {version}");
+        assert!(
+            matches!(status, 200 | 502 | 503),
+            "status {status}: ready with a version older than {version}"
+        );
         base = version;
     }
 }
 
 #[tokio::test]
-async fn a_proxy_that_ends_answers_what_it_has_read_and_says_that_it_closes() {
-    let mut scene = Scene::small(OWN).await;
+async fn terminating_proxy_answers_read_requests_and_closes() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     let gate = Arc::new(tokio::sync::Semaphore::new(0));
     scene.usually(&Reply::plain(200, "late").gated(gate.clone()));
-    let mut kept = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..5 {
         let (request, connection) = scene.sent(0, "POST", UNSAFE).await;
         scene.arrived(&request.id).await;
-        kept.push(connection);
+        connections.push(connection);
     }
     scene.fleet.proxy(0).signal(Signal::TERM);
     scene.fleet.not_ready(0).await;
     gate.add_permits(1000);
-    for connection in &mut kept {
-        let answer = connection.answer().await.expect("an answer to what was read");
+    for connection in &mut connections {
+        let answer = connection.answer().await.expect("an answer to a request that was read");
         assert_eq!((answer.status(), answer.text().as_str()), (200, "late"));
         assert!(answer.head.closes(), "{:?}", answer.head);
     }
@@ -75,11 +78,11 @@
 }
 
 #[tokio::test]
-async fn new_seeds_are_enough_once_the_old_ones_are_gone() {
-    let mut scene = Scene::small(OWN).await;
+async fn reloaded_seeds_suffice_without_the_old_ones() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     let new = scene.fleet.add_core();
-    let gone = scene.fleet.led().await;
-    scene.fleet.remove_core(gone);
+    let removed = scene.fleet.led().await;
+    scene.fleet.remove_core(removed);
     scene.fleet.start_core(new);
     scene.operator = scene.fleet.operator();
     let next = scene.configuration.clone().version(8).route(Route::new(HOST, "/added/", "safe", POOL));
--- a/crates/control/tests/fleet_list.rs
+++ b/crates/control/tests/fleet_list.rs
@@ -1,33 +1,37 @@
-//! The platform's list: one reader within its rate, and a fleet that goes on when the list does not answer.
+//! The platform's server list: a single reader within the rate limit, and a fleet that keeps serving when the
+//! list is unavailable.
 
 use std::time::Duration;
 
 use testkit::system::scene::{SAFE, Scene, UNSAFE};
 use testkit::system::{ModelServer, until};
 
-const OWN: &str = env!("CARGO_BIN_EXE_dunelink-control");
-/// Over this span calls are counted.
-const SPAN: Duration = Duration::from_secs(3);
-/// Calls a second of the whole fleet, far below the `ratePerS` of 44.
-const CALLS_PER_S: u64 = 8;
+const CONTROL_BINARY: &str = env!("CARGO_BIN_EXE_dunelink-control");
+/// Period in which calls are counted.
+const COUNTING_PERIOD: Duration = Duration::from_secs(3);
+/// Most calls a second of the whole fleet, far below the `ratePerS` of 44.
+const MAX_CALLS_PER_S: u64 = 8;
 
 #[tokio::test]
-async fn the_whole_fleet_calls_the_list_seldom() {
-    let scene = Scene::small(OWN).await;
+async fn whole_fleet_reads_the_list_within_rate() {
+    let scene = Scene::small(CONTROL_BINARY).await;
     let before = scene.fleet.list.calls().len();
     let start = tokio::time::Instant::now();
-    until("the span to pass", || async {
+    until("the counting period to pass", || async {
         assert_eq!(scene.get(0, "GET", SAFE).await.status(), 200);
-        (start.elapsed() >= SPAN).then_some(())
+        (start.elapsed() >= COUNTING_PERIOD).then_some(())
     })
     .await;
     let calls = (scene.fleet.list.calls().len() - before) as u64;
-    assert!(calls > 0 && calls <= CALLS_PER_S * SPAN.as_secs(), "{calls} calls in {SPAN:?}");
+    assert!(
+        calls > 0 && calls <= MAX_CALLS_PER_S * COUNTING_PERIOD.as_secs(),
+        "{calls} calls in {COUNTING_PERIOD:?}"
+    );
 }
 
 #[tokio::test]
-async fn a_fleet_goes_on_without_the_list_also_under_a_new_leader_and_at_a_new_proxy() {
-    let mut scene = Scene::small(OWN).await;
+async fn fleet_serves_without_list_after_leader_and_proxy_change() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     scene.fleet.list.stop().await;
     let leader = scene.fleet.led().await;
     scene.fleet.kill_core(leader);
@@ -45,8 +49,8 @@
 }
 
 #[tokio::test]
-async fn a_list_of_many_pages_with_failures_between_is_read_whole() {
-    let mut scene = Scene::small(OWN).await;
+async fn paged_list_is_read_completely_despite_failures() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     for number in 2..9 {
         let server = ModelServer::start(scene.fleet.network.server(number), &format!("i-{number}")).await;
         scene.servers.push(server);
@@ -61,19 +65,19 @@
     scene.fleet.list.fails(false);
     scene.fleet.list.edit(|entries| entries.truncate(1));
     scene.fleet.list.read().await;
-    let calm = std::cell::Cell::new(0);
-    until("all requests at the server that is left", || async {
+    let consecutive = std::cell::Cell::new(0);
+    until("all requests to reach the remaining server", || async {
         let request = scene.client(1).request("GET", SAFE);
         assert_eq!(scene.ask(1, &request).await.status(), 200);
-        calm.set(if scene.servers[0].runs(&request.id) == 1 { calm.get() + 1 } else { 0 });
-        (calm.get() == 20).then_some(())
+        consecutive.set(if scene.servers[0].runs(&request.id) == 1 { consecutive.get() + 1 } else { 0 });
+        (consecutive.get() == 20).then_some(())
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_crashed_server_that_is_still_listed_costs_no_safe_request() {
-    let mut scene = Scene::small(OWN).await;
+async fn crashed_listed_server_fails_no_request() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     scene.servers[0].stop().await;
     for round in 0..30 {
         for target in [SAFE, UNSAFE] {
--- a/crates/control/tests/fleet_schedules.rs
+++ b/crates/control/tests/fleet_schedules.rs
@@ -1,24 +1,26 @@
-//! Random faults of the core from a seed, while an operator goes on sending changes: each acknowledged
-//! version is kept, versions only rise, and fronts follow.
+//! Seeded random faults of the core while an operator keeps sending changes: each acknowledged version is
+//! kept, versions only increase, and fronts follow.
 
 use std::time::{Duration, Instant};
 
 use testkit::system::scene::{FIRST_VERSION, HOST, POOL, Scene};
 use testkit::system::{Configuration, Outcome, Route, Signal};
 
-const OWN: &str = env!("CARGO_BIN_EXE_dunelink-control");
-/// Faults of a schedule.
-const FAULTS: usize = 8;
-/// `configMs` of the settings, and as much for a core that has just come back.
-const IN_FORCE: Duration = Duration::from_secs(4);
+const CONTROL_BINARY: &str = env!("CARGO_BIN_EXE_dunelink-control");
+/// Faults in one schedule.
+const FAULTS_PER_SCHEDULE: usize = 8;
+/// `configMs` of the settings, and the same time again for a core that has just returned.
+const APPLY_LIMIT: Duration = Duration::from_secs(4);
 
-fn next(scene: &Scene, version: u64) -> Configuration {
+/// The first configuration with another version and one more route.
+fn configuration_with_version(scene: &Scene, version: u64) -> Configuration {
     let route = Route::new(HOST, &format!("/v{version}/"), "safe", POOL);
     scene.configuration.clone().version(version).route(route)
 }
 
-/// One fault; all machines run at its end, and the disks of at most one are empty.
-async fn fault(scene: &mut Scene, random: &mut fastrand::Rng) -> String {
+/// Injects one fault and returns its description. Afterwards all machines run, and the disk of at most one is
+/// empty.
+async fn inject_fault(scene: &mut Scene, random: &mut fastrand::Rng) -> String {
     let cores = scene.fleet.remaining_cores();
     let any = cores[random.usize(..cores.len())];
     match random.u8(..7) {
@@ -55,68 +57,73 @@
             scene.fleet.core(any).signal(Signal::STOP);
             scene.fleet.led().await;
             scene.fleet.core(any).signal(Signal::CONT);
-            format!("stop {any} for a while")
+            format!("pause {any} for a while")
         }
         _ => {
             scene.fleet.core(any).signal(Signal::TERM);
             scene.fleet.core(any).ended().await;
             scene.fleet.start_core(any);
-            format!("end {any}")
+            format!("terminate {any}")
         }
     }
 }
 
-async fn schedule(seed: u64) {
+/// Runs the schedule of a seed.
+async fn run_schedule(seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut scene = Scene::small(OWN).await;
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     let mut base = FIRST_VERSION;
-    let mut story = Vec::new();
-    for _ in 0..FAULTS {
-        // Directly on the acknowledgement, or while a change is under way.
+    let mut fault_history = Vec::new();
+    for _ in 0..FAULTS_PER_SCHEDULE {
+        // The fault happens directly after the acknowledgement, or while the change is in progress.
         let version = base + random.u64(1..4);
-        let change = next(&scene, version);
+        let change = configuration_with_version(&scene, version);
         let operator = scene.operator.clone();
         let outcome = if random.bool() {
-            let ordered = operator.replace(base, change.value()).await;
-            story.push(fault(&mut scene, &mut random).await);
-            ordered
+            let outcome = operator.replace(base, change.value()).await;
+            fault_history.push(inject_fault(&mut scene, &mut random).await);
+            outcome
         } else {
-            let (ordered, told) =
-                tokio::join!(operator.replace(base, change.value()), fault(&mut scene, &mut random));
-            story.push(told);
-            ordered
+            let (outcome, description) =
+                tokio::join!(operator.replace(base, change.value()), inject_fault(&mut scene, &mut random));
+            fault_history.push(description);
+            outcome
         };
-        // An order that was given up unclear is sent again to whoever is there now.
+        // A change whose outcome is unclear is retried at the machines that are present now.
         let outcome = if matches!(outcome, Outcome::Unclear(_)) {
             scene.operator.replace(base, change.value()).await
         } else {
             outcome
         };
-        assert!(outcome.is_taken(), "seed {seed}, version {version} after {story:?}: {outcome:?}");
+        assert!(outcome.is_taken(), "seed {seed}, version {version} after {fault_history:?}: {outcome:?}");
         let read = scene.operator.read_whole().await;
-        assert_eq!(read, *change.value(), "seed {seed}, version {version} after {story:?}");
+        assert_eq!(read, *change.value(), "seed {seed}, version {version} after {fault_history:?}");
         base = version;
-        let all = scene.fleet.remaining_cores();
-        scene.fleet.voters(&all).await;
+        let cores = scene.fleet.remaining_cores();
+        scene.fleet.voters(&cores).await;
     }
     let start = Instant::now();
     for front in 0..2 {
         scene.gets(front, &format!("/v{base}/x"), 200).await;
     }
-    assert!(start.elapsed() <= IN_FORCE, "seed {seed}: in force after {:?}, {story:?}", start.elapsed());
+    assert!(
+        start.elapsed() <= APPLY_LIMIT,
+        "seed {seed}: in force after {:?}, {fault_history:?}",
+        start.elapsed()
+    );
 }
 
 #[tokio::test]
 async fn schedule_of_seed_1() {
-    schedule(1).await;
+    run_schedule(1).await;
 }
 
 #[tokio::test]
 async fn schedule_of_seed_2() {
-    schedule(2).await;
+    run_schedule(2).await;
 }
 
 #[tokio::test]
 async fn schedule_of_seed_3() {
-    schedule(3).await;
+    run_schedule(3).await;
 }
--- a/crates/control/tests/fleet_servers.rs
+++ b/crates/control/tests/fleet_servers.rs
@@ -1,36 +1,40 @@
-//! Servers that drain, crash, change their address's owner, turn requests away, and answer wrongly.
+//! Servers that drain, crash, are replaced at the same address, refuse requests, or send faulty responses.
 
 use std::time::Duration;
 
 use testkit::system::scene::{POOL, SAFE, Scene, UNSAFE};
 use testkit::system::{Entry, Fault, Reply};
 
-const OWN: &str = env!("CARGO_BIN_EXE_dunelink-control");
+const CONTROL_BINARY: &str = env!("CARGO_BIN_EXE_dunelink-control");
 /// `drainMs` of the settings.
-const DRAINED: Duration = Duration::from_secs(3);
-const REQUESTS: usize = 40;
+const DRAIN_LIMIT: Duration = Duration::from_secs(3);
+/// Requests sent in one test.
+const REQUEST_COUNT: usize = 40;
 
 #[tokio::test]
-async fn a_draining_server_gets_nothing_more() {
-    let scene = Scene::small(OWN).await;
+async fn draining_server_receives_no_requests() {
+    let scene = Scene::small(CONTROL_BINARY).await;
     scene.fleet.list.drain("i-0");
     scene.fleet.list.read().await;
-    let within = tokio::time::Instant::now() + DRAINED;
-    let mut calm = 0;
-    while calm < REQUESTS {
-        let request = scene.client(calm % 2).request("POST", UNSAFE);
-        assert_eq!(scene.ask(calm % 2, &request).await.status(), 200);
-        let at_old = scene.servers[0].runs(&request.id) > 0;
-        calm = if at_old { 0 } else { calm + 1 };
-        assert!(!at_old || tokio::time::Instant::now() < within, "still sent to after {DRAINED:?}");
+    let deadline = tokio::time::Instant::now() + DRAIN_LIMIT;
+    let mut consecutive = 0;
+    while consecutive < REQUEST_COUNT {
+        let request = scene.client(consecutive % 2).request("POST", UNSAFE);
+        assert_eq!(scene.ask(consecutive % 2, &request).await.status(), 200);
+        let at_drained = scene.servers[0].runs(&request.id) > 0;
+        consecutive = if at_drained { 0 } else { consecutive + 1 };
+        assert!(
+            !at_drained || tokio::time::Instant::now() < deadline,
+            "requests still sent to it after {DRAIN_LIMIT:?}"
+        );
     }
 }
 
 #[tokio::test]
-async fn an_address_with_another_owner_runs_nothing_and_the_other_server_serves() {
-    let mut scene = Scene::small(OWN).await;
+async fn reused_address_runs_no_request_of_the_old_server() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     scene.servers[0].restart("i-7").await;
-    for round in 0..REQUESTS {
+    for round in 0..REQUEST_COUNT {
         let request = scene.client(0).request("GET", SAFE);
         let answer = scene.ask(0, &request).await;
         assert_eq!(answer.status(), 200, "round {round}: {:?}", answer.head);
@@ -41,8 +45,8 @@
 }
 
 #[tokio::test]
-async fn a_new_server_is_used_once_it_is_listed() {
-    let mut scene = Scene::small(OWN).await;
+async fn new_server_is_used_once_listed() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     scene.servers[0].stop().await;
     scene.servers[1].stop().await;
     scene.servers[1].restart("i-8").await;
@@ -54,8 +58,8 @@
 }
 
 #[tokio::test]
-async fn a_request_that_was_turned_away_goes_to_another_server() {
-    let scene = Scene::small(OWN).await;
+async fn refused_request_goes_to_another_server() {
+    let scene = Scene::small(CONTROL_BINARY).await;
     for target in [SAFE, UNSAFE] {
         for status in [503, 429] {
             scene.servers[0].usually(Reply::not_executed(status));
@@ -65,18 +69,18 @@
                 match answer.status() {
                     200 => assert_eq!(scene.servers[1].runs(&request.id), 1),
                     503 | 429 => {
-                        assert_eq!(scene.runs(&request.id), 0, "refused, and has run");
+                        assert_eq!(scene.runs(&request.id), 0, "refused although it ran");
                         assert!(answer.head.field("Retry-After").is_some(), "{:?}", answer.head);
                     }
-                    other => panic!("{other} for a request that was turned away with {status}"),
+                    other => panic!("status {other} for a request that servers refused with {status}"),
                 }
             }
         }
     }
 }
 
-/// Every way in which a plain answer goes wrong once the request has been read.
-fn faults() -> Vec<(&'static str, Reply)> {
+/// Faulty plain responses of each kind after the request was read, with descriptions.
+fn faulty_replies() -> Vec<(&'static str, Reply)> {
     let well = || Reply::plain(200, "well done");
     vec![
         ("closed before the head", well().with(Fault::CloseBeforeHead)),
@@ -85,42 +89,42 @@
             "garbage",
             well().with(Fault::Garbage(b"\x16\x03\x01\x02\x00 nothing of the kind\r\n\r\n".to_vec())),
         ),
-        ("an answer to another request", well().with(Fault::OtherId("0123456789abcdef".to_owned()))),
-        ("an answer without an id", well().with(Fault::NoId)),
+        ("a response to another request", well().with(Fault::OtherId("0123456789abcdef".to_owned()))),
+        ("a response without an id", well().with(Fault::NoId)),
     ]
 }
 
 #[tokio::test]
-async fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_promised() {
-    let scene = Scene::small(OWN).await;
-    for (what, reply) in faults() {
+async fn unsafe_request_that_may_have_run_is_not_retried() {
+    let scene = Scene::small(CONTROL_BINARY).await;
+    for (case, reply) in faulty_replies() {
         scene.usually(&reply);
         let request = scene.client(0).request("POST", UNSAFE).body(b"words");
         match scene.client(0).ask(&request).await {
-            Ok(answer) => assert!(matches!(answer.status(), 502 | 504), "{what}: {:?}", answer.head),
-            Err(error) => assert_ne!(error.kind(), std::io::ErrorKind::TimedOut, "{what}"),
+            Ok(answer) => assert!(matches!(answer.status(), 502 | 504), "{case}: {:?}", answer.head),
+            Err(error) => assert_ne!(error.kind(), std::io::ErrorKind::TimedOut, "{case}"),
         }
-        assert_eq!(scene.runs(&request.id), 1, "{what}");
+        assert_eq!(scene.runs(&request.id), 1, "{case}");
     }
 }
 
 #[tokio::test]
-async fn a_safe_request_is_repeated_at_another_server() {
-    let scene = Scene::small(OWN).await;
-    for (what, reply) in faults() {
+async fn safe_request_is_retried_at_another_server() {
+    let scene = Scene::small(CONTROL_BINARY).await;
+    for (case, reply) in faulty_replies() {
         scene.usually(&Reply::plain(200, "well"));
         scene.next(reply);
         let request = scene.client(0).request("GET", SAFE);
         let answer = scene.ask(0, &request).await;
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "well"), "{what}: {:?}", answer.head);
+        assert_eq!((answer.status(), answer.text().as_str()), (200, "well"), "{case}: {:?}", answer.head);
         let servers: Vec<usize> = scene.arrivals(&request.id).iter().map(|(server, _)| *server).collect();
-        assert!(servers.len() == 2 && servers[0] != servers[1], "{what}: sent to the servers {servers:?}");
+        assert!(servers.len() == 2 && servers[0] != servers[1], "{case}: sent to the servers {servers:?}");
     }
 }
 
 #[tokio::test]
-async fn an_answer_that_is_cut_never_looks_whole() {
-    let scene = Scene::small(OWN).await;
+async fn truncated_response_never_looks_complete() {
+    let scene = Scene::small(CONTROL_BINARY).await;
     scene.usually(&Reply::plain(200, &"x".repeat(200_000)).with(Fault::CloseInBody));
     for target in [SAFE, UNSAFE] {
         let request = scene.client(0).request("POST", target);
@@ -132,8 +136,8 @@
 }
 
 #[tokio::test]
-async fn a_servers_own_failure_passes_as_it_is() {
-    let scene = Scene::small(OWN).await;
+async fn server_error_is_forwarded_unchanged() {
+    let scene = Scene::small(CONTROL_BINARY).await;
     for status in [500, 504, 418, 201] {
         scene.usually(&Reply::plain(status, "its words"));
         let request = scene.client(0).request("POST", UNSAFE);
@@ -144,14 +148,14 @@
 }
 
 #[tokio::test]
-async fn bytes_behind_an_answer_belong_to_no_request() {
-    let scene = Scene::small(OWN).await;
-    let second =
+async fn surplus_response_bytes_are_discarded() {
+    let scene = Scene::small(CONTROL_BINARY).await;
+    let extra_response =
         b"HTTP/1.1 200 OK\r\nX-Dunelink-Request-Id: 0123456789abcdef\r\nContent-Length: 5\r\n\r\nstale";
-    scene.usually(&Reply::plain(200, "well").with(Fault::MoreBytes(second.to_vec())));
+    scene.usually(&Reply::plain(200, "well").with(Fault::MoreBytes(extra_response.to_vec())));
     let client = scene.client(0);
     let mut connection = client.connect().await.unwrap();
-    for round in 0..REQUESTS {
+    for round in 0..REQUEST_COUNT {
         let request = client.request("POST", UNSAFE);
         let answer = connection.ask(&request).await.unwrap();
         assert_eq!((answer.status(), answer.text().as_str()), (200, "well"), "round {round}");
@@ -160,14 +164,14 @@
 }
 
 #[tokio::test]
-async fn servers_that_close_their_connections_lose_no_request() {
-    let scene = Scene::small(OWN).await;
+async fn closing_servers_lose_no_request() {
+    let scene = Scene::small(CONTROL_BINARY).await;
     scene.usually(&Reply::plain(200, "well").closing());
     let client = scene.client(0);
     let mut connection = client.connect().await.unwrap();
-    for round in 0..REQUESTS {
+    for round in 0..REQUEST_COUNT {
         let answer = connection.ask(&client.request("POST", UNSAFE)).await.unwrap();
         assert_eq!(answer.status(), 200, "round {round}");
-        assert!(!answer.head.closes(), "the server's connection is not the client's");
+        assert!(!answer.head.closes(), "closing the server's connection must not close the client's");
     }
 }
--- a/crates/control/tests/fleet_under_load.rs
+++ b/crates/control/tests/fleet_under_load.rs
@@ -1,4 +1,4 @@
-//! Planned work and faults of the core while clients go on asking.
+//! Planned operations and core faults while clients keep sending requests.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,94 +7,105 @@
 use testkit::system::scene::{FIRST_VERSION, FIXED, HOST, POOL, RESUMABLE, SAFE, Scene, UNSAFE};
 use testkit::system::{Fleet, Pace, Reply, Route, Signal, TestClient, until};
 
-const OWN: &str = env!("CARGO_BIN_EXE_dunelink-control");
-/// Pause between two requests of one client.
-const PAUSE: Duration = Duration::from_millis(5);
-/// Requests in a row that show that a server gets nothing more.
-const CALM: usize = 40;
-/// Routes in turn.
-const TARGETS: [&str; 4] = [SAFE, UNSAFE, RESUMABLE, FIXED];
+const CONTROL_BINARY: &str = env!("CARGO_BIN_EXE_dunelink-control");
+/// Least time between the starts of two requests of one client.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
+/// Consecutive requests at other servers that show that a server receives none.
+const CONSECUTIVE_REQUESTS: usize = 40;
+/// Routes that clients use in turn.
+const ROUTES: [&str; 4] = [SAFE, UNSAFE, RESUMABLE, FIXED];
 
-/// What became of a client's requests.
+/// Outcomes of the requests of one client.
 #[derive(Debug, Default)]
-struct Tally {
+struct ClientOutcomes {
+    /// Requests answered with 200.
     served: usize,
-    /// Ids whose connection ended without a whole answer.
-    cut: Vec<String>,
-    /// Ids and statuses of other answers.
-    refused: Vec<(String, u16)>,
+    /// Ids of requests whose connection ended without a complete response.
+    interrupted: Vec<String>,
+    /// Ids and statuses of requests answered with another status.
+    not_served: Vec<(String, u16)>,
 }
 
-/// Asks until `over`, on one connection or on a new one each time.
-async fn load(client: &TestClient, keeps: bool, over: &Cell<bool>) -> Tally {
-    let mut tally = Tally::default();
-    let mut kept = None;
-    let mut targets = TARGETS.iter().cycle();
-    let mut pace = tokio::time::interval(PAUSE);
-    while !over.get() {
-        pace.tick().await;
-        let connection = match kept.take() {
+/// Sends requests until `stop` is set, on one kept connection if `keep_connection`, otherwise on a new one
+/// each time.
+async fn send_requests(client: &TestClient, keep_connection: bool, stop: &Cell<bool>) -> ClientOutcomes {
+    let mut outcomes = ClientOutcomes::default();
+    let mut open_connection = None;
+    let mut targets = ROUTES.iter().cycle();
+    let mut interval = tokio::time::interval(REQUEST_INTERVAL);
+    while !stop.get() {
+        interval.tick().await;
+        let connection = match open_connection.take() {
             Some(connection) => Ok(connection),
             None => client.connect().await,
         };
-        // A front that is down takes no connection.
+        // A front that is down accepts no connection.
         let Ok(mut connection) = connection else { continue };
         let request = client.request("POST", targets.next().expect("a cycle")).body(b"words");
         match connection.ask(&request).await {
             Ok(answer) => {
-                if keeps && !answer.head.closes() {
-                    kept = Some(connection);
+                if keep_connection && !answer.head.closes() {
+                    open_connection = Some(connection);
                 }
                 match answer.status() {
-                    200 => tally.served += 1,
-                    other => tally.refused.push((request.id, other)),
+                    200 => outcomes.served += 1,
+                    other => outcomes.not_served.push((request.id, other)),
                 }
             }
-            Err(_) => tally.cut.push(request.id),
+            Err(_) => outcomes.interrupted.push(request.id),
         }
     }
-    tally
+    outcomes
 }
 
-/// Runs `work` while four clients ask at each front, and gives what became of their requests.
-async fn under_load(scene: &mut Scene, work: impl AsyncFnOnce(&mut Scene)) -> Vec<Tally> {
-    let over = Cell::new(false);
+/// Runs `operation` while two clients send requests to each front, and returns the outcomes for each client.
+async fn run_under_load(scene: &mut Scene, operation: impl AsyncFnOnce(&mut Scene)) -> Vec<ClientOutcomes> {
+    let stop = Cell::new(false);
     let clients: Vec<TestClient> = (0..2).map(|front| scene.client(front)).collect();
     let (a, b) = (&clients[0], &clients[1]);
-    let work = async {
-        work(scene).await;
-        over.set(true);
+    let run_operation = async {
+        operation(scene).await;
+        stop.set(true);
     };
     let loads = async {
-        tokio::join!(load(a, true, &over), load(a, false, &over), load(b, true, &over), load(b, false, &over))
+        tokio::join!(
+            send_requests(a, true, &stop),
+            send_requests(a, false, &stop),
+            send_requests(b, true, &stop),
+            send_requests(b, false, &stop)
+        )
     };
-    let (tallies, ()) = tokio::join!(loads, work);
-    vec![tallies.0, tallies.1, tallies.2, tallies.3]
+    let (outcomes_by_client, ()) = tokio::join!(loads, run_operation);
+    vec![outcomes_by_client.0, outcomes_by_client.1, outcomes_by_client.2, outcomes_by_client.3]
 }
 
-fn all_served(tallies: &[Tally]) {
-    for tally in tallies {
-        assert!(tally.served > 0 && tally.cut.is_empty() && tally.refused.is_empty(), "{tallies:?}");
+/// Checks that every request of every client was served.
+fn assert_all_served(outcomes_by_client: &[ClientOutcomes]) {
+    for outcomes in outcomes_by_client {
+        assert!(
+            outcomes.served > 0 && outcomes.interrupted.is_empty() && outcomes.not_served.is_empty(),
+            "{outcomes_by_client:?}"
+        );
     }
 }
 
 #[tokio::test]
-async fn the_core_dies_and_returns_and_clients_see_nothing_of_it() {
-    let mut scene = Scene::small(OWN).await;
-    let tallies = under_load(&mut scene, async |scene| {
+async fn core_restart_fails_no_request() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
+    let outcomes_by_client = run_under_load(&mut scene, async |scene| {
         (0..3).for_each(|core| scene.fleet.kill_core(core));
         (0..3).for_each(|core| scene.fleet.start_core(core));
         let next = scene.configuration.clone().version(8);
         assert!(scene.operator.replace(FIRST_VERSION, next.value()).await.is_taken());
     })
     .await;
-    all_served(&tallies);
+    assert_all_served(&outcomes_by_client);
 }
 
 #[tokio::test]
-async fn configurations_come_one_after_another_and_no_request_is_cut() {
-    let mut scene = Scene::small(OWN).await;
-    let tallies = under_load(&mut scene, async |scene| {
+async fn successive_configurations_fail_no_request() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
+    let outcomes_by_client = run_under_load(&mut scene, async |scene| {
         for version in 8..28 {
             let route = Route::new(HOST, &format!("/v{version}/"), "safe", POOL);
             let next = scene.configuration.clone().version(version).route(route);
@@ -105,10 +116,11 @@
         scene.gets(1, "/v27/x", 200).await;
     })
     .await;
-    all_served(&tallies);
+    assert_all_served(&outcomes_by_client);
 }
 
-async fn ends_and_returns(fleet: &mut Fleet, front: usize) {
+/// Terminates both processes of a front and starts them again.
+async fn restart_front(fleet: &mut Fleet, front: usize) {
     fleet.proxy(front).signal(Signal::TERM);
     fleet.agent(front).signal(Signal::TERM);
     assert!(fleet.proxy(front).ended().await.success());
@@ -118,53 +130,59 @@
 }
 
 #[tokio::test]
-async fn fronts_end_one_after_the_other_and_no_request_that_ran_loses_its_answer() {
-    let mut scene = Scene::small(OWN).await;
+async fn rolling_front_restart_loses_no_executed_request() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     scene.usually(&Reply::plain(200, "well").after(Duration::from_millis(20)));
-    let tallies = under_load(&mut scene, async |scene| {
+    let outcomes_by_client = run_under_load(&mut scene, async |scene| {
         for front in [0, 1, 0] {
-            ends_and_returns(&mut scene.fleet, front).await;
+            restart_front(&mut scene.fleet, front).await;
         }
     })
     .await;
-    for tally in &tallies {
-        let lost: Vec<&String> = tally.cut.iter().filter(|id| scene.runs(id) > 0).collect();
-        assert!(tally.served > 0 && lost.is_empty(), "cut and run: {lost:?} in {tallies:?}");
-        let wrong = tally.refused.iter().find(|(id, status)| *status != 503 || scene.runs(id) > 0);
-        assert!(wrong.is_none(), "{wrong:?} in {tallies:?}");
+    for outcomes in &outcomes_by_client {
+        let lost_requests: Vec<&String> =
+            outcomes.interrupted.iter().filter(|id| scene.runs(id) > 0).collect();
+        assert!(
+            outcomes.served > 0 && lost_requests.is_empty(),
+            "interrupted after running: {lost_requests:?} in {outcomes_by_client:?}"
+        );
+        let unexpected = outcomes.not_served.iter().find(|(id, status)| *status != 503 || scene.runs(id) > 0);
+        assert!(unexpected.is_none(), "{unexpected:?} in {outcomes_by_client:?}");
     }
 }
 
 #[tokio::test]
-async fn servers_are_replaced_one_after_the_other_and_every_request_is_served() {
-    let mut scene = Scene::small(OWN).await;
+async fn rolling_server_replacement_fails_no_request() {
+    let mut scene = Scene::small(CONTROL_BINARY).await;
     scene.usually(&Reply::events(3, Pace::Every(Duration::from_millis(5))));
-    let tallies = under_load(&mut scene, async |scene| {
+    let outcomes_by_client = run_under_load(&mut scene, async |scene| {
         for number in 0..2 {
             let id = scene.servers[number].id();
             scene.fleet.list.drain(&id);
             scene.fleet.list.read().await;
-            quiet(scene, number).await;
+            wait_until_drained(scene, number).await;
             scene.servers[number].restart(&format!("i-{}", number + 10)).await;
             scene.list_servers();
             scene.fleet.list.read().await;
         }
     })
     .await;
-    all_served(&tallies);
+    assert_all_served(&outcomes_by_client);
 }
 
-/// Waits until so many requests in a row have gone to another server.
-async fn quiet(scene: &Scene, number: usize) {
-    let calm = Cell::new(0);
-    until("a drained server to get nothing more", || async {
-        let request = scene.client(calm.get() % 2).request("POST", UNSAFE);
-        assert_eq!(scene.ask(calm.get() % 2, &request).await.status(), 200);
-        calm.set(if scene.servers[number].runs(&request.id) == 0 { calm.get() + 1 } else { 0 });
-        (calm.get() == CALM).then_some(())
+/// Waits until [`CONSECUTIVE_REQUESTS`] consecutive requests have gone to other servers and the drained
+/// server has answered the rest.
+async fn wait_until_drained(scene: &Scene, number: usize) {
+    let consecutive = Cell::new(0);
+    until("the drained server to receive no more requests", || async {
+        let request = scene.client(consecutive.get() % 2).request("POST", UNSAFE);
+        assert_eq!(scene.ask(consecutive.get() % 2, &request).await.status(), 200);
+        consecutive.set(if scene.servers[number].runs(&request.id) == 0 { consecutive.get() + 1 } else { 0 });
+        (consecutive.get() == CONSECUTIVE_REQUESTS).then_some(())
     })
     .await;
-    // What was sent before has been answered.
-    let whole = |seen: &Seen| (seen.answered.len() + seen.left.len() >= seen.requests.len()).then_some(());
-    scene.servers[number].wait("a drained server to answer what it has", whole).await;
+    // Requests sent earlier have been answered.
+    let all_answered =
+        |seen: &Seen| (seen.answered.len() + seen.left.len() >= seen.requests.len()).then_some(());
+    scene.servers[number].wait("the drained server to answer its requests", all_answered).await;
 }
