--- a/crates/control/examples/scale/node_costs.rs
+++ b/crates/control/examples/scale/node_costs.rs
@@ -1,4 +1,4 @@
-//! Processor time of what a proxy does with a configuration and with quotas, measured in this process.
+//! Processor time that a proxy needs for configurations and quotas, measured in this process.
 
 use std::time::Instant;
 
@@ -7,13 +7,13 @@
 use dunelink_settings::FleetConfig;
 use testkit::system::{Value, json};
 
-/// Times that each step is done; the middle one counts.
+/// Runs of each step; the median time counts.
 const ROUNDS: usize = 11;
-/// A second in microseconds.
+/// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 
-/// Measures the steps with this configuration and so many active tenants.
-pub(crate) fn measure(text: &str, active: usize) -> Value {
+/// Measures the steps with this configuration and `active_tenants` active tenants.
+pub(crate) fn measure(text: &str, active_tenants: usize) -> Value {
     let config = FleetConfig::parse(text.as_bytes()).expect("a configuration");
     let quotas: Vec<TenantQuota> = config
         .tenants
@@ -25,21 +25,22 @@
         })
         .collect();
     let mut gate = QuotaGate::new(QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 110_000.0 }, 7, 0);
-    let parse_us = middle_us(|_| drop(FleetConfig::parse(text.as_bytes())));
-    let set_us = middle_us(|now| gate.set_tenants(now, &quotas));
-    for quota in quotas.iter().take(active) {
+    let parse_us = median_us(|_| drop(FleetConfig::parse(text.as_bytes())));
+    let set_us = median_us(|now| gate.set_tenants(now, &quotas));
+    for quota in quotas.iter().take(active_tenants) {
         let _ = gate.admit(SECOND, &quota.name, 200.0);
     }
-    let demand_us = middle_us(|now| drop(gate.demand_report(SECOND + now)));
-    let update = grants(&quotas, active);
-    let apply_us = middle_us(|now| {
+    let demand_us = median_us(|now| drop(gate.demand_report(SECOND + now)));
+    let update = grants(&quotas, active_tenants);
+    let apply_us = median_us(|now| {
         gate.apply(SECOND + now, &update);
     });
-    json!({"phase": "a node's steps", "bytes": text.len(), "tenants": quotas.len(), "activeTenants": active,
-        "parseUs": parse_us, "setTenantsUs": set_us, "demandUs": demand_us, "applyGrantsUs": apply_us})
+    json!({"phase": "a node's steps", "bytes": text.len(), "tenants": quotas.len(),
+        "activeTenants": active_tenants, "parseUs": parse_us, "setTenantsUs": set_us, "demandUs": demand_us, "applyGrantsUs": apply_us})
 }
 
-fn grants(quotas: &[TenantQuota], active: usize) -> GrantUpdate {
+/// Grants for the first `active_tenants` tenants.
+fn grants(quotas: &[TenantQuota], active_tenants: usize) -> GrantUpdate {
     let grant = |quota: &TenantQuota| TenantGrant {
         tenant: quota.name.clone(),
         ceiling: 1_000.0,
@@ -50,7 +51,7 @@
         pass_share: 1.0,
         acknowledged: 0.0,
     };
-    let tenants = quotas.iter().take(active).map(grant).collect();
+    let tenants = quotas.iter().take(active_tenants).map(grant).collect();
     GrantUpdate {
         valid_ms: 1_500,
         node_count: 450,
@@ -61,13 +62,13 @@
     }
 }
 
-/// The middle of the times that a step took, in microseconds; it is given the time of its round.
-fn middle_us(mut step: impl FnMut(u64)) -> u64 {
+/// The median time of a step in microseconds. The step receives a simulated time that differs in each round.
+fn median_us(mut step: impl FnMut(u64)) -> u64 {
     let mut times: Vec<u64> = (0..ROUNDS)
         .map(|round| {
-            let began = Instant::now();
+            let started_at = Instant::now();
             step(round as u64 * 1_000);
-            began.elapsed().as_micros() as u64
+            started_at.elapsed().as_micros() as u64
         })
         .collect();
     times.sort_unstable();
--- a/crates/control/tests/soak/validation.rs
+++ b/crates/control/tests/soak/validation.rs
@@ -61,8 +61,8 @@
         (record.path, &record.id, record.front, record.earlier_requests);
     let connection_age = record.sent_at - record.connected_at;
     format!(
-        "{path} {id} at front {front}: {failure}; completed {took:?} after it was sent, sent {connection_age:?} \
-         after the connection was established, {earlier_requests} earlier requests on it"
+        "{path} {id} at front {front}: {failure}; completed {took:?} after it was sent, sent \
+         {connection_age:?} after the connection was established, {earlier_requests} earlier requests on it"
     )
 }
 
@@ -135,7 +135,8 @@
     let durations: Vec<Duration> = not_received.map(|record| record.completed_at - record.sent_at).collect();
     let longest = durations.iter().max().copied().unwrap_or_default();
     format!(
-        "{} requests, {served} served, {refused} refused, {interrupted} interrupted, {} of them unreceived (longest {longest:?})",
+        "{} requests, {served} served, {refused} refused, {interrupted} interrupted, {} unreceived \
+         (longest {longest:?})",
         requests.len(),
         durations.len()
     )
