--- a/crates/dunelink/src/counted_socket.rs
+++ b/crates/dunelink/src/counted_socket.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use crate::counts::Counters;
+use crate::counts::RequestCounters;
 
 /// A slot in the limit on connections to servers, released on drop.
 pub(crate) struct ConnectionSlot(Rc<Cell<usize>>);
@@ -39,14 +39,18 @@
     /// The value of `written` at which the current attempt is fully written; `None` if that is unknown or it
     /// has been counted.
     count_at: Cell<Option<u64>>,
-    counters: Arc<Counters>,
+    counters: Arc<RequestCounters>,
     received: Cell<bool>,
     notify: Notify,
     _slot: ConnectionSlot,
 }
 
 impl CountedSocket {
-    pub(crate) fn new(stream: TcpStream, slot: ConnectionSlot, counters: Arc<Counters>) -> CountedSocket {
+    pub(crate) fn new(
+        stream: TcpStream,
+        slot: ConnectionSlot,
+        counters: Arc<RequestCounters>,
+    ) -> CountedSocket {
         CountedSocket {
             stream: RefCell::new(stream),
             written: Cell::new(0),
--- a/crates/dunelink/src/counts.rs
+++ b/crates/dunelink/src/counts.rs
@@ -1,4 +1,4 @@
-//! Counters of how requests ended, by class; updated by engines and callers and read from any thread.
+//! RequestCounters of how requests ended, by class; updated by engines and callers and read from any thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -83,7 +83,7 @@
 /// A streamed answer in progress. If it is dropped before the end of the body, its client counts as having
 /// left.
 pub(crate) struct Transfer {
-    counters: Arc<Counters>,
+    counters: Arc<RequestCounters>,
     class: usize,
     ended: bool,
 }
@@ -111,8 +111,8 @@
     }
 }
 
-/// Counters of one shard, shared by its engine and the callers.
-pub(crate) struct Counters {
+/// RequestCounters of one shard, shared by its engine and the callers.
+pub(crate) struct RequestCounters {
     /// For each class the counts of [`SERVED`], [`REFUSED`] and [`FAILED`].
     classes: Box<[[AtomicU64; 3]]>,
     attempts: AtomicU64,
@@ -145,9 +145,9 @@
 const REFUSED: usize = FinalOutcome::Refused as usize;
 const FAILED: usize = FinalOutcome::Failed as usize;
 
-impl Counters {
-    pub(crate) fn new(classes: usize) -> Counters {
-        Counters {
+impl RequestCounters {
+    pub(crate) fn new(classes: usize) -> RequestCounters {
+        RequestCounters {
             classes: (0..classes).map(|_| Default::default()).collect(),
             attempts: AtomicU64::default(),
             transfers: AtomicU64::default(),
--- a/crates/dunelink/src/engine.rs
+++ b/crates/dunelink/src/engine.rs
@@ -23,7 +23,7 @@
 
 use crate::answer_body::AnswerBody;
 use crate::attempt::AttemptResult;
-use crate::counts::Counters;
+use crate::counts::RequestCounters;
 use crate::final_answer::deliver_answer;
 use crate::servers::Servers;
 use crate::snapshot::{ServerView, Snapshot};
@@ -126,7 +126,7 @@
     timers: DelayQueue<u64>,
     open: HashMap<RequestId, OpenRequest>,
     events: VecDeque<Event>,
-    counters: Arc<Counters>,
+    counters: Arc<RequestCounters>,
     /// When the engine ends at the latest, once it is shutting down.
     shutdown_at: Option<Instant>,
 }
@@ -138,7 +138,7 @@
         servers: Rc<Servers>,
         mailbox: Mailbox,
         list_wanted: Rc<Notify>,
-        counters: Arc<Counters>,
+        counters: Arc<RequestCounters>,
     ) -> Engine {
         // The clock is Unix time, so that it compares with the servers' start times, advanced by the
         // monotonic clock.
--- a/crates/dunelink/src/final_answer.rs
+++ b/crates/dunelink/src/final_answer.rs
@@ -4,13 +4,13 @@
 
 use tokio::sync::oneshot;
 
-use crate::counts::{Counters, FinalOutcome};
+use crate::counts::{FinalOutcome, RequestCounters};
 use crate::types::Answer;
 
 /// Sends the final answer and counts it, or counts the client as having left if nobody waits any more. A
 /// streamed answer is counted when its body ends.
 pub(crate) fn deliver_answer(
-    counters: &Arc<Counters>,
+    counters: &Arc<RequestCounters>,
     class: usize,
     client: oneshot::Sender<Answer>,
     mut answer: Answer,
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -24,7 +24,7 @@
 use super::view::{Deciding, epoch_of};
 use super::words::{self, Words};
 use crate::config::{Config, ConfigError};
-use crate::counts::Counters;
+use crate::counts::RequestCounters;
 use crate::engine::{EngineMessage, Mailbox};
 use crate::thread::spawn_local_thread;
 
@@ -83,7 +83,7 @@
     /// Reads keys and takes the address; nothing if the configuration wants no gossip.
     pub(crate) fn new(
         config: &Config,
-        (engines, tallies): (Vec<Mailbox>, Vec<Arc<Counters>>),
+        (engines, tallies): (Vec<Mailbox>, Vec<Arc<RequestCounters>>),
         aside: Arc<AtomicBool>,
     ) -> Result<Option<(Gossiper, Asks)>, ConfigError> {
         let Some(wanted) = &config.gossip else { return Ok(None) };
--- a/crates/dunelink/src/fleet/reach.rs
+++ b/crates/dunelink/src/fleet/reach.rs
@@ -12,7 +12,7 @@
 use super::deed::Deed;
 use super::words;
 use crate::config::Config;
-use crate::counts::{Counters, Counts};
+use crate::counts::{Counts, RequestCounters};
 
 /// What a thread may be late by before it is said to have stood still.
 const LATE: Duration = Duration::from_millis(20);
@@ -22,7 +22,7 @@
 /// A node's part in who reaches whom.
 pub(super) struct Reaching {
     health: HealthMonitor,
-    tallies: Vec<Arc<Counters>>,
+    tallies: Vec<Arc<RequestCounters>>,
     /// Read by whoever is asked whether this node is ready.
     aside: Arc<AtomicBool>,
     stood_still: Duration,
@@ -35,7 +35,7 @@
     pub(super) fn new(
         config: &Config,
         me: Process,
-        tallies: Vec<Arc<Counters>>,
+        tallies: Vec<Arc<RequestCounters>>,
         aside: Arc<AtomicBool>,
         now: Micros,
     ) -> Reaching {
--- a/crates/dunelink/src/node/engine_setup.rs
+++ b/crates/dunelink/src/node/engine_setup.rs
@@ -11,7 +11,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::config::Config;
-use crate::counts::Counters;
+use crate::counts::RequestCounters;
 use crate::engine::{Engine, EngineMessage, Mailbox};
 use crate::engine_feed::EngineFeed;
 use crate::roster::{Feed, Roster};
@@ -25,7 +25,7 @@
     pub(super) roster: Box<dyn Roster>,
     pub(super) mailbox: Mailbox,
     pub(super) inbox: mpsc::UnboundedReceiver<EngineMessage>,
-    pub(super) counters: Arc<Counters>,
+    pub(super) counters: Arc<RequestCounters>,
     pub(super) transfers: Arc<Semaphore>,
     pub(super) any_ready: Arc<AtomicBool>,
     pub(super) ended: CancellationToken,
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -16,7 +16,7 @@
 use super::handle::{Handle, Shared};
 use super::running::Node;
 use crate::config::{Config, ConfigError};
-use crate::counts::Counters;
+use crate::counts::RequestCounters;
 use crate::engine::Mailbox;
 use crate::fleet::Gossiper;
 use crate::intake::Intake;
@@ -149,7 +149,7 @@
         let (mailbox, inbox) = Mailbox::new(seed);
         let engine = EngineHandle {
             mailbox: mailbox.clone(),
-            counters: Arc::new(Counters::new(config.classes.len())),
+            counters: Arc::new(RequestCounters::new(config.classes.len())),
             any_ready: Arc::new(AtomicBool::default()),
             waiting_calls: AtomicUsize::new(0),
             ended: CancellationToken::new(),
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -21,7 +21,7 @@
 use crate::answer_body::ReaderState;
 use crate::config::{Answers, Config};
 use crate::counted_socket::{ConnectionSlot, CountedSocket, HyperSocket};
-use crate::counts::Counters;
+use crate::counts::RequestCounters;
 use crate::idle_order::IdleOrder;
 use crate::payload::OutgoingBody;
 use crate::roster::Ready;
@@ -102,7 +102,7 @@
     pub(crate) max_body_bytes: usize,
     /// The maximum length in bytes of a streamed answer body.
     pub(crate) max_stream_bytes: u64,
-    pub(crate) counters: Arc<Counters>,
+    pub(crate) counters: Arc<RequestCounters>,
     /// Permits for streamed bodies, shared with streamed requests. An answer is streamed even without a
     /// permit, because a request that must not run twice can't be refused any more at that point: answers
     /// take permits from requests and are bounded by their connections.
@@ -127,7 +127,7 @@
     pub(crate) fn new(
         config: &Config,
         any_ready: Arc<AtomicBool>,
-        counters: Arc<Counters>,
+        counters: Arc<RequestCounters>,
         transfers: Arc<Semaphore>,
     ) -> Servers {
         Servers {
