--- a/crates/dunelinkd/src/door.rs
+++ b/crates/dunelinkd/src/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' door: whether this process can serve, and its figures. It has a thread of its own, so that it
-//! answers while the engine or the clients' side is busy, and an address of its own, so that no crowd of clients is in
-//! its way.
+//! The admin endpoint for operators: whether this process can serve, its statistics, and changes of the
+//! fleet. It has a thread of its own, so that it answers while the engine or the threads that serve clients
+//! are busy, and an address of its own, so that a large number of clients can't block it.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -25,50 +25,51 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::listen::NO_SOCKETS;
+use crate::listen::ACCEPT_RETRY_DELAY;
 use crate::{fleet, gossip};
 
-/// What can be looked at, and what is changed.
-const LOOKS: [&str; 5] =
+/// Paths that are read, and paths that change something.
+const READ_PATHS: [&str; 5] =
     ["/admin/health", "/admin/stats", "/admin/members", "/admin/suspicions", "/admin/fleet"];
-const EVICT: &str = "/admin/fleet/evict";
-const CHANGES: [&str; 2] = [EVICT, "/admin/fleet/restore"];
-/// Callers at once. Beyond that the one that has been silent for longest makes room.
-const CALLERS: usize = 16;
-/// What the door takes of the process's descriptors: callers, its listener, and its runtime's.
-pub(crate) const DESCRIPTORS: usize = CALLERS + 4;
-/// How long a call may take to come.
-const CALL_WITHIN: Duration = Duration::from_secs(2);
-/// How long a caller may take to read its answer, on top.
-const READ_WITHIN: Duration = Duration::from_secs(2);
-/// How long the engine is waited for; then what it last told counts.
-const LOOK_WITHIN: Duration = Duration::from_millis(300);
-/// What a call may buffer.
-const BUFFER_MOST: usize = 8 * 1024;
+const EVICT_PATH: &str = "/admin/fleet/evict";
+const CHANGE_PATHS: [&str; 2] = [EVICT_PATH, "/admin/fleet/restore"];
+/// Maximum number of connections. Beyond that, the one that has been open for longest without a request is
+/// closed.
+const MAX_CONNECTIONS: usize = 16;
+/// File descriptors that the endpoint takes: for its connections, its listener and its runtime.
+pub(crate) const DESCRIPTORS: usize = MAX_CONNECTIONS + 4;
+/// How long a request may take to arrive.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a client may take in addition to read its answer.
+const ANSWER_READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long an answer of the engine is waited for; after that, its last values are used.
+const ENGINE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum size of a connection's buffer.
+const MAX_BUFFER_BYTES: usize = 8 * 1024;
 
-/// A caller, cut off when dropped.
-struct Caller {
-    /// Whether its call has come.
-    heard: Rc<Cell<bool>>,
+/// A connection, closed when dropped.
+struct AdminConnection {
+    /// Whether its request has arrived.
+    request_received: Rc<Cell<bool>>,
     task: AbortOnDropHandle<()>,
 }
 
-/// What the door shows.
-pub(crate) struct Door {
+/// What the endpoint reports.
+pub(crate) struct AdminEndpoint {
     node: Handle,
-    /// Whether this process takes requests: told by those who do.
+    /// Whether this process takes requests; set by the tasks that accept them.
     serving: Arc<AtomicBool>,
-    /// Servers listed and avoided, as the engine last told.
-    last: Cell<(usize, usize)>,
+    /// Numbers of listed and of ejected servers, as the engine last reported them.
+    last_server_counts: Cell<(usize, usize)>,
 }
 
-impl Door {
-    pub(crate) fn new(node: Handle, serving: Arc<AtomicBool>) -> Door {
-        Door { node, serving, last: Cell::default() }
+impl AdminEndpoint {
+    pub(crate) fn new(node: Handle, serving: Arc<AtomicBool>) -> AdminEndpoint {
+        AdminEndpoint { node, serving, last_server_counts: Cell::default() }
     }
 
-    /// Opens it on a thread of its own, which ends with the process.
-    pub(crate) fn open(self, address: SocketAddr) -> anyhow::Result<SocketAddr> {
+    /// Starts it on a thread of its own, which ends with the process; returns the address that it listens on.
+    pub(crate) fn start(self, address: SocketAddr) -> anyhow::Result<SocketAddr> {
         let listener =
             TcpListener::bind(address).with_context(|| format!("control: can't listen on {address}"))?;
         listener.set_nonblocking(true)?;
@@ -77,7 +78,7 @@
         std::thread::Builder::new().name("door".into()).spawn(move || {
             LocalSet::new().block_on(&runtime, async move {
                 match tokio::net::TcpListener::from_std(listener) {
-                    Ok(listener) => Rc::new(self).answer(listener).await,
+                    Ok(listener) => Rc::new(self).accept(listener).await,
                     Err(error) => tracing::error!(target: "node", "control: {error}"),
                 }
             });
@@ -85,49 +86,52 @@
         Ok(address)
     }
 
-    async fn answer(self: Rc<Self>, listener: tokio::net::TcpListener) {
-        let mut callers: VecDeque<Caller> = VecDeque::new();
+    async fn accept(self: Rc<Self>, listener: tokio::net::TcpListener) {
+        let mut connections: VecDeque<AdminConnection> = VecDeque::new();
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(_) => {
-                    sleep(NO_SOCKETS).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            callers.retain(|caller| !caller.task.is_finished());
-            if callers.len() >= CALLERS {
-                // Who calls in earnest has been heard long before as many others have come.
-                let silent = callers.iter().position(|caller| !caller.heard.get()).unwrap_or(0);
-                callers.remove(silent);
+            connections.retain(|connection| !connection.task.is_finished());
+            if connections.len() >= MAX_CONNECTIONS {
+                // A client that means to send a request has sent it long before so many others connect.
+                let silent =
+                    connections.iter().position(|connection| !connection.request_received.get()).unwrap_or(0);
+                connections.remove(silent);
             }
-            let heard = Rc::new(Cell::new(false));
-            let (door, told) = (self.clone(), heard.clone());
+            let request_received = Rc::new(Cell::new(false));
+            let (endpoint, received_flag) = (self.clone(), request_received.clone());
             let task = tokio::task::spawn_local(async move {
-                let _ = timeout(CALL_WITHIN + READ_WITHIN, door.serve(stream, &told)).await;
+                let _ =
+                    timeout(REQUEST_TIMEOUT + ANSWER_READ_TIMEOUT, endpoint.serve(stream, &received_flag))
+                        .await;
             });
-            callers.push_back(Caller { heard, task: AbortOnDropHandle::new(task) });
+            connections.push_back(AdminConnection { request_received, task: AbortOnDropHandle::new(task) });
         }
     }
 
-    async fn serve(&self, stream: TcpStream, heard: &Cell<bool>) {
+    async fn serve(&self, stream: TcpStream, request_received: &Cell<bool>) {
         let service = service_fn(async |request| {
-            heard.set(true);
+            request_received.set(true);
             Ok::<_, Infallible>(self.respond(&request).await)
         });
         let mut builder = http1::Builder::new();
-        builder.timer(TokioTimer::new()).header_read_timeout(CALL_WITHIN).max_buf_size(BUFFER_MOST);
-        // Its errors are the caller's.
+        builder.timer(TokioTimer::new()).header_read_timeout(REQUEST_TIMEOUT).max_buf_size(MAX_BUFFER_BYTES);
+        // Errors concern only the client.
         let _ = builder.keep_alive(false).serve_connection(TokioIo::new(stream), service).await;
     }
 
     async fn respond(&self, request: &Request<Incoming>) -> Response<AnswerBody> {
         let path = request.uri().path();
-        let changes = CHANGES.contains(&path);
-        if !changes && !LOOKS.contains(&path) {
+        let is_change = CHANGE_PATHS.contains(&path);
+        if !is_change && !READ_PATHS.contains(&path) {
             return plain(StatusCode::NOT_FOUND, "no such call\n");
         }
-        let (allowed, allow) = match changes {
+        let (allowed, allow) = match is_change {
             true => (request.method() == Method::POST, "POST"),
             false => (request.method() == Method::GET || request.method() == Method::HEAD, "GET, HEAD"),
         };
@@ -141,16 +145,16 @@
         }
         let query = request.uri().query().unwrap_or_default();
         match path {
-            path if changes => self.put(path, query).await,
+            path if is_change => self.change_membership(path, query).await,
             "/admin/health" if self.serving.load(Ordering::Acquire) && !self.node.is_withdrawn() => {
                 plain(StatusCode::OK, "serving\n")
             }
             "/admin/health" => plain(StatusCode::SERVICE_UNAVAILABLE, "not serving\n"),
-            "/admin/stats" => plain(StatusCode::OK, self.figures().await),
-            path => match timeout(LOOK_WITHIN, self.node.gossip()).await.ok().flatten() {
+            "/admin/stats" => plain(StatusCode::OK, self.stats().await),
+            path => match timeout(ENGINE_TIMEOUT, self.node.gossip()).await.ok().flatten() {
                 None => plain(StatusCode::NOT_FOUND, "this node does not gossip\n"),
                 Some(view) if path == "/admin/fleet" => match view.fleet {
-                    // What is made of numbers and strings can be written.
+                    // Numbers and strings can always be serialized.
                     Some(view) if query == "json" => {
                         plain(StatusCode::OK, serde_json::to_string(&view).unwrap_or_default() + "\n")
                     }
@@ -159,16 +163,16 @@
                 },
                 Some(view) if path == "/admin/members" => plain(StatusCode::OK, gossip::members(&view)),
                 Some(view) => {
-                    let known = timeout(LOOK_WITHIN, self.node.snapshot()).await;
-                    let known = known.ok().and_then(Result::ok).unwrap_or_default();
-                    plain(StatusCode::OK, gossip::suspicions(&view, &known))
+                    let snapshot = timeout(ENGINE_TIMEOUT, self.node.snapshot()).await;
+                    let snapshot = snapshot.ok().and_then(Result::ok).unwrap_or_default();
+                    plain(StatusCode::OK, gossip::suspicions(&view, &snapshot))
                 }
             },
         }
     }
 
-    /// Has a node put out of the fleet, or let in again.
-    async fn put(&self, path: &str, query: &str) -> Response<AnswerBody> {
+    /// Requests the eviction of a node from the fleet, or its restoration.
+    async fn change_membership(&self, path: &str, query: &str) -> Response<AnswerBody> {
         let (mut name, mut seconds, mut reason) = (String::new(), None, String::new());
         for (key, value) in url::form_urlencoded::parse(query.as_bytes()) {
             match &*key {
@@ -178,28 +182,28 @@
                 _ => return plain(StatusCode::BAD_REQUEST, "expected name, seconds and reason\n"),
             }
         }
-        let how = match (path == EVICT, seconds) {
+        let eviction = match (path == EVICT_PATH, seconds) {
             (false, _) => None,
             (true, Some(seconds)) => Some((seconds, reason)),
             (true, None) => return plain(StatusCode::BAD_REQUEST, "seconds: expected a number\n"),
         };
-        match timeout(LOOK_WITHIN, self.node.evict_or_restore(&name, how)).await {
+        match timeout(ENGINE_TIMEOUT, self.node.evict_or_restore(&name, eviction)).await {
             Ok(Ok(())) => plain(StatusCode::ACCEPTED, "it will be decided\n"),
-            Ok(Err(why)) => plain(StatusCode::CONFLICT, format!("{why}\n")),
+            Ok(Err(error)) => plain(StatusCode::CONFLICT, format!("{error}\n")),
             Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "the node is busy; ask again\n"),
         }
     }
 
-    /// Counts are read as they are; what only the engine knows is asked of it, but not waited for without end.
-    async fn figures(&self) -> String {
-        if let Ok(Ok(now)) = timeout(LOOK_WITHIN, self.node.snapshot()).await {
-            self.last.set((now.listed, now.ejected));
+    /// Counters are read directly; what only the engine knows is requested from it, with a timeout.
+    async fn stats(&self) -> String {
+        if let Ok(Ok(current)) = timeout(ENGINE_TIMEOUT, self.node.snapshot()).await {
+            self.last_server_counts.set((current.listed, current.ejected));
         }
-        let (listed, avoided) = self.last.get();
+        let (listed, ejected) = self.last_server_counts.get();
         let mut text = String::new();
         // Writing to a string can't fail.
         for (class, counts) in self.node.class_counts() {
-            // A class may have a name with the sign that ends a figure's.
+            // The name of a class may contain the sign that ends a key.
             let class = class.replace('%', "%25").replace('=', "%3D");
             let _ = writeln!(text, "results.{class}.succeeded={}", counts.served);
             let _ = writeln!(text, "results.{class}.declined={}", counts.refused);
@@ -207,7 +211,7 @@
         }
         let _ = writeln!(text, "forwards={}", self.node.attempts());
         let _ = writeln!(text, "outstanding={}", self.node.outstanding());
-        let _ = writeln!(text, "discovered={listed}\nejected={avoided}");
+        let _ = writeln!(text, "discovered={listed}\nejected={ejected}");
         text
     }
 }
--- a/crates/dunelinkd/src/clients.rs
+++ b/crates/dunelinkd/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: connections, and what only a socket can tell of a request.
+//! Connections of clients: their limits and timeouts, and what only the socket shows of a request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -26,114 +26,122 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::awake::{AwakeTimer, stood_still};
-use crate::dealer::Seat;
-use crate::listen::{LAST_LOOK, NO_SOCKETS, is_ready, out_of_sockets};
-use crate::passing::Passing;
-use crate::socket::{ClientSocket, Seen};
+use crate::client_socket::{ClientSocket, SocketState};
+use crate::dispatcher::ShardQueue;
+use crate::grace_timer::{GraceTimer, was_suspended};
+use crate::guarded_body::GuardedBody;
+use crate::listen::{ACCEPT_DRAIN_TIMEOUT, ACCEPT_RETRY_DELAY, out_of_descriptors, wait_until_ready};
 
-/// What a connection may buffer; it bounds headers too.
-const BUFFER_MOST: usize = 32 * 1024;
-/// How long a connection may take to bring a whole request, from its start or its last answer on. A client
-/// that has nothing to ask for longer connects anew; one that means no good is owed an end within 3 s.
-const REQUEST_WITHIN: Duration = Duration::from_millis(2500);
-/// For how long a new connection is left alone in a crowd until its first request comes: clients connect
-/// because they have one.
-const FIRST_WITHIN: Duration = Duration::from_millis(300);
-/// A client that takes nothing of its answer for this long is cut off.
-const TAKES_WITHIN: Duration = Duration::from_secs(10);
-/// How often connections are looked through for those that do not take their answers.
-const SWEEP: Duration = Duration::from_secs(1);
-/// For how long an older one has to be idle before it is closed.
-const IDLE_LEAST: Duration = Duration::from_millis(100);
-/// How long the first request on a connection may lag behind it at the end.
-const LATE_REQUEST: Duration = Duration::from_millis(200);
-/// How long a connection may take to end once it should, beyond the longest deadline.
-const CLOSE_WITHIN: Duration = Duration::from_secs(1);
-/// Connections are kept open between requests up to this part of all.
-const KEPT_PART: usize = 3;
-/// What a client is told when the node has no connection left to serve it with.
-const CROWDED: Duration = Duration::from_secs(1);
+/// Maximum size of a connection's buffer; it limits the size of headers too.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
+/// How long a connection may take to deliver a complete request, counted from its start or its last answer. A
+/// client that sends nothing for longer has to reconnect; the connection of a malicious client has to end
+/// within 3 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long a new connection is kept open without a request when there are too many connections: clients
+/// connect because they have a request to send.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
+/// A client that reads nothing of its answer for this long is disconnected.
+const STALLED_READER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between searches for connections whose clients do not read their answers.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a connection that has had a request has to be idle before it may be closed to make room.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
+/// At shutdown, how long after its connection the first request may arrive.
+const LATE_REQUEST_GRACE: Duration = Duration::from_millis(200);
+/// How long a connection that was told to close may take to end, in addition to the longest deadline.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Connections are kept open between requests while no more than the limit divided by this are open.
+const KEEP_ALIVE_DIVISOR: usize = 3;
+/// Retry delay for a client that is refused because the node has no connection left to serve it.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Whether the node means to stay.
+/// Whether the node is shutting down.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Serving,
-    /// It was told to go: it serves on, and ends each connection with its next answer.
-    Leaving,
+    /// It was told to shut down: it still serves, and closes each connection with its next answer.
+    Draining,
 }
 
-/// A client's connection, as the others see it.
+/// A client's connection, as shared with the tasks that may close it.
 struct Connection {
-    /// Since when it has had no request open, and whether it has had one.
+    /// Since when it has no request open; `None` while it has one.
     idle_since: Cell<Option<Instant>>,
+    /// Whether it has not had an answer yet.
     fresh: Cell<bool>,
-    /// Whether it was told to end.
+    /// Whether it was told to close.
     closing: Cell<bool>,
+    /// Notified when it is to close as soon as it has no request open.
     close: Notify,
-    /// Told when it is to be closed whatever is open on it.
-    cut: Notify,
-    /// What has passed on its socket.
-    seen: Rc<Seen>,
+    /// Notified when it is to be closed at once, even with a request open.
+    abort: Notify,
+    /// The state of its socket, which hyper does not show.
+    socket_state: Rc<SocketState>,
 }
 
 impl Connection {
-    /// Since when it can be closed. Between requests a client takes that well; but a new connection was
-    /// opened for a request that may be in the kernel already, and to close on that one would lose it.
-    fn spare_since(&self) -> Option<Instant> {
-        // A request that comes in pieces has begun, and may be whole in the kernel by now.
-        let since = self.idle_since.get().filter(|_| !self.closing.get() && !self.seen.has_begun())?;
-        // One just answered may carry the next request already: its answers say `Connection: close` instead.
-        let least = if self.fresh.get() { FIRST_WITHIN } else { IDLE_LEAST };
-        (since.elapsed() >= least).then_some(since)
+    /// Since when it has been idle, if it may be closed. Between requests, a client tolerates a close; but a
+    /// new connection was opened for a request that may already be in the kernel, and closing it would lose
+    /// that request.
+    fn closable_since(&self) -> Option<Instant> {
+        // A request that arrives in pieces has begun, and may be complete in the kernel by now.
+        let since =
+            self.idle_since.get().filter(|_| !self.closing.get() && !self.socket_state.has_begun())?;
+        // A connection that was just answered may already carry the next request: `Connection: close` ends it
+        // instead.
+        let min_idle_time = if self.fresh.get() { FIRST_REQUEST_GRACE } else { MIN_IDLE_TIME };
+        (since.elapsed() >= min_idle_time).then_some(since)
     }
 
-    /// Whether nothing of a request is open on it or on its way to hyper: to close it now loses none.
+    /// Whether no request is open on it or on its way to hyper, so that closing it now loses none.
     fn is_idle(&self) -> bool {
-        self.idle_since.get().is_some() && !self.seen.has_more()
+        self.idle_since.get().is_some() && !self.socket_state.has_more()
     }
 }
 
-/// The listener's side of the node.
+/// The connections of clients to a node, or to one of its shards.
 pub(crate) struct Clients {
+    /// The shard that requests are sent to, and the node that it belongs to.
+    shard: Handle,
     node: Handle,
-    /// The whole node, where this is one of its shards.
-    whole: Handle,
-    /// Who deals connections out, where there are several shards.
-    seat: Option<Arc<Seat>>,
-    /// How many connections there may be, of clients and to servers together, and of clients alone. A client's
-    /// is taken while its request is held, a server's only while an attempt is out: clients need more.
-    all: usize,
-    most: usize,
-    /// How much is read ahead on all of them.
-    ahead: Rc<Cell<usize>>,
+    /// The queue of connections from the dispatcher, if there are several shards.
+    queue: Option<Arc<ShardQueue>>,
+    /// Maximum number of connections, of clients and to servers together, and of clients alone. A connection
+    /// of a client is occupied while its request is queued, one to a server only during an attempt: clients
+    /// need more.
+    total_limit: usize,
+    client_limit: usize,
+    /// Number of bytes that are read ahead on all connections together.
+    read_ahead: Rc<Cell<usize>>,
     /// The longest that any client waits.
-    longest: Duration,
+    longest_wait: Duration,
     phase: Cell<Phase>,
-    able: Cell<bool>,
+    /// Whether the node has been ready before: from then on the health check does not ask it again.
+    was_ready: Cell<bool>,
     /// The number of the next connection.
-    next: Cell<u64>,
+    next_id: Cell<u64>,
     connections: RefCell<HashMap<u64, Rc<Connection>>>,
-    /// How many of them have a request open, and how many were told to end.
+    /// Number of connections with a request open, and number of those that were told to close.
     busy: Cell<usize>,
     closing: Cell<usize>,
-    /// Told when a connection has ended.
+    /// Notified when a connection has ended.
     freed: Notify,
 }
 
 impl Clients {
-    pub(crate) fn new(config: &Config, node: Handle, whole: Handle) -> Clients {
+    pub(crate) fn new(config: &Config, shard: Handle, node: Handle) -> Clients {
         Clients {
+            shard,
             node,
-            whole,
-            seat: None,
-            all: config.limits.connections(),
-            most: Clients::most(config),
-            ahead: Rc::default(),
-            longest: config.longest(),
+            queue: None,
+            total_limit: config.limits.connections(),
+            client_limit: Clients::client_limit(config),
+            read_ahead: Rc::default(),
+            longest_wait: config.longest(),
             phase: Cell::new(Phase::Serving),
-            able: Cell::new(false),
-            next: Cell::new(0),
+            was_ready: Cell::new(false),
+            next_id: Cell::new(0),
             connections: RefCell::default(),
             busy: Cell::new(0),
             closing: Cell::new(0),
@@ -141,19 +149,19 @@
         }
     }
 
-    /// How many connections of clients there may be.
-    pub(crate) fn most(config: &Config) -> usize {
+    /// Maximum number of connections of clients.
+    pub(crate) fn client_limit(config: &Config) -> usize {
         config.limits.connections().saturating_sub(config.limits.to_servers()).max(1)
     }
 
-    /// The clients of one shard, that has this place at the dealer's.
-    pub(crate) fn at(self, seat: Arc<Seat>) -> Clients {
-        Clients { seat: Some(seat), ..self }
+    /// Makes these the clients of one shard, which gets its connections from this queue.
+    pub(crate) fn with_queue(self, queue: Arc<ShardQueue>) -> Clients {
+        Clients { queue: Some(queue), ..self }
     }
 
-    /// Takes connections in until `stop` is told, then what the kernel still has: that counts as taken. Where the
-    /// listening socket is `shared`, it takes them from when the node is ready, and what the kernel has in the end is
-    /// another process's.
+    /// Accepts connections until `stop` is notified, then those that are still in the kernel's queue, which
+    /// count as accepted. If the listening socket is `shared`, it starts when the node is ready, and in the
+    /// end leaves the connections in the kernel's queue to another process.
     pub(crate) async fn accept(
         self: Rc<Self>,
         listener: TcpListener,
@@ -161,17 +169,17 @@
         stop: Rc<Notify>,
         shared: bool,
     ) {
-        if shared && !is_ready(&mut ready, &stop).await {
+        if shared && !wait_until_ready(&mut ready, &stop).await {
             return;
         }
         let mut stopping = false;
         loop {
-            // Beyond the budget connections wait in the kernel: to accept and drop one would lose a request.
-            while self.connections.borrow().len() >= self.most {
+            // Connections beyond the limit wait in the kernel: to accept and drop one would lose a request.
+            while self.connections.borrow().len() >= self.client_limit {
                 self.make_room();
                 tokio::select! {
                     () = stop.notified(), if !stopping => stopping = true,
-                    _ = timeout(NO_SOCKETS, self.freed.notified()) => {}
+                    _ = timeout(ACCEPT_RETRY_DELAY, self.freed.notified()) => {}
                 }
                 if stopping && shared {
                     return;
@@ -181,280 +189,305 @@
                 biased;
                 () = stop.notified(), if shared => return,
                 accepted = listener.accept() => accepted,
-                () = sleep(LAST_LOOK), if stopping => return,
+                () = sleep(ACCEPT_DRAIN_TIMEOUT), if stopping => return,
                 () = stop.notified(), if !stopping => {
                     stopping = true;
                     continue;
                 }
             };
             match accepted {
-                Ok((stream, _)) => self.clone().adopt(stream),
+                Ok((stream, _)) => self.clone().start_connection(stream),
                 Err(error) => {
-                    if out_of_sockets(&error) {
+                    if out_of_descriptors(&error) {
                         self.make_room();
-                        self.node.close_idle_connection();
+                        self.shard.close_idle_connection();
                     }
-                    sleep(NO_SOCKETS).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Serves a new connection; if there are many, the one that is idle for longest makes room.
-    pub(crate) fn adopt(self: Rc<Self>, stream: TcpStream) {
-        let number = self.next.replace(self.next.get() + 1);
-        // It costs speed only.
+    /// Starts to serve a new connection; if there are many, closes the one that has been idle for longest.
+    pub(crate) fn start_connection(self: Rc<Self>, stream: TcpStream) {
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        // A failure costs only latency.
         let _ = stream.set_nodelay(true);
-        let (socket, seen) = ClientSocket::new(stream, self.ahead.clone());
+        let (socket, socket_state) = ClientSocket::new(stream, self.read_ahead.clone());
         let connection = Rc::new(Connection {
             idle_since: Cell::new(Some(Instant::now())),
             fresh: Cell::new(true),
             closing: Cell::new(false),
             close: Notify::new(),
-            cut: Notify::new(),
-            seen,
+            abort: Notify::new(),
+            socket_state,
         });
-        self.connections.borrow_mut().insert(number, connection.clone());
-        if self.over() {
+        self.connections.borrow_mut().insert(id, connection.clone());
+        if self.has_too_many_connections() {
             self.make_room();
         }
         tokio::task::spawn_local(async move {
             self.serve(&connection, socket).await;
-            self.connections.borrow_mut().remove(&number);
+            self.connections.borrow_mut().remove(&id);
             self.closing.set(self.closing.get() - usize::from(connection.closing.get()));
             self.freed.notify_waiters();
-            if let Some(seat) = &self.seat {
-                seat.ended();
+            if let Some(queue) = &self.queue {
+                queue.connection_ended();
             }
         });
     }
 
-    /// Whether there are so many connections that idle ones are ended and answers end theirs: what clients
-    /// keep without asking anything more on it keeps others from connecting.
-    fn over(&self) -> bool {
-        self.connections.borrow().len() - self.closing.get() > self.all / KEPT_PART
+    /// Whether there are so many connections that idle ones are closed, and answers close theirs: connections
+    /// that clients keep open without further requests prevent others from connecting.
+    fn has_too_many_connections(&self) -> bool {
+        self.connections.borrow().len() - self.closing.get() > self.total_limit / KEEP_ALIVE_DIVISOR
     }
 
-    /// How many are served; the last tenth is for refusals.
-    fn served(&self) -> usize {
-        self.most - self.most / 10
+    /// Number of busy connections up to which requests are served; the last tenth is reserved for refusals.
+    fn service_limit(&self) -> usize {
+        self.client_limit - self.client_limit / 10
     }
 
-    /// Ends a connection once it has no request open.
-    fn end(&self, connection: &Connection) {
+    /// Tells a connection to close once it has no request open.
+    fn close_when_idle(&self, connection: &Connection) {
         self.closing.set(self.closing.get() + usize::from(!connection.closing.replace(true)));
         connection.close.notify_one();
     }
 
-    /// Ends connections that have stood without a request for longer than hyper lets them: their clients do
-    /// not take the last answer.
+    /// Closes connections that have been idle for longer than hyper permits, as their clients do not read the
+    /// last answer, and those on which a client has stopped reading an answer.
     pub(crate) async fn sweep(&self) {
         loop {
-            let due = Instant::now() + SWEEP;
-            sleep(SWEEP).await;
-            if stood_still(due) {
-                // What came meanwhile is not read yet.
+            let due = Instant::now() + SWEEP_INTERVAL;
+            sleep(SWEEP_INTERVAL).await;
+            if was_suspended(due) {
+                // Data that arrived during the suspension is not read yet.
                 continue;
             }
-            let stuck =
-                |c: &&Rc<Connection>| c.spare_since().is_some_and(|s| s.elapsed() > 2 * REQUEST_WITHIN);
-            // A long answer that its client does not take holds a server up as well.
-            let untaken = |c: &&Rc<Connection>| {
+            let stuck_idle =
+                |c: &&Rc<Connection>| c.closable_since().is_some_and(|s| s.elapsed() > 2 * REQUEST_TIMEOUT);
+            // A long answer that its client does not read also blocks a server.
+            let unread = |c: &&Rc<Connection>| {
                 c.idle_since.get().is_none()
-                    && c.seen.waits_to_write()
-                    && c.seen.unwritten_for() > TAKES_WITHIN
+                    && c.socket_state.has_pending_write()
+                    && c.socket_state.time_since_write() > STALLED_READER_TIMEOUT
             };
             let connections = self.connections.borrow();
-            connections.values().filter(stuck).for_each(|c| self.end(c));
-            connections.values().filter(untaken).for_each(|c| c.cut.notify_one());
+            connections.values().filter(stuck_idle).for_each(|c| self.close_when_idle(c));
+            connections.values().filter(unread).for_each(|c| c.abort.notify_one());
         }
     }
 
-    /// Ends the connection that has been closed for longest but for its client's side, else the one that has been idle
-    /// for longest, if one can be.
+    /// Closes the connection that has been lingering for longest after its last answer, else the one that has
+    /// been idle for longest, if one may be closed.
     pub(crate) fn make_room(&self) {
         let connections = self.connections.borrow();
-        let lingering = connections.values().filter_map(|c| Some((c.seen.lingers_since()?, c)));
+        let lingering = connections.values().filter_map(|c| Some((c.socket_state.lingering_since()?, c)));
         if let Some((_, connection)) = lingering.min_by_key(|(since, _)| *since) {
-            return connection.cut.notify_one();
+            return connection.abort.notify_one();
         }
-        let idle = connections.values().filter_map(|c| Some((c.spare_since()?, c)));
+        let idle = connections.values().filter_map(|c| Some((c.closable_since()?, c)));
         if let Some((_, connection)) = idle.min_by_key(|(since, _)| *since) {
-            self.end(connection);
+            self.close_when_idle(connection);
         }
     }
 
     async fn serve(self: &Rc<Self>, connection: &Rc<Connection>, socket: ClientSocket) {
         let service = service_fn(|request| {
-            let (clients, connection, seen) = (self.clone(), connection.clone(), connection.seen.clone());
+            let (clients, connection, socket_state) =
+                (self.clone(), connection.clone(), connection.socket_state.clone());
             async move {
-                let since = connection.idle_since.get().unwrap_or_else(Instant::now);
-                let busy = Busy::one_more(&clients, &connection);
-                // Its first request is due within a time of the connection; others come when they come.
-                let began = if connection.fresh.get() { since } else { Instant::now() };
-                let answered = clients.respond(request, &seen, began + REQUEST_WITHIN).await;
+                let idle_since = connection.idle_since.get().unwrap_or_else(Instant::now);
+                let busy = BusyGuard::new(&clients, &connection);
+                // The time limit of the first request starts with the connection, that of a later one with
+                // the request.
+                let request_start = if connection.fresh.get() { idle_since } else { Instant::now() };
+                let outcome = clients.respond(request, &socket_state, request_start + REQUEST_TIMEOUT).await;
                 connection.fresh.set(false);
-                let ends =
-                    clients.over() || connection.closing.get() || clients.phase.get() != Phase::Serving;
-                let response = match answered {
-                    // What has come behind it is answered too: the last one ends the connection.
-                    Ok((response, chunked)) if !chunked && !seen.floods() && (!ends || seen.has_more()) => {
+                let must_close = clients.has_too_many_connections()
+                    || connection.closing.get()
+                    || clients.phase.get() != Phase::Serving;
+                let response = match outcome {
+                    // Requests received behind this one are answered too: the last answer closes the
+                    // connection.
+                    Ok((response, chunked))
+                        if !chunked
+                            && !socket_state.discards_excess()
+                            && (!must_close || socket_state.has_more()) =>
+                    {
                         response
                     }
-                    Ok((response, _)) => ending(response),
-                    // Where its next request begins, or that it is one, can't be relied on.
-                    Err(wrong) => ending(wrong),
+                    Ok((response, _)) => with_connection_close(response),
+                    // It is not known where the next request begins, nor whether what follows is one.
+                    Err(rejection) => with_connection_close(rejection),
                 };
-                // It is idle again once the answer has been taken to its end.
-                Ok::<_, Infallible>(response.map(|body| Passing::new(body, busy)))
+                // The connection is idle again once the answer's body has been read to its end.
+                Ok::<_, Infallible>(response.map(|body| GuardedBody::new(body, busy)))
             }
         });
         let mut builder = http1::Builder::new();
-        builder.timer(AwakeTimer).header_read_timeout(REQUEST_WITHIN).max_buf_size(BUFFER_MOST);
+        builder.timer(GraceTimer).header_read_timeout(REQUEST_TIMEOUT).max_buf_size(MAX_BUFFER_BYTES);
         let mut serving = pin!(builder.serve_connection(TokioIo::new(socket), service));
-        let mut shut = false;
-        let mut over = pin!(poll_fn(|cx| {
+        let mut shutdown_started = false;
+        let mut connection_done = pin!(poll_fn(|cx| {
             loop {
-                connection.seen.begin_turn();
-                if serving.as_mut().poll(cx).is_ready() || connection.seen.poll_gone(cx).is_ready() {
+                connection.socket_state.begin_poll();
+                if serving.as_mut().poll(cx).is_ready()
+                    || connection.socket_state.poll_disconnected(cx).is_ready()
+                {
                     return Poll::Ready(());
                 }
-                // What has come, or has begun to, is answered first.
-                if shut || !connection.closing.get() || !connection.is_idle() {
+                // Requests that have been received, even in part, are answered first.
+                if shutdown_started || !connection.closing.get() || !connection.is_idle() {
                     return Poll::Pending;
                 }
-                shut = true;
+                shutdown_started = true;
                 serving.as_mut().graceful_shutdown();
             }
         }));
         tokio::select! {
             biased;
-            () = over.as_mut() => return,
+            () = connection_done.as_mut() => return,
             () = connection.close.notified() => {}
-            () = connection.cut.notified() => return,
+            () = connection.abort.notified() => return,
         }
-        // A client that does not read its answer must not hold the connection for ever; one that does is let.
+        // A client that does not read its answer must not keep the connection open forever; one that reads it
+        // may continue.
         loop {
             tokio::select! {
                 biased;
-                () = over.as_mut() => return,
-                () = connection.cut.notified() => return,
-                () = sleep(self.longest + CLOSE_WITHIN) => {}
+                () = connection_done.as_mut() => return,
+                () = connection.abort.notified() => return,
+                () = sleep(self.longest_wait + CLOSE_TIMEOUT) => {}
             }
-            if connection.idle_since.get().is_some() || connection.seen.unwritten_for() > TAKES_WITHIN {
+            if connection.idle_since.get().is_some()
+                || connection.socket_state.time_since_write() > STALLED_READER_TIMEOUT
+            {
                 return;
             }
         }
     }
 
-    /// From now on each answer ends its connection.
-    pub(crate) fn leave(&self) {
-        self.phase.set(Phase::Leaving);
+    /// From now on, each answer closes its connection.
+    pub(crate) fn drain(&self) {
+        self.phase.set(Phase::Draining);
     }
 
-    /// Ends connections as soon as they have no request open, and waits until all have.
+    /// Closes connections as soon as they have no request open, and waits until all have ended.
     pub(crate) async fn close(&self) {
-        let end = |fresh_too: bool| {
+        let close_all = |include_fresh: bool| {
             let connections = self.connections.borrow();
-            connections.values().filter(|c| fresh_too || !c.fresh.get()).for_each(|c| self.end(c));
+            connections
+                .values()
+                .filter(|c| include_fresh || !c.fresh.get())
+                .for_each(|c| self.close_when_idle(c));
         };
-        end(false);
-        // The first request of a connection that came last of all may still be on its way.
-        sleep(LATE_REQUEST).await;
-        end(true);
+        close_all(false);
+        // The first request of a connection that was accepted last may still be on its way.
+        sleep(LATE_REQUEST_GRACE).await;
+        close_all(true);
         while !self.connections.borrow().is_empty() {
             self.freed.notified().await;
         }
     }
 
-    /// The answer, and whether the request came in chunks; or the error for what is wrong with it.
-    async fn respond(&self, request: Request<Incoming>, seen: &Seen, by: Instant) -> Result<Answered, Wrong> {
-        // Where among the bytes the next request begins is hyper's to know: it drops what contradicts it.
-        let (line, came) = seen.next_head().ok_or(Fault::TwoFramings).map_err(turned_down)?;
-        line.check().map_err(turned_down)?;
-        let chunked = line.codings > 0;
+    /// The answer, and whether the request was chunked; or the answer to an invalid request.
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        socket_state: &SocketState,
+        request_deadline: Instant,
+    ) -> Result<AnsweredRequest, Rejection> {
+        // hyper decides where the next request begins in the stream, and drops headers that contradict that.
+        let (wire_head, received_at) = socket_state.next_head().ok_or(Fault::TwoFramings).map_err(reject)?;
+        wire_head.check().map_err(reject)?;
+        let chunked = wire_head.codings > 0;
         if request.uri().path() == "/_health" {
             if !request.body().is_end_stream() {
                 return Err(plain(StatusCode::BAD_REQUEST, "a GET has no body"));
             }
             let (head, _) = request.into_parts();
-            request::read(&head, Hosting::Wire).map_err(turned_down)?;
+            request::read(&head, Hosting::Wire).map_err(reject)?;
             return Ok((self.health(&head.method), chunked));
         }
         let (mut head, body) = request.into_parts();
-        // It may have waited for the answers to those before it; its client's patience began all the same.
-        if let Some(at) = came {
-            head.extensions.insert(ReceivedAt(at.into_std()));
+        // The request may have waited for the answers to earlier ones; its deadline counts from when it was
+        // received.
+        if let Some(received_at) = received_at {
+            head.extensions.insert(ReceivedAt(received_at.into_std()));
         }
-        let rendering = self.node.rendering(&head);
-        let received = match self.node.receive(Request::from_parts(head, body), Some(by)).await {
+        let rendering = self.shard.rendering(&head);
+        let received = match self.shard.receive(Request::from_parts(head, body), Some(request_deadline)).await
+        {
             Ok(received) => received,
-            // The request was read to its end; it is but what it asks for that is wrong.
+            // The request was read to its end; only its content is invalid.
             Err(error @ (CallError::Closed | CallError::GraphQl { .. })) => {
                 return Ok((rendering.respond(Err(error)), chunked));
             }
             Err(error) => return Err(rendering.respond(Err(error))),
         };
-        // Where all others are busy too, a refusal needs no server and makes room.
-        let whole = received.is_fully_received();
-        let finished = match self.busy.get() > self.served() {
-            true => Completion { answer: received.refuse(CROWDED), body_unread: !whole },
+        // If nearly all connections are busy, the request is refused: that needs no server and makes room.
+        let fully_received = received.is_fully_received();
+        let completion = match self.busy.get() > self.service_limit() {
+            true => {
+                Completion { answer: received.refuse(OVERLOAD_RETRY_AFTER), body_unread: !fully_received }
+            }
             false => match received.finish().await {
-                Ok(finished) => finished,
+                Ok(completion) => completion,
                 Err(error) => return Err(rendering.respond(Err(error))),
             },
         };
-        let response = rendering.respond(Ok(finished.answer));
-        // What is still coming of a request that was answered is no next one.
-        if finished.body_unread { Err(response) } else { Ok((response, chunked)) }
+        let response = rendering.respond(Ok(completion.answer));
+        // The remaining body of a request that was already answered must not be taken for the next request.
+        if completion.body_unread { Err(response) } else { Ok((response, chunked)) }
     }
 
     fn health(&self, method: &Method) -> Response<AnswerBody> {
         if method != Method::GET && method != Method::HEAD {
             return plain(StatusCode::METHOD_NOT_ALLOWED, "GET only");
         }
-        self.able.set(self.able.get() || self.whole.is_ready());
-        match self.able.get() && self.phase.get() == Phase::Serving {
+        self.was_ready.set(self.was_ready.get() || self.node.is_ready());
+        match self.was_ready.get() && self.phase.get() == Phase::Serving {
             true => plain(StatusCode::OK, "ok"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "not serving"),
         }
     }
 }
 
-/// A connection with a request open or an answer to take, for as long as it lasts.
-struct Busy {
+/// Counts a connection as busy while it has a request open or an answer that is not completely read.
+struct BusyGuard {
     clients: Rc<Clients>,
     connection: Rc<Connection>,
 }
 
-impl Busy {
-    fn one_more(clients: &Rc<Clients>, connection: &Rc<Connection>) -> Busy {
+impl BusyGuard {
+    fn new(clients: &Rc<Clients>, connection: &Rc<Connection>) -> BusyGuard {
         clients.busy.set(clients.busy.get() + 1);
         connection.idle_since.set(None);
-        Busy { clients: clients.clone(), connection: connection.clone() }
+        BusyGuard { clients: clients.clone(), connection: connection.clone() }
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.clients.busy.set(self.clients.busy.get() - 1);
         self.connection.idle_since.set(Some(Instant::now()));
     }
 }
 
-fn turned_down(fault: Fault) -> Wrong {
+fn reject(fault: Fault) -> Rejection {
     plain(fault.status(), fault.reason())
 }
 
-/// An answer, and whether its connection has to end as the request came in chunks: where that one ended among
-/// the bytes is hyper's to know, so the next one's head could not be told apart.
-type Answered = (Response<AnswerBody>, bool);
+/// An answer, and whether its connection has to be closed because the request was chunked: only hyper knows
+/// where in the stream a chunked request ends, so the head of the next one could not be located.
+type AnsweredRequest = (Response<AnswerBody>, bool);
 
-/// What a client is told of what it did wrong.
-type Wrong = Response<AnswerBody>;
+/// The answer to an invalid request.
+type Rejection = Response<AnswerBody>;
 
-/// The last answer on its connection.
-fn ending(mut response: Response<AnswerBody>) -> Response<AnswerBody> {
+/// Marks an answer as the last one on its connection.
+fn with_connection_close(mut response: Response<AnswerBody>) -> Response<AnswerBody> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/crates/dunelinkd/src/demo/mod.rs
+++ b/crates/dunelinkd/src/demo/mod.rs
@@ -1,8 +1,8 @@
-//! `dunelink demo`: stand-in servers, a roster and a node in one process, under a steady mix of requests, while
-//! one server stalls, one drains and one starts cold. Everything stays on loopback.
+//! `dunelink demo`: simulated servers, a server list and a node in one process, under a steady mix of
+//! requests, while one server stalls, one drains and one starts cold. All connections are on loopback.
 
-mod board;
-mod fleet;
+mod dashboard;
+mod servers;
 mod view;
 
 use std::cell::RefCell;
@@ -18,30 +18,30 @@
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::{Instant, interval, sleep_until};
 
-use self::board::{Board, Kind};
-use self::fleet::{Fleet, WARM_UP};
+use self::dashboard::{Dashboard, Outcome};
+use self::servers::{DemoServers, WARM_UP};
 
-/// What the demo is told on the command line.
+/// Options of the demo.
 #[derive(clap::Args)]
 pub(crate) struct Options {
-    /// For how long it runs.
+    /// Duration of the demo in seconds.
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(1..=5000))]
     rate: u32,
-    /// Plain lines, on a terminal too.
+    /// Print plain lines, even on a terminal.
     #[arg(long)]
     plain: bool,
 }
 
-/// Servers at the start; one more comes later.
-const SERVERS: usize = 8;
-/// How often the view is drawn, and the node asked how it stands.
-const FRAME: Duration = Duration::from_millis(200);
+/// Number of servers at the start; one more is added later.
+const INITIAL_SERVERS: usize = 8;
+/// Interval between updates of the display with the node's current state.
+const FRAME_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The classes, and how many of a hundred requests are of each.
-const MIX: [(&str, Effect, u32); 4] = [
+/// The request classes, with the effect of each and its percentage of all requests.
+const REQUEST_MIX: [(&str, Effect, u32); 4] = [
     ("payslip-view", Effect::Safe, 50),
     ("pay-preview", Effect::Safe, 20),
     ("timesheet-submit", Effect::Keyed, 20),
@@ -71,86 +71,89 @@
     let mut config = Config {
         name: "demo".into(),
         over_share_worth: 0.05,
-        classes: MIX.map(class).into(),
+        classes: REQUEST_MIX.map(class).into(),
         tenants: TENANTS.map(tenant).into(),
         ..Config::default()
     };
-    config.fleet.cold_from = fleet::COLD_FROM;
+    config.fleet.cold_from = servers::COLD_CAPACITY;
     config.fleet.warm_up = WARM_UP;
     config
 }
 
-/// Plays the demo. It fails if a rule was broken, which its stand-in servers and clients see for themselves.
+/// Runs the demo. It fails if a rule was broken, which the simulated servers and clients check.
 pub(crate) fn run(options: &Options) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, play(options))
+    LocalSet::new().block_on(&runtime, run_demo(options))
 }
 
-async fn play(options: &Options) -> anyhow::Result<()> {
-    let length = Duration::from_secs(options.seconds);
-    let fleet = Rc::new(Fleet::new());
+async fn run_demo(options: &Options) -> anyhow::Result<()> {
+    let duration = Duration::from_secs(options.seconds);
+    let servers = Rc::new(DemoServers::new());
     let mut list = Vec::new();
-    for _ in 0..SERVERS {
-        list.push(fleet.start(false).await?);
+    for _ in 0..INITIAL_SERVERS {
+        list.push(servers.start(false).await?);
     }
-    let (sender, roster) = roster::channel();
+    let (list_sender, roster) = roster::channel();
     let node = Node::builder(config(options.rate)).roster(roster).start()?;
-    sender.send(Update::whole(list)).await?;
-    let board = Rc::new(RefCell::new(Board::new(MIX.map(|(name, ..)| name))));
-    let (began, end) = (Instant::now(), Instant::now() + length);
-    let script = spawn_local(troubles(began, length, fleet.clone(), sender, board.clone()));
-    let load = spawn_local(load(node.handle().clone(), options.rate, end, board.clone()));
+    list_sender.send(Update::whole(list)).await?;
+    let dashboard = Rc::new(RefCell::new(Dashboard::new(REQUEST_MIX.map(|(name, ..)| name))));
+    let (start, end) = (Instant::now(), Instant::now() + duration);
+    let script = spawn_local(run_script(start, duration, servers.clone(), list_sender, dashboard.clone()));
+    let load = spawn_local(send_requests(node.handle().clone(), options.rate, end, dashboard.clone()));
 
     let mut view = match std::io::stdout().is_terminal() && !options.plain {
         true => view::View::terminal()?,
         false => view::View::plain(),
     };
-    let mut frames = interval(FRAME);
-    let mut stopped = false;
-    while Instant::now() < end && !stopped {
+    let mut frames = interval(FRAME_INTERVAL);
+    let mut interrupted = false;
+    while Instant::now() < end && !interrupted {
         frames.tick().await;
         if let Ok(snapshot) = node.handle().snapshot().await {
-            board.borrow_mut().take(began.elapsed(), snapshot, &fleet);
+            dashboard.borrow_mut().update(start.elapsed(), snapshot, &servers);
         }
-        stopped = view.show(&board.borrow())?;
+        interrupted = view.show(&dashboard.borrow())?;
     }
     drop(view);
     script.abort();
-    if stopped {
+    if interrupted {
         load.abort();
     } else {
         load.await?;
     }
     let counts = node.shutdown(Duration::from_secs(4)).await;
-    println!("{}", board.borrow().summary(&counts));
-    let (twice, late) = fleet.broken();
-    println!("orders that ran twice: {twice}; requests to a server 1 s after its drain was told: {late}");
-    if twice + late > 0 {
+    println!("{}", dashboard.borrow().summary(&counts));
+    let (duplicate_orders, requests_after_drain) = servers.violations();
+    println!(
+        "orders that ran twice: {duplicate_orders}; requests to a server more than 1 s after its drain began: \
+         {requests_after_drain}"
+    );
+    if duplicate_orders + requests_after_drain > 0 {
         bail!("a rule was broken");
     }
     Ok(())
 }
 
-/// Sends a steady mix until the end, and waits for the last answers.
-async fn load(node: Handle, rate: u32, end: Instant, board: Rc<RefCell<Board>>) {
-    let mut random = fastrand::Rng::with_seed(7);
-    let (mut next, mut open) = (Instant::now(), JoinSet::new());
+/// Sends a steady mix of requests until the end, and waits for the last answers.
+async fn send_requests(node: Handle, rate: u32, end: Instant, dashboard: Rc<RefCell<Dashboard>>) {
+    let mut rng = fastrand::Rng::with_seed(7);
+    let (mut next, mut open_requests) = (Instant::now(), JoinSet::new());
     for number in 0_u64.. {
-        // Arrivals are independent of each other, as clerks are.
-        next += Duration::from_secs_f64(-(1.0 - random.f64()).ln() / f64::from(rate));
+        // Arrivals are independent of each other, as with many separate clients.
+        next += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / f64::from(rate));
         if next >= end {
             break;
         }
         sleep_until(next).await;
-        while open.try_join_next().is_some() {}
-        let mut draw = random.u32(..100);
-        let class = MIX.iter().position(|(.., part)| {
-            let hit = draw < *part;
-            draw = draw.saturating_sub(*part);
+        while open_requests.try_join_next().is_some() {}
+        let mut draw = rng.u32(..100);
+        let class = REQUEST_MIX.iter().position(|(.., percentage)| {
+            let hit = draw < *percentage;
+            draw = draw.saturating_sub(*percentage);
             hit
         });
         let class = class.unwrap_or(0);
-        let (name, effect, _) = MIX[class];
+        let (name, effect, _) = REQUEST_MIX[class];
         let path = format!("/{name}/{number}");
         let request = match effect {
             Effect::Safe => Request::get(path),
@@ -159,49 +162,49 @@
         };
         let body = if effect == Effect::Safe { "" } else { "300 yen" };
         let Ok(mut request) = request.body(body.to_string()) else { continue };
-        request.extensions_mut().insert(ext::Tenant::new(TENANTS[random.usize(..TENANTS.len())]));
-        let (node, board) = (node.clone(), board.clone());
-        open.spawn_local(async move {
-            let asked = Instant::now();
-            let kind = match node.call(request).await {
-                Ok(Answer::Served(_)) => Kind::Served,
-                Ok(Answer::Refused { .. }) => Kind::Refused,
-                Ok(Answer::Failed { .. }) | Err(_) => Kind::Failed,
+        request.extensions_mut().insert(ext::Tenant::new(TENANTS[rng.usize(..TENANTS.len())]));
+        let (node, dashboard) = (node.clone(), dashboard.clone());
+        open_requests.spawn_local(async move {
+            let sent_at = Instant::now();
+            let outcome = match node.call(request).await {
+                Ok(Answer::Served(_)) => Outcome::Served,
+                Ok(Answer::Refused { .. }) => Outcome::Refused,
+                Ok(Answer::Failed { .. }) | Err(_) => Outcome::Failed,
             };
-            board.borrow_mut().answered(class, kind, asked.elapsed());
+            dashboard.borrow_mut().record_answer(class, outcome, sent_at.elapsed());
         });
     }
-    while open.join_next().await.is_some() {}
+    while open_requests.join_next().await.is_some() {}
 }
 
-/// One server stalls for a while, one drains and goes, one starts cold.
-async fn troubles(
-    began: Instant,
-    length: Duration,
-    fleet: Rc<Fleet>,
+/// The events of the demo: one server stalls for a while, one drains and ends, and one starts cold.
+async fn run_script(
+    start: Instant,
+    duration: Duration,
+    servers: Rc<DemoServers>,
     list: RosterSender,
-    board: Rc<RefCell<Board>>,
+    dashboard: Rc<RefCell<Dashboard>>,
 ) -> anyhow::Result<()> {
-    let at = |part: f64| sleep_until(began + length.mul_f64(part));
-    let say = |what: &str| board.borrow_mut().event(began.elapsed(), what);
-    say("eight servers, all warm");
-    at(0.15).await;
-    fleet.stall(2, true);
-    say("s-3 stalls: it takes requests and answers nothing; the list still calls it ready");
-    at(0.35).await;
-    fleet.stall(2, false);
-    say("s-3 answers again");
-    at(0.45).await;
-    let draining = fleet.entry(4).with_state(ServerState::Draining);
+    let at_fraction = |fraction: f64| sleep_until(start + duration.mul_f64(fraction));
+    let show_event = |what: &str| dashboard.borrow_mut().add_event(start.elapsed(), what);
+    show_event("eight servers, all warm");
+    at_fraction(0.15).await;
+    servers.stall(2, true);
+    show_event("s-3 stalls: it accepts requests and answers none; it is still listed as ready");
+    at_fraction(0.35).await;
+    servers.stall(2, false);
+    show_event("s-3 answers again");
+    at_fraction(0.45).await;
+    let draining = servers.entry(4).with_state(ServerState::Draining);
     list.send(Update::changes([draining.clone()])).await?;
-    fleet.drain(4);
-    say("s-5 drains: it finishes what it has and is sent nothing new");
-    at(0.6).await;
+    servers.drain(4);
+    show_event("s-5 drains: it finishes its requests and is sent no new ones");
+    at_fraction(0.6).await;
     list.send(Update::changes([draining.with_state(ServerState::Gone)])).await?;
-    say("s-5 is gone");
-    at(0.65).await;
-    let cold = fleet.start(true).await?;
+    show_event("s-5 is gone");
+    at_fraction(0.65).await;
+    let cold = servers.start(true).await?;
     list.send(Update::changes([cold])).await?;
-    say("s-9 starts cold: an eighth of its capacity, all of it 10 s later");
+    show_event("s-9 starts cold: an eighth of its capacity, rising to all of it within 10 s");
     Ok(())
 }
--- a/crates/dunelinkd/src/demo/view.rs
+++ b/crates/dunelinkd/src/demo/view.rs
@@ -1,4 +1,4 @@
-//! Shows the board: on a terminal as a whole picture, elsewhere as a line a second.
+//! Displays the dashboard: full-screen on a terminal, elsewhere as one line per second.
 
 use std::io;
 use std::time::Duration;
@@ -11,14 +11,15 @@
 use ratatui::text::Line;
 use ratatui::widgets::{Block, Cell, List, Paragraph, Row, Table};
 
-use super::board::Board;
+use super::dashboard::Dashboard;
 
-/// The way to show it.
+/// The kind of display.
 pub(super) enum View {
-    /// The whole screen, given back when dropped.
+    /// The whole screen of a terminal, which is restored when this is dropped.
     Terminal(DefaultTerminal),
-    /// Lines; the second of the last one, and how many events were told.
-    Plain { second: Option<u64>, told: Duration },
+    /// Lines of text, with the second of the last status line, and the time of the last event that was
+    /// printed.
+    Plain { second: Option<u64>, last_event: Duration },
 }
 
 impl View {
@@ -27,23 +28,23 @@
     }
 
     pub(super) fn plain() -> View {
-        View::Plain { second: None, told: Duration::ZERO }
+        View::Plain { second: None, last_event: Duration::ZERO }
     }
 
-    /// Shows it; whether the user wants to stop.
-    pub(super) fn show(&mut self, board: &Board) -> io::Result<bool> {
+    /// Displays the current state; returns whether the user wants to stop.
+    pub(super) fn show(&mut self, dashboard: &Dashboard) -> io::Result<bool> {
         match self {
             View::Terminal(terminal) => {
-                terminal.draw(|frame| draw(frame, board))?;
-                wants_to_stop()
+                terminal.draw(|frame| draw(frame, dashboard))?;
+                quit_requested()
             }
-            View::Plain { second, told } => {
-                for (at, what) in board.events.iter().filter(|(at, _)| at > told) {
-                    println!("{:>4.0} s  -- {what}", at.as_secs_f64());
+            View::Plain { second, last_event } => {
+                for (at, description) in dashboard.events.iter().filter(|(at, _)| at > last_event) {
+                    println!("{:>4.0} s  -- {description}", at.as_secs_f64());
                 }
-                *told = board.events.back().map_or(*told, |(at, _)| *at);
-                if second.replace(board.at.as_secs()) != Some(board.at.as_secs()) {
-                    println!("{}", line(board));
+                *last_event = dashboard.events.back().map_or(*last_event, |(at, _)| *at);
+                if second.replace(dashboard.at.as_secs()) != Some(dashboard.at.as_secs()) {
+                    println!("{}", status_line(dashboard));
                 }
                 Ok(false)
             }
@@ -59,7 +60,7 @@
     }
 }
 
-fn wants_to_stop() -> io::Result<bool> {
+fn quit_requested() -> io::Result<bool> {
     while event::poll(Duration::ZERO)? {
         if let Event::Key(key) = event::read()? {
             let interrupt = key.modifiers.contains(KeyModifiers::CONTROL) && key.code == KeyCode::Char('c');
@@ -71,20 +72,24 @@
     Ok(false)
 }
 
-fn line(board: &Board) -> String {
-    let [served, refused, failed] = board.sums();
-    let s = &board.snapshot;
-    let rates: Vec<String> = board.places.iter().map(|p| format!("{} {:.0}/s", p.uid, p.rate)).collect();
+fn status_line(dashboard: &Dashboard) -> String {
+    let [served, refused, failed] = dashboard.sums();
+    let snapshot = &dashboard.snapshot;
+    let rates: Vec<String> = dashboard
+        .server_rows
+        .iter()
+        .map(|server_row| format!("{} {:.0}/s", server_row.uid, server_row.rate))
+        .collect();
     format!(
-        "{:>4} s  served {served} refused {refused} failed {failed}; open {} held {}; {}",
-        board.at.as_secs(),
-        s.open,
-        s.queued,
+        "{:>4} s  served {served} refused {refused} failed {failed}; open {} queued {}; {}",
+        dashboard.at.as_secs(),
+        snapshot.open,
+        snapshot.queued,
         rates.join("  ")
     )
 }
 
-fn color(state: &str) -> Style {
+fn state_style(state: &str) -> Style {
     match state {
         "ready" => Style::new().fg(Color::Green),
         "cold" => Style::new().fg(Color::Cyan),
@@ -94,25 +99,26 @@
     }
 }
 
-fn draw(frame: &mut Frame<'_>, board: &Board) {
-    let [head, classes, servers, events] = Layout::vertical([
+fn draw(frame: &mut Frame<'_>, dashboard: &Dashboard) {
+    let [summary_area, classes, servers, events] = Layout::vertical([
         Constraint::Length(2),
-        Constraint::Length(board.rows.len() as u16 + 3),
-        Constraint::Length(board.places.len() as u16 + 3),
+        Constraint::Length(dashboard.rows.len() as u16 + 3),
+        Constraint::Length(dashboard.server_rows.len() as u16 + 3),
         Constraint::Min(4),
     ])
     .areas(frame.area());
-    let s = &board.snapshot;
-    let [served, refused, failed] = board.sums();
-    let title = Line::from(vec!["dunelink demo".bold(), format!("  {:.0} s", board.at.as_secs_f64()).into()]);
+    let snapshot = &dashboard.snapshot;
+    let [served, refused, failed] = dashboard.sums();
+    let title =
+        Line::from(vec!["dunelink demo".bold(), format!("  {:.0} s", dashboard.at.as_secs_f64()).into()]);
     let sums = Line::from(format!(
-        "served {served}  refused {refused}  failed {failed}   open {}  held {}  connections {}   q ends it",
-        s.open, s.queued, s.connections
+        "served {served}  refused {refused}  failed {failed}   open {}  queued {}  connections {}   q quits",
+        snapshot.open, snapshot.queued, snapshot.connections
     ));
-    frame.render_widget(Paragraph::new(vec![title, sums]), head);
+    frame.render_widget(Paragraph::new(vec![title, sums]), summary_area);
 
-    let number = |n: u64| Cell::from(format!("{n:>8}"));
-    let rows = board.rows.iter().map(|row| {
+    let number = |value: u64| Cell::from(format!("{value:>8}"));
+    let rows = dashboard.rows.iter().map(|row| {
         let [served, refused, failed] = row.counts.map(number);
         Row::new([row.name.into(), served, refused, failed, format!("{:>8.1}", row.mean_ms()).into()])
     });
@@ -121,24 +127,28 @@
     let table = Table::new(rows, widths).header(header).block(Block::bordered().title("answers"));
     frame.render_widget(table, classes);
 
-    let most = board.places.iter().map(|p| p.rate).fold(1.0, f64::max);
-    let rows = board.places.iter().map(|place| {
-        let bar = "#".repeat((place.rate / most * 30.0).round().clamp(0.0, 30.0) as usize);
+    let max_rate = dashboard.server_rows.iter().map(|server_row| server_row.rate).fold(1.0, f64::max);
+    let rows = dashboard.server_rows.iter().map(|server_row| {
+        let bar = "#".repeat((server_row.rate / max_rate * 30.0).round().clamp(0.0, 30.0) as usize);
         Row::new([
-            Cell::from(place.uid.clone()),
-            Cell::from(place.state).style(color(place.state)),
-            Cell::from(format!("{:>9}", place.in_flight)),
-            Cell::from(format!("{:>4}", place.idle)),
-            Cell::from(format!("{:>7}", place.inside)),
-            Cell::from(format!("{:>6.0}", place.rate)),
-            Cell::from(bar).style(color(place.state)),
+            Cell::from(server_row.uid.clone()),
+            Cell::from(server_row.state).style(state_style(server_row.state)),
+            Cell::from(format!("{:>9}", server_row.in_flight)),
+            Cell::from(format!("{:>4}", server_row.idle)),
+            Cell::from(format!("{:>7}", server_row.in_progress)),
+            Cell::from(format!("{:>6.0}", server_row.rate)),
+            Cell::from(bar).style(state_style(server_row.state)),
         ])
     });
     let widths = [6, 9, 9, 5, 7, 7, 30].map(Constraint::Length);
-    let header = Row::new(["server", "state", "in flight", "idle", "in work", " per s", ""]).bold();
+    let header = Row::new(["server", "state", "in flight", "idle", "active", " per s", ""]).bold();
     let table = Table::new(rows, widths).header(header).block(Block::bordered().title("servers"));
     frame.render_widget(table, servers);
 
-    let lines = board.events.iter().rev().map(|(at, what)| format!("{:>4.0} s  {what}", at.as_secs_f64()));
-    frame.render_widget(List::new(lines).block(Block::bordered().title("what happens")), events);
+    let lines = dashboard
+        .events
+        .iter()
+        .rev()
+        .map(|(at, description)| format!("{:>4.0} s  {description}", at.as_secs_f64()));
+    frame.render_widget(List::new(lines).block(Block::bordered().title("events")), events);
 }
--- a/crates/dunelinkd/src/fleet.rs
+++ b/crates/dunelinkd/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What operators ask and tell the fleet as a whole.
+//! Commands and reports of the fleet as a whole for operators.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -12,53 +12,56 @@
 use serde_json::Value;
 use url::form_urlencoded::Serializer;
 
-use crate::gossip::{Asked, call};
+use crate::gossip::{AdminAddress, request};
 
-/// How long a decision is waited for: a lease or two.
-const DECIDED_WITHIN: Duration = Duration::from_secs(10);
-/// How often it is looked for.
-const LOOK: Duration = Duration::from_millis(200);
+/// How long a decision is waited for: one or two leases.
+const DECISION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between checks for the decision.
+const DECISION_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What operators ask of the fleet as a whole.
+/// Commands for the fleet as a whole.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// What the fleet has decided, on which side of a cut a node is, what it holds, and who reaches whom.
+    /// Show what the fleet has decided, the node's side of a partition, its leases, and which nodes reach
+    /// each other.
     Status {
         #[command(flatten)]
-        asked: Asked,
-        /// For programs.
+        admin_address: AdminAddress,
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Put a node out of the fleet for a time: it serves whoever asks it, and holds nothing else. To be asked of an elector.
+    /// Evict a node from the fleet for a time: it still serves requests that reach it, but holds no leases.
+    /// Send this to an elector.
     Evict {
         /// The node's name.
         name: String,
-        /// Why; at most 40 bytes.
+        /// The reason; at most 40 bytes.
         #[arg(long)]
         reason: String,
-        /// For how long, such as 15m; at most 7 days.
+        /// The time, such as 15m; at most 7 days.
         #[arg(long = "for", value_name = "TIME", value_parser = humantime::parse_duration)]
         time: Duration,
         #[command(flatten)]
-        asked: Asked,
+        admin_address: AdminAddress,
     },
-    /// Let a node in again before its time is over. To be asked of an elector.
+    /// Restore an evicted node before its time is over. Send this to an elector.
     Restore {
         /// The node's name.
         name: String,
         #[command(flatten)]
-        asked: Asked,
+        admin_address: AdminAddress,
     },
-    /// Merge the logs of many nodes into one story, on one clock, and say what in it can't be.
+    /// Merge the logs of several nodes into one timeline on one clock, and report contradictions.
     Timeline {
         /// The logs, one for each process, as text or JSON.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
-        /// Go by the clocks as they are, instead of by when each node knew of a view.
+        /// Use the timestamps as they are, instead of aligning the clocks by when each node learned of a
+        /// view.
         #[arg(long)]
         raw: bool,
-        /// Only events of the fleet's own: views, sides, leases, stances.
+        /// Only events of the fleet itself: views, sides, leases, stances.
         #[arg(long)]
         fleet: bool,
     },
@@ -66,44 +69,44 @@
 
 pub(crate) fn run(command: Command) -> anyhow::Result<()> {
     match command {
-        Command::Status { asked, json } => {
-            print!("{}", call(asked.control, "GET", if json { "fleet?json" } else { "fleet" })?);
+        Command::Status { admin_address, json } => {
+            print!("{}", request(admin_address.control, "GET", if json { "fleet?json" } else { "fleet" })?);
             Ok(())
         }
-        Command::Evict { name, reason, time, asked } => {
+        Command::Evict { name, reason, time, admin_address } => {
             let query = Serializer::new(String::new())
                 .append_pair("name", &name)
                 .append_pair("seconds", &time.as_secs().to_string())
                 .append_pair("reason", &reason)
                 .finish();
-            call(asked.control, "POST", &format!("fleet/evict?{query}"))?;
-            decided(&asked, &name, true)
+            request(admin_address.control, "POST", &format!("fleet/evict?{query}"))?;
+            wait_for_decision(&admin_address, &name, true)
         }
-        Command::Restore { name, asked } => {
+        Command::Restore { name, admin_address } => {
             let query = Serializer::new(String::new()).append_pair("name", &name).finish();
-            call(asked.control, "POST", &format!("fleet/restore?{query}"))?;
-            decided(&asked, &name, false)
+            request(admin_address.control, "POST", &format!("fleet/restore?{query}"))?;
+            wait_for_decision(&admin_address, &name, false)
         }
         Command::Timeline { logs, raw, fleet } => timeline(&logs, raw, fleet),
     }
 }
 
-/// Waits until a view says so.
-fn decided(asked: &Asked, name: &str, out: bool) -> anyhow::Result<()> {
-    let began = Instant::now();
-    while began.elapsed() < DECIDED_WITHIN {
-        let told: Value = serde_json::from_str(&call(asked.control, "GET", "fleet?json")?)?;
-        let is_out = told["out"].as_array().is_some_and(|all| all.iter().any(|one| one["name"] == name));
-        if is_out == out {
-            let epoch = told["epoch"].as_str().unwrap_or_default();
-            println!("{name} is {} by epoch {epoch}", if out { "out" } else { "let in" });
+/// Waits until the current view has the node evicted, or no longer evicted.
+fn wait_for_decision(admin_address: &AdminAddress, name: &str, evicted: bool) -> anyhow::Result<()> {
+    let start = Instant::now();
+    while start.elapsed() < DECISION_TIMEOUT {
+        let status: Value = serde_json::from_str(&request(admin_address.control, "GET", "fleet?json")?)?;
+        let is_evicted = status["out"]
+            .as_array()
+            .is_some_and(|evictions| evictions.iter().any(|eviction| eviction["name"] == name));
+        if is_evicted == evicted {
+            let epoch = status["epoch"].as_str().unwrap_or_default();
+            println!("{name} is {} by epoch {epoch}", if evicted { "out" } else { "let in" });
             return Ok(());
         }
-        sleep(LOOK);
+        sleep(DECISION_CHECK_INTERVAL);
     }
-    bail!(
-        "it was taken in and has not been decided within {DECIDED_WITHIN:?}; look at `dunelink fleet status`"
-    )
+    bail!("the request was accepted but not decided within {DECISION_TIMEOUT:?}; see `dunelink fleet status`")
 }
 
 fn timeline(paths: &[PathBuf], raw: bool, fleet: bool) -> anyhow::Result<()> {
@@ -114,21 +117,23 @@
         let name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
         logs.push(Log::read(&name, text.lines()));
     }
-    let story = merge(&logs, !raw);
-    for (name, moved) in story.skewed_logs(&logs) {
-        match moved {
-            Some(by) => println!("# {name}: its clock differs by {} ms, which is taken off", -by / 1000),
-            None => println!("# {name}: it shares no view with the others; its times are as it wrote them"),
+    let merged = merge(&logs, !raw);
+    for (name, clock_offset) in merged.skewed_logs(&logs) {
+        match clock_offset {
+            Some(offset) => {
+                println!("# {name}: its clock differs by {} ms, which is taken off", -offset / 1000)
+            }
+            None => println!("# {name}: it shares no view with the others; its timestamps are not corrected"),
         }
     }
     for log in logs.iter().filter(|log| log.unparsed_lines > 0) {
-        println!("# {}: {} lines are no events", log.name, log.unparsed_lines);
+        println!("# {}: {} lines can't be parsed as events", log.name, log.unparsed_lines);
     }
-    let first = story.events.first().map_or(0, |(at, ..)| *at);
-    let mut doubts = story.contradictions.iter().peekable();
-    for (at, log, event) in story.events.iter().filter(|(.., event)| !fleet || event.target == "fleet") {
-        while let Some(doubt) = doubts.next_if(|doubt| doubt.at <= *at) {
-            println!("{:>12.3} !! {}", (doubt.at - first) as f64 / 1e6, doubt.description);
+    let first = merged.events.first().map_or(0, |(at, ..)| *at);
+    let mut contradictions = merged.contradictions.iter().peekable();
+    for (at, log, event) in merged.events.iter().filter(|(.., event)| !fleet || event.target == "fleet") {
+        while let Some(contradiction) = contradictions.next_if(|contradiction| contradiction.at <= *at) {
+            println!("{:>12.3} !! {}", (contradiction.at - first) as f64 / 1e6, contradiction.description);
         }
         let mut line = format!("{:>12.3} {} {}", (at - first) as f64 / 1e6, logs[*log].name, event.message);
         for (name, value) in event.fields.iter().filter(|(name, _)| *name != "node") {
@@ -137,14 +142,16 @@
         }
         println!("{line}");
     }
-    doubts.for_each(|doubt| println!("{:>12.3} !! {}", (doubt.at - first) as f64 / 1e6, doubt.description));
-    match story.contradictions.len() {
+    contradictions.for_each(|contradiction| {
+        println!("{:>12.3} !! {}", (contradiction.at - first) as f64 / 1e6, contradiction.description)
+    });
+    match merged.contradictions.len() {
         0 => Ok(()),
-        many => bail!("{many} things in these logs can't be (marked with !!)"),
+        count => bail!("these logs have {count} contradictions (marked with !!)"),
     }
 }
 
-/// How a node stands, for people.
+/// A node's view of the fleet, as text.
 pub(crate) fn text(view: &FleetView) -> String {
     let mut text = format!(
         "side={} epoch={} name_for={}ms chair={} aside={} part={:.3} stance={:?}\n",
--- a/crates/dunelinkd/src/graphql.rs
+++ b/crates/dunelinkd/src/graphql.rs
@@ -1,4 +1,4 @@
-//! `dunelink graphql explain`: what a node would take a GraphQL request for, and why.
+//! `dunelink graphql explain`: how a node would classify a GraphQL request, and why.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -14,40 +14,41 @@
 
 use crate::serve::Source;
 
-/// What operators do with the GraphQL endpoint.
+/// Commands for the GraphQL endpoint.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Say what a request would be taken for, and why.
+    /// Show how a request would be classified, and why.
     Explain(Explain),
 }
 
 #[derive(Args)]
 pub(crate) struct Explain {
-    /// What is asked: a document, or the JSON body of a POST if its name ends in .json; "-" reads from standard input.
+    /// The request: a document, or the JSON body of a POST if its name ends in .json; "-" reads from standard
+    /// input.
     file: PathBuf,
-    /// The configuration, with a [graphql] table.
+    /// The configuration file, with a [graphql] table.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Which of a document's operations is meant.
+    /// The operation to run, if the document has several.
     #[arg(long, value_name = "NAME")]
     operation: Option<String>,
-    /// The values of a document's variables, a JSON object.
+    /// The values of the document's variables, as a JSON object.
     #[arg(long, value_name = "JSON")]
     variables: Option<String>,
-    /// Take a document to be asked for by GET.
+    /// Treat the document as requested by GET.
     #[arg(long)]
     get: bool,
-    /// Take the request to have an Idempotency-Key.
+    /// Treat the request as having an Idempotency-Key.
     #[arg(long)]
     key: bool,
-    /// Print JSON, for programs.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
 
 pub(crate) fn run(command: Command) -> anyhow::Result<()> {
     let Command::Explain(explain) = command;
-    let config = Source::of(explain.config.clone()).read()?;
+    let config = Source::from_path(explain.config.clone()).read()?;
     let Some(reader) = config.graphql_reader()? else {
         bail!("{}: graphql: expected a [graphql] table", explain.config.display());
     };
@@ -71,9 +72,11 @@
         };
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let is_body = self.file.extension().is_some_and(|end| end == "json");
+        let is_body = self.file.extension().is_some_and(|extension| extension == "json");
         if is_body && (self.get || self.operation.is_some() || self.variables.is_some()) {
-            bail!("{name}: a body says itself what --get, --operation and --variables would");
+            bail!(
+                "{name}: --get, --operation and --variables can't be combined with a JSON body, which sets all of them"
+            );
         }
         let post = |body: &Bytes| {
             reader.read(Request {
@@ -94,7 +97,7 @@
             let body = json!({"query": document, "operationName": self.operation, "variables": variables});
             return Ok(post(&body.to_string().into()));
         }
-        let encode = |text: &str| text.bytes().map(|octet| format!("%{octet:02X}")).collect::<String>();
+        let encode = |text: &str| text.bytes().map(|byte| format!("%{byte:02X}")).collect::<String>();
         let mut query = format!("query={}", encode(&document));
         for (key, value) in [("operationName", &self.operation), ("variables", &self.variables)] {
             value.iter().for_each(|value| query += &format!("&{key}={}", encode(value)));
@@ -105,7 +108,7 @@
     }
 }
 
-/// The parts of a request, each with what it is taken for.
+/// The parts of a request, each with its classification or the reason for its rejection.
 fn parts(verdict: &Result<Verdict, Rejection>) -> Vec<Result<&Ruling, &Rejection>> {
     match verdict {
         Err(rejection) => vec![Err(rejection)],
@@ -120,36 +123,39 @@
 
 fn to_text(config: &Config, verdict: &Result<Verdict, Rejection>) -> String {
     let mut text = String::new();
-    let mut say = |key: &str, value: &dyn std::fmt::Display| text += &format!("{key:<11}{value}\n");
+    let mut write_line = |key: &str, value: &dyn std::fmt::Display| text += &format!("{key:<11}{value}\n");
     let parts = parts(verdict);
-    for (at, part) in parts.iter().enumerate() {
+    for (index, part) in parts.iter().enumerate() {
         if parts.len() > 1 {
-            say("part", &at);
+            write_line("part", &index);
         }
         let ruling = match part {
             Ok(ruling) => ruling,
-            Err(wrong) => {
-                say("turned down", &format!(" {}: {wrong}", wrong.code.name()));
-                let (response, json) = (wrong.status(Media::Response), wrong.status(Media::Json));
-                say("status", &format!("{}, or {} as application/json", response.as_u16(), json.as_u16()));
+            Err(rejection) => {
+                write_line("turned down", &format!(" {}: {rejection}", rejection.code.name()));
+                let (response, json) = (rejection.status(Media::Response), rejection.status(Media::Json));
+                write_line(
+                    "status",
+                    &format!("{}, or {} as application/json", response.as_u16(), json.as_u16()),
+                );
                 continue;
             }
         };
-        say("class", &class_name(config, ruling));
-        say("effect", &ruling.class.effect.name());
-        say("why", &ruling.why);
+        write_line("class", &class_name(config, ruling));
+        write_line("effect", &ruling.class.effect.name());
+        write_line("why", &ruling.why);
         if let Some(operation) = &ruling.operation {
             let named = operation.name.as_deref().unwrap_or("without a name");
-            say("operation", &format!("{} {named}", operation.kind.name()));
-            say("asks for", &operation.root_fields.join(", "));
-            say("work", &format!("{:?}", operation.work));
+            write_line("operation", &format!("{} {named}", operation.kind.name()));
+            write_line("asks for", &operation.root_fields.join(", "));
+            write_line("work", &format!("{:?}", operation.work));
             let size = operation.size;
             let (fields, depth) = (size.fields, size.depth);
             let sizes = format!(
                 "{fields} fields, {depth} deep, {} aliases, {} directives",
                 size.aliases, size.directives
             );
-            say("size", &sizes);
+            write_line("size", &sizes);
         }
     }
     text
@@ -157,9 +163,9 @@
 
 fn to_json(config: &Config, verdict: &Result<Verdict, Rejection>) -> Value {
     let part = |part: &Result<&Ruling, &Rejection>| match part {
-        Err(wrong) => json!({
-            "code": wrong.code.name(), "message": wrong.message,
-            "status": wrong.status(Media::Response).as_u16(), "status_json": wrong.status(Media::Json).as_u16(),
+        Err(rejection) => json!({
+            "code": rejection.code.name(), "message": rejection.message,
+            "status": rejection.status(Media::Response).as_u16(), "status_json": rejection.status(Media::Json).as_u16(),
         }),
         Ok(ruling) => json!({
             "class": class_name(config, ruling), "effect": ruling.class.effect.name(), "why": ruling.why.to_string(),
--- a/crates/dunelinkd/src/passing.rs
+++ b/crates/dunelinkd/src/guarded_body.rs
@@ -1,4 +1,4 @@
-//! An answer's body on its way to a client, and what is held until it has been taken.
+//! The body of an answer on its way to a client, with a guard that is kept until the body has been read.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,19 +7,19 @@
 use dunelink::{AnswerBody, BoxError};
 use hyper::body::{Body, Frame, SizeHint};
 
-/// A body with something that is held until it is dropped, as it is at its end.
-pub(crate) struct Passing<H> {
+/// The body of an answer, and a guard that is dropped together with it, which happens at the end of the body.
+pub(crate) struct GuardedBody<G> {
     body: AnswerBody,
-    _held: H,
+    _guard: G,
 }
 
-impl<H> Passing<H> {
-    pub(crate) fn new(body: AnswerBody, held: H) -> Passing<H> {
-        Passing { body, _held: held }
+impl<G> GuardedBody<G> {
+    pub(crate) fn new(body: AnswerBody, guard: G) -> GuardedBody<G> {
+        GuardedBody { body, _guard: guard }
     }
 }
 
-impl<H: Unpin> Body for Passing<H> {
+impl<G: Unpin> Body for GuardedBody<G> {
     type Data = Bytes;
     type Error = BoxError;
 
--- a/crates/dunelinkd/src/lab.rs
+++ b/crates/dunelinkd/src/lab.rs
@@ -1,4 +1,5 @@
-//! The lab at the command line: experiments from files, runs on many threads, reports into files.
+//! The lab on the command line: reads experiments from files, runs them on many threads and writes reports
+//! into files.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,49 +13,49 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 
-/// How finely progress is told.
-const GRAIN: f64 = 1000.0;
+/// Steps of the progress bar for each run.
+const PROGRESS_STEPS: f64 = 1000.0;
 
-/// What is done in the lab.
+/// Commands of the lab.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Play experiments and tell what came of them.
-    Run(Play),
-    /// Say whether experiments can be played, and what is wrong with them if not.
+    /// Run experiments and print their results.
+    Run(RunOptions),
+    /// Validate experiment files and report their errors.
     Check {
-        /// The experiments.
+        /// The experiment files.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Find the shortest time line of an experiment that still breaks a rule.
+    /// Find the shortest timeline of an experiment that still breaks a rule.
     Shrink {
-        /// The experiment.
+        /// The experiment file.
         file: PathBuf,
-        /// The policy, as its report calls it.
+        /// The name of the policy, as in the report.
         #[arg(long, default_value = "dunelink")]
         policy: String,
-        /// The seed.
+        /// The seed of the run.
         #[arg(long)]
         seed: u64,
     },
 }
 
-/// How experiments are played.
+/// Options for running experiments.
 #[derive(Args)]
-pub(crate) struct Play {
-    /// The experiments.
+pub(crate) struct RunOptions {
+    /// The experiment files.
     #[arg(required = true, value_name = "FILE")]
     files: Vec<PathBuf>,
-    /// How many runs at once; as many as there are cores by default. The figures are the same.
+    /// Number of parallel runs, by default the number of cores. The results don't depend on it.
     #[arg(long)]
     jobs: Option<usize>,
-    /// Other seeds than the files have.
+    /// Seeds to use instead of those in the files.
     #[arg(long, value_delimiter = ',')]
     seeds: Vec<u64>,
-    /// Only these policies, as the report calls them.
+    /// Run only these policies, by their names in the report.
     #[arg(long, value_delimiter = ',')]
     only: Vec<String>,
-    /// Where a page for each experiment goes, with a JSON and a CSV file beside it.
+    /// The folder for a report page of each experiment, with a JSON and a CSV file beside it.
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
@@ -64,14 +65,14 @@
     Experiment::from_toml(&text).map_err(|problem| anyhow!("{}: {problem}", file.display()))
 }
 
-pub(crate) fn start(command: &Command) -> anyhow::Result<()> {
+pub(crate) fn execute(command: &Command) -> anyhow::Result<()> {
     match command {
-        Command::Run(play) => play_all(play),
+        Command::Run(options) => run_all(options),
         Command::Check { files } => {
             for file in files {
                 let cases =
                     read(file)?.cases().map_err(|problem| anyhow!("{}: {problem}", file.display()))?;
-                println!("{}: {} runs; it can be played", file.display(), cases.len());
+                println!("{}: {} runs; the experiment is valid", file.display(), cases.len());
             }
             Ok(())
         }
@@ -79,8 +80,8 @@
     }
 }
 
-/// Ends runs when the user interrupts; what was played is told all the same.
-fn watch(stop: &'static AtomicBool) -> anyhow::Result<()> {
+/// Stops the runs when the user interrupts; completed runs are reported nevertheless.
+fn stop_on_interrupt(stop: &'static AtomicBool) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::spawn(move || {
         runtime.block_on(async {
@@ -92,88 +93,92 @@
     Ok(())
 }
 
-fn play_all(play: &Play) -> anyhow::Result<()> {
+fn run_all(options: &RunOptions) -> anyhow::Result<()> {
     static STOP: AtomicBool = AtomicBool::new(false);
-    watch(&STOP)?;
-    let mut broken = 0;
-    // All are read before the first is played.
-    let experiments =
-        play.files.iter().map(|file| read(file).map(|read| (file, read))).collect::<Result<Vec<_>, _>>()?;
+    stop_on_interrupt(&STOP)?;
+    let mut breaches = 0;
+    // All files are read before the first run.
+    let experiments = options
+        .files
+        .iter()
+        .map(|file| read(file).map(|experiment| (file, experiment)))
+        .collect::<Result<Vec<_>, _>>()?;
     for (file, mut experiment) in experiments {
-        if !play.seeds.is_empty() {
-            experiment.seeds.clone_from(&play.seeds);
+        if !options.seeds.is_empty() {
+            experiment.seeds.clone_from(&options.seeds);
         }
         let mut cases = experiment.cases().map_err(|problem| anyhow!("{}: {problem}", file.display()))?;
-        cases.retain(|case| play.only.is_empty() || play.only.contains(&case.variant));
+        cases.retain(|case| options.only.is_empty() || options.only.contains(&case.variant));
         if cases.is_empty() {
             bail!("{}: there is no policy of that name", file.display());
         }
-        let began = Instant::now();
-        let runs = play_cases(&cases, play.jobs, &experiment.name, &STOP)?;
+        let start = Instant::now();
+        let runs = run_cases(&cases, options.jobs, &experiment.name, &STOP)?;
         let events: u64 =
             runs.iter().filter_map(|(_, outcome)| outcome.as_ref().ok()).map(|f| f.events).sum();
-        let took = began.elapsed().as_secs_f64();
+        let elapsed_s = start.elapsed().as_secs_f64();
         println!(
-            "{}: {} runs, {events} events in {took:.1} s, {:.0} a second",
+            "{}: {} runs, {events} events in {elapsed_s:.1} s, {:.0} a second",
             experiment.name,
             runs.len(),
-            events as f64 / took
+            events as f64 / elapsed_s
         );
         println!("{}", report::table(&runs));
-        if let Some(folder) = &play.out {
+        if let Some(folder) = &options.out {
             write(folder, file, &experiment, &runs)?;
         }
-        broken +=
+        breaches +=
             runs.iter().filter_map(|(_, outcome)| outcome.as_ref().ok()).map(|f| f.breaches).sum::<u64>();
         if STOP.load(Ordering::SeqCst) {
-            bail!("it was interrupted; what was played is told");
+            bail!("interrupted; the report covers what was run until then");
         }
     }
-    if broken > 0 {
+    if breaches > 0 {
         eprintln!(
-            "dunelink: {broken} times a rule was broken; `dunelink lab shrink` finds the shortest way there"
+            "dunelink: rules were broken {breaches} times; `dunelink lab shrink` finds the shortest timeline that \
+             breaks one"
         );
     }
     Ok(())
 }
 
-fn play_cases(
+fn run_cases(
     cases: &[Case],
     jobs: Option<usize>,
     name: &str,
     stop: &AtomicBool,
 ) -> anyhow::Result<Vec<(Case, report::Outcome)>> {
     let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs.unwrap_or(0)).build()?;
-    // Nothing is drawn where nobody looks.
-    let bar = ProgressBar::new((cases.len() as f64 * GRAIN) as u64);
+    // Nothing is drawn if the output is not a terminal.
+    let progress_bar = ProgressBar::new((cases.len() as f64 * PROGRESS_STEPS) as u64);
     let style = ProgressStyle::with_template("{prefix} [{bar:30}] {percent}%, {eta} left, {msg} runs done")?;
-    bar.set_style(style.progress_chars("=> "));
-    bar.set_prefix(name.to_string());
-    let (done, parts) = (AtomicUsize::new(0), Mutex::new(vec![0.0; cases.len()]));
-    let play = |(at, case): (usize, &Case)| {
-        let mut told = Instant::now() - Duration::from_secs(1);
-        let mut progress = |part: f64| {
-            if told.elapsed() > Duration::from_millis(200)
-                && let Ok(mut parts) = parts.lock()
+    progress_bar.set_style(style.progress_chars("=> "));
+    progress_bar.set_prefix(name.to_string());
+    let (completed, fractions) = (AtomicUsize::new(0), Mutex::new(vec![0.0; cases.len()]));
+    let run_case = |(index, case): (usize, &Case)| {
+        let mut last_update = Instant::now() - Duration::from_secs(1);
+        let mut progress = |fraction: f64| {
+            if last_update.elapsed() > Duration::from_millis(200)
+                && let Ok(mut fractions) = fractions.lock()
             {
-                told = Instant::now();
-                parts[at] = part;
-                bar.set_position((parts.iter().sum::<f64>() * GRAIN) as u64);
+                last_update = Instant::now();
+                fractions[index] = fraction;
+                progress_bar.set_position((fractions.iter().sum::<f64>() * PROGRESS_STEPS) as u64);
             }
             !stop.load(Ordering::Relaxed)
         };
         if stop.load(Ordering::Relaxed) {
-            return (case.clone(), Err("it was not begun".to_string()));
+            return (case.clone(), Err("the run was not started".to_string()));
         }
         let outcome = run(case, &mut progress).map_err(|error| error.to_string());
-        if let Ok(mut parts) = parts.lock() {
-            parts[at] = 1.0;
+        if let Ok(mut fractions) = fractions.lock() {
+            fractions[index] = 1.0;
         }
-        bar.set_message((done.fetch_add(1, Ordering::Relaxed) + 1).to_string());
+        progress_bar.set_message((completed.fetch_add(1, Ordering::Relaxed) + 1).to_string());
         (case.clone(), outcome)
     };
-    let runs = pool.install(|| cases.par_iter().enumerate().map(play).collect());
-    bar.finish_and_clear();
+    let runs = pool.install(|| cases.par_iter().enumerate().map(run_case).collect());
+    progress_bar.finish_and_clear();
     Ok(runs)
 }
 
@@ -183,7 +188,7 @@
     experiment: &Experiment,
     runs: &[(Case, report::Outcome)],
 ) -> anyhow::Result<()> {
-    fs::create_dir_all(folder).with_context(|| format!("{}: can't be made", folder.display()))?;
+    fs::create_dir_all(folder).with_context(|| format!("{}: can't be created", folder.display()))?;
     let stem = file.file_stem().unwrap_or_default();
     for (form, text) in [
         ("html", report::page(experiment, runs)),
@@ -203,16 +208,16 @@
     let cases = experiment.cases().map_err(|problem| anyhow!("{}: {problem}", file.display()))?;
     let case = cases.iter().find(|case| case.variant == policy);
     let case = case.with_context(|| format!("{}: there is no policy {policy}", file.display()))?;
-    // It was played before with the same settings: what fails then, fails at once.
+    // A run that stops at once: settings that can't be run fail here, before any case is shrunk.
     run(case, &mut |_| false)?;
-    let play = |case: &Case| run(case, &mut |_| true).unwrap_or_else(|error| unreachable!("{error}"));
-    match shortest(case, &play) {
+    let run_case = |case: &Case| run(case, &mut |_| true).unwrap_or_else(|error| unreachable!("{error}"));
+    match shortest(case, &run_case) {
         None => println!("{}: {policy} with seed {seed} breaks no rule", file.display()),
         Some((case, breach)) => {
             println!("seed {seed}, {:.3} s: {:?}, {}", breach.at, breach.rule, breach.what);
-            let e = &case.experiment;
-            println!("span {:?}, {} nodes", e.span, e.nodes.count);
-            for trouble in &e.troubles {
+            let experiment = &case.experiment;
+            println!("span {:?}, {} nodes", experiment.span, experiment.nodes.count);
+            for trouble in &experiment.troubles {
                 let (servers, nodes) = (&trouble.servers, &trouble.nodes);
                 println!(
                     "{:?} at {:?} for {:?}, {servers:?} of servers, {nodes:?} of nodes",
--- a/crates/dunelinkd/src/log.rs
+++ b/crates/dunelinkd/src/log.rs
@@ -1,32 +1,32 @@
-//! The log: one event a line on standard error, for people or for programs.
+//! The log: one event per line on standard error, as text or as JSON.
 
 use clap::ValueEnum;
 use dunelink::config::LogForm;
 
-/// The form of a line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub(crate) enum Form {
-    /// For people.
+pub(crate) enum LogFormat {
+    /// Readable text.
     Text,
     /// A JSON object.
     Json,
 }
 
-impl From<LogForm> for Form {
-    fn from(form: LogForm) -> Form {
-        match form {
-            LogForm::Text => Form::Text,
-            LogForm::Json => Form::Json,
+impl From<LogForm> for LogFormat {
+    fn from(format: LogForm) -> LogFormat {
+        match format {
+            LogForm::Text => LogFormat::Text,
+            LogForm::Json => LogFormat::Json,
         }
     }
 }
 
-/// From now on events are written. What was set up before stays.
-pub(crate) fn begin(form: Form) {
-    let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
-    // It fails where there is one already, which is the same.
-    let _ = match form {
-        Form::Text => log.try_init(),
-        Form::Json => log.json().try_init(),
+/// Starts writing events to the log, unless a subscriber is already installed.
+pub(crate) fn init(format: LogFormat) {
+    let subscriber = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
+    // It fails only if a subscriber is already installed, which then stays.
+    let _ = match format {
+        LogFormat::Text => subscriber.try_init(),
+        LogFormat::Json => subscriber.json().try_init(),
     };
 }
--- a/crates/dunelinkd/src/main.rs
+++ b/crates/dunelinkd/src/main.rs
@@ -1,20 +1,20 @@
-//! One dunelink node as a program, and what operators do with its files.
+//! The `dunelink` program: runs one node, and has the commands that operators use with it.
 
-mod awake;
+mod admin;
+mod client_socket;
 mod clients;
-mod dealer;
 mod demo;
-mod door;
+mod dispatcher;
 mod fleet;
 mod gossip;
+mod grace_timer;
 mod graphql;
+mod guarded_body;
 mod lab;
 mod listen;
 mod log;
-mod passing;
 mod serve;
 mod shards;
-mod socket;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -25,10 +25,10 @@
 
 /// A load-balancing node: every request gets one final answer, and no effect happens twice.
 ///
-/// Without a command it serves by the platform's JSON file that GW_CONFIG names.
+/// Without a command, it serves with the platform's JSON file that GW_CONFIG names.
 #[derive(Parser)]
 #[command(name = "dunelink", version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -37,69 +37,74 @@
 enum Command {
     /// Serve until SIGTERM.
     Run(Run),
-    /// Say whether a configuration can be used, and what is wrong with it if not.
+    /// Validate a configuration file and report its errors.
     Check(Check),
-    /// What a node makes of GraphQL requests.
+    /// Explain how a node classifies GraphQL requests.
     #[command(subcommand)]
     Graphql(graphql::Command),
-    /// Keys of gossip between nodes.
+    /// Create the keys that nodes use for gossip.
     #[command(subcommand)]
     Gossip(gossip::Command),
-    /// The other nodes, as a running one sees them.
-    Members(gossip::Asked),
-    /// The fleet as a whole.
+    /// List the gossip members that a running node knows.
+    Members(gossip::AdminAddress),
+    /// Inspect and change the fleet as a whole.
     #[command(subcommand)]
     Fleet(fleet::Command),
-    /// The servers that other nodes suspect, and who does, as a running node sees it.
-    Suspicions(gossip::Asked),
-    /// Try settings and policies on a model of clients, servers, lists and networks.
+    /// List the servers that other nodes suspect, with the nodes that report each, as a running node knows
+    /// them.
+    Suspicions(gossip::AdminAddress),
+    /// Simulate settings and policies on a model of clients, servers, server lists and networks.
     #[command(subcommand)]
     Lab(lab::Command),
-    /// Show a fleet at work: stand-in servers, a roster and a node in one process, on loopback only.
+    /// Run a demo with simulated servers, a server list and a node in one process, on loopback only.
     Demo(demo::Options),
 }
 
 #[derive(Args)]
 struct Run {
-    /// The configuration: TOML, or the platform's form if its name ends in .json. By default the platform's file
-    /// that GW_CONFIG names.
+    /// The configuration file: TOML, or the platform's JSON format if its name ends in .json. The default is
+    /// the platform's file that GW_CONFIG names.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// How the log is written, ahead of what the configuration says.
+    /// The format of the log; it overrides the configuration.
     #[arg(long, value_name = "FORM")]
-    log: Option<log::Form>,
+    log: Option<log::LogFormat>,
 }
 
 #[derive(Args)]
 struct Check {
-    /// The configuration: TOML, or the platform's form if its name ends in .json.
+    /// The configuration file: TOML, or the platform's JSON format if its name ends in .json.
     file: PathBuf,
 }
 
 fn check(file: PathBuf) -> anyhow::Result<()> {
     let name = file.display().to_string();
-    let config = Source::of(file).read()?;
-    let documents =
-        config.graphql_reader()?.map(|reader| format!(", {} known documents", reader.documents.len()));
+    let config = Source::from_path(file).read()?;
+    let documents = config
+        .graphql_reader()?
+        .map(|reader| format!(", {} known GraphQL documents", reader.documents.len()));
     let (classes, tenants) = (config.classes.len(), config.tenants.len());
-    println!("{name}: {classes} classes, {tenants} tenants{}; it can be used", documents.unwrap_or_default());
+    println!(
+        "{name}: {classes} classes, {tenants} tenants{}; the configuration is valid",
+        documents.unwrap_or_default()
+    );
     Ok(())
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().command {
+    let result = match CommandLine::parse().command {
         None => Source::find(None).and_then(|source| serve::serve(source, None)),
         Some(Command::Run(run)) => Source::find(run.config).and_then(|source| serve::serve(source, run.log)),
         Some(Command::Check(Check { file })) => check(file),
         Some(Command::Graphql(command)) => graphql::run(command),
         Some(Command::Gossip(command)) => gossip::run(command),
-        Some(Command::Members(asked)) => gossip::ask(&asked, "members"),
-        Some(Command::Suspicions(asked)) => gossip::ask(&asked, "suspicions"),
+        Some(Command::Members(admin_address)) => gossip::print_answer(&admin_address, "members"),
+        Some(Command::Suspicions(admin_address)) => gossip::print_answer(&admin_address, "suspicions"),
         Some(Command::Fleet(command)) => fleet::run(command),
-        Some(Command::Lab(command)) => lab::start(&command),
+        Some(Command::Lab(command)) => lab::execute(&command),
         Some(Command::Demo(options)) => demo::run(&options),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("dunelink: {error:#}");
--- a/crates/dunelinkd/src/shards.rs
+++ b/crates/dunelinkd/src/shards.rs
@@ -1,4 +1,4 @@
-//! Several shards: a thread for each, with its engine and the clients that it was dealt.
+//! Several shards: one thread each, with the engine of the shard and the connections dispatched to it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,33 +12,33 @@
 use tokio::time::timeout;
 
 use crate::clients::Clients;
-use crate::dealer::{Dealer, Seat};
-use crate::listen::LAST_ANSWERS;
+use crate::dispatcher::{Dispatcher, ShardQueue};
+use crate::listen::LAST_ANSWER_TIMEOUT;
 
-/// How far the end has come, for all shards as one.
+/// The stage of the shutdown, common to all shards.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 enum Stage {
     Serving,
-    /// Each answer ends its connection.
-    Leaving,
-    /// Connections end as soon as they have no request open.
+    /// Each answer closes its connection.
+    Draining,
+    /// Connections are closed as soon as they have no request open.
     Closing,
-    /// The engines have answered everything.
-    Answered,
+    /// The engines have answered every request.
+    AllAnswered,
 }
 
-/// The shards of a node, at work.
+/// The running shards of a node.
 pub(crate) struct Shards {
     stage: watch::Sender<Stage>,
     stop: Arc<Notify>,
-    dealing: JoinHandle<()>,
-    /// Told by each shard: its connections have ended; it is over.
+    dispatching: JoinHandle<()>,
+    /// One receiver per shard: for the end of its connections, and for the end of its thread.
     closed: Vec<oneshot::Receiver<()>>,
-    over: Vec<oneshot::Receiver<()>>,
+    ended: Vec<oneshot::Receiver<()>>,
 }
 
 impl Shards {
-    /// Starts a thread for each, and deals out what the listener accepts.
+    /// Starts a thread for each shard, and dispatches the connections that the listener accepts.
     pub(crate) fn start(
         shards: Vec<Shard>,
         node: &Handle,
@@ -46,42 +46,43 @@
         ready: JoinHandle<()>,
         shared: bool,
     ) -> anyhow::Result<Shards> {
-        let most = shards.iter().map(|shard| Clients::most(shard.config()));
-        let dealer = Dealer::new(most, node.clone());
+        let connection_limits = shards.iter().map(|shard| Clients::client_limit(shard.config()));
+        let dispatcher = Dispatcher::new(connection_limits, node.clone());
         let (stage, stages) = watch::channel(Stage::Serving);
-        let (mut closed, mut over) = (Vec::new(), Vec::new());
-        for (number, (shard, seat)) in shards.into_iter().zip(dealer.seats()).enumerate() {
-            let (tell_closed, is_closed) = oneshot::channel();
-            let (tell_over, is_over) = oneshot::channel();
-            let (seat, node, stages) = (seat.clone(), node.clone(), stages.clone());
+        let (mut closed, mut ended) = (Vec::new(), Vec::new());
+        for (number, (shard, queue)) in shards.into_iter().zip(dispatcher.queues()).enumerate() {
+            let (closed_sender, closed_receiver) = oneshot::channel();
+            let (ended_sender, ended_receiver) = oneshot::channel();
+            let (queue, node, stages) = (queue.clone(), node.clone(), stages.clone());
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
             std::thread::Builder::new()
                 .name(format!("shard {number}"))
                 .spawn(move || {
-                    LocalSet::new().block_on(&runtime, run(shard, node, seat, stages, tell_closed));
-                    let _ = tell_over.send(());
+                    LocalSet::new().block_on(&runtime, run(shard, node, queue, stages, closed_sender));
+                    let _ = ended_sender.send(());
                 })
-                .context("no thread for a shard")?;
-            closed.push(is_closed);
-            over.push(is_over);
+                .context("can't start a thread for a shard")?;
+            closed.push(closed_receiver);
+            ended.push(ended_receiver);
         }
         let stop = Arc::new(Notify::new());
-        let dealing = spawn_local(dealer.deal(listener, ready, stop.clone(), shared));
-        Ok(Shards { stage, stop, dealing, closed, over })
+        let dispatching = spawn_local(dispatcher.dispatch(listener, ready, stop.clone(), shared));
+        Ok(Shards { stage, stop, dispatching, closed, ended })
     }
 
-    /// From now on each answer ends its connection.
-    pub(crate) fn leave(&self) {
-        self.stage.send_replace(Stage::Leaving);
+    /// From now on, each answer closes its connection.
+    pub(crate) fn drain(&self) {
+        self.stage.send_replace(Stage::Draining);
     }
 
-    /// Accepts what the kernel has, and no more.
+    /// Accepts the connections in the kernel's queue, and no more after these.
     pub(crate) async fn stop(&mut self) {
         self.stop.notify_one();
-        let _ = timeout(LAST_ANSWERS, &mut self.dealing).await;
+        let _ = timeout(LAST_ANSWER_TIMEOUT, &mut self.dispatching).await;
     }
 
-    /// Ends connections as soon as they have no request open, and waits for that.
+    /// Closes connections as soon as they have no request open, and waits for that, for no longer than
+    /// `wait`.
     pub(crate) async fn close(&mut self, wait: Duration) {
         self.stage.send_replace(Stage::Closing);
         let all = async {
@@ -92,63 +93,63 @@
         let _ = timeout(wait, all).await;
     }
 
-    /// Everything has its answer: the last are written, and the threads end.
+    /// Every request has its answer: waits until the last answers are written and the threads end.
     pub(crate) async fn end(self) {
-        self.stage.send_replace(Stage::Answered);
+        self.stage.send_replace(Stage::AllAnswered);
         let all = async {
-            for over in self.over {
-                let _ = over.await;
+            for ended in self.ended {
+                let _ = ended.await;
             }
         };
-        // One that stands still can't be waited for.
-        let _ = timeout(2 * LAST_ANSWERS, all).await;
+        // A stalled shard can't be waited for.
+        let _ = timeout(2 * LAST_ANSWER_TIMEOUT, all).await;
     }
 }
 
-/// One shard, to its end.
+/// Runs one shard until it ends.
 async fn run(
     shard: Shard,
     node: Handle,
-    seat: Arc<Seat>,
+    queue: Arc<ShardQueue>,
     mut stages: watch::Receiver<Stage>,
     closed: oneshot::Sender<()>,
 ) {
-    let clients = Rc::new(Clients::new(shard.config(), shard.handle(), node).at(seat.clone()));
+    let clients = Rc::new(Clients::new(shard.config(), shard.handle(), node).with_queue(queue.clone()));
     let engine = spawn_local(shard.run());
-    let swept = clients.clone();
-    spawn_local(async move { swept.sweep().await });
-    let (dealt, taken) = (clients.clone(), seat.clone());
+    let clients_to_sweep = clients.clone();
+    spawn_local(async move { clients_to_sweep.sweep().await });
+    let (clients_to_serve, pending_queue) = (clients.clone(), queue.clone());
     spawn_local(async move {
         loop {
-            for stream in taken.take().await {
+            for stream in pending_queue.take().await {
                 match TcpStream::from_std(stream) {
-                    Ok(stream) => dealt.clone().adopt(stream),
-                    Err(_) => taken.ended(),
+                    Ok(stream) => clients_to_serve.clone().start_connection(stream),
+                    Err(_) => pending_queue.connection_ended(),
                 }
             }
         }
     });
-    let pressed = clients.clone();
+    let clients_to_close = clients.clone();
     spawn_local(async move {
         loop {
-            seat.room_wanted().await;
-            pressed.make_room();
+            queue.room_requested().await;
+            clients_to_close.make_room();
         }
     });
-    let mut reached = async |stage: Stage| {
-        // The sender lives until all shards are over.
+    let mut wait_for_stage = async |stage: Stage| {
+        // The sender lives until all shards have ended.
         let _ = stages.wait_for(|now| *now >= stage).await;
     };
-    reached(Stage::Leaving).await;
-    clients.leave();
-    reached(Stage::Closing).await;
+    wait_for_stage(Stage::Draining).await;
+    clients.drain();
+    wait_for_stage(Stage::Closing).await;
     tokio::select! {
         () = clients.close() => {
             let _ = closed.send(());
-            reached(Stage::Answered).await;
+            wait_for_stage(Stage::AllAnswered).await;
         }
-        () = reached(Stage::Answered) => {
-            let _ = timeout(LAST_ANSWERS, clients.close()).await;
+        () = wait_for_stage(Stage::AllAnswered) => {
+            let _ = timeout(LAST_ANSWER_TIMEOUT, clients.close()).await;
         }
     }
     let _ = engine.await;
