--- a/crates/dunelinkd/src/demo/mod.rs
+++ b/crates/dunelinkd/src/demo/mod.rs
@@ -125,8 +125,8 @@
     println!("{}", dashboard.borrow().summary(&counts));
     let (duplicate_orders, requests_after_drain) = servers.violations();
     println!(
-        "orders that ran twice: {duplicate_orders}; requests to a server more than 1 s after its drain began: \
-         {requests_after_drain}"
+        "orders that ran twice: {duplicate_orders}; requests to a server more than 1 s after its drain \
+         began: {requests_after_drain}"
     );
     if duplicate_orders + requests_after_drain > 0 {
         bail!("a rule was broken");
--- a/crates/dunelinkd/src/graphql.rs
+++ b/crates/dunelinkd/src/graphql.rs
@@ -74,9 +74,7 @@
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         let is_body = self.file.extension().is_some_and(|extension| extension == "json");
         if is_body && (self.get || self.operation.is_some() || self.variables.is_some()) {
-            bail!(
-                "{name}: --get, --operation and --variables can't be combined with a JSON body, which sets all of them"
-            );
+            bail!("{name}: a JSON body can't be combined with --get, --operation and --variables");
         }
         let post = |body: &Bytes| {
             reader.read(Request {
--- a/crates/dunelinkd/src/lab.rs
+++ b/crates/dunelinkd/src/lab.rs
@@ -135,8 +135,8 @@
     }
     if breaches > 0 {
         eprintln!(
-            "dunelink: rules were broken {breaches} times; `dunelink lab shrink` finds the shortest timeline that \
-             breaks one"
+            "dunelink: rules were broken {breaches} times; `dunelink lab shrink` finds the shortest timeline \
+             that breaks one"
         );
     }
     Ok(())
--- a/crates/dunelinkd/src/serve.rs
+++ b/crates/dunelinkd/src/serve.rs
@@ -239,7 +239,7 @@
                 discovery_mover.move_to(address);
             }
             (Ok(_), _) => {
-                warn!(target: "node", "{path}: only the address of discovery and GraphQL documents can change at run time")
+                warn!(target: "node", "{path}: only discovery's address and GraphQL documents can be reloaded")
             }
             (Err(error), _) => error!(target: "node", "{error}; the previous configuration stays in use"),
         }
--- a/crates/dunelinkd/tests/conformance/main.rs
+++ b/crates/dunelinkd/tests/conformance/main.rs
@@ -1,4 +1,4 @@
-//! The conformance suite against the daemon.
+//! Runs the conformance suite against the daemon.
 
 #[path = "../process/mod.rs"]
 mod process;
@@ -9,12 +9,12 @@
 use testkit::conformance::Subject;
 use testkit::peers::Answers;
 
-/// The daemon with so many shards, between which connections are dealt out.
+/// The daemon with this number of shards, to which connections are dispatched.
 struct Daemon<const SHARDS: u32>(process::Process);
 
 impl<const SHARDS: u32> Subject for Daemon<SHARDS> {
     fn start(config: &Value) -> Self {
-        // The platform's form has no shards.
+        // The platform's format has no setting for shards.
         if SHARDS == 1 {
             return Daemon(process::Process::start(process::program(), &config.to_string()));
         }
--- a/crates/dunelinkd/tests/fleet/main.rs
+++ b/crates/dunelinkd/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! Several processes with faults between them, on the rig: what the fleet promises, held against all that was seen.
+//! Several processes with injected faults, on the test rig: the guarantees of the fleet, checked against the
+//! recording.
 
 mod half;
 mod hard;
@@ -14,14 +15,14 @@
 use testkit::rig::{Plan, Rig, classes, listed};
 
 const DEADLINE: Duration = Duration::from_millis(1500);
-/// What a busy machine may add to an answer, or to hearing of a list.
+/// Delay that a busy machine may add to an answer or to the delivery of a list.
 const SLACK: Duration = Duration::from_millis(1000);
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-/// So many nodes that gossip, and eight servers in two dedup groups.
+/// A plan with this number of gossiping nodes, and eight servers in two dedup groups.
 fn plan(nodes: usize) -> Plan {
     Plan {
         program: PathBuf::from(env!("CARGO_BIN_EXE_dunelink")),
@@ -51,64 +52,64 @@
     }
 }
 
-/// The rules held; tells how many were served.
-fn kept(rig: &mut Rig, rules: &Rules) -> usize {
+/// Asserts that the rules held; returns the number of served requests.
+fn assert_rules_hold(rig: &mut Rig, rules: &Rules) -> usize {
     rig.rest();
-    let (sum, breaches) = check(&rig.record.entries(), rules);
-    println!("{sum:?}");
+    let (summary, breaches) = check(&rig.record.entries(), rules);
+    println!("{summary:?}");
     assert!(breaches.is_empty(), "{}\n{}", breaches.join("\n"), rig.story());
-    sum.served
+    summary.served
 }
 
-/// A time line of faults under load, and all agree within 5 s of its end.
-fn plays(nodes: usize, seed: u64, span: Duration) {
+/// Plays a random time line of faults under load; all nodes have to agree within 5 s of its end.
+fn play_time_line(nodes: usize, seed: u64, span: Duration) {
     let mut rig = Rig::new(plan(nodes));
     rig.found();
-    let line = TimeLine::drawn(seed, nodes, 8, span);
-    println!("{line}");
+    let time_line = TimeLine::drawn(seed, nodes, 8, span);
+    println!("{time_line}");
     rig.load(&load(2));
-    rig.play(&line);
+    rig.play(&time_line);
     let healed = rig.record.now();
     rig.found();
-    let took = rig.record.now() - healed;
-    println!("all agree {took:?} after the end of seed {seed}");
-    assert!(took < seconds(5.0), "{took:?}\n{}", rig.story());
-    assert!(kept(&mut rig, &rules()) > 0);
+    let elapsed = rig.record.now() - healed;
+    println!("all agree {elapsed:?} after the end of seed {seed}");
+    assert!(elapsed < seconds(5.0), "{elapsed:?}\n{}", rig.story());
+    assert!(assert_rules_hold(&mut rig, &rules()) > 0);
 }
 
 #[test]
-fn the_rules_hold_on_time_lines_of_faults() {
+fn rules_hold_with_random_faults() {
     for seed in [1, 2, 3] {
-        plays(5, seed, seconds(8.0));
+        play_time_line(5, seed, seconds(8.0));
     }
 }
 
-/// Thirty of them: `cargo test --test fleet -- --ignored`.
+/// Thirty time lines: `cargo test --test fleet -- --ignored`.
 #[test]
 #[ignore = "takes some ten minutes"]
-fn the_rules_hold_on_thirty_time_lines() {
+fn rules_hold_on_thirty_time_lines() {
     for seed in 100..130 {
-        plays(if seed % 3 == 0 { 9 } else { 5 }, seed, seconds(15.0));
+        play_time_line(if seed % 3 == 0 { 9 } else { 5 }, seed, seconds(15.0));
     }
 }
 
-/// What a checker says of a recording in which each rule is broken once.
+/// The checker reports each violation in recordings that break one rule each.
 #[test]
-fn the_checker_finds_what_breaks_a_rule() {
+fn checker_finds_violations() {
     use testkit::rig::record::Entry;
     let at = |ms: u64, what: What| Entry { at: Duration::from_millis(ms), what };
     let asked = |id: u64, class: Class| What::Asked { node: 0, id, class };
     let came = |server: usize, id: u64, class: Class| What::Came { server, node: 0, id, class };
-    let good = || {
+    let valid = || {
         vec![
             at(0, asked(1, Class::Order)),
             at(5, came(0, 1, Class::Order)),
             at(9, What::Answered { id: 1, status: 200 }),
         ]
     };
-    let breaches = |more: Vec<Entry>| check(&[good(), more].concat(), &rules()).1;
+    let breaches = |added: Vec<Entry>| check(&[valid(), added].concat(), &rules()).1;
     assert!(breaches(Vec::new()).is_empty());
-    let broken = [
+    let violations = [
         vec![at(10, asked(2, Class::View))],
         vec![at(10, asked(2, Class::View)), at(9_000, What::Answered { id: 2, status: 200 })],
         vec![at(10, asked(2, Class::View)), at(20, What::Answered { id: 2, status: 0 })],
@@ -122,17 +123,17 @@
             at(3_000, came(3, 2, Class::View)),
         ],
     ];
-    for more in broken {
-        assert_eq!(breaches(more.clone()).len(), 1, "{more:?}: {:?}", breaches(more.clone()));
+    for added in violations {
+        assert_eq!(breaches(added.clone()).len(), 1, "{added:?}: {:?}", breaches(added.clone()));
     }
-    // Killed, or standing still, a node is excused.
+    // Requests at a node that is killed or paused are exempt.
     let killed = vec![at(10, asked(2, Class::View)), at(20, What::Caused(Fault::Kill(0)))];
     assert!(breaches(killed).is_empty());
-    let slept = vec![
+    let paused = vec![
         at(10, asked(2, Class::View)),
         at(20, What::Caused(Fault::Pause(0))),
         at(9_000, What::Caused(Fault::Wake(0))),
         at(9_500, What::Answered { id: 2, status: 504 }),
     ];
-    assert!(breaches(slept).is_empty());
+    assert!(breaches(paused).is_empty());
 }
--- a/crates/dunelinkd/tests/fleet/views.rs
+++ b/crates/dunelinkd/tests/fleet/views.rs
@@ -1,121 +1,127 @@
-//! What the fleet decides, on real processes: views, leases, sides of cuts, and the parts that follow from them.
+//! Decisions of the fleet on real processes: views, leases, sides of partitions, and the traffic shares that
+//! follow.
 
 use super::*;
 
-pub(super) const LEASE: f64 = 2.0;
+pub(super) const LEASE_S: f64 = 2.0;
 
-pub(super) fn deciding(nodes: usize) -> Plan {
+pub(super) fn plan_with_electors(nodes: usize) -> Plan {
     let electors: Vec<String> = (0..nodes).map(|node| format!("\"n{node}\"")).collect();
-    Plan { gossip: format!("electors = [{}]\nlease = \"{LEASE}s\"", electors.join(", ")), ..plan(nodes) }
+    Plan { gossip: format!("electors = [{}]\nlease = \"{LEASE_S}s\"", electors.join(", ")), ..plan(nodes) }
 }
 
-/// What a node says of how it stands.
+/// The state of a node, as its admin endpoint reports it.
 #[derive(Clone, Debug)]
-pub(super) struct Stands {
+pub(super) struct NodeStatus {
     side: String,
     epoch: String,
-    holds: bool,
-    part: f64,
+    holds_name: bool,
+    share: f64,
     members: usize,
 }
 
-fn stands(rig: &Rig, node: usize) -> Option<Stands> {
-    let told = rig.ask(node, "fleet")?;
-    let (first, rest) = told.split_once('\n')?;
-    let of = |key: &str| {
+fn node_status(rig: &Rig, node: usize) -> Option<NodeStatus> {
+    let report = rig.ask(node, "fleet")?;
+    let (first, rest) = report.split_once('\n')?;
+    let field = |key: &str| {
         first
             .split(' ')
             .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
             .unwrap_or_default()
             .to_owned()
     };
-    let name_for: u64 = of("name_for").trim_end_matches("ms").parse().ok()?;
-    Some(Stands {
-        side: of("side"),
-        epoch: of("epoch"),
-        holds: name_for > 0,
-        part: of("part").parse().ok()?,
+    let name_lease_ms: u64 = field("name_for").trim_end_matches("ms").parse().ok()?;
+    Some(NodeStatus {
+        side: field("side"),
+        epoch: field("epoch"),
+        holds_name: name_lease_ms > 0,
+        share: field("part").parse().ok()?,
         members: rest.lines().filter(|line| line.contains(" member=true ")).count(),
     })
 }
 
-pub(super) fn all(rig: &Rig, nodes: &[usize]) -> Vec<Stands> {
-    nodes.iter().filter_map(|node| stands(rig, *node)).collect()
+pub(super) fn statuses(rig: &Rig, nodes: &[usize]) -> Vec<NodeStatus> {
+    nodes.iter().filter_map(|node| node_status(rig, *node)).collect()
 }
 
-/// Whether these agree on one view with so many members, and hold their names under it.
-pub(super) fn agree(rig: &Rig, nodes: &[usize], members: usize) -> bool {
-    let stand = all(rig, nodes);
-    let one =
-        stand.first().is_some_and(|first| stand.iter().all(|s| s.epoch == first.epoch && s.epoch != "none"));
-    one && stand.len() == nodes.len() && stand.iter().all(|s| s.holds && s.members == members)
+/// Whether these nodes agree on one view with this number of members, and hold the leases of their names
+/// under it.
+pub(super) fn agree_on_view(rig: &Rig, nodes: &[usize], members: usize) -> bool {
+    let statuses = statuses(rig, nodes);
+    let same_epoch = statuses
+        .first()
+        .is_some_and(|first| statuses.iter().all(|s| s.epoch == first.epoch && s.epoch != "none"));
+    same_epoch
+        && statuses.len() == nodes.len()
+        && statuses.iter().all(|s| s.holds_name && s.members == members)
 }
 
-pub(super) fn sum(stand: &[Stands]) -> f64 {
-    stand.iter().map(|stands| stands.part).sum()
+pub(super) fn total_share(statuses: &[NodeStatus]) -> f64 {
+    statuses.iter().map(|node_status| node_status.share).sum()
 }
 
-/// Watches for a while: what all nodes together take, at most, and how much that is at the end.
-fn watched(rig: &Rig, nodes: &[usize], span: Duration) -> (f64, f64) {
+/// Watches the nodes for a span of time; returns the highest and the last sum of their traffic shares.
+fn watch_shares(rig: &Rig, nodes: &[usize], span: Duration) -> (f64, f64) {
     let until = rig.record.now() + span;
-    let (mut most, mut last) = (0.0_f64, 0.0);
+    let (mut max_share, mut last_share) = (0.0_f64, 0.0);
     while rig.record.now() < until {
-        last = sum(&all(rig, nodes));
-        most = most.max(last);
+        last_share = total_share(&statuses(rig, nodes));
+        max_share = max_share.max(last_share);
         std::thread::sleep(Duration::from_millis(50));
     }
-    (most, last)
+    (max_share, last_share)
 }
 
 pub(super) const ALL: [usize; 5] = [0, 1, 2, 3, 4];
 
-/// Whole parts take some steps.
-pub(super) fn whole(rig: &Rig, nodes: &[usize], members: usize) {
-    rig.wait("one view", || agree(rig, nodes, members));
-    rig.wait("whole parts", || (sum(&all(rig, nodes)) - 1.0).abs() < 0.01);
+/// Waits until the nodes agree on a view and their shares add up to 1; shares grow in several steps.
+pub(super) fn wait_for_full_shares(rig: &Rig, nodes: &[usize], members: usize) {
+    rig.wait("one view", || agree_on_view(rig, nodes, members));
+    rig.wait("shares that add up to 1", || (total_share(&statuses(rig, nodes)) - 1.0).abs() < 0.01);
 }
 
 #[test]
-fn a_cut_leaves_parts_within_their_bound_and_heals_in_five_seconds() {
-    let mut rig = Rig::new(deciding(5));
-    whole(&rig, &ALL, 5);
+fn partition_keeps_shares_bounded_and_heals() {
+    let mut rig = Rig::new(plan_with_electors(5));
+    wait_for_full_shares(&rig, &ALL, 5);
     rig.load(&load(2));
     rig.cause(Fault::Cut(vec![vec![0, 1], vec![2, 3, 4]]));
-    // While leases run on nobody else takes their part; then the floors come on top.
-    let (most, last) = watched(&rig, &ALL, seconds(9.0));
-    println!("2|3: at most {most:.3}, then {last:.3}; {:?}", all(&rig, &ALL));
-    assert!(most <= 1.1 + 1e-6, "{most}\n{}", rig.story());
-    rig.wait("the minority to know", || {
-        let few = all(&rig, &ALL[..2]);
-        few.len() == 2 && few.iter().all(|s| s.side == "minority" && !s.holds && s.part > 0.0)
+    // While leases are valid, no other node takes their shares; after that, the minimum shares are added.
+    let (max_share, last_share) = watch_shares(&rig, &ALL, seconds(9.0));
+    println!("2|3: at most {max_share:.3}, then {last_share:.3}; {:?}", statuses(&rig, &ALL));
+    assert!(max_share <= 1.1 + 1e-6, "{max_share}\n{}", rig.story());
+    rig.wait("the minority to detect its side", || {
+        let minority = statuses(&rig, &ALL[..2]);
+        minority.len() == 2 && minority.iter().all(|s| s.side == "minority" && !s.holds_name && s.share > 0.0)
     });
-    rig.wait("the majority's view", || agree(&rig, &ALL[2..], 3));
-    rig.wait("its whole parts", || {
-        let many = all(&rig, &ALL[2..]);
-        many.len() == 3 && many.iter().all(|s| s.side == "majority" && (s.part - 1.0 / 3.0).abs() < 0.01)
+    rig.wait("the majority's view", || agree_on_view(&rig, &ALL[2..], 3));
+    rig.wait("the majority's full shares", || {
+        let majority = statuses(&rig, &ALL[2..]);
+        majority.len() == 3
+            && majority.iter().all(|s| s.side == "majority" && (s.share - 1.0 / 3.0).abs() < 0.01)
     });
     rig.cause(Fault::Heal);
     let healed = rig.record.now();
-    rig.wait("one view of all", || agree(&rig, &ALL, 5));
-    let took = rig.record.now() - healed;
-    println!("all agree {took:?} after the cut");
-    assert!(took < seconds(5.0), "{took:?}\n{}", rig.story());
-    let (most, _) = watched(&rig, &ALL, seconds(3.0));
-    assert!(most <= 1.1 + 1e-6, "{most}");
-    kept(&mut rig, &rules());
+    rig.wait("one view of all", || agree_on_view(&rig, &ALL, 5));
+    let elapsed = rig.record.now() - healed;
+    println!("all agree {elapsed:?} after the cut");
+    assert!(elapsed < seconds(5.0), "{elapsed:?}\n{}", rig.story());
+    let (max_share, _) = watch_shares(&rig, &ALL, seconds(3.0));
+    assert!(max_share <= 1.1 + 1e-6, "{max_share}");
+    assert_rules_hold(&mut rig, &rules());
 }
 
 #[test]
-fn a_node_that_stood_still_for_longer_than_its_lease_holds_nothing_when_it_wakes() {
-    let mut rig = Rig::new(deciding(5));
-    whole(&rig, &ALL, 5);
+fn paused_node_loses_its_lease() {
+    let mut rig = Rig::new(plan_with_electors(5));
+    wait_for_full_shares(&rig, &ALL, 5);
     rig.cause(Fault::Pause(4));
-    rig.wait("the others' view", || agree(&rig, &[0, 1, 2, 3], 4));
+    rig.wait("the others' view", || agree_on_view(&rig, &[0, 1, 2, 3], 4));
     rig.cause(Fault::Wake(4));
-    let told = || rig.record.log(4).iter().any(|line| line.contains("of=\"name n4\" held=false"));
-    rig.wait("it to know", told);
-    rig.wait("one view of all", || agree(&rig, &ALL, 5));
-    // Of all that the fleet decides, it says first that it holds nothing any more.
+    let report = || rig.record.log(4).iter().any(|line| line.contains("of=\"name n4\" held=false"));
+    rig.wait("the node to lose its lease", report);
+    rig.wait("one view of all", || agree_on_view(&rig, &ALL, 5));
+    // Of all events of the fleet, the node first logs that it no longer holds its lease.
     let entries = rig.record.entries();
     let woke = entries.iter().position(|entry| matches!(entry.what, What::Caused(Fault::Wake(4)))).unwrap();
     let after = entries[woke..].iter().find_map(|entry| match &entry.what {
@@ -130,18 +136,21 @@
 }
 
 #[test]
-fn without_a_majority_the_rest_serves_on_and_says_so_and_a_new_one_is_founded() {
-    let mut rig = Rig::new(deciding(5));
-    whole(&rig, &ALL, 5);
+fn minority_serves_and_new_majority_forms() {
+    let mut rig = Rig::new(plan_with_electors(5));
+    wait_for_full_shares(&rig, &ALL, 5);
     rig.load_at([3, 4], &load(2));
     (0..3).for_each(|node| rig.cause(Fault::Kill(node)));
-    rig.wait("a minority", || all(&rig, &[3, 4]).iter().all(|s| s.side == "minority" && !s.holds));
+    rig.wait("a minority", || statuses(&rig, &[3, 4]).iter().all(|s| s.side == "minority" && !s.holds_name));
     let before = rig.record.entries().len();
     std::thread::sleep(seconds(3.0));
     let served =
         |entry: &testkit::rig::record::Entry| matches!(entry.what, What::Answered { status: 200, .. });
-    assert!(rig.record.entries()[before..].iter().filter(|entry| served(entry)).count() > 20, "it serves on");
+    assert!(
+        rig.record.entries()[before..].iter().filter(|entry| served(entry)).count() > 20,
+        "the minority continues serving"
+    );
     (0..3).for_each(|node| rig.cause(Fault::Start(node)));
-    rig.wait("a new view of all", || agree(&rig, &ALL, 5));
-    kept(&mut rig, &rules());
+    rig.wait("a new view of all", || agree_on_view(&rig, &ALL, 5));
+    assert_rules_hold(&mut rig, &rules());
 }
--- a/crates/dunelinkd/tests/gossip/main.rs
+++ b/crates/dunelinkd/tests/gossip/main.rs
@@ -1,4 +1,5 @@
-//! Nodes that gossip, as real processes on loopback: a stall that some see is known to all, and a liar does little.
+//! Gossip between real processes on loopback: a stall observed by some nodes becomes known to all, and a node
+//! that lies has little effect.
 
 #[path = "../process/mod.rs"]
 mod process;
@@ -18,8 +19,8 @@
 use testkit::rig::record::{Class, Entry, What};
 use testkit::rig::{Plan, Rig, classes, listed};
 
-const CEILING: u32 = 16 * 1024;
-const SERVERS: usize = 8;
+const MAX_BYTES_PER_SECOND: u32 = 16 * 1024;
+const SERVER_COUNT: usize = 8;
 
 fn plan(nodes: usize, more: usize, gossips: bool) -> Plan {
     Plan {
@@ -27,38 +28,38 @@
         folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR")),
         nodes,
         more,
-        servers: (0..SERVERS).map(|_| listed("", 0)).collect(),
+        servers: (0..SERVER_COUNT).map(|_| listed("", 0)).collect(),
         zone: |_| "",
         gossips,
         top: String::new(),
-        gossip: format!("ceiling = {CEILING}"),
+        gossip: format!("ceiling = {MAX_BYTES_PER_SECOND}"),
         fleet: String::new(),
         tables: classes(Duration::from_millis(1500)),
     }
 }
 
-/// Clients that ask for views alone.
+/// Load of clients that send only requests of class `view`.
 fn load() -> Load {
     let (pause, deadline) = (Duration::from_millis(8), Duration::from_millis(1500));
     Load { clients: 3, pause, classes: vec![Class::View], deadline }
 }
 
-/// What a node's operators see.
-fn seen(rig: &Rig, node: usize, what: &str) -> String {
+/// The output of an operator command on a node.
+fn operator_output(rig: &Rig, node: usize, what: &str) -> String {
     let control = rig.door(node).to_string();
     let out =
         Command::new(env!("CARGO_BIN_EXE_dunelink")).args([what, "--control", &control]).output().unwrap();
     String::from_utf8(out.stdout).unwrap()
 }
 
-/// The doubt about the first server that operators are told of.
-fn doubt(told: &str) -> f64 {
-    told.split("doubt=").nth(1).unwrap().split_whitespace().next().unwrap().parse().unwrap()
+/// The suspicion level of the first server in the output of `dunelink suspicions`.
+fn suspicion_level(output: &str) -> f64 {
+    output.split("doubt=").nth(1).unwrap().split_whitespace().next().unwrap().parse().unwrap()
 }
 
-/// How many requests came to each server in a span.
-fn came(entries: &[Entry], from: Duration, to: Duration) -> Vec<usize> {
-    let mut count = vec![0; SERVERS];
+/// Number of requests that each server received in a span of time.
+fn request_counts(entries: &[Entry], from: Duration, to: Duration) -> Vec<usize> {
+    let mut count = vec![0; SERVER_COUNT];
     for entry in entries.iter().filter(|entry| (from..to).contains(&entry.at)) {
         if let What::Came { server, .. } = entry.what {
             count[server] += 1;
@@ -67,21 +68,21 @@
     count
 }
 
-/// The first server's part, for each that another has on average.
-fn part(came: &[usize]) -> f64 {
-    came[0] as f64 / (came[1..].iter().sum::<usize>() as f64 / (SERVERS - 1) as f64)
+/// Requests of the first server, relative to the average of the others.
+fn relative_load(request_counts: &[usize]) -> f64 {
+    request_counts[0] as f64 / (request_counts[1..].iter().sum::<usize>() as f64 / (SERVER_COUNT - 1) as f64)
 }
 
-/// What a stall of one of eight servers costs five nodes, in its first two seconds and in two more.
+/// The cost of a stall of one of eight servers to five nodes, in its first two seconds and in the two after.
 #[derive(Debug)]
-struct Paid {
-    /// Requests that it had in each of them.
+struct StallCost {
+    /// Requests that the stalled server received in each of the two spans.
     sent: (usize, usize),
-    /// The same, for each that another server had in the second.
-    part: f64,
+    /// Its requests in the second span, relative to the average of the others.
+    relative_load: f64,
 }
 
-fn stall(gossips: bool) -> Paid {
+fn stall_cost(gossips: bool) -> StallCost {
     let mut rig = Rig::new(plan(5, 0, gossips));
     if gossips {
         rig.found();
@@ -90,43 +91,51 @@
     let two = Duration::from_secs(2);
     thread::sleep(two);
     rig.cause(Fault::Conduct(0, Conduct::Silent));
-    let began = rig.record.now();
+    let start = rig.record.now();
     thread::sleep(two);
-    let found = rig.record.now();
+    let first_end = rig.record.now();
     thread::sleep(two);
-    let ended = rig.record.now();
+    let second_end = rig.record.now();
     if gossips {
         for node in 0..5 {
-            let told = seen(&rig, node, "suspicions");
-            assert!(told.starts_with("s0 doubt=") && doubt(&told) >= 0.5, "{told}");
-            assert!(told.matches("strength=").count() >= 2, "who says so: {told}");
-            let members = seen(&rig, node, "members");
+            let output = operator_output(&rig, node, "suspicions");
+            assert!(output.starts_with("s0 doubt=") && suspicion_level(&output) >= 0.5, "{output}");
+            assert!(output.matches("strength=").count() >= 2, "several witnesses: {output}");
+            let members = operator_output(&rig, node, "members");
             let bytes: u64 =
                 members.split("sent_bytes=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
-            assert!(bytes < u64::from(CEILING) * 12, "{members}");
+            assert!(bytes < u64::from(MAX_BYTES_PER_SECOND) * 12, "{members}");
         }
     }
     rig.rest();
     let entries = rig.record.entries();
-    let (first, second) = (came(&entries, began, found), came(&entries, found, ended));
-    Paid { sent: (first[0], second[0]), part: part(&second) }
+    let (first, second) =
+        (request_counts(&entries, start, first_end), request_counts(&entries, first_end, second_end));
+    StallCost { sent: (first[0], second[0]), relative_load: relative_load(&second) }
 }
 
 #[test]
-fn a_stalled_server_is_avoided_by_all_within_two_seconds() {
-    let (with, without) = (stall(true), stall(false));
+fn stalled_server_is_avoided_within_two_seconds() {
+    let (with, without) = (stall_cost(true), stall_cost(false));
     println!("with gossip: {with:?}\nwithout: {without:?}");
-    assert!(with.part < 0.25, "{with:?}");
-    // Who is told pays less than who finds out alone, again and again.
+    assert!(with.relative_load < 0.25, "{with:?}");
+    // Nodes that learn of the stall by gossip lose fewer requests than nodes that each have to detect it.
     assert!(4 * with.sent.1 <= 3 * without.sent.1, "{with:?}, {without:?}");
 }
 
-/// A peer that is what it says it is, and lies of the first server.
-fn lie(settings: Settings, ring: KeyRing, secret: Secret, at: SocketAddr, server: u64, until: Instant) {
+/// Runs a peer with valid keys that gossips false observations of one server.
+fn run_lying_peer(
+    settings: Settings,
+    ring: KeyRing,
+    secret: Secret,
+    at: SocketAddr,
+    server: u64,
+    until: Instant,
+) {
     let socket = UdpSocket::bind(at).unwrap();
     socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-    let began = Instant::now();
-    let now = || began.elapsed().as_micros() as u64;
+    let start = Instant::now();
+    let now = || start.elapsed().as_micros() as u64;
     let mut gossip = Gossip::new(settings, ring, secret, now()).unwrap();
     let (mut bytes, mut out) = ([0; 2000], Vec::new());
     while Instant::now() < until {
@@ -134,8 +143,9 @@
             Ok((length, from)) => gossip.handle(now(), Input::Packet(from, &bytes[..length]), &mut out),
             Err(_) => gossip.handle(now(), Input::Tick, &mut out),
         }
-        let lie = ServerObservation { server, suspicion: 1.0, recent_answers: 0, sample_count: 60_000 };
-        gossip.handle(now(), Input::Observations(vec![lie]), &mut out);
+        let false_observation =
+            ServerObservation { server, suspicion: 1.0, recent_answers: 0, sample_count: 60_000 };
+        gossip.handle(now(), Input::Observations(vec![false_observation]), &mut out);
         for output in out.drain(..) {
             if let Output::Send(to, bytes) = output {
                 let _ = socket.send_to(&bytes, to);
@@ -145,7 +155,7 @@
 }
 
 #[test]
-fn a_lying_peer_takes_no_more_than_its_bound_from_a_healthy_server() {
+fn lying_peer_has_bounded_effect() {
     let mut rig = Rig::new(plan(4, 1, true));
     let id = dunelink::Server::new("s0", ([127, 0, 0, 1], 1).into()).id();
     let until = Instant::now() + Duration::from_secs(14);
@@ -158,28 +168,36 @@
         address: front,
         seeds: vec![rig.place(0).1],
         probe_period: 500_000,
-        max_bytes_per_second: CEILING,
+        max_bytes_per_second: MAX_BYTES_PER_SECOND,
         configured_nodes: 5,
         seed: 77,
         first_statement_number: 1,
     };
-    let liar = thread::spawn(move || lie(settings, ring, secret, at, id, until));
+    let liar = thread::spawn(move || run_lying_peer(settings, ring, secret, at, id, until));
     for node in 0..4 {
-        rig.wait("the lie", || seen(&rig, node, "suspicions").starts_with("s0 doubt="));
-        let told = seen(&rig, node, "suspicions");
-        assert!(doubt(&told) <= max_false_suspicion(1, 5) + 0.01, "{told}");
+        rig.wait("the false suspicion", || {
+            operator_output(&rig, node, "suspicions").starts_with("s0 doubt=")
+        });
+        let output = operator_output(&rig, node, "suspicions");
+        assert!(suspicion_level(&output) <= max_false_suspicion(1, 5) + 0.01, "{output}");
     }
     rig.load_at(0..4, &load());
-    let began = rig.record.now();
+    let start = rig.record.now();
     thread::sleep(Duration::from_secs(9));
-    let came = came(&rig.record.entries(), began, rig.record.now());
+    let request_counts = request_counts(&rig.record.entries(), start, rig.record.now());
     rig.rest();
-    // A quarter at most, by the bound; a count of so many varies by its root, and three times that is not chance.
-    let (part, chance) = (part(&came), 3.0 / (came[0].max(1) as f64).sqrt());
-    assert!(came[0] > 100 && part > 0.75 * (1.0 - chance), "it has {part} of what others have: {came:?}");
-    let told = seen(&rig, 0, "members");
-    let credit = told.lines().find(|line| line.starts_with("n4 ")).unwrap().split("credit=").nth(1).unwrap();
-    assert!(credit.parse::<f64>().unwrap() < 0.5, "own answers speak against it: {told}");
+    // The bound permits a loss of a quarter; a count varies by its square root, so the tolerance is three
+    // times that.
+    let (relative_load, tolerance) =
+        (relative_load(&request_counts), 3.0 / (request_counts[0].max(1) as f64).sqrt());
+    assert!(
+        request_counts[0] > 100 && relative_load > 0.75 * (1.0 - tolerance),
+        "relative load {relative_load}: {request_counts:?}"
+    );
+    let output = operator_output(&rig, 0, "members");
+    let credit =
+        output.lines().find(|line| line.starts_with("n4 ")).unwrap().split("credit=").nth(1).unwrap();
+    assert!(credit.parse::<f64>().unwrap() < 0.5, "answers from the server contradict the liar: {output}");
     assert!(rig.record.log(0).iter().any(|line| line.ends_with("member=\"n4\"")));
     liar.join().unwrap();
 }
@@ -188,7 +206,7 @@
     Secret::from_seed([node as u8 + 1; 32])
 }
 
-/// The ring of so many nodes, as text.
+/// The key ring of this number of nodes, as text.
 fn ring(nodes: usize) -> String {
     (0..nodes).map(|node| format!("n{node} {}\n", secret(node).public_hex())).collect()
 }
@@ -200,7 +218,7 @@
 }
 
 #[test]
-fn keys_that_can_not_be_used_are_told_of_and_end_the_start() {
+fn unusable_keys_are_reported_at_start() {
     let secret = write_secret(0);
     let open = write_as("secret", &"01".repeat(32));
     Command::new("chmod").args(["644", &open]).status().unwrap();
@@ -213,7 +231,7 @@
             ":2: gossip.ring: expected a key of 64 hexadecimal digits",
         ),
     ];
-    for (secret, ring, wanted) in cases {
+    for (secret, ring, expected) in cases {
         let ring = write_as("ring", &ring);
         let config = format!(
             "name = \"n0\"\nlisten = \"127.0.0.1:0\"\n[gossip]\nlisten = \"127.0.0.1:0\"\nsecret = \"{secret}\"\n\
@@ -221,6 +239,6 @@
         );
         let out = program().args(["run", "--config", &write_as("toml", &config)]).output().unwrap();
         let log = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && log.contains(wanted), "{log}");
+        assert!(!out.status.success() && log.contains(expected), "{log}");
     }
 }
--- a/crates/dunelinkd/tests/moments/attempts.rs
+++ b/crates/dunelinkd/tests/moments/attempts.rs
@@ -1,4 +1,4 @@
-//! What may have changed between the decision to send and the first byte.
+//! Changes between the decision to send an attempt and its first byte.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use super::*;
 
-/// Longer than a connection takes that is let in.
-const LONG: Duration = Duration::from_secs(4);
+/// Longer than an accepted connection takes to deliver a request.
+const ARRIVAL_LIMIT: Duration = Duration::from_secs(4);
 
 #[test]
-fn nothing_is_sent_for_a_client_that_went_while_its_connection_came_up() {
+fn attempt_of_disconnected_client_is_not_sent() {
     let mut late = LateServer::default();
-    // Attempts that are out can't be called off here; this one is not out yet.
+    // Attempts that were sent can't be cancelled with this setting; this one was not sent yet.
     let node = node(&[target("a", late.address, 1, "ready")], |config| {
         config["settings"]["allowed"]["cancelling"] = false.into();
     });
@@ -21,23 +21,23 @@
     client.send(&order());
     late.knocked();
     drop(client);
-    let sent = late.let_in(LONG);
+    let sent = late.let_in(ARRIVAL_LIMIT);
     assert!(sent.is_none(), "{:?}", sent.map(|(_, request)| request.first));
 }
 
 #[test]
-fn a_keyed_request_is_not_sent_again_once_its_window_has_passed_while_the_connection_came_up() {
+fn keyed_request_is_not_retried_after_its_window() {
     let mut late = LateServer::default();
     let reset = Server::new(|_, _| Act::SayAndClose(Vec::new()));
     let node = node(&[ready("a", &reset), target("b", late.address, 1, "ready")], |config| {
         config["settings"]["services"][1]["window_us"] = 500_000.into();
     });
-    // The first attempt may meet the late one: then nothing has run, and the next client's is another try.
+    // The first attempt may go to the late server; then no attempt has run.
     let mut client = node.client();
     client.send(&request("POST", "/submit/7f3a", "6.0", "Idempotency-Key: 5c0f6e1a\r\n", "hours"));
     reset.request();
     late.knocked();
-    let sent = late.let_in(LONG);
+    let sent = late.let_in(ARRIVAL_LIMIT);
     assert!(sent.is_none(), "{:?}", sent.map(|(_, request)| request.first));
     assert_eq!(client.answer().status(), 502);
 }
--- a/crates/dunelinkd/tests/moments/lists.rs
+++ b/crates/dunelinkd/tests/moments/lists.rs
@@ -1,4 +1,4 @@
-//! Lists that fall silent, end or come late.
+//! Server lists that stall, end or arrive late.
 
 use std::io::{BufReader, Read, Write};
 use std::time::{Duration, Instant};
@@ -8,39 +8,42 @@
 use super::*;
 
 #[test]
-fn while_discovery_is_silent_there_is_always_a_call_that_waits_for_it() {
+fn call_to_silent_discovery_is_always_waiting() {
     let server = Server::new(|_, _| ok("slip"));
     let node = node(&[], |_| {});
     let mut uncovered = Duration::ZERO;
     for _ in 0..4 {
         let (mut stream, _) = node.discovery.accept().unwrap();
         Message::read(&mut BufReader::new(&mut stream)).expect("a call");
-        // It is given up in time; meanwhile what the list says would have gone out on it.
+        // The node gives the call up in time; until then an update would have been received on it.
         while stream.read(&mut [0; 64]).is_ok_and(|bytes| bytes > 0) {}
         let ended = Instant::now();
         let next = node.discovery.accept().unwrap();
         uncovered += ended.elapsed();
         drop(next);
     }
-    assert!(uncovered < Duration::from_millis(700), "no call was out for {uncovered:?} between five");
+    assert!(
+        uncovered < Duration::from_millis(700),
+        "no call was waiting for {uncovered:?} between five calls"
+    );
     Watch::accept(&node.discovery).changes(42, &[ready("a", &server)]);
     wait_for("the list", || node.client().ask(&view()).status() == 200);
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_do_not_keep_the_list_away() {
+fn list_arrives_while_idle_clients_fill_descriptors() {
     let server = Server::new(|_, _| ok("slip"));
-    let node = Node::with(&[], 64);
-    // Discovery answers nobody while they come.
-    let crowd: Vec<Client> = (0..200).map(|_| node.client()).collect();
+    let node = Node::with_socket_limit(&[], 64);
+    // Discovery answers no call while the clients connect.
+    let idle_clients: Vec<Client> = (0..200).map(|_| node.client()).collect();
     let list = serde_json::json!({"rev": 42, "all": true, "targets": [ready("a", &server)]}).to_string();
     let mut watches = Vec::new();
     let served = || node.client().try_ask(&view()).is_some_and(|answer| answer.status() == 200);
-    let began = Instant::now();
+    let start = Instant::now();
     while !served() {
-        assert!(began.elapsed() < WITHIN);
+        assert!(start.elapsed() < WITHIN);
         node.discovery.set_nonblocking(true).unwrap();
-        // Those that were given up meanwhile are in its queue still.
+        // Calls that the node has given up meanwhile are still in the accept queue.
         while let Ok((mut stream, _)) = node.discovery.accept() {
             stream.set_nonblocking(false).unwrap();
             let line = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
@@ -49,5 +52,5 @@
             watches.push(stream);
         }
     }
-    drop(crowd);
+    drop(idle_clients);
 }
--- a/crates/dunelinkd/tests/moments/main.rs
+++ b/crates/dunelinkd/tests/moments/main.rs
@@ -1,4 +1,5 @@
-//! Rare moments: what comes between two lines of the daemon, made to come there every time, over real connections.
+//! Rare interleavings of events with steps of the daemon, forced to occur in every run, over real
+//! connections.
 
 #[path = "../process/mod.rs"]
 mod process;
@@ -19,5 +20,5 @@
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config(discovery.local_addr().unwrap(), targets, 1024);
     change(&mut config);
-    Node::on(program(), discovery, config)
+    Node::with_discovery(program(), discovery, config)
 }
