--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -103,7 +103,7 @@
             Some(probe) => probe.sent_at + 3 * timeout,
             None => self.next_at,
         };
-        self.extra_probes.iter().map(|probe_now| probe_now.due(timeout)).fold(current, Micros::min)
+        self.extra_probes.iter().map(|probe| probe.due(timeout)).fold(current, Micros::min)
     }
 
     /// Starts a probe of an accused member out of turn, so that more members know whether it answers. `None`
@@ -119,11 +119,11 @@
 
     fn extra_probe_step(&mut self, now: Micros) -> Option<Step> {
         let timeout = self.timeout();
-        let at = self.extra_probes.iter().position(|probe_now| probe_now.due(timeout) <= now)?;
-        let probe_now = &mut self.extra_probes[at];
-        if !probe_now.repeated {
-            probe_now.repeated = true;
-            return Some(Step::Ping(probe_now.target, probe_now.number));
+        let at = self.extra_probes.iter().position(|probe| probe.due(timeout) <= now)?;
+        let probe = &mut self.extra_probes[at];
+        if !probe.repeated {
+            probe.repeated = true;
+            return Some(Step::Ping(probe.target, probe.number));
         }
         Some(Step::Failed(self.extra_probes.swap_remove(at).target))
     }
@@ -187,13 +187,13 @@
     /// expected.
     pub(crate) fn answered(&mut self, from: MemberId, number: u64) -> bool {
         let matches = |probe: &Probe| probe.target == from && probe.number == number;
-        let extra_probes = self.extra_probes.len();
+        let extra_probe_count = self.extra_probes.len();
         self.extra_probes.retain(|probe| !matches(probe));
         let matches_current = self.current.take_if(|probe| matches(probe)).is_some();
         if matches_current {
             self.record_own_health(true);
         }
-        matches_current || self.extra_probes.len() < extra_probes
+        matches_current || self.extra_probes.len() < extra_probe_count
     }
 
     /// Registers a probe on behalf of another member; returns whether there is room for it.
@@ -204,8 +204,7 @@
         target: MemberId,
         number: u64,
     ) -> bool {
-        self.relayed_probes
-            .retain(|add_relayed_probe| now.saturating_sub(add_relayed_probe.at) < RELAYED_PROBE_TTL);
+        self.relayed_probes.retain(|relayed_probe| now.saturating_sub(relayed_probe.at) < RELAYED_PROBE_TTL);
         let has_room = self.relayed_probes.len() < MAX_RELAYED_PROBES;
         if has_room {
             self.relayed_probes.push_back(RelayedProbe { number, target, requester, at: now });
@@ -215,10 +214,11 @@
 
     /// Takes the member on whose behalf this answer was requested.
     pub(crate) fn take_relayed_probe(&mut self, from: MemberId, number: u64) -> Option<MemberId> {
-        let at = self.relayed_probes.iter().position(|add_relayed_probe| {
-            add_relayed_probe.target == from && add_relayed_probe.number == number
-        })?;
-        self.relayed_probes.remove(at).map(|add_relayed_probe| add_relayed_probe.requester)
+        let at = self
+            .relayed_probes
+            .iter()
+            .position(|relayed_probe| relayed_probe.target == from && relayed_probe.number == number)?;
+        self.relayed_probes.remove(at).map(|relayed_probe| relayed_probe.requester)
     }
 
     /// This node was paused: pending probes get more time.
