--- a/crates/gossip/src/sim.rs
+++ b/crates/gossip/src/sim.rs
@@ -205,9 +205,7 @@
 
     fn wake(&mut self, node: usize) {
         let ahead = self.nodes[node].clock_ahead;
-        let Some(next) = self.nodes[node].gossip.as_ref().map(|gossip| gossip.next_wakeup() - ahead) else {
-            return;
-        };
+        let Some(next) = self.nodes[node].gossip.as_ref().map(|g| g.next_wakeup() - ahead) else { return };
         if next < self.nodes[node].wakes_at || self.nodes[node].wakes_at <= self.now {
             self.nodes[node].wakes_at = next;
             self.at(next, Event::Wake(node));
--- a/crates/view/tests/coordinator.rs
+++ b/crates/view/tests/coordinator.rs
@@ -2,8 +2,8 @@
 //! and send.
 
 use dunelink_view::{
-    Change, Coordinator, ElectorNames, Evictions, Input, LeaseBounds, LeaseKind, Micros, Output,
-    PartitionSide, Process, Refusal, Register, Settings, ViewDelta,
+    Change, Coordinator, ElectorNames, Evictions, FleetMessage, Input, LeaseBounds, LeaseKind, Micros,
+    Output, PartitionSide, Process, Refusal, Register, Settings, ViewDelta,
 };
 
 const NAMES: [u64; 5] = [1, 2, 3, 4, 5];
@@ -15,7 +15,7 @@
     is_cut: Box<dyn Fn(usize, usize) -> bool>,
     now: Micros,
     rng: fastrand::Rng,
-    in_flight: Vec<(Micros, usize, usize, dunelink_view::FleetMessage)>,
+    in_flight: Vec<(Micros, usize, usize, FleetMessage)>,
     proposers: Vec<bool>,
 }
 
@@ -270,9 +270,7 @@
     let mut message_count = 0;
     for bytes in testkit::corpus("fleet_words").iter().filter(|bytes| !bytes.is_empty()) {
         let from = Process { name: u64::from(bytes[0] % 5), instance: u64::from(bytes[0] / 5) };
-        let Ok(messages) = postcard::from_bytes::<Vec<dunelink_view::FleetMessage>>(&bytes[1..]) else {
-            continue;
-        };
+        let Ok(messages) = postcard::from_bytes::<Vec<FleetMessage>>(&bytes[1..]) else { continue };
         let me = Process { name: 1, instance: 7 };
         let mut coordinator = Coordinator::new(
             Settings {
