--- a/crates/dunelink/tests/config.rs
+++ b/crates/dunelink/tests/config.rs
@@ -395,7 +395,7 @@
     }
 
     #[test]
-    fn arbitrary_text_never_panics(text in "\\PC{0,200}", at in any::<prop::sample::Index>(), byte in any::<char>()) {
+    fn any_text_never_panics(text in "\\PC{0,200}", at in any::<prop::sample::Index>(), byte in any::<char>()) {
         let _ = Config::from_toml(&text);
         let _ = Config::from_platform(&text);
         // Neither does a valid text with one changed character.
