--- a/crates/dunelink/src/engine.rs
+++ b/crates/dunelink/src/engine.rs
@@ -13,7 +13,7 @@
     Action, AttemptEnd, AttemptNo, Balancer, Event, Micros, Outcome, Request, RequestId, ServerId,
     ServerObservation, Upload,
 };
-use dunelink_reach::ZoneReach;
+use dunelink_reach::ZoneReachability;
 use hyper::Response;
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::AbortHandle;
@@ -50,7 +50,7 @@
     /// Asks for the engine's observations of servers, which gossip sends to other nodes.
     Observations(oneshot::Sender<Vec<ServerObservation>>),
     /// Asks how servers answer this engine, by zone, which gossip sends to other nodes.
-    ZoneReach(oneshot::Sender<Vec<ZoneReach>>),
+    ZoneReach(oneshot::Sender<Vec<ZoneReachability>>),
     /// Closes the longest-idle connection, because the process is out of file descriptors.
     EvictIdleConnection,
     /// No more requests follow: the engine ends when all are answered, or at this time.
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use cherryusher::{Micros, Outcome, ServerEntry, ServerId, ServerState};
-use dunelink_reach::ZoneReach;
+use dunelink_reach::ZoneReachability;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
@@ -321,8 +321,8 @@
     }
 
     /// How servers answer, by zone. A server without recent attempts counts as neither answering nor silent.
-    pub(crate) fn zone_reach(&self) -> Vec<ZoneReach> {
-        let mut zones: BTreeMap<Arc<str>, ZoneReach> = BTreeMap::new();
+    pub(crate) fn zone_reach(&self) -> Vec<ZoneReachability> {
+        let mut zones: BTreeMap<Arc<str>, ZoneReachability> = BTreeMap::new();
         for known_server in self.known.borrow().values() {
             let silent =
                 known_server.unanswered_since.is_some_and(|since| since.elapsed() >= SILENCE_THRESHOLD);
@@ -331,9 +331,12 @@
                 && known_server.last_answer.elapsed() <= RECENT_ANSWER_WINDOW;
             let zone = zones.entry(known_server.zone.clone()).or_default();
             zone.silent = zone.silent.saturating_add(silent.into());
-            zone.answer = zone.answer.saturating_add(answers.into());
+            zone.answering = zone.answering.saturating_add(answers.into());
         }
-        let with_zone = |(zone, reach): (Arc<str>, ZoneReach)| ZoneReach { zone: zone.to_string(), ..reach };
+        let with_zone = |(zone, reach): (Arc<str>, ZoneReachability)| ZoneReachability {
+            zone: zone.to_string(),
+            ..reach
+        };
         zones.into_iter().map(with_zone).collect()
     }
 
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -181,7 +181,7 @@
         let remaining = request
             .client_timeout
             .map_or(Duration::MAX, |client_timeout| client_timeout.saturating_sub(started_at.elapsed()));
-        let failure = RequestFailure::not_configured(node.clock.age()).with_jitter().capped_for(remaining);
+        let failure = RequestFailure::not_configured(node.clock.uptime()).with_jitter().capped_for(remaining);
         return failure.local_reply().into_response(Some(&request.id));
     };
     let admission = match admit(node, &configuration, &request) {
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Context;
 use dunelink_runtime::log::logger;
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use slog::{Level, Logger, error, info};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
@@ -31,7 +31,7 @@
         print!("{HELP}");
         return ExitCode::SUCCESS;
     }
-    let boot = match Boot::load() {
+    let boot = match BootSettings::load() {
         Ok(boot) => boot,
         Err(error) => return exit_invalid(&error),
     };
@@ -53,7 +53,7 @@
     ExitCode::from(INVALID_SETTINGS_EXIT_CODE)
 }
 
-fn run(boot: Boot, log: &Logger) -> anyhow::Result<()> {
+fn run(boot: BootSettings, log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let mut signals = Signals::install().context("failed to install signal handlers")?;
