--- a/crates/dunelink/src/counts.rs
+++ b/crates/dunelink/src/counts.rs
@@ -1,11 +1,11 @@
-//! How requests ended: counted by class, by whoever learns of it, and read from any thread.
+//! RequestCounters of how requests ended, by class; updated by engines and callers and read from any thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// How requests ended since the start. Each that was taken ends up in one of `served`, `refused`, `failed` and
-/// `left`.
+/// How requests ended since the start. Every accepted request is eventually counted in one of `served`,
+/// `refused`, `failed` and `left`.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -21,22 +21,22 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that the node took.
+    /// Requests that the node accepted.
     pub taken: u64,
     /// Answered by a server.
     pub served: u64,
-    /// Turned away, where trying again is harmless.
+    /// Refused by the node; a retry is harmless.
     pub refused: u64,
-    /// Failed, with no promise.
+    /// Failed; the request may have run.
     pub failed: u64,
-    /// Their clients went away before the answer.
+    /// Abandoned: the client left before the answer.
     pub left: u64,
-    /// Not taken, as something was wrong with them; not among `taken`.
+    /// Rejected as invalid; not counted in `taken`.
     pub invalid: u64,
 }
 
 impl Counts {
-    /// Both together.
+    /// The sum of both, field by field.
     pub(crate) fn plus(self, other: Counts) -> Counts {
         Counts {
             taken: self.taken + other.taken,
@@ -63,14 +63,14 @@
 pub struct ClassCounts {
     /// Answered by a server.
     pub served: u64,
-    /// Turned away, where trying again is harmless.
+    /// Refused by the node; a retry is harmless.
     pub refused: u64,
-    /// Failed, with no promise.
+    /// Failed; the request may have run.
     pub failed: u64,
 }
 
 impl ClassCounts {
-    /// Both together.
+    /// The sum of both, field by field.
     pub(crate) fn plus(self, other: ClassCounts) -> ClassCounts {
         ClassCounts {
             served: self.served + other.served,
@@ -80,110 +80,113 @@
     }
 }
 
-/// An answer that is being passed on. Dropped before its end, its client has left.
+/// A streamed answer in progress. If it is dropped before the end of the body, its client counts as having
+/// left.
 pub(crate) struct Transfer {
-    tally: Arc<Tally>,
+    counters: Arc<RequestCounters>,
     class: usize,
-    over: bool,
+    ended: bool,
 }
 
 impl Transfer {
-    /// It came to its end.
+    /// Counts the answer as served: the body was read to its end.
     pub(crate) fn served(mut self) {
-        self.over = true;
-        self.tally.of_class(self.class, SERVED);
+        self.ended = true;
+        self.counters.increment_class(self.class, SERVED);
     }
 
-    /// It broke off.
+    /// Counts the request as failed: the body broke off.
     pub(crate) fn failed(mut self) {
-        self.over = true;
-        self.tally.of_class(self.class, FAILED);
+        self.ended = true;
+        self.counters.increment_class(self.class, FAILED);
     }
 }
 
 impl Drop for Transfer {
     fn drop(&mut self) {
-        if !self.over {
-            self.tally.left();
+        if !self.ended {
+            self.counters.count_client_left();
         }
-        self.tally.transfers.fetch_sub(1, Ordering::Relaxed);
+        self.counters.transfers.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Counts as the engine and its callers keep them.
-pub(crate) struct Tally {
-    /// By class: served, refused, failed.
+/// RequestCounters of one shard, shared by its engine and the callers.
+pub(crate) struct RequestCounters {
+    /// For each class the counts of [`SERVED`], [`REFUSED`] and [`FAILED`].
     classes: Box<[[AtomicU64; 3]]>,
     attempts: AtomicU64,
-    /// Answers that are being passed on.
+    /// Streamed answers in progress.
     transfers: AtomicU64,
     taken: AtomicU64,
     left: AtomicU64,
     invalid: AtomicU64,
-    /// Whether the list's source has told anything since the start.
-    listed: AtomicBool,
-    /// Since when the source is not heard, in milliseconds from `began` on and one; 0 while it is.
-    list_lost: AtomicU64,
-    began: Instant,
+    /// Whether the source of the server list has delivered anything since the start.
+    has_list: AtomicBool,
+    /// When the source of the list was lost, in milliseconds since `created` plus one; 0 while it is
+    /// connected.
+    list_lost_at_ms: AtomicU64,
+    created: Instant,
 }
 
-fn one_more(count: &AtomicU64) {
+fn increment(count: &AtomicU64) {
     count.fetch_add(1, Ordering::Relaxed);
 }
 
 /// How a request ended.
 #[derive(Clone, Copy)]
-pub(crate) enum How {
+pub(crate) enum FinalOutcome {
     Served,
     Refused,
     Failed,
 }
 
-const SERVED: usize = How::Served as usize;
-const REFUSED: usize = How::Refused as usize;
-const FAILED: usize = How::Failed as usize;
+const SERVED: usize = FinalOutcome::Served as usize;
+const REFUSED: usize = FinalOutcome::Refused as usize;
+const FAILED: usize = FinalOutcome::Failed as usize;
 
-impl Tally {
-    pub(crate) fn new(classes: usize) -> Tally {
-        Tally {
+impl RequestCounters {
+    pub(crate) fn new(classes: usize) -> RequestCounters {
+        RequestCounters {
             classes: (0..classes).map(|_| Default::default()).collect(),
             attempts: AtomicU64::default(),
             transfers: AtomicU64::default(),
             taken: AtomicU64::default(),
             left: AtomicU64::default(),
             invalid: AtomicU64::default(),
-            listed: AtomicBool::default(),
-            list_lost: AtomicU64::default(),
-            began: Instant::now(),
+            has_list: AtomicBool::default(),
+            list_lost_at_ms: AtomicU64::default(),
+            created: Instant::now(),
         }
     }
 
-    /// The list's source has told something.
-    pub(crate) fn heard_list(&self) {
-        self.listed.store(true, Ordering::Release);
-        self.list_lost.store(0, Ordering::Relaxed);
+    /// Records that the source of the list has delivered an update.
+    pub(crate) fn list_received(&self) {
+        self.has_list.store(true, Ordering::Release);
+        self.list_lost_at_ms.store(0, Ordering::Relaxed);
     }
 
-    /// The list's source is not heard any more.
-    pub(crate) fn lost_list(&self) {
-        let now = self.began.elapsed().as_millis() as u64 + 1;
-        let _ = self.list_lost.compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed);
+    /// Records that the source of the list is lost.
+    pub(crate) fn list_source_lost(&self) {
+        let now = self.created.elapsed().as_millis() as u64 + 1;
+        let _ = self.list_lost_at_ms.compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed);
     }
 
-    /// For how long the list's source has not been heard; nothing if it never was.
-    pub(crate) fn list_silent(&self) -> Option<Duration> {
-        let since = self.list_lost.load(Ordering::Relaxed);
-        let lost = || self.began.elapsed().saturating_sub(Duration::from_millis(since - 1));
-        self.has_list().then(|| if since == 0 { Duration::ZERO } else { lost() })
+    /// How long the source of the list has been lost; zero while it is connected, `None` if it never
+    /// delivered anything.
+    pub(crate) fn list_source_silence(&self) -> Option<Duration> {
+        let lost_at_ms = self.list_lost_at_ms.load(Ordering::Relaxed);
+        let lost_for = || self.created.elapsed().saturating_sub(Duration::from_millis(lost_at_ms - 1));
+        self.has_list().then(|| if lost_at_ms == 0 { Duration::ZERO } else { lost_for() })
     }
 
     pub(crate) fn has_list(&self) -> bool {
-        self.listed.load(Ordering::Acquire)
+        self.has_list.load(Ordering::Acquire)
     }
 
-    /// An attempt was written whole to a server.
-    pub(crate) fn attempted(&self) {
-        one_more(&self.attempts);
+    /// Counts an attempt whose request was written completely to a server.
+    pub(crate) fn count_attempt(&self) {
+        increment(&self.attempts);
     }
 
     pub(crate) fn attempts(&self) -> u64 {
@@ -194,60 +197,60 @@
         self.transfers.load(Ordering::Relaxed) as usize
     }
 
-    fn of_class(&self, class: usize, what: usize) {
+    fn increment_class(&self, class: usize, outcome: usize) {
         if let Some(counts) = self.classes.get(class) {
-            one_more(&counts[what]);
+            increment(&counts[outcome]);
         }
     }
 
     pub(crate) fn class_counts(&self) -> impl Iterator<Item = ClassCounts> {
-        let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
         self.classes.iter().map(move |counts| ClassCounts {
-            served: of(&counts[SERVED]),
-            refused: of(&counts[REFUSED]),
-            failed: of(&counts[FAILED]),
+            served: load(&counts[SERVED]),
+            refused: load(&counts[REFUSED]),
+            failed: load(&counts[FAILED]),
         })
     }
 
-    pub(crate) fn arrived(&self) {
-        one_more(&self.taken);
+    pub(crate) fn count_taken(&self) {
+        increment(&self.taken);
     }
 
-    pub(crate) fn left(&self) {
-        one_more(&self.left);
+    pub(crate) fn count_client_left(&self) {
+        increment(&self.left);
     }
 
-    pub(crate) fn invalid(&self) {
-        one_more(&self.invalid);
+    pub(crate) fn count_invalid(&self) {
+        increment(&self.invalid);
     }
 
-    /// A request that was refused without the engine.
-    pub(crate) fn turned_away(&self, class: usize) {
-        one_more(&self.taken);
-        self.of_class(class, REFUSED);
+    /// Counts a request that was refused without the engine.
+    pub(crate) fn count_refused(&self, class: usize) {
+        increment(&self.taken);
+        self.increment_class(class, REFUSED);
     }
 
-    /// An answer that counts once it has been passed on to its end.
-    pub(crate) fn passes(self: &Arc<Self>, class: usize) -> Transfer {
-        one_more(&self.transfers);
-        Transfer { tally: self.clone(), class, over: false }
+    /// Starts a streamed answer, which is counted when its body ends.
+    pub(crate) fn begin_transfer(self: &Arc<Self>, class: usize) -> Transfer {
+        increment(&self.transfers);
+        Transfer { counters: self.clone(), class, ended: false }
     }
 
-    /// A request has ended so.
-    pub(crate) fn ended(&self, class: usize, how: How) {
-        self.of_class(class, how as usize);
+    /// Counts the final outcome of a request.
+    pub(crate) fn count_outcome(&self, class: usize, outcome: FinalOutcome) {
+        self.increment_class(class, outcome as usize);
     }
 
     pub(crate) fn counts(&self) -> Counts {
         let answered = self.class_counts().fold(ClassCounts::default(), ClassCounts::plus);
-        let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
         Counts {
             served: answered.served,
             refused: answered.refused,
             failed: answered.failed,
-            left: of(&self.left),
-            invalid: of(&self.invalid),
-            taken: of(&self.taken),
+            left: load(&self.left),
+            invalid: load(&self.invalid),
+            taken: load(&self.taken),
         }
     }
 }
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -38,8 +38,8 @@
     let fleet = &configuration.fleet;
     let host = request.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let route = fleet.route(host, request.target.path()).ok_or(LocalReply::new(StatusCode::NOT_FOUND))?;
-    let tenant = request.api_key.as_deref().and_then(|api_key| fleet.tenant_of_key(api_key));
-    if tenant.is_none() && !route.public && fleet.asks_for_keys() {
+    let tenant = request.api_key.as_deref().and_then(|api_key| fleet.tenant_by_key(api_key));
+    if tenant.is_none() && !route.public && fleet.requires_api_keys() {
         return Err(LocalReply::new(StatusCode::UNAUTHORIZED));
     }
     let service = route.choose_target(fastrand::f64());
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -10,7 +10,7 @@
 use dunelink_protocol::hello::PROTOCOL_VERSION;
 use dunelink_protocol::{FeedMessage, Hello, LinkKind, PROMPT_UNIT_TOKENS, ProxyMessage};
 use dunelink_routing::ServerInfo;
-use dunelink_runtime::aside::{aside, is_long};
+use dunelink_runtime::offload::{is_large_document, offload_if_large};
 use dunelink_runtime::{LinkError, LinkWriter, dial};
 use dunelink_settings::{ConfigError, FleetConfig};
 use slog::{info, warn};
@@ -82,7 +82,7 @@
             }
             _ = reports.tick() => {
                 if last_received.elapsed() > SILENCE_TIMEOUT {
-                    return Err(LinkError::Silent(SILENCE_TIMEOUT).into());
+                    return Err(LinkError::Timeout(SILENCE_TIMEOUT).into());
                 }
                 last_reported = Instant::now();
                 send_report(node, &mut writer).await?;
@@ -177,14 +177,14 @@
     fn apply_configuration(&mut self) {
         let Some(received) = &mut self.state.configuration else { return };
         let (version, bytes) = (received.version, std::mem::take(&mut received.bytes));
-        if !is_long(bytes.len()) {
+        if !is_large_document(bytes.len()) {
             return activate(&self.node, version, parse_configuration(bytes));
         }
         // Requests are served while a long configuration is parsed. If a newer one arrives meanwhile, the
         // newer one stays active.
         let node = self.node.clone();
         spawn_local(async move {
-            let Some(parsed) = aside(bytes, parse_configuration).await else { return };
+            let Some(parsed) = offload_if_large(bytes, parse_configuration).await else { return };
             activate(&node, version, parsed);
         });
     }
--- a/crates/proxy/tests/feeding.rs
+++ b/crates/proxy/tests/feeding.rs
@@ -28,7 +28,7 @@
         wait_until(|| node.configuration_version() == 1).await;
         assert_eq!(harness.client().await.call("/safe/x", "a1").await.status, 200);
         assert_eq!(harness.readiness_status().await, 503);
-        wait_until(|| node.clock.age() > Duration::from_millis(10)).await;
+        wait_until(|| node.clock.uptime() > Duration::from_millis(10)).await;
         harness.agent.send_heartbeat(10, 1);
         wait_until(|| node.is_ready()).await;
         assert_eq!(harness.readiness_status().await, 200);
@@ -139,7 +139,7 @@
         wait_until(|| node.configuration_version() == 1).await;
         assert_eq!(harness.client().await.call("/safe/x", "a1").await.status, 200);
         let (configuration_version, roster) = (1, RosterOffset::default());
-        let age_before_start_ms = node.clock.age().as_millis() as u64 + 100;
+        let age_before_start_ms = node.clock.uptime().as_millis() as u64 + 100;
         node.observe_heartbeat(&Heartbeat {
             confirmed_age_ms: age_before_start_ms,
             configuration_version,
