--- a/crates/control/tests/fleet_core_faults.rs
+++ b/crates/control/tests/fleet_core_faults.rs
@@ -134,8 +134,8 @@
 async fn empty_machine_replaces_removed_one_and_another_may_fail() {
     let mut scene = Scene::small(CONTROL_BINARY).await;
     for (base, version) in [(FIRST_VERSION, 8), (8, 9), (9, 10)] {
-        let gone = scene.fleet.led().await;
-        scene.fleet.remove_core(gone);
+        let removed = scene.fleet.led().await;
+        scene.fleet.remove_core(removed);
         let new = scene.fleet.add_core();
         scene.fleet.start_core(new);
         scene.operator = scene.fleet.operator();
