--- a/crates/dunelink/examples/client.rs
+++ b/crates/dunelink/examples/client.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use axum::Router;
-use dunelink::config::{Class, Dedup, Effect, Group};
+use dunelink::config::{Class, Dedup, DedupGroup, Effect};
 use dunelink::{Answer, Config, Node, Server, ServerState, Update, roster};
 use tokio::net::TcpListener;
 
@@ -40,7 +40,7 @@
         classes: vec![
             Class::new("payslip-view", Effect::Safe, second),
             Class {
-                dedup: Some(Dedup { group: Group::All, window: 4 * second }),
+                dedup: Some(Dedup { group: DedupGroup::All, window: 4 * second }),
                 ..Class::new("timesheet-submit", Effect::Keyed, 4 * second)
             },
             Class::new("transfer-order", Effect::Unsafe, 2 * second),
--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::answer_body::{AnswerBody, Tap};
-use crate::config::Answers;
+use crate::config::FinalAnswers;
 use crate::line::Line;
 use crate::payload::OutgoingBody;
 use crate::pieces::Pieces;
@@ -242,7 +242,7 @@
         };
         let outcome = match Meaning::of(&parts) {
             _ if matches!(read, Read::Broken) => Outcome::Reset,
-            Meaning::Done | Meaning::ClientError if self.answers == Answers::Ok => Outcome::Error,
+            Meaning::Done | Meaning::ClientError if self.answers == FinalAnswers::Ok => Outcome::Error,
             Meaning::Served | Meaning::Done | Meaning::ClientError => Outcome::Served,
             Meaning::Declined => Outcome::Rejected,
             Meaning::Error => Outcome::Error,
--- a/crates/dunelink/src/config/check.rs
+++ b/crates/dunelink/src/config/check.rs
@@ -4,7 +4,7 @@
 
 use dunelink_edge::target::is_class_name;
 
-use super::{Config, Effect, Problem, RosterConfig, SHARD_SOCKETS, SPARE_SOCKETS};
+use super::{Config, Effect, Problem, RESERVED_SOCKETS, RosterConfig, SOCKETS_PER_SHARD};
 use crate::entries::Server;
 
 /// A class's name has to be read alike by all.
@@ -22,7 +22,7 @@
         let l = &self.limits;
         want(l.requests > 0, "limits.requests", "expected at least 1")?;
         want(l.requests <= 1 << 24, "limits.requests", "expected at most 16777216")?;
-        want(l.to_servers() > 0, "limits.server_connections", "expected at least 1")?;
+        want(l.max_server_connections() > 0, "limits.server_connections", "expected at least 1")?;
         want(l.body > 0 && l.body <= 1 << 30, "limits.body", "expected 1 to 1073741824 bytes")?;
         want(l.transfers <= 1 << 20, "limits.transfers", "expected at most 1048576")?;
         want(l.stream <= 1 << 40, "limits.stream", "expected at most 1099511627776 bytes")?;
@@ -38,7 +38,7 @@
         )?;
         let parts = f.shards as usize;
         want(
-            parts == 1 || l.sockets >= SPARE_SOCKETS + (SHARD_SOCKETS + 8) * parts,
+            parts == 1 || l.sockets >= RESERVED_SOCKETS + (SOCKETS_PER_SHARD + 8) * parts,
             "limits.sockets",
             "expected at least 24, and 12 for each shard",
         )?;
--- a/crates/dunelink/src/config/classes.rs
+++ b/crates/dunelink/src/config/classes.rs
@@ -26,11 +26,11 @@
 /// Which servers drop each other's repeats, and for how long.
 ///
 /// ```
-/// use dunelink::config::{Class, Dedup, Effect, Group};
+/// use dunelink::config::{Class, Dedup, Effect, DedupGroup};
 /// use std::time::Duration;
 ///
 /// let window = Duration::from_secs(4);
-/// let dedup = Some(Dedup { group: Group::Cell, window });
+/// let dedup = Some(Dedup { group: DedupGroup::Cell, window });
 /// let class = Class { dedup, ..Class::new("timesheet-submit", Effect::Keyed, window) };
 /// assert_eq!(class.aim(), window);
 /// ```
@@ -38,7 +38,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Dedup {
     /// Which servers share what they remember.
-    pub group: Group,
+    pub group: DedupGroup,
     /// For how long after the first attempt was sent.
     #[serde(with = "humantime_serde")]
     pub window: Duration,
@@ -47,14 +47,14 @@
 /// Which servers share what they remember.
 ///
 /// ```
-/// use dunelink::config::Group;
+/// use dunelink::config::DedupGroup;
 ///
-/// assert_eq!(serde_json::to_string(&Group::Zone)?, "\"zone\"");
+/// assert_eq!(serde_json::to_string(&DedupGroup::Zone)?, "\"zone\"");
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Group {
+pub enum DedupGroup {
     /// All.
     All,
     /// Those of one zone.
--- a/crates/dunelink/src/config/error.rs
+++ b/crates/dunelink/src/config/error.rs
@@ -34,7 +34,7 @@
     }
 
     /// What the configuration as a whole says wrongly.
-    pub(crate) fn whole(what: &str) -> ConfigError {
+    pub(crate) fn without_key(what: &str) -> ConfigError {
         ConfigError::of(what)
     }
 
--- a/crates/dunelink/src/config/mod.rs
+++ b/crates/dunelink/src/config/mod.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 
 use check::check_servers;
-pub use classes::{Class, Dedup, Effect, Group, Tenant};
+pub use classes::{Class, Dedup, DedupGroup, Effect, Tenant};
 pub use error::ConfigError;
 use error::Problem;
 pub use fleet::{Fleet, RosterConfig};
@@ -31,11 +31,11 @@
 use crate::entries::{Server, Update};
 
 /// Descriptors for all but connections: standard streams, epoll, wake-ups, signals, the listener, discovery.
-const SPARE_SOCKETS: usize = 24;
+const RESERVED_SOCKETS: usize = 24;
 /// Descriptors that each of several shards needs for itself: its epoll, timers and wake-ups.
-pub(crate) const SHARD_SOCKETS: usize = 4;
+pub(crate) const SOCKETS_PER_SHARD: usize = 4;
 /// No deadline is longer, whatever the settings say.
-pub(crate) const LONGEST: Duration = Duration::from_secs(3600);
+pub(crate) const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 
 /// Everything a node goes by. [`Config::default`] is one node with no classes and no servers; it wants at least
 /// a class.
@@ -63,7 +63,7 @@
     pub control: Option<SocketAddr>,
     /// How the daemon writes its log. The library's events go to whoever subscribes to them.
     #[serde(skip_serializing_if = "is_default")]
-    pub log: LogForm,
+    pub log: LogFormat,
     /// For random numbers, hexadecimal; drawn from the clock and the name if absent.
     #[serde(skip_serializing_if = "Option::is_none", with = "text::hex")]
     pub seed: Option<u64>,
@@ -98,7 +98,7 @@
 ///
 /// ```
 /// let limits = dunelink::config::Limits { sockets: 1024, ..Default::default() };
-/// assert_eq!((limits.connections(), limits.to_servers()), (1000, 333));
+/// assert_eq!((limits.connections(), limits.max_server_connections()), (1000, 333));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -132,20 +132,20 @@
 ///     deadline = "2s"
 /// "#;
 /// let config = dunelink::Config::from_toml(toml)?;
-/// assert_eq!(config.intake.id, dunelink::config::Absent::Refuse);
+/// assert_eq!(config.intake.id, dunelink::config::IfAbsent::Refuse);
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Intake {
     /// Whether a request without an id is an error, or gets one.
-    pub id: Absent,
+    pub id: IfAbsent,
     /// Whether a request without a deadline is an error, or has its class's.
-    pub deadline: Absent,
+    pub deadline: IfAbsent,
     /// Whether a request of HTTP/1.1 without `Host` is an error, as RFC 9112 has it, or is taken: a call from
     /// within a program has no connection that it came by. The daemon turns it down whatever is said here.
     #[serde(skip_serializing_if = "is_default")]
-    pub host: Absent,
+    pub host: IfAbsent,
 }
 
 /// What to do when something is absent.
@@ -161,12 +161,12 @@
 ///     deadline = "2s"
 /// "#;
 /// let config = dunelink::Config::from_toml(toml)?;
-/// assert_eq!(config.intake.deadline, dunelink::config::Absent::Default);
+/// assert_eq!(config.intake.deadline, dunelink::config::IfAbsent::Default);
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Absent {
+pub enum IfAbsent {
     /// Go by the default.
     #[default]
     Default,
@@ -204,20 +204,20 @@
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
     /// Which answers of servers are final.
-    pub answers: Answers,
+    pub answers: FinalAnswers,
 }
 
 /// Which answers of a server are the client's: final, passed on, not asked for elsewhere, and not held against the
 /// server.
 ///
 /// ```
-/// use dunelink::config::{Answers, Attempts};
+/// use dunelink::config::{FinalAnswers, Attempts};
 ///
-/// assert_eq!(Attempts::default().answers, Answers::Http);
+/// assert_eq!(Attempts::default().answers, FinalAnswers::Http);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Answers {
+pub enum FinalAnswers {
     /// Every 2xx, and every 4xx that is about the request: all but 408, 421, 425 and 429, which are about the server
     /// or its connection.
     #[default]
@@ -229,7 +229,7 @@
 /// The form of a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum LogForm {
+pub enum LogFormat {
     /// A line for people.
     #[default]
     Text,
@@ -247,7 +247,7 @@
             name: "dunelink".into(),
             listen: None,
             control: None,
-            log: LogForm::default(),
+            log: LogFormat::default(),
             seed: None,
             over_share_worth: 1.0,
             limits: Limits::default(),
@@ -280,11 +280,11 @@
 impl Limits {
     /// How many connections there may be, of clients and to servers together.
     pub fn connections(&self) -> usize {
-        self.sockets.saturating_sub(SPARE_SOCKETS).max(8)
+        self.sockets.saturating_sub(RESERVED_SOCKETS).max(8)
     }
 
     /// How many connections to servers there may be.
-    pub fn to_servers(&self) -> usize {
+    pub fn max_server_connections(&self) -> usize {
         self.server_connections.unwrap_or(self.connections() / 3)
     }
 }
@@ -296,7 +296,7 @@
             cancel: true,
             hedge: true,
             retry_after: Duration::from_secs(2),
-            answers: Answers::Http,
+            answers: FinalAnswers::Http,
         }
     }
 }
@@ -353,15 +353,15 @@
         let fleet = &mut config.fleet;
         (fleet.nodes, fleet.rank, fleet.shards) = (fleet.nodes * count, fleet.rank * count + number, 1);
         let parts = count as usize;
-        let sockets = self.limits.sockets.saturating_sub(SPARE_SOCKETS + SHARD_SOCKETS * parts);
-        config.limits.sockets = SPARE_SOCKETS + sockets / parts;
+        let sockets = self.limits.sockets.saturating_sub(RESERVED_SOCKETS + SOCKETS_PER_SHARD * parts);
+        config.limits.sockets = RESERVED_SOCKETS + sockets / parts;
         config.limits.server_connections = self.limits.server_connections.map(|most| most / parts);
         config
     }
 
     /// The longest that any client waits.
-    pub fn longest(&self) -> Duration {
-        self.classes.iter().map(|class| class.deadline.min(LONGEST)).max().unwrap_or_default()
+    pub fn max_deadline(&self) -> Duration {
+        self.classes.iter().map(|class| class.deadline.min(MAX_DEADLINE)).max().unwrap_or_default()
     }
 }
 
--- a/crates/dunelink/src/config/platform.rs
+++ b/crates/dunelink/src/config/platform.rs
@@ -288,12 +288,12 @@
             name: self.name,
             listen: Some(self.listen),
             control: self.control,
-            log: super::LogForm::default(),
+            log: super::LogFormat::default(),
             seed: u64::from_str_radix(&self.seed, 16).ok(),
             over_share_worth: s.over_share_worth.unwrap_or(1.0),
             // A request has a connection of its own, so that descriptors bound requests too.
             limits: Limits { sockets, requests: sockets.max(8), transfers, ..Limits::default() },
-            intake: Intake { id: Absent::Refuse, deadline: Absent::Refuse, host: Absent::Refuse },
+            intake: Intake { id: IfAbsent::Refuse, deadline: IfAbsent::Refuse, host: IfAbsent::Refuse },
             attempts: Attempts {
                 most: s.allowed.max_attempts.unwrap_or(1),
                 cancel: s.allowed.cancelling.0,
@@ -302,7 +302,7 @@
                     true => time(s.allowed.max_retry_after_us),
                     false => Duration::ZERO,
                 },
-                answers: Answers::Ok,
+                answers: FinalAnswers::Ok,
             },
             fleet: Fleet {
                 shards: 1,
@@ -340,9 +340,9 @@
 impl Service {
     fn class(self) -> Class {
         let group = match self.dedup_scope {
-            Scope::All => Group::All,
-            Scope::Zone => Group::Zone,
-            Scope::Cell => Group::Cell,
+            Scope::All => DedupGroup::All,
+            Scope::Zone => DedupGroup::Zone,
+            Scope::Cell => DedupGroup::Cell,
         };
         let window = time(self.window_us.unwrap_or(0.0));
         let (effect, dedup) = match self.idempotency {
--- a/crates/dunelink/src/config/settings.rs
+++ b/crates/dunelink/src/config/settings.rs
@@ -4,7 +4,7 @@
 
 use cherryusher as policy;
 
-use super::{Class, Config, Effect, Group, LONGEST, RosterConfig};
+use super::{Class, Config, DedupGroup, Effect, MAX_DEADLINE, RosterConfig};
 
 fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
@@ -14,14 +14,14 @@
     /// What the decision module is told.
     pub fn settings(&self) -> policy::Settings {
         let group = |group| match group {
-            Group::All => policy::DedupScope::All,
-            Group::Zone => policy::DedupScope::Zone,
-            Group::Cell => policy::DedupScope::Cell,
+            DedupGroup::All => policy::DedupScope::All,
+            DedupGroup::Zone => policy::DedupScope::Zone,
+            DedupGroup::Cell => policy::DedupScope::Cell,
         };
         let class = |class: &Class| policy::Class {
             target_latency: micros(class.aim()),
             target_latency_per_work: class.aim_stretch,
-            deadline: micros(class.deadline.min(LONGEST)),
+            deadline: micros(class.deadline.min(MAX_DEADLINE)),
             value: class.worth,
             late_value_fraction: class.late_worth,
             idempotency: match (class.effect, class.dedup) {
--- a/crates/dunelink/src/feeding.rs
+++ b/crates/dunelink/src/feeding.rs
@@ -12,7 +12,7 @@
 use crate::config::Config;
 use crate::engine::{Happening, Mailbox};
 use crate::entries::{Server, ServerState, Update};
-use crate::roster::{Fed, News, Ready};
+use crate::roster::{ListKind, ReadyServers, UpdateSink};
 use crate::servers::Servers;
 
 /// Turns a list's entries into the module's.
@@ -64,19 +64,19 @@
     }
 }
 
-impl Fed for ToEngine {
-    fn update(&self, update: &Update, news: News) {
-        let event = match news {
-            News::Cached => Event::CachedServerList,
-            News::Current if update.whole => Event::ServerList,
-            News::Current => Event::ServerChanges,
+impl UpdateSink for ToEngine {
+    fn update(&self, update: &Update, kind: ListKind) {
+        let event = match kind {
+            ListKind::Cached => Event::CachedServerList,
+            ListKind::Current if update.whole => Event::ServerList,
+            ListKind::Current => Event::ServerChanges,
         };
         let list: Vec<ServerEntry> = update.servers.iter().map(|s| self.reader.entry(s)).collect();
         self.servers.list_changed(list.iter().copied().zip(&update.servers), update.whole);
         self.engine.send(Happening::Module(event(list)));
     }
 
-    fn heed(&self, ready: Arc<Ready>) {
+    fn set_ready_servers(&self, ready: Arc<ReadyServers>) {
         self.servers.heed(ready);
     }
 
@@ -88,7 +88,7 @@
         self.servers.tally.lost_list();
     }
 
-    fn wanted(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
+    fn poll_due(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(self.wanted.notified())
     }
 }
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -51,18 +51,18 @@
 }
 
 /// What owners of the node want of it.
-pub(crate) enum Ask {
-    Look(oneshot::Sender<GossipView>),
+pub(crate) enum GossipRequest {
+    Status(oneshot::Sender<GossipView>),
     /// The keys are to be read again.
-    Keys(oneshot::Sender<Result<usize, ConfigError>>),
+    ReloadKeys(oneshot::Sender<Result<usize, ConfigError>>),
     /// An operator wants a node put out for so many seconds, with a reason, or let in again. Told whether that can be
     /// decided; that it is shows in a view.
-    Put(String, Option<(u64, String)>, oneshot::Sender<Result<(), String>>),
+    SetEviction(String, Option<(u64, String)>, oneshot::Sender<Result<(), String>>),
     /// The node goes; told once others have been told.
     Leave(oneshot::Sender<()>),
 }
 
-pub(crate) type Asks = mpsc::Sender<Ask>;
+pub(crate) type GossipRequestSender = mpsc::Sender<GossipRequest>;
 
 /// Gossip of one node, to be run on a thread that nothing blocks.
 pub struct Gossiper {
@@ -75,7 +75,7 @@
     /// This node's place among all names.
     place: u32,
     engines: Vec<Mailbox>,
-    asks: mpsc::Receiver<Ask>,
+    asks: mpsc::Receiver<GossipRequest>,
     began: Instant,
 }
 
@@ -85,10 +85,11 @@
         config: &Config,
         (engines, tallies): (Vec<Mailbox>, Vec<Arc<Tally>>),
         aside: Arc<AtomicBool>,
-    ) -> Result<Option<(Gossiper, Asks)>, ConfigError> {
+    ) -> Result<Option<(Gossiper, GossipRequestSender)>, ConfigError> {
         let Some(wanted) = &config.gossip else { return Ok(None) };
         let (ring, secret) = wanted.keys(&config.name)?;
-        let can_not = |e: io::Error| ConfigError::whole(&format!("gossip.listen: can't listen there: {e}"));
+        let can_not =
+            |e: io::Error| ConfigError::without_key(&format!("gossip.listen: can't listen there: {e}"));
         let socket = std::net::UdpSocket::bind(wanted.listen).map_err(can_not)?;
         socket.set_nonblocking(true).map_err(can_not)?;
         let mut address = wanted.address();
@@ -109,7 +110,7 @@
         };
         let began = Instant::now();
         let gossip = Gossip::new(settings, ring, secret, 0)
-            .ok_or_else(|| ConfigError::whole("gossip.ring: expected this node's name and key"))?;
+            .ok_or_else(|| ConfigError::without_key("gossip.ring: expected this node's name and key"))?;
         let (asks, asked) = mpsc::channel(ASKS);
         let deciding = Deciding::new(config, gossip.process(), 0);
         let reaching =
@@ -358,9 +359,9 @@
         Ok(())
     }
 
-    async fn answer(&mut self, ask: Ask, socket: &UdpSocket, out: &mut Vec<Output>) {
+    async fn answer(&mut self, ask: GossipRequest, socket: &UdpSocket, out: &mut Vec<Output>) {
         match ask {
-            Ask::Look(tell) => {
+            GossipRequest::Status(tell) => {
                 let now = self.now();
                 self.gossip.handle(now, Input::Tick, out);
                 let view = GossipView {
@@ -371,7 +372,7 @@
                 };
                 let _ = tell.send(view);
             }
-            Ask::Keys(tell) => {
+            GossipRequest::ReloadKeys(tell) => {
                 let Some(wanted) = &self.config.gossip else { return };
                 let _ = tell.send(wanted.keys(&self.config.name).map(|(ring, secret)| {
                     let (now, names) = (self.now(), ring.len());
@@ -379,10 +380,10 @@
                     names
                 }));
             }
-            Ask::Put(name, how, tell) => {
+            GossipRequest::SetEviction(name, how, tell) => {
                 let _ = tell.send(self.put(&name, how, out).map_err(|why| format!("{name}: {why}")));
             }
-            Ask::Leave(tell) => {
+            GossipRequest::Leave(tell) => {
                 // It may well be back in a moment; if not, its part goes to the others after a minute.
                 let now = self.now();
                 self.gossip.handle(now, Input::Leave { restarts: true }, out);
@@ -426,8 +427,11 @@
 }
 
 /// Asks, and waits for what comes back; nothing if there is no gossip or it has ended.
-pub(crate) async fn ask<T>(asks: Option<&Asks>, make: impl FnOnce(oneshot::Sender<T>) -> Ask) -> Option<T> {
+pub(crate) async fn request<T>(
+    requests: Option<&GossipRequestSender>,
+    make: impl FnOnce(oneshot::Sender<T>) -> GossipRequest,
+) -> Option<T> {
     let (tell, told) = oneshot::channel();
-    asks?.send(make(tell)).await.ok()?;
+    requests?.send(make(tell)).await.ok()?;
     told.await.ok()
 }
--- a/crates/dunelink/src/fleet/mod.rs
+++ b/crates/dunelink/src/fleet/mod.rs
@@ -10,6 +10,6 @@
 mod view;
 mod words;
 
-pub(crate) use gossip::{Ask, Asks, ask};
+pub(crate) use gossip::{GossipRequest, GossipRequestSender, request};
 pub use gossip::{GossipView, Gossiper};
-pub use status::{FleetView, NodeView, OutView};
+pub use status::{EvictionView, FleetView, NodeView};
--- a/crates/dunelink/src/fleet/status.rs
+++ b/crates/dunelink/src/fleet/status.rs
@@ -33,7 +33,7 @@
     /// Ways that are open in one direction only: nothing comes from the first to the second.
     pub one_way: Vec<(String, String)>,
     /// Nodes that were put out.
-    pub out: Vec<OutView>,
+    pub out: Vec<EvictionView>,
 }
 
 /// A node, as its own row tells and as this one sees it.
@@ -69,7 +69,7 @@
 
 /// A node that was put out.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct OutView {
+pub struct EvictionView {
     /// Its name.
     pub name: String,
     /// For how many seconds from the decision on.
@@ -127,7 +127,7 @@
         nodes,
         one_way: matrix.one_way(now).into_iter().map(|(from, to)| (name(from), name(to))).collect(),
         out: out
-            .map(|(of, seconds, reason)| OutView { name: name(of), seconds, reason: reason.to_owned() })
+            .map(|(of, seconds, reason)| EvictionView { name: name(of), seconds, reason: reason.to_owned() })
             .collect(),
     }
 }
--- a/crates/dunelink/src/intake.rs
+++ b/crates/dunelink/src/intake.rs
@@ -14,7 +14,7 @@
 use http::{Method, StatusCode};
 use tokio::time::Instant;
 
-use crate::config::{Absent, Config, Effect, Intake as Rules, LONGEST};
+use crate::config::{Config, Effect, IfAbsent, Intake as Rules, MAX_DEADLINE};
 use crate::error::InvalidRequest;
 use crate::payload::Payload;
 use crate::types::Outgoing;
@@ -77,7 +77,7 @@
         /// This long from now.
         pub fn after(wait: Duration) -> Deadline {
             let now = Instant::now();
-            Deadline(now.checked_add(wait.min(super::LONGEST)).unwrap_or(now))
+            Deadline(now.checked_add(wait.min(super::MAX_DEADLINE)).unwrap_or(now))
         }
     }
 
@@ -145,7 +145,7 @@
 impl Intake {
     pub(crate) fn new(config: &Config) -> Intake {
         let rule = |(index, class): (usize, &crate::config::Class)| {
-            let deadline = class.deadline.min(LONGEST);
+            let deadline = class.deadline.min(MAX_DEADLINE);
             ClassRule { index, effect: class.effect, deadline }
         };
         let number = |(index, class): (usize, &crate::config::Class)| (class.name.clone(), index);
@@ -167,8 +167,8 @@
             return Err(InvalidRequest::new(status, "the headers are over 32 KiB"));
         }
         let hosting = match self.rules.host {
-            Absent::Refuse => Hosting::Wire,
-            Absent::Default => Hosting::Program,
+            IfAbsent::Refuse => Hosting::Wire,
+            IfAbsent::Default => Hosting::Program,
         };
         Ok(request::read(parts, hosting)?)
     }
@@ -178,7 +178,7 @@
         let (headers, ext) = (&parts.headers, &parts.extensions);
         let id = match ext.get::<ext::Id>() {
             Some(id) => Some(&*id.0),
-            None if headers.contains_key(&ID) || self.rules.id == Absent::Refuse => {
+            None if headers.contains_key(&ID) || self.rules.id == IfAbsent::Refuse => {
                 Some(only(headers, &ID).ok_or(bad("Req-Id is missing or unreadable"))?)
             }
             None => None,
@@ -190,7 +190,7 @@
         }
         let patience = match ext.get::<ext::Deadline>() {
             Some(at) => Some(at.0.saturating_duration_since(came.into_std())),
-            None if headers.contains_key(&DEADLINE) || self.rules.deadline == Absent::Refuse => {
+            None if headers.contains_key(&DEADLINE) || self.rules.deadline == IfAbsent::Refuse => {
                 let stated = only(headers, &DEADLINE).and_then(seconds);
                 Some(stated.ok_or(bad("Req-Deadline is missing or unreadable"))?.saturating_sub(TRANSIT))
             }
--- a/crates/dunelink/src/lib.rs
+++ b/crates/dunelink/src/lib.rs
@@ -87,7 +87,7 @@
 pub use dunelink_view as consensus;
 pub use entries::{Server, ServerState, Update};
 pub use error::{BodyError, BoxError, CallError, Closed, InvalidRequest, StartError};
-pub use fleet::{FleetView, GossipView, Gossiper, NodeView, OutView};
+pub use fleet::{EvictionView, FleetView, GossipView, Gossiper, NodeView};
 pub use intake::ext;
 pub use node::{Builder, Completion, Handle, Node, NodeParts, ReceivedRequest, ServerListReader, Shard};
 pub use snapshot::{ServerView, Snapshot};
--- a/crates/dunelink/src/node/endpoint.rs
+++ b/crates/dunelink/src/node/endpoint.rs
@@ -23,7 +23,12 @@
     pub(super) fn new(config: &Config) -> Result<Option<Endpoint>, ConfigError> {
         let Some(settings) = config.graphql.clone() else { return Ok(None) };
         let reader = RwLock::new(Arc::new(settings.reader(&config.classes)?));
-        Ok(Some(Endpoint { settings, classes: config.classes.clone(), longest: config.longest(), reader }))
+        Ok(Some(Endpoint {
+            settings,
+            classes: config.classes.clone(),
+            longest: config.max_deadline(),
+            reader,
+        }))
     }
 
     pub(super) fn reader(&self) -> Arc<Reader> {
--- a/crates/dunelink/src/node/handle.rs
+++ b/crates/dunelink/src/node/handle.rs
@@ -21,7 +21,7 @@
 use crate::counts::{ClassCounts, Counts};
 use crate::engine::Happening;
 use crate::error::{BodyError, BoxError, CallError, Closed, InvalidRequest};
-use crate::fleet::{Ask, Asks, GossipView, ask};
+use crate::fleet::{GossipRequest, GossipRequestSender, GossipView, request};
 use crate::http::Rendering;
 use crate::intake::{Head, Intake, ext};
 use crate::payload::{Coming, Payload};
@@ -57,7 +57,7 @@
     pub(super) engines: Vec<Arc<Engine>>,
     pub(super) intake: Arc<Intake>,
     /// The way to its gossip, where there is any.
-    pub(super) gossip: Option<Asks>,
+    pub(super) gossip: Option<GossipRequestSender>,
     pub(super) class_names: Vec<String>,
     pub(super) graphql: Option<Endpoint>,
     pub(super) body_most: usize,
@@ -314,7 +314,7 @@
 
     /// What other nodes tell, where the configuration wants gossip.
     pub async fn gossip(&self) -> Option<GossipView> {
-        ask(self.shared.gossip.as_ref(), Ask::Look).await
+        request(self.shared.gossip.as_ref(), GossipRequest::Status).await
     }
 
     /// Has the fleet put a node out for so many seconds (at most a week, for a reason of at most 40 bytes), or let one in
@@ -324,8 +324,8 @@
     ///
     /// There is no gossip, or it can't be decided: why not.
     pub async fn evict_or_restore(&self, name: &str, how: Option<(u64, String)>) -> Result<(), String> {
-        let put = |tell| Ask::Put(name.to_owned(), how, tell);
-        let told = ask(self.shared.gossip.as_ref(), put).await;
+        let put = |tell| GossipRequest::SetEviction(name.to_owned(), how, tell);
+        let told = request(self.shared.gossip.as_ref(), put).await;
         told.unwrap_or_else(|| Err("this node does not gossip".into()))
     }
 
@@ -335,12 +335,12 @@
     ///
     /// The files can't be used; the keys stay as they were.
     pub async fn reload_gossip_keys(&self) -> Option<Result<usize, ConfigError>> {
-        ask(self.shared.gossip.as_ref(), Ask::Keys).await
+        request(self.shared.gossip.as_ref(), GossipRequest::ReloadKeys).await
     }
 
     /// Tells other nodes that this one goes: its part is kept for it for a minute.
     pub async fn leave_gossip(&self) {
-        ask(self.shared.gossip.as_ref(), Ask::Leave).await;
+        request(self.shared.gossip.as_ref(), GossipRequest::Leave).await;
     }
 
     /// Closes the connection to a server that has been idle for longest: the process is out of descriptors.
--- a/crates/dunelink/src/node/mod.rs
+++ b/crates/dunelink/src/node/mod.rs
@@ -129,7 +129,7 @@
                 tokio::task::spawn_local(only.run());
                 Ok(node)
             }
-            _ => Err(ConfigError::whole("fleet.shards: expected 1, as one thread runs one").into()),
+            _ => Err(ConfigError::without_key("fleet.shards: expected 1, as one thread runs one").into()),
         }
     }
 }
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -20,7 +20,7 @@
 use crate::engine::Mailbox;
 use crate::fleet::Gossiper;
 use crate::intake::Intake;
-use crate::roster::{Feed, Hub, Roster, RosterFuture};
+use crate::roster::{Feed, Roster, RosterFanout, RosterFuture};
 
 /// Between the seeds of two shards (the golden ratio in 64 bits).
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -93,7 +93,7 @@
     roster: Box<dyn Roster>,
     config: Config,
     seed: u64,
-    hub: Hub,
+    hub: RosterFanout,
     ended: Vec<CancellationToken>,
 }
 
@@ -130,11 +130,11 @@
     let count = config.fleet.shards;
     let intake = Arc::new(Intake::new(&config));
     let graphql = Endpoint::new(&config)?;
-    let hub = (count > 1).then(|| Hub::new(count as usize));
+    let hub = (count > 1).then(|| RosterFanout::new(count as usize));
     if let Some(hub) = &hub {
         // The source may be read by another thread before the shards have begun.
         config.known = roster.known().unwrap_or(config.known);
-        hub.begin(&config.known);
+        hub.set_initial_list(&config.known);
     }
     let transfers = Arc::new(Semaphore::new(config.limits.transfers));
     let mut roster = Some(roster);
@@ -142,7 +142,7 @@
     for number in 0..count {
         let config = config.shard(number);
         let seed = seed.wrapping_add(SEED_STEP.wrapping_mul(u64::from(number)));
-        let balancer = Balancer::new(config.settings(), seed).map_err(|e| ConfigError::whole(e.0))?;
+        let balancer = Balancer::new(config.settings(), seed).map_err(|e| ConfigError::without_key(e.0))?;
         let (mailbox, inbox) = Mailbox::new(seed);
         let engine = Engine {
             mailbox: mailbox.clone(),
@@ -152,8 +152,8 @@
             ended: CancellationToken::new(),
         };
         let roster: Box<dyn Roster> = match (&hub, &mut roster) {
-            (Some(hub), _) => Box::new(hub.branch(number as usize)),
-            (None, roster) => roster.take().ok_or_else(|| ConfigError::whole("no roster"))?,
+            (Some(hub), _) => Box::new(hub.shard_roster(number as usize)),
+            (None, roster) => roster.take().ok_or_else(|| ConfigError::without_key("no roster"))?,
         };
         engineerings.push(Engineering {
             seed,
--- a/crates/dunelink/src/roster/channel.rs
+++ b/crates/dunelink/src/roster/channel.rs
@@ -16,7 +16,7 @@
 /// sender.try_send(Update::whole([server.clone()]))?;
 /// sender.try_send(Update::changes([server.with_state(ServerState::Draining)]))?;
 /// # drop(roster);
-/// # Ok::<(), roster::RosterGone>(())
+/// # Ok::<(), roster::RosterSendError>(())
 /// ```
 pub fn channel() -> (RosterSender, ChannelRoster) {
     let (sender, receiver) = mpsc::channel(WAITING_MOST);
@@ -34,10 +34,10 @@
 ///
 /// let (sender, roster) = roster::channel();
 /// drop(roster);
-/// assert_eq!(sender.try_send(Update::whole([])), Err(roster::RosterGone::Ended));
+/// assert_eq!(sender.try_send(Update::whole([])), Err(roster::RosterSendError::Ended));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RosterGone {
+pub enum RosterSendError {
     /// It has ended, or was never started.
     #[error("the node has ended")]
     Ended,
@@ -51,20 +51,20 @@
     ///
     /// # Errors
     ///
-    /// [`RosterGone::Ended`] if the node has ended.
-    pub async fn send(&self, update: Update) -> Result<(), RosterGone> {
-        self.0.send(update).await.map_err(|_| RosterGone::Ended)
+    /// [`RosterSendError::Ended`] if the node has ended.
+    pub async fn send(&self, update: Update) -> Result<(), RosterSendError> {
+        self.0.send(update).await.map_err(|_| RosterSendError::Ended)
     }
 
     /// Sends an update if there is space for it.
     ///
     /// # Errors
     ///
-    /// [`RosterGone`], and then the node will not hear of it.
-    pub fn try_send(&self, update: Update) -> Result<(), RosterGone> {
+    /// [`RosterSendError`], and then the node will not hear of it.
+    pub fn try_send(&self, update: Update) -> Result<(), RosterSendError> {
         self.0.try_send(update).map_err(|e| match e {
-            mpsc::error::TrySendError::Full(_) => RosterGone::Full,
-            mpsc::error::TrySendError::Closed(_) => RosterGone::Ended,
+            mpsc::error::TrySendError::Full(_) => RosterSendError::Full,
+            mpsc::error::TrySendError::Closed(_) => RosterSendError::Ended,
         })
     }
 }
--- a/crates/dunelink/src/roster/hub.rs
+++ b/crates/dunelink/src/roster/fanout.rs
@@ -11,16 +11,16 @@
 use cherryusher::ServerId;
 use tokio::sync::Notify;
 
-use super::{Fed, Feed, News, Roster, RosterFuture};
+use super::{Feed, ListKind, Roster, RosterFuture, UpdateSink};
 use crate::entries::{Server, ServerState, Update};
 
 /// Servers that take requests by the list as it was last read, and where.
 #[derive(Default)]
-pub(crate) struct Ready(RwLock<HashMap<ServerId, SocketAddr>>);
+pub(crate) struct ReadyServers(RwLock<HashMap<ServerId, SocketAddr>>);
 
-impl Ready {
+impl ReadyServers {
     /// Whether this server is to be sent anything new at this address.
-    pub(crate) fn has(&self, server: ServerId, endpoint: SocketAddr) -> bool {
+    pub(crate) fn contains(&self, server: ServerId, endpoint: SocketAddr) -> bool {
         self.0.read().unwrap_or_else(PoisonError::into_inner).get(&server) == Some(&endpoint)
     }
 
@@ -84,7 +84,7 @@
 
 struct Inner {
     slots: Vec<Slot>,
-    ready: Arc<Ready>,
+    ready: Arc<ReadyServers>,
     /// The list as it was last read, by name: what a shard is told anew when it has missed too much.
     list: Mutex<HashMap<String, Server>>,
     /// Told when a shard's decision module wants the source to be asked.
@@ -93,11 +93,11 @@
 
 /// Where a source's list is dealt out.
 #[derive(Clone)]
-pub(crate) struct Hub(Arc<Inner>);
+pub(crate) struct RosterFanout(Arc<Inner>);
 
-impl Hub {
-    pub(crate) fn new(shards: usize) -> Hub {
-        Hub(Arc::new(Inner {
+impl RosterFanout {
+    pub(crate) fn new(shards: usize) -> RosterFanout {
+        RosterFanout(Arc::new(Inner {
             slots: (0..shards).map(|_| Slot::default()).collect(),
             ready: Arc::default(),
             list: Mutex::default(),
@@ -106,7 +106,7 @@
     }
 
     /// The list that all shards start with.
-    pub(crate) fn begin(&self, known: &Update) {
+    pub(crate) fn set_initial_list(&self, known: &Update) {
         let known = Update { whole: true, ..known.clone() };
         self.0.ready.update(&known);
         drop(self.note(&known));
@@ -122,14 +122,14 @@
     }
 
     /// The roster of one shard.
-    pub(crate) fn branch(&self, shard: usize) -> Branch {
-        Branch { hub: self.0.clone(), shard }
+    pub(crate) fn shard_roster(&self, shard: usize) -> ShardRoster {
+        ShardRoster { hub: self.0.clone(), shard }
     }
 }
 
-impl Fed for Hub {
+impl UpdateSink for RosterFanout {
     /// For all shards.
-    fn update(&self, update: &Update, _news: News) {
+    fn update(&self, update: &Update, _kind: ListKind) {
         // First what all go by before they send.
         self.0.ready.update(update);
         let list = self.note(update);
@@ -159,20 +159,20 @@
         }
     }
 
-    fn wanted(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
+    fn poll_due(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(self.0.wanted.notified())
     }
 }
 
-/// A shard's end of a [`Hub`].
-pub(crate) struct Branch {
+/// A shard's end of a [`RosterFanout`].
+pub(crate) struct ShardRoster {
     hub: Arc<Inner>,
     shard: usize,
 }
 
-impl Roster for Branch {
+impl Roster for ShardRoster {
     fn run(self: Box<Self>, mut feed: Feed) -> RosterFuture {
-        feed.heed(self.hub.ready.clone());
+        feed.set_ready_servers(self.hub.ready.clone());
         Box::pin(async move {
             let slot = &self.hub.slots[self.shard];
             loop {
@@ -188,7 +188,7 @@
                             feed.lost();
                         }
                     }
-                    () = feed.wanted(), if feed.is_asked() => self.hub.wanted.notify_one(),
+                    () = feed.poll_due(), if feed.is_polled() => self.hub.wanted.notify_one(),
                 }
             }
         })
@@ -203,13 +203,13 @@
         Server::new(uid, ([127, 0, 0, 1], port).into()).with_state(state)
     }
 
-    impl Hub {
+    impl RosterFanout {
         fn tell(&self, update: &Update) {
-            self.update(update, News::Current);
+            self.update(update, ListKind::Current);
         }
     }
 
-    fn pending(hub: &Hub, shard: usize) -> (Option<Update>, bool) {
+    fn pending(hub: &RosterFanout, shard: usize) -> (Option<Update>, bool) {
         let (update, failed, _) = hub.0.slots[shard].pending.lock().unwrap().take();
         let sorted = update.map(|mut update| {
             update.servers.sort_by(|a, b| a.uid.cmp(&b.uid));
@@ -221,8 +221,8 @@
     #[test]
     fn what_a_shard_has_missed_is_merged_to_what_it_would_have_come_to() {
         use ServerState::*;
-        let hub = Hub::new(2);
-        hub.begin(&Update::whole([server("a", 1, Ready)]));
+        let hub = RosterFanout::new(2);
+        hub.set_initial_list(&Update::whole([server("a", 1, Ready)]));
         hub.tell(&Update { rev: 2, ..Update::changes([server("a", 1, Draining), server("b", 2, Ready)]) });
         assert_eq!(pending(&hub, 0).0.unwrap().servers, [server("a", 1, Draining), server("b", 2, Ready)]);
         hub.tell(&Update { rev: 3, ..Update::changes([server("a", 1, Gone), server("b", 3, Ready)]) });
@@ -242,20 +242,20 @@
     #[test]
     fn what_drains_is_known_to_all_before_they_have_heard() {
         use ServerState::*;
-        let hub = Hub::new(2);
+        let hub = RosterFanout::new(2);
         let a = server("a", 1, Ready);
-        hub.begin(&Update::whole([a.clone()]));
-        assert!(hub.0.ready.has(a.id(), a.endpoint));
+        hub.set_initial_list(&Update::whole([a.clone()]));
+        assert!(hub.0.ready.contains(a.id(), a.endpoint));
         hub.tell(&Update::changes([server("a", 2, Ready)]));
-        assert!(!hub.0.ready.has(a.id(), a.endpoint), "it has moved");
+        assert!(!hub.0.ready.contains(a.id(), a.endpoint), "it has moved");
         hub.tell(&Update::changes([server("a", 2, Draining)]));
-        assert!(!hub.0.ready.has(a.id(), server("a", 2, Ready).endpoint));
+        assert!(!hub.0.ready.contains(a.id(), server("a", 2, Ready).endpoint));
     }
 
     #[test]
     fn a_shard_that_stands_still_holds_no_more_than_the_fleet() {
-        let hub = Hub::new(2);
-        hub.begin(&Update::whole([server("a", 1, ServerState::Ready)]));
+        let hub = RosterFanout::new(2);
+        hub.set_initial_list(&Update::whole([server("a", 1, ServerState::Ready)]));
         for rev in 0..10_000_u64 {
             let (old, new) = (format!("s-{}", rev), format!("s-{}", rev + 1));
             let gone = server(&old, 2, ServerState::Gone);
--- a/crates/dunelink/src/roster/mod.rs
+++ b/crates/dunelink/src/roster/mod.rs
@@ -18,9 +18,9 @@
 //! ```
 
 mod channel;
+mod fanout;
 mod file;
 mod fixed;
-mod hub;
 mod watch;
 
 use std::fmt;
@@ -30,10 +30,10 @@
 
 use cherryusher::Discovery;
 
-pub use channel::{ChannelRoster, RosterGone, RosterSender, channel};
+pub use channel::{ChannelRoster, RosterSendError, RosterSender, channel};
+pub(crate) use fanout::{ReadyServers, RosterFanout};
 pub use file::File;
 pub use fixed::Fixed;
-pub(crate) use hub::{Hub, Ready};
 pub use watch::{Watch, WatchMover};
 
 use crate::config::Config;
@@ -57,7 +57,7 @@
 
 /// What a list tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum News {
+pub(crate) enum ListKind {
     /// The list as it is now, or changes to it.
     Current,
     /// The list as it was held before the start: it may be old.
@@ -65,12 +65,12 @@
 }
 
 /// Who is fed: whatever takes lists in.
-pub(crate) trait Fed {
+pub(crate) trait UpdateSink {
     /// A list, or changes to it.
-    fn update(&self, update: &Update, news: News);
+    fn update(&self, update: &Update, kind: ListKind);
 
     /// From now on nothing new goes to a server that is not among these.
-    fn heed(&self, _ready: Arc<Ready>) {}
+    fn set_ready_servers(&self, _ready: Arc<ReadyServers>) {}
 
     /// The source failed, for now.
     fn failed(&self);
@@ -79,12 +79,12 @@
     fn lost(&self);
 
     /// Waits until the source should be asked.
-    fn wanted(&self) -> Pin<Box<dyn Future<Output = ()> + '_>>;
+    fn poll_due(&self) -> Pin<Box<dyn Future<Output = ()> + '_>>;
 }
 
 /// The way from a roster to the node.
 pub struct Feed {
-    to: Box<dyn Fed>,
+    to: Box<dyn UpdateSink>,
     asked: bool,
     rev: u64,
     random: fastrand::Rng,
@@ -92,7 +92,7 @@
 }
 
 impl Feed {
-    pub(crate) fn new(config: &Config, seed: u64, to: impl Fed + 'static) -> Feed {
+    pub(crate) fn new(config: &Config, seed: u64, to: impl UpdateSink + 'static) -> Feed {
         Feed {
             to: Box::new(to),
             asked: config.settings().discovery != Discovery::Pushed,
@@ -105,18 +105,18 @@
     /// Passes on a list, or changes to it. From here on nothing new goes to a server that drains or is gone.
     pub fn update(&mut self, update: &Update) {
         self.rev = update.rev;
-        self.to.update(update, News::Current);
+        self.to.update(update, ListKind::Current);
     }
 
     /// Passes on the list as it was held before the start: it may be old.
     pub(crate) fn cached(&mut self, update: &Update) {
         self.rev = update.rev;
-        self.to.update(update, News::Cached);
+        self.to.update(update, ListKind::Cached);
     }
 
     /// From now on nothing new goes to a server that is not among these.
-    pub(crate) fn heed(&self, ready: Arc<Ready>) {
-        self.to.heed(ready);
+    pub(crate) fn set_ready_servers(&self, ready: Arc<ReadyServers>) {
+        self.to.set_ready_servers(ready);
     }
 
     /// The version of the list that was last passed on; at first that of the list which the node started with.
@@ -139,14 +139,14 @@
     }
 
     /// Whether the source sends nothing by itself and is asked when the decision module says so.
-    pub fn is_asked(&self) -> bool {
+    pub fn is_polled(&self) -> bool {
         self.asked
     }
 
     /// Waits until the source should be asked; at once where it sends by itself.
-    pub async fn wanted(&self) {
+    pub async fn poll_due(&self) {
         if self.asked {
-            self.to.wanted().await;
+            self.to.poll_due().await;
         }
     }
 
--- a/crates/dunelink/src/roster/watch.rs
+++ b/crates/dunelink/src/roster/watch.rs
@@ -78,12 +78,12 @@
 /// so at the new address, from where it was.
 async fn follow(mut address: watch::Receiver<SocketAddr>, mut feed: Feed) {
     let mut rev = feed.rev();
-    let head_within = if feed.is_asked() { TURN_WITHIN } else { ANSWER_WITHIN };
+    let head_within = if feed.is_polled() { TURN_WITHIN } else { ANSWER_WITHIN };
     let mut failures = 0;
     let mut moved = false;
     loop {
         if !moved {
-            feed.wanted().await;
+            feed.poll_due().await;
         }
         let at = *address.borrow_and_update();
         let heard = |update: Update| {
@@ -108,7 +108,7 @@
             feed.log(format_args!("discovery: {why}; watching anew from {rev}"));
         }
         feed.failed();
-        if !feed.is_asked() {
+        if !feed.is_polled() {
             let longer = AGAIN * failures.min(AGAIN_MOST);
             // A call that waited in vain has waited enough: while none is out, what discovery tells is missed.
             let next = began + longer + longer.mul_f64(feed.random());
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -19,13 +19,13 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::answer_body::Tap;
-use crate::config::{Answers, Config};
+use crate::config::{Config, FinalAnswers};
 use crate::counts::Tally;
 use crate::entries::Server;
 use crate::idle::Order;
 use crate::line::{Line, Place, ServerSocket};
 use crate::payload::OutgoingBody;
-use crate::roster::Ready;
+use crate::roster::ReadyServers;
 use crate::types::Outgoing;
 
 /// What a connection may buffer; it bounds headers too.
@@ -106,11 +106,11 @@
     /// room from requests, and are bounded by their connections.
     transfers: Arc<Semaphore>,
     /// Which answers are the client's.
-    pub(crate) answers: Answers,
+    pub(crate) answers: FinalAnswers,
     connect_timeout: Duration,
     idle_most: Duration,
     /// What a reader on another thread knows to take requests, where there is one: it hears of drains first.
-    ready: OnceCell<Arc<Ready>>,
+    ready: OnceCell<Arc<ReadyServers>>,
     /// Until when kept connections are known to break at their next request.
     wary_until: Cell<Option<Instant>>,
     /// Answers that are being passed on, and who waits until none are.
@@ -134,7 +134,7 @@
             any_ready,
             order: RefCell::default(),
             open: Rc::default(),
-            most: config.limits.to_servers(),
+            most: config.limits.max_server_connections(),
             body_most: config.limits.body,
             stream_most: config.limits.stream,
             passing: Cell::new(0),
@@ -247,11 +247,11 @@
     /// Where to reach the server and when it started, if it takes requests.
     pub(crate) fn whereabouts(&self, server: ServerId) -> Option<(SocketAddr, Micros)> {
         let there = self.members.borrow().get(&server).map(|m| (m.endpoint, m.started))?;
-        self.ready.get().is_none_or(|ready| ready.has(server, there.0)).then_some(there)
+        self.ready.get().is_none_or(|ready| ready.contains(server, there.0)).then_some(there)
     }
 
     /// From now on nothing new goes to a server that is not among these.
-    pub(crate) fn heed(&self, ready: Arc<Ready>) {
+    pub(crate) fn heed(&self, ready: Arc<ReadyServers>) {
         // A shard has one reader for its whole life.
         let _ = self.ready.set(ready);
     }
--- a/crates/dunelink/tests/config.rs
+++ b/crates/dunelink/tests/config.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use dunelink::config::{Absent, Class, Dedup, Effect, Group, RosterConfig, Tenant};
+use dunelink::config::{Class, Dedup, DedupGroup, Effect, IfAbsent, RosterConfig, Tenant};
 use dunelink::{Config, Server, ServerState, Update};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -44,7 +44,7 @@
 fn a_small_file_has_defaults_for_all_else() {
     let config = Config::from_toml(LEAST).unwrap();
     assert_eq!(config.limits.body, 65_536);
-    assert_eq!((config.intake.id, config.intake.deadline), (Absent::Default, Absent::Default));
+    assert_eq!((config.intake.id, config.intake.deadline), (IfAbsent::Default, IfAbsent::Default));
     assert_eq!(config.classes[0].aim(), Duration::from_secs(2));
     assert_eq!(config.roster, RosterConfig::Host);
 }
@@ -193,12 +193,12 @@
     let config = Config::from_platform(&json.to_string()).unwrap();
     assert_eq!((config.name.as_str(), config.seed), ("n0", Some(0x8c1f_30d2_7a5b_e964)));
     assert_eq!((config.limits.sockets, config.limits.connections()), (777, 753));
-    assert_eq!(config.intake.id, Absent::Refuse);
+    assert_eq!(config.intake.id, IfAbsent::Refuse);
     assert_eq!(config.attempts.retry_after, Duration::from_secs(2));
     assert_eq!(config.fleet.zone, "sapporo-a");
     let address = ([127, 0, 0, 1], 8500).into();
     assert_eq!(config.roster, RosterConfig::Watch { address, ask_every: None });
-    let dedup = Dedup { group: Group::Cell, window: Duration::from_secs(10) };
+    let dedup = Dedup { group: DedupGroup::Cell, window: Duration::from_secs(10) };
     assert_eq!((config.classes[1].effect, config.classes[1].dedup), (Effect::Keyed, Some(dedup)));
     assert_eq!((config.known.rev, config.known.whole), (41, true));
     let server = &config.known.servers[0];
@@ -294,7 +294,8 @@
 }
 
 fn class() -> impl Strategy<Value = Class> {
-    let dedup = (prop_oneof![Just(Group::All), Just(Group::Zone), Just(Group::Cell)], duration());
+    let dedup =
+        (prop_oneof![Just(DedupGroup::All), Just(DedupGroup::Zone), Just(DedupGroup::Cell)], duration());
     let effect = prop_oneof![
         Just((Effect::Safe, None)),
         Just((Effect::Unsafe, None)),
--- a/crates/dunelink/tests/conformance/main.rs
+++ b/crates/dunelink/tests/conformance/main.rs
@@ -27,7 +27,7 @@
 
     fn start_with(config: &Value, more: &str) -> Self {
         let mut config = Config::from_platform(&config.to_string()).unwrap();
-        config.attempts.answers = dunelink::config::Answers::Http;
+        config.attempts.answers = dunelink::config::FinalAnswers::Http;
         Self::of(Config::from_toml(&(config.to_toml().unwrap() + more)).unwrap())
     }
 
--- a/crates/dunelink/tests/host/fleet.rs
+++ b/crates/dunelink/tests/host/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dunelink::config::{Class, Dedup, Effect, Group, Tenant};
+use dunelink::config::{Class, Dedup, DedupGroup, Effect, Tenant};
 use dunelink::{Config, Handle, Node, Server as Entry, roster};
 use http::Request;
 use testkit::peers::Server;
@@ -16,7 +16,7 @@
         classes: vec![
             Class::new("view", Effect::Safe, wait),
             Class {
-                dedup: Some(Dedup { group: Group::Cell, window: 5 * wait }),
+                dedup: Some(Dedup { group: DedupGroup::Cell, window: 5 * wait }),
                 ..Class::new("submit", Effect::Keyed, wait)
             },
             Class::new("order", Effect::Unsafe, wait),
--- a/crates/dunelink/tests/host/main.rs
+++ b/crates/dunelink/tests/host/main.rs
@@ -522,7 +522,7 @@
     assert_eq!(view.servers.iter().map(|s| (&*s.uid, s.endpoint)).collect::<Vec<_>>(), [("a", two.address)]);
     node.shutdown(Duration::ZERO).await;
     let gone = list.send(Update::whole([])).await.unwrap_err();
-    assert_eq!(gone, roster::RosterGone::Ended);
+    assert_eq!(gone, roster::RosterSendError::Ended);
 }
 
 #[tokio::test]
--- a/crates/dunelink/tests/shards/main.rs
+++ b/crates/dunelink/tests/shards/main.rs
@@ -182,7 +182,7 @@
     assert_eq!(places, [(12, 4), (12, 5), (12, 6), (12, 7)]);
     let connections: usize = parts.shards.iter().map(|s| s.config().limits.connections()).sum();
     assert!((900..=1000).contains(&connections), "{connections}");
-    assert!(parts.shards.iter().all(|s| s.config().limits.to_servers() == 25));
+    assert!(parts.shards.iter().all(|s| s.config().limits.max_server_connections() == 25));
     let few = Limits { sockets: 50, ..Limits::default() };
     let error = Node::builder(Config { limits: few, ..config(4) }).split().map(|_| ()).unwrap_err();
     assert!(
--- a/crates/dunelinkd/src/clients.rs
+++ b/crates/dunelinkd/src/clients.rs
@@ -130,7 +130,7 @@
             all: config.limits.connections(),
             most: Clients::most(config),
             ahead: Rc::default(),
-            longest: config.longest(),
+            longest: config.max_deadline(),
             phase: Cell::new(Phase::Serving),
             able: Cell::new(false),
             next: Cell::new(0),
@@ -143,7 +143,7 @@
 
     /// How many connections of clients there may be.
     pub(crate) fn most(config: &Config) -> usize {
-        config.limits.connections().saturating_sub(config.limits.to_servers()).max(1)
+        config.limits.connections().saturating_sub(config.limits.max_server_connections()).max(1)
     }
 
     /// The clients of one shard, that has this place at the dealer's.
--- a/crates/dunelinkd/src/demo/mod.rs
+++ b/crates/dunelinkd/src/demo/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use anyhow::bail;
-use dunelink::config::{Class, Dedup, Effect, Group, Tenant};
+use dunelink::config::{Class, Dedup, DedupGroup, Effect, Tenant};
 use dunelink::roster::{self, RosterSender};
 use dunelink::{Answer, Config, Handle, Node, ServerState, Update, ext};
 use hyper::Request;
@@ -61,7 +61,8 @@
         Class {
             aim: Some(millis(aim)),
             late_worth: 0.2,
-            dedup: (effect == Effect::Keyed).then_some(Dedup { group: Group::All, window: millis(4000) }),
+            dedup: (effect == Effect::Keyed)
+                .then_some(Dedup { group: DedupGroup::All, window: millis(4000) }),
             ..Class::new(name, effect, millis(deadline))
         }
     };
--- a/crates/dunelinkd/src/log.rs
+++ b/crates/dunelinkd/src/log.rs
@@ -1,7 +1,7 @@
 //! The log: one event a line on standard error, for people or for programs.
 
 use clap::ValueEnum;
-use dunelink::config::LogForm;
+use dunelink::config::LogFormat;
 
 /// The form of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -12,11 +12,11 @@
     Json,
 }
 
-impl From<LogForm> for Form {
-    fn from(form: LogForm) -> Form {
+impl From<LogFormat> for Form {
+    fn from(form: LogFormat) -> Form {
         match form {
-            LogForm::Text => Form::Text,
-            LogForm::Json => Form::Json,
+            LogFormat::Text => Form::Text,
+            LogFormat::Json => Form::Json,
         }
     }
 }
--- a/crates/dunelinkd/src/serve.rs
+++ b/crates/dunelinkd/src/serve.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, anyhow};
-use dunelink::config::{Absent, RosterConfig};
+use dunelink::config::{IfAbsent, RosterConfig};
 use dunelink::roster::{Watch, WatchMover};
 use dunelink::{Config, Counts, Handle, Node, NodeParts};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -87,7 +87,7 @@
         config.limits.sockets = config.limits.sockets.saturating_sub(door::DESCRIPTORS);
     }
     // What comes over its own connections is held to RFC 9112, 3.2.
-    config.intake.host = Absent::Refuse;
+    config.intake.host = IfAbsent::Refuse;
     let mut builder = Node::builder(config.clone());
     let mut mover = None;
     if let RosterConfig::Watch { address, .. } = config.roster {
@@ -108,7 +108,7 @@
     }
     let ready = spawn_local(ready(node.handle().clone(), shared, serving.clone()));
     spawn_local(reread(source, hang_up, mover, node.handle().clone()));
-    let wait = (config.longest() + LAST_ANSWERS).min(STAY_MOST.saturating_sub(STILL_ACCEPT));
+    let wait = (config.max_deadline() + LAST_ANSWERS).min(STAY_MOST.saturating_sub(STILL_ACCEPT));
     if let Some(list) = list {
         spawn_local(list.run());
         let mut shards = Shards::start(shards, node.handle(), listener, ready, shared)?;
--- a/crates/dunelinkd/tests/conformance/main.rs
+++ b/crates/dunelinkd/tests/conformance/main.rs
@@ -29,7 +29,7 @@
     fn start_with(config: &Value, more: &str) -> Self {
         let mut config = dunelink::Config::from_platform(&config.to_string()).unwrap();
         config.fleet.shards = SHARDS;
-        config.attempts.answers = dunelink::config::Answers::Http;
+        config.attempts.answers = dunelink::config::FinalAnswers::Http;
         let path = process::write_as("toml", &(config.to_toml().unwrap() + more));
         let mut command = process::program();
         command.args(["run", "--config", &path]);
