--- a/crates/dunelink/src/config/classes.rs
+++ b/crates/dunelink/src/config/classes.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What may happen to a request that is sent more than once.
+/// Whether a request may be sent more than once.
 ///
 /// ```
 /// use dunelink::config::Effect;
@@ -15,15 +15,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Repeats do no harm. Sent as `GET`, without a body.
+    /// Idempotent. Sent as `GET`, without a body.
     Safe,
-    /// Servers drop a repeat with the same `Idempotency-Key`, within the class's `dedup`. Sent as `POST`.
+    /// Servers drop a duplicate with the same `Idempotency-Key`, within the scope and window of the class's
+    /// `dedup`. Sent as `POST`.
     Keyed,
-    /// It must never run twice. Sent as `POST`.
+    /// Not idempotent: must never be executed twice. Sent as `POST`.
     Unsafe,
 }
 
-/// Which servers drop each other's repeats, and for how long.
+/// Where and for how long servers recognize duplicates of a keyed request.
 ///
 /// ```
 /// use dunelink::config::{Class, Dedup, Effect, DedupGroup};
@@ -37,14 +38,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Dedup {
-    /// Which servers share what they remember.
+    /// Which servers share their record of idempotency keys.
     pub group: DedupGroup,
-    /// For how long after the first attempt was sent.
+    /// How long servers remember a key, counted from the moment the first attempt was sent.
     #[serde(with = "humantime_serde")]
     pub window: Duration,
 }
 
-/// Which servers share what they remember.
+/// The servers that share one record of idempotency keys.
 ///
 /// ```
 /// use dunelink::config::DedupGroup;
@@ -55,15 +56,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DedupGroup {
-    /// All.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests with common deadline, idempotency and value.
 ///
 /// ```
 /// use dunelink::config::{Class, Effect};
@@ -75,26 +76,26 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name: the first part of the path, unless an extension says otherwise.
+    /// The first segment of the request path, unless an extension of the request names the class.
     pub name: String,
-    /// What a repeat does.
+    /// Whether a request of this class may be sent more than once.
     pub effect: Effect,
-    /// Keyed classes: where and for how long repeats are dropped.
+    /// For keyed classes, the scope and window within which duplicates are dropped; `None` for all others.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub dedup: Option<Dedup>,
-    /// A client's whole wait; up to an hour.
+    /// The longest that a client waits for its answer; capped at one hour.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
-    /// An answer within this time earns the full worth; the deadline if absent.
+    /// Target latency: an answer within this time earns the full `worth`. Defaults to the deadline.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "humantime_serde")]
     pub aim: Option<Duration>,
-    /// The aim grows by this multiple of the request's expected work, up to the deadline.
+    /// The target latency grows by this multiple of the expected work of the request, up to the deadline.
     #[serde(default)]
     pub aim_stretch: f64,
-    /// What an answer in time is worth against other classes'.
+    /// Value of an answer in time, relative to other classes.
     #[serde(default = "one")]
     pub worth: f64,
-    /// The part of the worth that a late answer earns.
+    /// Fraction of `worth` that a late answer earns.
     #[serde(default)]
     pub late_worth: f64,
 }
@@ -104,7 +105,7 @@
 }
 
 impl Class {
-    /// A class of this name, with a worth of 1.
+    /// A class with this name and a worth of 1.
     pub fn new(name: impl Into<String>, effect: Effect, deadline: Duration) -> Class {
         Class {
             name: name.into(),
@@ -118,13 +119,13 @@
         }
     }
 
-    /// The time within which an answer earns the full worth.
+    /// The target latency: an answer within this time earns the full worth.
     pub fn aim(&self) -> Duration {
         self.aim.unwrap_or(self.deadline)
     }
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 ///
 /// ```
 /// let toml = r#"
@@ -145,10 +146,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as requests have it.
+    /// The name that requests carry.
     pub name: String,
-    /// Requests a second, over all nodes, that are within its share.
+    /// Requests per second, over all nodes, that count as within its quota.
     pub quota_per_s: f64,
-    /// The part of the service that it has a right to, from 0 to 1.
+    /// The fraction of the service's capacity to which it is entitled, from 0 to 1.
     pub share: f64,
 }
--- a/crates/dunelink/src/config/error.rs
+++ b/crates/dunelink/src/config/error.rs
@@ -1,9 +1,9 @@
-//! What is wrong with a configuration, and where.
+//! Errors in a configuration, with their location.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with a configuration: `FILE:LINE: KEY: WHAT`, on one line, with the parts that are known.
+/// An error in a configuration, shown on one line as `FILE:LINE: KEY: WHAT` with the parts that are known.
 ///
 /// ```
 /// use dunelink::Config;
@@ -13,13 +13,13 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The file, if it came from one.
+    /// The file, or `None` if the configuration was not read from a file.
     pub file: Option<PathBuf>,
-    /// The line, from 1.
+    /// The line, counted from 1, or `None` if it is unknown.
     pub line: Option<usize>,
-    /// The key, with its parents: `classes[1].deadline`.
+    /// The key with its parents, such as `classes[1].deadline`; empty if the error concerns no single key.
     pub key: String,
-    /// What is wrong and what was expected.
+    /// What is wrong or what was expected.
     pub what: String,
 }
 
@@ -33,19 +33,19 @@
         self
     }
 
-    /// What the configuration as a whole says wrongly.
+    /// An error that concerns no single key, or whose text names it.
     pub(crate) fn without_key(what: &str) -> ConfigError {
         ConfigError::of(what)
     }
 
-    /// The same error with the file that it was found in.
+    /// The same error with the file in which it was found.
     pub(crate) fn in_file(mut self, path: &Path) -> ConfigError {
         self.file = Some(path.to_path_buf());
         self
     }
 }
 
-/// Libraries' messages may have several lines; a log's entry has one.
+/// Joins the lines of a library's message: a log entry has only one line.
 fn one_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
@@ -73,7 +73,7 @@
     }
 }
 
-/// A key whose value does not hold together with the rest.
+/// A key whose value is invalid by itself or together with other settings.
 #[derive(Debug)]
 pub(super) struct Problem {
     pub(super) key: String,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Reads a file whole.
+/// Reads a whole file as text.
 pub(super) fn read(path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|e| ConfigError::of(format!("can't be read: {e}")).in_file(path))
 }
--- a/crates/dunelink/src/config/fleet.rs
+++ b/crates/dunelink/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet, this node's place in it, and where the list of servers comes from.
+//! The fleet, this node's position in it, and the source of the server list.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
 
 use crate::entries::Server;
 
-/// The fleet as a whole, and this node's place in it.
+/// Settings of the whole fleet, and this node's position in it.
 ///
 /// ```
 /// let toml = r#"
@@ -30,50 +30,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// How many nodes share the work.
+    /// Number of nodes that share the load.
     pub nodes: u32,
-    /// How many shards each node has: engines on a thread each, between which its connections are dealt out. The
-    /// same for all nodes of the fleet.
+    /// Number of shards of each node: engines on a thread each, among which the node's connections are
+    /// distributed. The same for all nodes of the fleet.
     #[serde(skip_serializing_if = "is_one")]
     pub shards: u32,
-    /// This node's number among them, from 0.
+    /// This node's index among the nodes, from 0.
     pub rank: u32,
-    /// The zone that this node is in, one of `zones`.
+    /// The zone of this node, one of `zones`; empty if it has none.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub zone: String,
-    /// The names of zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// The names of kinds of machine.
+    /// Names of the machine types.
     pub kinds: Vec<String>,
-    /// A starting server has at least this part of its capacity (slow start).
+    /// Fraction of its capacity that a server has when it starts (slow start); above 0, up to 1.
     pub cold_from: f64,
-    /// A server is warm after this time at most.
+    /// Longest time until a started server reaches its full capacity.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// A cold server falls over when it is sent this multiple of what it can do at that moment.
+    /// A cold server collapses under this multiple of the load that it can handle at that moment.
     pub fall_multiple: f64,
-    /// A connection that is not up after this has failed.
+    /// A connection attempt that takes longer than this has failed.
     #[serde(with = "humantime_serde")]
     pub connect_timeout: Duration,
     /// Servers close a connection that has been idle for this long.
     #[serde(with = "humantime_serde")]
     pub keepalive: Duration,
-    /// Whether related requests are cheaper on a server that met their key lately.
+    /// Whether related requests are cheaper on a server that recently handled the same affinity key.
     pub warm_keys: bool,
-    /// Whether weights shrink while a server holds requests, and so tell of load as well as of size.
+    /// Whether a server's listed weight shrinks while it holds requests, so that it reflects load as well as
+    /// capacity.
     pub live_weights: bool,
-    /// What crossing zones costs, for every request once, as a part of all worth.
+    /// Cost of crossing zones, charged once per request, as a fraction of the total worth.
     pub cross_zone_price: f64,
-    /// The longest time between two looks at the clock.
+    /// Timer resolution: the longest interval between two checks of the clock.
     #[serde(with = "humantime_serde")]
     pub step: Duration,
-    /// How many labels tenants are hashed to: each has a pool of servers of its own. The same at every node.
+    /// Number of labels that tenants are hashed to; each label has its own pool of servers. The same at every
+    /// node.
     pub labels: u16,
-    /// The least that a label's pool takes while servers last; four or more. The same at every node.
+    /// Minimum size of a label's pool while there are enough servers; at least 4. The same at every node.
     pub pool_min: u16,
 }
 
-/// Where the list of servers comes from.
+/// Source of the server list.
 ///
 /// ```
 /// let toml = r#"
@@ -94,34 +96,35 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "from", rename_all = "lowercase", deny_unknown_fields)]
 pub enum RosterConfig {
-    /// From the host program, through [`crate::Builder::roster`]; without one, `known` is all there is.
+    /// The host program supplies it through [`crate::Builder::roster`]; without that call, the list is
+    /// `known`.
     #[default]
     Host,
-    /// From the list here, which never changes.
+    /// A list that never changes.
     Fixed {
         /// The servers.
         servers: Vec<Server>,
     },
-    /// From a TOML file with `[[servers]]` entries, read again when it changes.
+    /// A TOML file with `[[servers]]` entries, read again when it changes.
     File {
-        /// Where it is.
+        /// Path of the file.
         path: PathBuf,
-        /// How often to look.
+        /// Interval between two checks of the file.
         #[serde(default = "File::every", with = "humantime_serde")]
         every: Duration,
     },
-    /// From the platform's discovery, by a watch over HTTP.
+    /// A watch of the platform's discovery service over HTTP.
     Watch {
-        /// Where it answers.
+        /// Address of the discovery service.
         address: SocketAddr,
-        /// Whether it wants to be asked at least this often, and sends nothing by itself; it is asked when the
-        /// decision module says so.
+        /// If set, discovery sends no changes on its own and must be polled at least this often; the decision
+        /// module schedules the polls.
         #[serde(default, skip_serializing_if = "Option::is_none", with = "humantime_serde")]
         ask_every: Option<Duration>,
     },
 }
 
-/// Defaults of a file roster.
+/// Defaults of [`RosterConfig::File`].
 struct File;
 
 impl File {
--- a/crates/dunelink/src/config/graphql.rs
+++ b/crates/dunelink/src/config/graphql.rs
@@ -1,4 +1,4 @@
-//! An endpoint that speaks GraphQL over HTTP.
+//! An endpoint for GraphQL over HTTP.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 
 use super::{Class, Config, ConfigError, Effect, Problem, error};
 
-/// An endpoint that speaks GraphQL over HTTP: where it is, and which class each operation is of.
+/// An endpoint for GraphQL over HTTP: its path, and how operations map to classes.
 ///
 /// ```
 /// let toml = r#"
@@ -37,31 +37,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GraphQl {
-    /// Its path, as clients write it.
+    /// Path of the endpoint, as it stands in requests.
     pub path: String,
-    /// The class of queries that no line below fits; its effect is safe.
+    /// Class of queries that match no entry of `operations`; must be safe.
     pub query: String,
-    /// The class of mutations that no line below fits, and of what can't be told; its effect is unsafe.
+    /// Class of mutations that match no entry of `operations`, and of requests whose operation can't be
+    /// determined; must be unsafe.
     pub mutation: String,
-    /// A manifest of documents that clients ask for by name: JSON, an Apollo client's or an object of names and
-    /// texts. Read at the start, and again when told to.
+    /// Manifest of persisted documents that clients request by name, in JSON: an Apollo client's manifest or
+    /// an object that maps names to texts. Read at the start and whenever a reload is requested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub documents: Option<PathBuf>,
-    /// Parameters of requests, beside those of the specification, that servers do not heed.
+    /// Request parameters, beyond those of the specification, that servers ignore.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub parameters: Vec<String>,
-    /// What a request may hold.
+    /// Limits of a request.
     #[serde(default)]
     pub limits: GraphQlLimits,
-    /// What work to expect.
+    /// How the work of a request is estimated.
     #[serde(default)]
     pub weights: GraphQlWeights,
-    /// Operations that are of a class of their own; the first that fits counts.
+    /// Rules that assign operations to other classes; the first match counts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub operations: Vec<GraphQlOperation>,
 }
 
-/// What an operation does.
+/// Type of an operation.
 ///
 /// ```
 /// use dunelink::config::GraphQlType;
@@ -72,13 +73,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum GraphQlType {
-    /// It reads.
+    /// Reads only.
     Query,
-    /// It changes something.
+    /// Changes state.
     Mutation,
 }
 
-/// Operations that are of a class of their own.
+/// A rule that assigns matching operations to a class.
 ///
 /// ```
 /// use dunelink::config::{GraphQlOperation, GraphQlType};
@@ -92,33 +93,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GraphQlOperation {
-    /// What they do.
+    /// Type of the operations.
     #[serde(rename = "type")]
     pub kind: GraphQlType,
-    /// The root fields that they may ask for, one or more of these and no others; any if empty. A keyed class for
-    /// mutations wants them, as clients choose an operation's name.
+    /// Root fields: an operation matches if it requests one or more of these and no others; any root fields
+    /// match if empty. Required for mutations of a keyed class, as clients choose an operation's name freely.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub fields: Vec<String>,
-    /// Their names; any if empty.
+    /// Operation names; any name matches if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub names: Vec<String>,
-    /// The names of their documents; any if empty.
+    /// Names of persisted documents; any document matches if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub documents: Vec<String>,
-    /// Their class: safe or unsafe for queries; keyed or unsafe for mutations. One of a keyed class that comes
-    /// without `Idempotency-Key` is of `mutation`'s class.
+    /// Class of the operations: safe or unsafe for queries, keyed or unsafe for mutations. A request for an
+    /// operation of a keyed class without `Idempotency-Key` gets the class `mutation` of the endpoint.
     pub class: String,
 }
 
 impl GraphQlOperation {
-    /// All operations of a type.
+    /// A rule that matches all operations of a type.
     pub fn new(kind: GraphQlType, class: impl Into<String>) -> GraphQlOperation {
         let class = class.into();
         GraphQlOperation { kind, fields: Vec::new(), names: Vec::new(), documents: Vec::new(), class }
     }
 }
 
-/// What a GraphQL request may hold. Over one of them it is answered with an error that has that limit's name.
+/// Limits of a GraphQL request. A request that exceeds one is answered with an error that names the limit.
 ///
 /// ```
 /// let limits = dunelink::config::GraphQlLimits { batch: 0, ..Default::default() };
@@ -129,22 +130,22 @@
 pub struct GraphQlLimits {
     /// Bytes of a document.
     pub bytes: usize,
-    /// Tokens of a document, white space and comments among them.
+    /// Tokens of a document, including white space and comments.
     pub tokens: usize,
-    /// Levels of fields within fields.
+    /// Depth of nested fields.
     pub depth: usize,
-    /// Aliases, with fragments spread out.
+    /// Aliases after fragments are expanded.
     pub aliases: u64,
-    /// Directives, with fragments spread out.
+    /// Directives after fragments are expanded.
     pub directives: u64,
-    /// Fields, with fragments spread out.
+    /// Fields after fragments are expanded.
     pub fields: u64,
-    /// The work that a request is expected to be.
+    /// Estimated work of a request.
     #[serde(with = "humantime_serde")]
     pub work: Duration,
-    /// Requests in a batch; 0 where none are taken.
+    /// Requests in a batch; 0 if batches are not accepted.
     pub batch: usize,
-    /// Bytes of documents that are remembered, so as not to parse them again; 0 for none.
+    /// Size in bytes of the cache of parsed documents; 0 disables it.
     pub known: usize,
 }
 
@@ -156,8 +157,8 @@
     }
 }
 
-/// What work to expect of an operation: `base`, and for each field its weight times the lengths of the lists around
-/// it. It stands in for `Req-Cost`, where a client sends none.
+/// How the work of an operation is estimated: `base`, plus for each field its weight times the lengths of the
+/// enclosing lists. The estimate replaces `Req-Cost` where a client sends none.
 ///
 /// ```
 /// use dunelink::config::GraphQlWeights;
@@ -168,15 +169,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GraphQlWeights {
-    /// Any operation.
+    /// Work of any operation.
     #[serde(with = "humantime_serde")]
     pub base: Duration,
-    /// A field that is not named below.
+    /// Weight of a field that is not listed in `fields`.
     #[serde(with = "humantime_serde")]
     pub field: Duration,
-    /// Arguments that say how long a field's list may be.
+    /// Names of arguments that limit the length of a field's list.
     pub list_arguments: Vec<String>,
-    /// Fields by name.
+    /// Weights of fields by name.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub fields: BTreeMap<String, humantime_serde::Serde<Duration>>,
 }
@@ -188,8 +189,8 @@
     }
 }
 
-/// A node's own page, which no endpoint may take the place of.
-const HEALTH: &str = "/_health";
+/// The node's own health page, which no endpoint may replace.
+const HEALTH_PATH: &str = "/_health";
 
 impl GraphQl {
     /// An endpoint with the default limits.
@@ -206,43 +207,52 @@
         }
     }
 
-    /// Checks that it holds together with the classes.
+    /// Checks the endpoint's settings against the classes.
     pub(super) fn check(&self, classes: &[Class]) -> Result<(), Problem> {
-        let want = |kept: bool, key: &str, expected: &str| match kept {
+        let require = |holds: bool, key: &str, expected: &str| match holds {
             true => Ok(()),
             false => Err(Problem::new(format!("graphql.{key}"), expected)),
         };
-        let parts: Vec<&str> =
+        let segments: Vec<&str> =
             self.path.strip_prefix('/').map(|path| path.split('/').collect()).unwrap_or_default();
-        let plain = !parts.is_empty() && parts.iter().all(|part| is_class_name(part));
-        want(plain, "path", "expected a path such as \"/graphql\", of parts that need no encoding")?;
-        let first = parts.first().copied().unwrap_or_default();
-        let taken = classes.iter().any(|class| class.name.eq_ignore_ascii_case(first)) || self.path == HEALTH;
-        want(!taken, "path", "expected a path that does not begin with a class's name, and not /_health")?;
+        let unencoded = !segments.is_empty() && segments.iter().all(|segment| is_class_name(segment));
+        require(
+            unencoded,
+            "path",
+            "expected a path such as \"/graphql\", of segments that need no encoding",
+        )?;
+        let first = segments.first().copied().unwrap_or_default();
+        let conflicts =
+            classes.iter().any(|class| class.name.eq_ignore_ascii_case(first)) || self.path == HEALTH_PATH;
+        require(
+            !conflicts,
+            "path",
+            "expected a path that does not begin with a class name, and not /_health",
+        )?;
         for (at, name) in self.parameters.iter().enumerate() {
             let expected = "expected letters, digits, _ and -, and none of GraphQL's own parameters";
-            want(graphql::is_passable(name), &format!("parameters[{at}]"), expected)?;
+            require(graphql::is_passable(name), &format!("parameters[{at}]"), expected)?;
         }
         let l = &self.limits;
-        for (most, key) in [
+        for (limit, key) in [
             (l.bytes as u64, "limits.bytes"),
             (l.tokens as u64, "limits.tokens"),
             (l.depth as u64, "limits.depth"),
             (l.fields, "limits.fields"),
         ] {
-            want(most > 0, key, "expected at least 1")?;
+            require(limit > 0, key, "expected at least 1")?;
         }
-        want(l.depth <= 64, "limits.depth", "expected at most 64")?;
-        want(l.batch <= 1_000, "limits.batch", "expected at most 1000")?;
-        want(!l.work.is_zero(), "limits.work", "expected a time above 0")?;
-        let known = |name: &str, key: &str| {
-            let known = classes.iter().any(|class| class.name == name);
-            want(known, key, "expected the name of one of the [[classes]]")
+        require(l.depth <= 64, "limits.depth", "expected at most 64")?;
+        require(l.batch <= 1_000, "limits.batch", "expected at most 1000")?;
+        require(!l.work.is_zero(), "limits.work", "expected a time above 0")?;
+        let require_class = |name: &str, key: &str| {
+            let exists = classes.iter().any(|class| class.name == name);
+            require(exists, key, "expected the name of one of the [[classes]]")
         };
-        known(&self.query, "query")?;
-        known(&self.mutation, "mutation")?;
+        require_class(&self.query, "query")?;
+        require_class(&self.mutation, "mutation")?;
         for (at, operation) in self.operations.iter().enumerate() {
-            known(&operation.class, &format!("operations[{at}].class"))?;
+            require_class(&operation.class, &format!("operations[{at}].class"))?;
         }
         self.table(classes).check().map_err(|error| {
             let key = match error {
@@ -255,10 +265,11 @@
         })
     }
 
-    /// Which class an operation is of.
+    /// Builds the table that maps operations to classes.
     fn table(&self, classes: &[Class]) -> Table {
         let class = |name: &str| {
-            // Names were checked; without classes nothing is safe.
+            // `check` rejects unknown names. Without any class there is no safe default, so the effect is
+            // unsafe.
             let index = classes.iter().position(|class| class.name == name).unwrap_or(0);
             let effect = match classes.get(index).map(|class| class.effect) {
                 Some(Effect::Safe) => graphql::Effect::Safe,
@@ -284,22 +295,22 @@
         }
     }
 
-    /// Reads the manifest, if there is one.
+    /// Reads the manifest; empty if none is configured.
     fn read_documents(&self) -> Result<Documents, ConfigError> {
         let Some(path) = &self.documents else { return Ok(Documents::default()) };
         let text = error::read(path)?;
         Documents::from_json(&text).map_err(|e| {
-            let wrong = ConfigError::of(format!("expected a manifest of documents: {e}"));
-            wrong.at((e.line() > 0).then_some(e.line()), "").in_file(path)
+            let error = ConfigError::of(format!("expected a manifest of documents: {e}"));
+            error.at((e.line() > 0).then_some(e.line()), "").in_file(path)
         })
     }
 
-    /// What reads the requests at the endpoint, with the manifest as it is now.
+    /// Builds the reader of the endpoint's requests from the current content of the manifest.
     ///
     /// # Errors
     ///
-    /// It does not hold together with the classes, or the manifest can't be read or has a document that would be
-    /// turned down.
+    /// The settings don't match the classes, the manifest can't be read, or one of its documents is invalid
+    /// or exceeds a limit.
     pub(crate) fn reader(&self, classes: &[Class]) -> Result<Reader, ConfigError> {
         self.check(classes)?;
         let GraphQlLimits { bytes, tokens, depth, aliases, directives, fields, work, batch, known } =
@@ -320,9 +331,9 @@
         };
         for (name, text) in reader.documents.iter() {
             let read = graphql::Document::read(text, &Default::default(), &reader.limits, &reader.weights);
-            read.map_err(|wrong| {
-                let wrong = ConfigError::of(wrong.to_string()).at(None, name);
-                self.documents.iter().fold(wrong, |wrong, path| wrong.in_file(path))
+            read.map_err(|error| {
+                let error = ConfigError::of(error.to_string()).at(None, name);
+                self.documents.iter().fold(error, |error, path| error.in_file(path))
             })?;
         }
         Ok(reader)
@@ -330,12 +341,13 @@
 }
 
 impl Config {
-    /// What reads the requests at the GraphQL endpoint, with the manifest as it is now; nothing without an endpoint.
+    /// Builds the reader of requests at the GraphQL endpoint from the current content of the manifest; `None`
+    /// without an endpoint.
     ///
     /// # Errors
     ///
-    /// The configuration does not hold together, or the manifest can't be read or has a document that would be
-    /// turned down.
+    /// The settings don't match the classes, the manifest can't be read, or one of its documents is invalid
+    /// or exceeds a limit.
     pub fn graphql_reader(&self) -> Result<Option<Reader>, ConfigError> {
         self.graphql.as_ref().map(|endpoint| endpoint.reader(&self.classes)).transpose()
     }
--- a/crates/dunelink/src/config/mod.rs
+++ b/crates/dunelink/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! What a node is told at its start.
+//! The configuration of a node.
 //!
-//! [`Config`] is one typed value. It is written and read as TOML by people ([`Config::from_toml`]), and read
-//! from the platform's JSON ([`Config::from_platform`]). Whatever is wrong is a [`ConfigError`] that names the
-//! file, the line, the key and what was expected.
+//! [`Config`] is one typed value. Operators write it as TOML ([`Config::from_toml`]); the platform supplies
+//! JSON ([`Config::from_platform`]). Any mistake is a [`ConfigError`] that names the file, the line, the key
+//! and what was expected.
 
 mod check;
 mod classes;
@@ -30,15 +30,16 @@
 
 use crate::entries::{Server, Update};
 
-/// Descriptors for all but connections: standard streams, epoll, wake-ups, signals, the listener, discovery.
+/// Descriptors reserved for all but connections: standard streams, epoll, wake-ups, signals, the listener,
+/// discovery.
 const RESERVED_SOCKETS: usize = 24;
-/// Descriptors that each of several shards needs for itself: its epoll, timers and wake-ups.
+/// Additional descriptors of each shard, if there are several: its epoll, timers and wake-ups.
 pub(crate) const SOCKETS_PER_SHARD: usize = 4;
-/// No deadline is longer, whatever the settings say.
+/// Upper bound of every deadline, whatever the settings say.
 pub(crate) const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 
-/// Everything a node goes by. [`Config::default`] is one node with no classes and no servers; it wants at least
-/// a class.
+/// The configuration of a node. [`Config::default`] is a single node without classes and servers; at least
+/// one class must be added.
 ///
 /// ```
 /// let config = dunelink::Config::from_toml(r#"
@@ -53,48 +54,48 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// The node's name, for its log and its thread.
+    /// Name of the node in its log and as its thread's name.
     pub name: String,
-    /// Where the daemon listens. The library has no listener and passes it over.
+    /// Address on which the daemon accepts requests. The library has no listener and ignores it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
-    /// Where the daemon answers its operators. The library has no listener and passes it over.
+    /// Address at which the daemon serves its operators. The library has no listener and ignores it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub control: Option<SocketAddr>,
-    /// How the daemon writes its log. The library's events go to whoever subscribes to them.
+    /// Format of the daemon's log. The library emits its events through `tracing` and ignores it.
     #[serde(skip_serializing_if = "is_default")]
     pub log: LogFormat,
-    /// For random numbers, hexadecimal; drawn from the clock and the name if absent.
+    /// Seed of the random numbers, hexadecimal; derived from the clock and the name if absent.
     #[serde(skip_serializing_if = "Option::is_none", with = "text::hex")]
     pub seed: Option<u64>,
-    /// What a request beyond its tenant's share is worth, as a part of its class's worth.
+    /// Worth of a request beyond its tenant's quota, as a fraction of its class's worth.
     pub over_share_worth: f64,
-    /// What the node may hold.
+    /// Resource limits of the node.
     pub limits: Limits,
-    /// What a request has to bring along.
+    /// What a request must contain.
     pub intake: Intake,
-    /// What may be done for a request after its first attempt.
+    /// Retries, cancellation and hedging.
     pub attempts: Attempts,
-    /// The fleet as a whole, and this node's place in it.
+    /// The fleet, and this node's position in it.
     pub fleet: Fleet,
-    /// Where the list of servers comes from.
+    /// Source of the server list.
     pub roster: RosterConfig,
-    /// The list as it was last held: where the node starts from, until the roster says more.
+    /// The last known server list, with which the node starts until the roster supplies a newer one.
     #[serde(skip_serializing_if = "is_default")]
     pub known: Update,
-    /// The classes of requests; at least one.
+    /// Classes of requests; at least one.
     pub classes: Vec<Class>,
-    /// The tenants and their shares; may be empty.
+    /// Tenants and their quotas; may be empty.
     pub tenants: Vec<Tenant>,
-    /// An endpoint that speaks GraphQL over HTTP.
+    /// GraphQL endpoint, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub graphql: Option<GraphQl>,
-    /// Gossip with the other nodes.
+    /// Gossip with the other nodes; `None` disables it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub gossip: Option<Gossip>,
 }
 
-/// What the node may hold.
+/// Resource limits of a node.
 ///
 /// ```
 /// let limits = dunelink::config::Limits { sockets: 1024, ..Default::default() };
@@ -103,23 +104,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Descriptors of the process, for connections of both sides and all else.
+    /// File descriptors of the process, for connections to clients and servers and everything else.
     pub sockets: usize,
-    /// Connections to servers at once; a third of what is left for connections if absent.
+    /// Maximum number of connections to servers; by default a third of the descriptors available for
+    /// connections.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connections: Option<usize>,
-    /// Requests open at once. What comes beyond is refused at once, or waits in `poll_ready`.
+    /// Maximum number of open requests. Further requests are refused at once, or wait in `poll_ready`.
     pub requests: usize,
-    /// Bytes of a body that are held, in either direction.
+    /// Maximum number of bytes of a body that are buffered, in either direction.
     pub body: usize,
-    /// Bytes in a body, in either direction: a longer one than is held is passed on as it comes. What is over this is
-    /// turned down.
+    /// Maximum number of bytes of a body, in either direction. Bodies larger than `body` are streamed; those
+    /// larger than this are rejected.
     pub stream: u64,
-    /// Bodies that are passed on at once. Each takes up to 0.2 MB; a request for which there is no room is refused.
+    /// Maximum number of bodies that are streamed at once. Each takes up to 0.2 MB; a request beyond the
+    /// limit is refused.
     pub transfers: usize,
 }
 
-/// What a request has to bring along.
+/// What a request must contain.
 ///
 /// ```
 /// let toml = r#"
@@ -138,17 +141,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Intake {
-    /// Whether a request without an id is an error, or gets one.
+    /// Whether a request without an id is rejected or gets a generated one.
     pub id: IfAbsent,
-    /// Whether a request without a deadline is an error, or has its class's.
+    /// Whether a request without a deadline is rejected or gets that of its class.
     pub deadline: IfAbsent,
-    /// Whether a request of HTTP/1.1 without `Host` is an error, as RFC 9112 has it, or is taken: a call from
-    /// within a program has no connection that it came by. The daemon turns it down whatever is said here.
+    /// Whether an HTTP/1.1 request without `Host` is rejected, as RFC 9112 requires, or accepted: a call from
+    /// within the program came by no connection that would name a host. The daemon always rejects it.
     #[serde(skip_serializing_if = "is_default")]
     pub host: IfAbsent,
 }
 
-/// What to do when something is absent.
+/// How to handle a missing element of a request.
 ///
 /// ```
 /// let toml = r#"
@@ -167,14 +170,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum IfAbsent {
-    /// Go by the default.
+    /// Use the default.
     #[default]
     Default,
-    /// Turn the request down as invalid.
+    /// Reject the request as invalid.
     Refuse,
 }
 
-/// What may be done for a request after its first attempt.
+/// Retries, cancellation and hedging of requests.
 ///
 /// ```
 /// let toml = r#"
@@ -194,21 +197,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Attempts {
-    /// The most attempts that one request may have.
+    /// Maximum number of attempts per request, including the first.
     pub most: u16,
-    /// Whether attempts may be cancelled, by closing their connection.
+    /// Whether attempts may be cancelled by closing their connection.
     pub cancel: bool,
-    /// Whether a second attempt may be sent while the first is out (hedged requests).
+    /// Whether a second attempt may be sent while the first is in flight (hedged requests).
     pub hedge: bool,
-    /// The longest stay away that a refused client honours; 0 for none, and then none is told.
+    /// Maximum `Retry-After` that refused clients honour; 0 if none, and then none is sent.
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
     /// Which answers of servers are final.
     pub answers: FinalAnswers,
 }
 
-/// Which answers of a server are the client's: final, passed on, not asked for elsewhere, and not held against the
-/// server.
+/// Which answers of a server are final: passed on to the client, not retried, and not counted as failures of
+/// the server.
 ///
 /// ```
 /// use dunelink::config::{FinalAnswers, Attempts};
@@ -218,22 +221,22 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FinalAnswers {
-    /// Every 2xx, and every 4xx that is about the request: all but 408, 421, 425 and 429, which are about the server
-    /// or its connection.
+    /// Every 2xx, and every 4xx that concerns the request: all except 408, 421, 425 and 429, which concern
+    /// the server or its connection.
     #[default]
     Http,
-    /// 200 alone; any other is the server's failure. As the platform has it.
+    /// Only 200; any other status counts as a failure of the server. The platform's rule.
     Ok,
 }
 
-/// The form of a log.
+/// Format of a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// A line for people.
+    /// Human-readable lines.
     #[default]
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -278,12 +281,12 @@
 }
 
 impl Limits {
-    /// How many connections there may be, of clients and to servers together.
+    /// Maximum number of connections, to clients and servers together.
     pub fn connections(&self) -> usize {
         self.sockets.saturating_sub(RESERVED_SOCKETS).max(8)
     }
 
-    /// How many connections to servers there may be.
+    /// Maximum number of connections to servers.
     pub fn max_server_connections(&self) -> usize {
         self.server_connections.unwrap_or(self.connections() / 3)
     }
@@ -316,34 +319,34 @@
         Ok(config)
     }
 
-    /// The configuration as TOML that [`Config::from_toml`] reads back to the same value.
+    /// Writes the configuration as TOML, from which [`Config::from_toml`] reads the same value.
     ///
     /// # Errors
     ///
-    /// Numbers that TOML has no form for: a seed is written as text, so only sizes beyond 63 bits.
+    /// A size exceeds the 63 bits of a TOML integer. (The seed may: it is written as text.)
     pub fn to_toml(&self) -> Result<String, ConfigError> {
         toml::to_string_pretty(self).map_err(|e| ConfigError::of(e.to_string()))
     }
 
-    /// Reads the platform's JSON file, which `GW_CONFIG` names.
+    /// Reads the platform's JSON file, whose path is in the environment variable `GW_CONFIG`.
     pub fn read_platform(path: impl AsRef<Path>) -> Result<Config, ConfigError> {
         let path = path.as_ref();
         let text = error::read(path)?;
         Config::from_platform(&text).map_err(|e| e.in_file(path))
     }
 
-    /// Reads the platform's JSON. Unknown keys are passed over.
+    /// Reads the platform's JSON. Unknown keys are ignored.
     pub fn from_platform(json: &str) -> Result<Config, ConfigError> {
         platform::parse(json)
     }
 
-    /// Whether everything in it holds together; [`crate::Builder::start`] asks this too.
+    /// Checks that the settings are valid and consistent; [`crate::Builder::start`] does this too.
     pub fn validate(&self) -> Result<(), ConfigError> {
         self.check().map_err(ConfigError::from)
     }
 
-    /// The part of one of its shards: a balancer of its own among `nodes` times `shards`, with its part of
-    /// descriptors and connections. Open requests are bounded for all together.
+    /// The configuration of one shard: a balancer of its own among `nodes` times `shards`, with its portion
+    /// of the descriptors and connections. The limit of open requests applies to all shards together.
     pub(crate) fn shard(&self, number: u32) -> Config {
         let count = self.fleet.shards;
         if count <= 1 {
@@ -352,20 +355,20 @@
         let mut config = Config { name: format!("{}/{number}", self.name), ..self.clone() };
         let fleet = &mut config.fleet;
         (fleet.nodes, fleet.rank, fleet.shards) = (fleet.nodes * count, fleet.rank * count + number, 1);
-        let parts = count as usize;
-        let sockets = self.limits.sockets.saturating_sub(RESERVED_SOCKETS + SOCKETS_PER_SHARD * parts);
-        config.limits.sockets = RESERVED_SOCKETS + sockets / parts;
-        config.limits.server_connections = self.limits.server_connections.map(|most| most / parts);
+        let shards = count as usize;
+        let sockets = self.limits.sockets.saturating_sub(RESERVED_SOCKETS + SOCKETS_PER_SHARD * shards);
+        config.limits.sockets = RESERVED_SOCKETS + sockets / shards;
+        config.limits.server_connections = self.limits.server_connections.map(|limit| limit / shards);
         config
     }
 
-    /// The longest that any client waits.
+    /// The longest deadline of any class.
     pub fn max_deadline(&self) -> Duration {
         self.classes.iter().map(|class| class.deadline.min(MAX_DEADLINE)).max().unwrap_or_default()
     }
 }
 
-/// Reads a list of servers from TOML: `rev`, if wanted, and `[[servers]]` entries. It is a whole list.
+/// Reads a complete server list from TOML: an optional `rev` and `[[servers]]` entries.
 pub(crate) fn servers_from_toml(toml: &str) -> Result<Update, ConfigError> {
     #[derive(Deserialize)]
     #[serde(deny_unknown_fields)]
--- a/crates/dunelink/src/config/platform.rs
+++ b/crates/dunelink/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's JSON: its keys, its units and its leniency, mapped onto [`Config`].
+//! The platform's JSON configuration: its keys, units and leniency, mapped onto [`Config`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 /// Reads the platform's JSON.
 pub(super) fn parse(json: &str) -> Result<Config, ConfigError> {
     let mut deserializer = serde_json::Deserializer::from_str(json);
-    let file: File = serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
+    let file: PlatformFile = serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
         let key = text::key_of(e.path());
         let e = e.into_inner();
-        // serde's own words end with a place; the line is told once.
+        // serde's message ends with a location, which the error shows by itself.
         let what = e.to_string();
         let what = what.split(" at line ").next().unwrap_or_default();
         ConfigError::of(what).at((e.line() > 0).then_some(e.line()), key)
@@ -26,14 +26,14 @@
         .map_err(|e| ConfigError::of("expected nothing behind the object").at(Some(e.line()), ""))?;
     let config = file.config();
     config.check().map_err(|problem| {
-        let key = key_here(&problem);
+        let key = platform_key(&problem);
         ConfigError::of(problem.expected).at(text::find_in_json(json, &key), key)
     })?;
     Ok(config)
 }
 
-/// The platform's name for a key of ours.
-fn key_here(problem: &Problem) -> String {
+/// The platform's key for a key of [`Config`].
+fn platform_key(problem: &Problem) -> String {
     let pairs = [
         ("classes", "settings.services"),
         ("tenants", "settings.parties"),
@@ -55,7 +55,7 @@
         .iter()
         .find_map(|(ours, theirs)| problem.key.strip_prefix(ours).map(|rest| format!("{theirs}{rest}")));
     let key = key.unwrap_or_else(|| problem.key.clone());
-    let ends = [
+    let suffixes = [
         ("].deadline", "].deadline_us"),
         ("].aim", "].goal_time_us"),
         ("].worth", "].points"),
@@ -63,13 +63,14 @@
         ("].quota_per_s", "].quota_rps"),
         ("].weight", "].capacity_hint"),
     ];
-    let end =
-        ends.iter().find_map(|(ours, theirs)| key.strip_suffix(ours).map(|start| format!("{start}{theirs}")));
-    end.unwrap_or(key)
+    let with_suffix = suffixes
+        .iter()
+        .find_map(|(ours, theirs)| key.strip_suffix(ours).map(|start| format!("{start}{theirs}")));
+    with_suffix.unwrap_or(key)
 }
 
 #[derive(Deserialize)]
-struct File {
+struct PlatformFile {
     name: String,
     listen: SocketAddr,
     control: Option<SocketAddr>,
@@ -77,19 +78,19 @@
     #[serde(default)]
     seed: String,
     #[serde(default)]
-    limits: FileLimits,
+    limits: PlatformLimits,
     #[serde(default)]
     known: Line,
     settings: Settings,
 }
 
 #[derive(Default, Deserialize)]
-struct FileLimits {
+struct PlatformLimits {
     sockets: Option<usize>,
     memory_mb: Option<f64>,
 }
 
-/// The settings as the simulator gives them.
+/// The settings as the platform's simulator writes them.
 #[derive(Deserialize)]
 struct Settings {
     services: Vec<Service>,
@@ -200,14 +201,14 @@
     cross_zone: f64,
 }
 
-/// A boolean that may also be written as a number.
+/// A boolean that may also be written as 0 or 1.
 #[derive(Clone, Copy, Default)]
 struct Flag(bool);
 
 impl<'de> Deserialize<'de> for Flag {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Flag, D::Error> {
-        struct Either;
-        impl Visitor<'_> for Either {
+        struct FlagVisitor;
+        impl Visitor<'_> for FlagVisitor {
             type Value = Flag;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str("true, false, 1 or 0")
@@ -222,18 +223,18 @@
                 }
             }
         }
-        from.deserialize_any(Either)
+        from.deserialize_any(FlagVisitor)
     }
 }
 
-/// A list of names; one stands for a list of one, and a number for its digits.
+/// A list of names; a single name or a number stands for a list of one.
 #[derive(Default)]
 struct Names(Vec<String>);
 
 impl<'de> Deserialize<'de> for Names {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Names, D::Error> {
-        struct Some;
-        impl<'de> Visitor<'de> for Some {
+        struct NamesVisitor;
+        impl<'de> Visitor<'de> for NamesVisitor {
             type Value = Names;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str("a name or a list of names")
@@ -259,31 +260,31 @@
                 Err(A::Error::invalid_type(Unexpected::Map, &self))
             }
         }
-        from.deserialize_any(Some)
+        from.deserialize_any(NamesVisitor)
     }
 }
 
-/// A time in microseconds; a fraction does no harm.
-fn time(us: f64) -> Duration {
+/// A duration from microseconds, rounded down to whole ones.
+fn duration_from_us(us: f64) -> Duration {
     Duration::from_micros(us as u64)
 }
 
-impl File {
+impl PlatformFile {
     fn config(self) -> Config {
-        let (s, absent) = (self.settings, Fleet::default());
-        let or = |us: Option<f64>, absent: Duration| us.map_or(absent, time);
+        let (s, defaults) = (self.settings, Fleet::default());
+        let duration_or = |us: Option<f64>, default: Duration| us.map_or(default, duration_from_us);
         let mut zones = s.zones.0;
         let zone = usize::from(s.zone.unwrap_or(0));
-        // A node may be in a zone that has no name.
+        // The node's zone index may exceed the list of zone names.
         while zone > 0 && zones.len() <= zone {
             zones.push(format!("zone-{}", zones.len()));
         }
-        let ask = s.obligations.ask_every_us.unwrap_or(10_000_000.0);
-        let asked = matches!(s.discovery, Some(Discovery::Subscribe));
+        let ask_every_us = s.obligations.ask_every_us.unwrap_or(10_000_000.0);
+        let is_polled = matches!(s.discovery, Some(Discovery::Subscribe));
         let sockets = self.limits.sockets.unwrap_or(1024);
-        // Half of the memory, at 0.2 MB each; a number that makes no sense comes out as one that is bounded.
+        // Half of the memory, at 0.2 MB per transfer; `clamp` bounds values that make no sense.
         let memory = self.limits.memory_mb.map(|mb| (mb / 0.4) as usize);
-        let transfers = memory.map_or(Limits::default().transfers, |most| most.clamp(8, 10_000));
+        let transfers = memory.map_or(Limits::default().transfers, |count| count.clamp(8, 10_000));
         Config {
             name: self.name,
             listen: Some(self.listen),
@@ -291,7 +292,7 @@
             log: super::LogFormat::default(),
             seed: u64::from_str_radix(&self.seed, 16).ok(),
             over_share_worth: s.over_share_worth.unwrap_or(1.0),
-            // A request has a connection of its own, so that descriptors bound requests too.
+            // Each request has a connection of its own, so the number of descriptors limits requests too.
             limits: Limits { sockets, requests: sockets.max(8), transfers, ..Limits::default() },
             intake: Intake { id: IfAbsent::Refuse, deadline: IfAbsent::Refuse, host: IfAbsent::Refuse },
             attempts: Attempts {
@@ -299,31 +300,34 @@
                 cancel: s.allowed.cancelling.0,
                 hedge: s.allowed.second_copies.0,
                 retry_after: match s.allowed.retry_after.0 {
-                    true => time(s.allowed.max_retry_after_us),
+                    true => duration_from_us(s.allowed.max_retry_after_us),
                     false => Duration::ZERO,
                 },
                 answers: FinalAnswers::Ok,
             },
             fleet: Fleet {
                 shards: 1,
-                nodes: s.balancers.unwrap_or(absent.nodes),
-                rank: s.rank.unwrap_or(absent.rank),
+                nodes: s.balancers.unwrap_or(defaults.nodes),
+                rank: s.rank.unwrap_or(defaults.rank),
                 zone: zones.get(zone).cloned().unwrap_or_default(),
                 zones,
                 kinds: s.skus.0,
-                cold_from: s.obligations.cold_from.unwrap_or(absent.cold_from),
-                warm_up: or(s.obligations.warm_up_us, absent.warm_up),
-                fall_multiple: s.obligations.fall_multiple.unwrap_or(absent.fall_multiple),
-                connect_timeout: or(s.allowed.connect_timeout_us, absent.connect_timeout),
-                keepalive: or(s.allowed.keepalive_us, absent.keepalive),
+                cold_from: s.obligations.cold_from.unwrap_or(defaults.cold_from),
+                warm_up: duration_or(s.obligations.warm_up_us, defaults.warm_up),
+                fall_multiple: s.obligations.fall_multiple.unwrap_or(defaults.fall_multiple),
+                connect_timeout: duration_or(s.allowed.connect_timeout_us, defaults.connect_timeout),
+                keepalive: duration_or(s.allowed.keepalive_us, defaults.keepalive),
                 warm_keys: s.domain.warm_keys.0,
                 live_weights: s.weights.as_deref() == Some("live"),
                 cross_zone_price: s.prices.cross_zone,
-                step: or(s.step_us, absent.step),
-                labels: absent.labels,
-                pool_min: absent.pool_min,
+                step: duration_or(s.step_us, defaults.step),
+                labels: defaults.labels,
+                pool_min: defaults.pool_min,
+            },
+            roster: RosterConfig::Watch {
+                address: self.discovery,
+                ask_every: is_polled.then(|| duration_from_us(ask_every_us)),
             },
-            roster: RosterConfig::Watch { address: self.discovery, ask_every: asked.then(|| time(ask)) },
             known: self.known.into(),
             classes: s.services.into_iter().map(Service::class).collect(),
             tenants: s
@@ -344,7 +348,7 @@
             Scope::Zone => DedupGroup::Zone,
             Scope::Cell => DedupGroup::Cell,
         };
-        let window = time(self.window_us.unwrap_or(0.0));
+        let window = duration_from_us(self.window_us.unwrap_or(0.0));
         let (effect, dedup) = match self.idempotency {
             Idempotency::Pure => (Effect::Safe, None),
             Idempotency::Token => (Effect::Keyed, Some(Dedup { group, window })),
@@ -354,8 +358,8 @@
             name: self.name,
             effect,
             dedup,
-            deadline: time(self.deadline_us.unwrap_or(1_000_000.0)),
-            aim: self.goal_time_us.map(time),
+            deadline: duration_from_us(self.deadline_us.unwrap_or(1_000_000.0)),
+            aim: self.goal_time_us.map(duration_from_us),
             aim_stretch: self.aim_stretch.unwrap_or(0.0),
             worth: self.points.unwrap_or(1.0),
             late_worth: self.late_value.unwrap_or(0.0),
--- a/crates/dunelink/src/config/settings.rs
+++ b/crates/dunelink/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! What the decision module is told.
+//! Translation of the configuration into the settings of the decision module.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 }
 
 impl Config {
-    /// What the decision module is told.
+    /// The settings of the decision module.
     pub fn settings(&self) -> policy::Settings {
-        let group = |group| match group {
+        let scope = |group| match group {
             DedupGroup::All => policy::DedupScope::All,
             DedupGroup::Zone => policy::DedupScope::Zone,
             DedupGroup::Cell => policy::DedupScope::Cell,
@@ -28,20 +28,25 @@
                 (Effect::Safe, _) => policy::Idempotency::Idempotent,
                 (Effect::Unsafe, _) => policy::Idempotency::NonIdempotent,
                 (Effect::Keyed, Some(dedup)) => policy::Idempotency::Deduplicated {
-                    scope: group(dedup.group),
+                    scope: scope(dedup.group),
                     window: micros(dedup.window),
                 },
-                // Checked before; without a window nothing may go again.
+                // Excluded by `check`. Without a window, no attempt may be repeated.
                 (Effect::Keyed, None) => {
                     policy::Idempotency::Deduplicated { scope: policy::DedupScope::Cell, window: 0 }
                 }
             },
         };
-        let f = &self.fleet;
+        let fleet = &self.fleet;
         policy::Settings {
-            balancers: f.nodes,
-            rank: f.rank,
-            zone: f.zones.iter().position(|z| *z == f.zone).and_then(|z| z.try_into().ok()).unwrap_or(0),
+            balancers: fleet.nodes,
+            rank: fleet.rank,
+            zone: fleet
+                .zones
+                .iter()
+                .position(|z| *z == fleet.zone)
+                .and_then(|z| z.try_into().ok())
+                .unwrap_or(0),
             classes: self.classes.iter().map(class).collect(),
             tenants: self
                 .tenants
@@ -52,22 +57,22 @@
             max_attempts: self.attempts.most,
             cancelling: self.attempts.cancel,
             hedging: self.attempts.hedge,
-            key_affinity: f.warm_keys,
-            cross_zone_price: f.cross_zone_price,
-            live_weights: f.live_weights,
+            key_affinity: fleet.warm_keys,
+            cross_zone_price: fleet.cross_zone_price,
+            live_weights: fleet.live_weights,
             discovery: match &self.roster {
                 RosterConfig::Watch { ask_every: Some(every), .. } => {
                     policy::Discovery::Subscribed { max_retry_interval: micros(*every) }
                 }
                 _ => policy::Discovery::Pushed,
             },
-            cold_capacity: f.cold_from,
-            warm_up: micros(f.warm_up),
-            overload_factor: f.fall_multiple,
-            timer_resolution: micros(f.step),
+            cold_capacity: fleet.cold_from,
+            warm_up: micros(fleet.warm_up),
+            overload_factor: fleet.fall_multiple,
+            timer_resolution: micros(fleet.step),
             max_retry_after: micros(self.attempts.retry_after),
-            labels: f.labels,
-            min_pool_size: f.pool_min,
+            labels: fleet.labels,
+            min_pool_size: fleet.pool_min,
         }
     }
 }
--- a/crates/dunelink/src/roster/channel.rs
+++ b/crates/dunelink/src/roster/channel.rs
@@ -3,10 +3,10 @@
 use super::{Feed, Roster, RosterFuture};
 use crate::entries::Update;
 
-/// How many updates may wait for the engine's thread, which takes them as they come.
-const WAITING_MOST: usize = 64;
+/// Number of updates that may be queued for the engine's thread, which takes them as they arrive.
+const QUEUE_CAPACITY: usize = 64;
 
-/// A list that the host program itself sends.
+/// Creates a server list that the host program supplies itself.
 ///
 /// ```
 /// # use dunelink::{Update, Server, ServerState, roster};
@@ -19,15 +19,15 @@
 /// # Ok::<(), roster::RosterSendError>(())
 /// ```
 pub fn channel() -> (RosterSender, ChannelRoster) {
-    let (sender, receiver) = mpsc::channel(WAITING_MOST);
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     (RosterSender(sender), ChannelRoster(receiver))
 }
 
-/// Sends lists to one node. Once all senders are gone the list stays as it is.
+/// Sends server lists to one node. Once all senders are dropped, the list stays as it is.
 #[derive(Clone, Debug)]
 pub struct RosterSender(mpsc::Sender<Update>);
 
-/// The node that the list was for has ended, or takes no updates now.
+/// Why an update was not sent: the node has ended, or its queue is full.
 ///
 /// ```
 /// use dunelink::{Update, roster};
@@ -38,16 +38,16 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RosterSendError {
-    /// It has ended, or was never started.
+    /// The node has ended or was never started.
     #[error("the node has ended")]
     Ended,
-    /// It has not taken the last 64 updates yet; this one was not sent.
+    /// The node has not taken the last 64 updates yet; this one was not sent.
     #[error("the node has not taken earlier updates yet")]
     Full,
 }
 
 impl RosterSender {
-    /// Sends an update, waiting for space.
+    /// Sends an update; waits for space in the queue.
     ///
     /// # Errors
     ///
@@ -56,11 +56,11 @@
         self.0.send(update).await.map_err(|_| RosterSendError::Ended)
     }
 
-    /// Sends an update if there is space for it.
+    /// Sends an update if the queue has space for it.
     ///
     /// # Errors
     ///
-    /// [`RosterSendError`], and then the node will not hear of it.
+    /// A [`RosterSendError`]; the node then does not receive the update.
     pub fn try_send(&self, update: Update) -> Result<(), RosterSendError> {
         self.0.try_send(update).map_err(|e| match e {
             mpsc::error::TrySendError::Full(_) => RosterSendError::Full,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The node's end of a [`channel`].
+/// The receiving end of a [`channel`], to be passed to the node.
 pub struct ChannelRoster(mpsc::Receiver<Update>);
 
 impl Roster for ChannelRoster {
--- a/crates/dunelink/src/roster/fanout.rs
+++ b/crates/dunelink/src/roster/fanout.rs
@@ -1,6 +1,7 @@
-//! One reader of a list for several shards. What a shard has not taken in yet is merged, so that one which stands
-//! still holds up nobody and holds no more than the fleet; and before anything is sent, each shard looks up whether
-//! the list, as it was last *read*, still has the server: what drains is heeded by all shards at once.
+//! Shares one roster among several shards. Updates that a shard has not taken yet are merged, so that a
+//! paused shard neither blocks the others nor accumulates more entries than the fleet has. Before each send,
+//! a shard also checks that the list as last *read* still has the server as ready: draining takes effect in
+//! all shards at once.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -14,12 +15,12 @@
 use super::{Feed, ListKind, Roster, RosterFuture, UpdateSink};
 use crate::entries::{Server, ServerState, Update};
 
-/// Servers that take requests by the list as it was last read, and where.
+/// The servers that are ready according to the list as last read, with their addresses.
 #[derive(Default)]
 pub(crate) struct ReadyServers(RwLock<HashMap<ServerId, SocketAddr>>);
 
 impl ReadyServers {
-    /// Whether this server is to be sent anything new at this address.
+    /// Whether this server may be sent new requests at this address.
     pub(crate) fn contains(&self, server: ServerId, endpoint: SocketAddr) -> bool {
         self.0.read().unwrap_or_else(PoisonError::into_inner).get(&server) == Some(&endpoint)
     }
@@ -38,12 +39,14 @@
     }
 }
 
-/// What one shard has still to hear of.
+/// The updates that one shard has not taken yet, merged.
 #[derive(Default)]
 struct Pending {
     whole: bool,
-    changed: bool,
+    has_update: bool,
+    /// Whether the source failed since the shard last looked.
     failed: bool,
+    /// Whether the source is out of reach.
     lost: bool,
     rev: u64,
     servers: HashMap<String, Server>,
@@ -56,9 +59,9 @@
             self.servers.clear();
             self.whole = true;
         }
-        (self.changed, self.rev) = (true, update.rev);
+        (self.has_update, self.rev) = (true, update.rev);
         for server in &update.servers {
-            // In a whole list, what is gone need not be told.
+            // A whole list simply omits removed servers.
             if self.whole && server.state == ServerState::Gone {
                 self.servers.remove(&server.uid);
             } else {
@@ -67,11 +70,11 @@
         }
     }
 
-    /// What there is to tell, whether the source failed, and whether it is not heard.
+    /// Takes the merged update, whether the source failed, and whether the source is out of reach.
     fn take(&mut self) -> (Option<Update>, bool, bool) {
         let taken = std::mem::take(self);
         let servers = taken.servers.into_values().collect();
-        let update = taken.changed.then_some(Update { rev: taken.rev, whole: taken.whole, servers });
+        let update = taken.has_update.then_some(Update { rev: taken.rev, whole: taken.whole, servers });
         (update, taken.failed, taken.lost)
     }
 }
@@ -79,41 +82,41 @@
 #[derive(Default)]
 struct Slot {
     pending: Mutex<Pending>,
-    news: Notify,
+    changed_notify: Notify,
 }
 
-struct Inner {
+struct Shared {
     slots: Vec<Slot>,
     ready: Arc<ReadyServers>,
-    /// The list as it was last read, by name: what a shard is told anew when it has missed too much.
+    /// The list as last read, by `uid`. It replaces the pending changes of a shard that has missed too many.
     list: Mutex<HashMap<String, Server>>,
-    /// Told when a shard's decision module wants the source to be asked.
-    wanted: Notify,
+    /// Notified when the decision module of a shard wants the source to be polled.
+    poll_requested: Notify,
 }
 
-/// Where a source's list is dealt out.
+/// Distributes the list of one source to all shards.
 #[derive(Clone)]
-pub(crate) struct RosterFanout(Arc<Inner>);
+pub(crate) struct RosterFanout(Arc<Shared>);
 
 impl RosterFanout {
     pub(crate) fn new(shards: usize) -> RosterFanout {
-        RosterFanout(Arc::new(Inner {
+        RosterFanout(Arc::new(Shared {
             slots: (0..shards).map(|_| Slot::default()).collect(),
             ready: Arc::default(),
             list: Mutex::default(),
-            wanted: Notify::new(),
+            poll_requested: Notify::new(),
         }))
     }
 
-    /// The list that all shards start with.
+    /// Sets the list with which all shards start.
     pub(crate) fn set_initial_list(&self, known: &Update) {
         let known = Update { whole: true, ..known.clone() };
         self.0.ready.update(&known);
-        drop(self.note(&known));
+        drop(self.record(&known));
     }
 
-    /// Keeps the list as it is now.
-    fn note(&self, update: &Update) -> MutexGuard<'_, HashMap<String, Server>> {
+    /// Applies an update to the current list.
+    fn record(&self, update: &Update) -> MutexGuard<'_, HashMap<String, Server>> {
         let mut list = self.0.list.lock().unwrap_or_else(PoisonError::into_inner);
         let mut whole = Pending { whole: true, servers: std::mem::take(&mut *list), ..Pending::default() };
         whole.add(update);
@@ -123,61 +126,61 @@
 
     /// The roster of one shard.
     pub(crate) fn shard_roster(&self, shard: usize) -> ShardRoster {
-        ShardRoster { hub: self.0.clone(), shard }
+        ShardRoster { shared: self.0.clone(), shard }
     }
 }
 
 impl UpdateSink for RosterFanout {
-    /// For all shards.
+    /// Queues the update for all shards.
     fn update(&self, update: &Update, _kind: ListKind) {
-        // First what all go by before they send.
+        // All shards check `ready` before they send, so it is updated first.
         self.0.ready.update(update);
-        let list = self.note(update);
+        let list = self.record(update);
         for slot in &self.0.slots {
             let mut pending = slot.pending.lock().unwrap_or_else(PoisonError::into_inner);
             pending.add(update);
-            // Names that came and went while the shard stood still.
+            // Servers were added and removed while the shard was paused.
             if !pending.whole && pending.servers.len() > 2 * list.len() + 64 {
                 (pending.whole, pending.servers) = (true, list.clone());
             }
             drop(pending);
-            slot.news.notify_one();
+            slot.changed_notify.notify_one();
         }
     }
 
     fn failed(&self) {
         for slot in &self.0.slots {
             slot.pending.lock().unwrap_or_else(PoisonError::into_inner).failed = true;
-            slot.news.notify_one();
+            slot.changed_notify.notify_one();
         }
     }
 
     fn lost(&self) {
         for slot in &self.0.slots {
             slot.pending.lock().unwrap_or_else(PoisonError::into_inner).lost = true;
-            slot.news.notify_one();
+            slot.changed_notify.notify_one();
         }
     }
 
     fn poll_due(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
-        Box::pin(self.0.wanted.notified())
+        Box::pin(self.0.poll_requested.notified())
     }
 }
 
-/// A shard's end of a [`RosterFanout`].
+/// The roster of one shard, fed by a [`RosterFanout`].
 pub(crate) struct ShardRoster {
-    hub: Arc<Inner>,
+    shared: Arc<Shared>,
     shard: usize,
 }
 
 impl Roster for ShardRoster {
     fn run(self: Box<Self>, mut feed: Feed) -> RosterFuture {
-        feed.set_ready_servers(self.hub.ready.clone());
+        feed.set_ready_servers(self.shared.ready.clone());
         Box::pin(async move {
-            let slot = &self.hub.slots[self.shard];
+            let slot = &self.shared.slots[self.shard];
             loop {
                 tokio::select! {
-                    () = slot.news.notified() => {
+                    () = slot.changed_notify.notified() => {
                         let (update, failed, lost) = slot.pending.lock().unwrap_or_else(PoisonError::into_inner).take();
                         if let Some(update) = update {
                             feed.update(&update);
@@ -188,7 +191,7 @@
                             feed.lost();
                         }
                     }
-                    () = feed.poll_due(), if feed.is_polled() => self.hub.wanted.notify_one(),
+                    () = feed.poll_due(), if feed.is_polled() => self.shared.poll_requested.notify_one(),
                 }
             }
         })
@@ -204,13 +207,13 @@
     }
 
     impl RosterFanout {
-        fn tell(&self, update: &Update) {
+        fn send_current(&self, update: &Update) {
             self.update(update, ListKind::Current);
         }
     }
 
-    fn pending(hub: &RosterFanout, shard: usize) -> (Option<Update>, bool) {
-        let (update, failed, _) = hub.0.slots[shard].pending.lock().unwrap().take();
+    fn pending(fanout: &RosterFanout, shard: usize) -> (Option<Update>, bool) {
+        let (update, failed, _) = fanout.0.slots[shard].pending.lock().unwrap().take();
         let sorted = update.map(|mut update| {
             update.servers.sort_by(|a, b| a.uid.cmp(&b.uid));
             update
@@ -219,51 +222,63 @@
     }
 
     #[test]
-    fn what_a_shard_has_missed_is_merged_to_what_it_would_have_come_to() {
+    fn missed_updates_are_merged() {
         use ServerState::*;
-        let hub = RosterFanout::new(2);
-        hub.set_initial_list(&Update::whole([server("a", 1, Ready)]));
-        hub.tell(&Update { rev: 2, ..Update::changes([server("a", 1, Draining), server("b", 2, Ready)]) });
-        assert_eq!(pending(&hub, 0).0.unwrap().servers, [server("a", 1, Draining), server("b", 2, Ready)]);
-        hub.tell(&Update { rev: 3, ..Update::changes([server("a", 1, Gone), server("b", 3, Ready)]) });
-        hub.failed();
-        let (update, failed) = pending(&hub, 1);
+        let fanout = RosterFanout::new(2);
+        fanout.set_initial_list(&Update::whole([server("a", 1, Ready)]));
+        fanout.send_current(&Update {
+            rev: 2,
+            ..Update::changes([server("a", 1, Draining), server("b", 2, Ready)])
+        });
+        assert_eq!(pending(&fanout, 0).0.unwrap().servers, [server("a", 1, Draining), server("b", 2, Ready)]);
+        fanout.send_current(&Update {
+            rev: 3,
+            ..Update::changes([server("a", 1, Gone), server("b", 3, Ready)])
+        });
+        fanout.failed();
+        let (update, failed) = pending(&fanout, 1);
         let update = update.unwrap();
         assert_eq!((update.rev, update.whole, failed), (3, false, true));
         assert_eq!(update.servers, [server("a", 1, Gone), server("b", 3, Ready)]);
-        hub.tell(&Update { rev: 4, ..Update::whole([server("b", 3, Ready), server("c", 4, Ready)]) });
-        hub.tell(&Update { rev: 5, ..Update::changes([server("c", 4, Gone)]) });
-        let update = pending(&hub, 0).0.unwrap();
+        fanout.send_current(&Update {
+            rev: 4,
+            ..Update::whole([server("b", 3, Ready), server("c", 4, Ready)])
+        });
+        fanout.send_current(&Update { rev: 5, ..Update::changes([server("c", 4, Gone)]) });
+        let update = pending(&fanout, 0).0.unwrap();
         assert_eq!((update.rev, update.whole), (5, true));
         assert_eq!(update.servers, [server("b", 3, Ready)]);
-        assert_eq!(pending(&hub, 0), (None, false));
+        assert_eq!(pending(&fanout, 0), (None, false));
     }
 
     #[test]
-    fn what_drains_is_known_to_all_before_they_have_heard() {
+    fn draining_takes_effect_before_shards_read_the_update() {
         use ServerState::*;
-        let hub = RosterFanout::new(2);
+        let fanout = RosterFanout::new(2);
         let a = server("a", 1, Ready);
-        hub.set_initial_list(&Update::whole([a.clone()]));
-        assert!(hub.0.ready.contains(a.id(), a.endpoint));
-        hub.tell(&Update::changes([server("a", 2, Ready)]));
-        assert!(!hub.0.ready.contains(a.id(), a.endpoint), "it has moved");
-        hub.tell(&Update::changes([server("a", 2, Draining)]));
-        assert!(!hub.0.ready.contains(a.id(), server("a", 2, Ready).endpoint));
+        fanout.set_initial_list(&Update::whole([a.clone()]));
+        assert!(fanout.0.ready.contains(a.id(), a.endpoint));
+        fanout.send_current(&Update::changes([server("a", 2, Ready)]));
+        assert!(!fanout.0.ready.contains(a.id(), a.endpoint), "the server has another address");
+        fanout.send_current(&Update::changes([server("a", 2, Draining)]));
+        assert!(!fanout.0.ready.contains(a.id(), server("a", 2, Ready).endpoint));
     }
 
     #[test]
-    fn a_shard_that_stands_still_holds_no_more_than_the_fleet() {
-        let hub = RosterFanout::new(2);
-        hub.set_initial_list(&Update::whole([server("a", 1, ServerState::Ready)]));
+    fn pending_updates_of_a_paused_shard_are_bounded() {
+        let fanout = RosterFanout::new(2);
+        fanout.set_initial_list(&Update::whole([server("a", 1, ServerState::Ready)]));
         for rev in 0..10_000_u64 {
             let (old, new) = (format!("s-{}", rev), format!("s-{}", rev + 1));
             let gone = server(&old, 2, ServerState::Gone);
-            hub.tell(&Update { rev, ..Update::changes([gone, server(&new, 2, ServerState::Ready)]) });
+            fanout.send_current(&Update {
+                rev,
+                ..Update::changes([gone, server(&new, 2, ServerState::Ready)])
+            });
         }
-        let held = hub.0.slots[1].pending.lock().unwrap().servers.len();
-        assert!(held < 100, "{held}");
-        let update = pending(&hub, 1).0.unwrap();
+        let pending_count = fanout.0.slots[1].pending.lock().unwrap().servers.len();
+        assert!(pending_count < 100, "{pending_count}");
+        let update = pending(&fanout, 1).0.unwrap();
         assert!(update.whole);
         let names: Vec<&str> = update.servers.iter().map(|s| s.uid.as_str()).collect();
         assert_eq!(names, ["a", "s-10000"]);
--- a/crates/dunelink/src/roster/file.rs
+++ b/crates/dunelink/src/roster/file.rs
@@ -7,8 +7,9 @@
 use crate::config::{ConfigError, servers_from_toml};
 use crate::entries::Update;
 
-/// A list in a TOML file of `[[servers]]` entries, read again when its text changes. A file that is missing or
-/// wrong changes nothing and is logged once; so is one without any server, which is hardly ever meant.
+/// A server list in a TOML file of `[[servers]]` entries, read again when its text changes. If the file is
+/// missing, malformed or without any server (which is hardly ever intended), the list stays as it was and the
+/// error is logged once.
 ///
 /// ```
 /// use dunelink::roster::{File, Roster};
@@ -23,30 +24,31 @@
 pub struct File {
     path: PathBuf,
     every: Duration,
-    /// What it said last.
-    last: Option<String>,
+    /// The text read last, or `None` before the first read.
+    last_text: Option<String>,
 }
 
 impl File {
-    /// The list at `path`, looked at this often.
+    /// The list at `path`, which is checked at this interval, but no more often than every 10 ms.
     ///
-    /// Writers should replace the file by renaming a whole one over it: half a file is an error at best.
+    /// Writers should replace the file by renaming a complete one over it: a half-written file is an error at
+    /// best.
     pub fn new(path: impl Into<PathBuf>, every: Duration) -> File {
-        File { path: path.into(), every: every.max(Duration::from_millis(10)), last: None }
+        File { path: path.into(), every: every.max(Duration::from_millis(10)), last_text: None }
     }
 }
 
-/// What the file says; only if it changed.
-fn changed(path: &Path, last: &mut Option<String>) -> Option<Result<Update, String>> {
+/// Reads the file; `None` if its text is the same as `last_text`.
+fn read_if_changed(path: &Path, last_text: &mut Option<String>) -> Option<Result<Update, String>> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => return Some(Err(format!("{}: can't be read: {error}", path.display()))),
     };
-    if last.as_ref() == Some(&text) {
+    if last_text.as_ref() == Some(&text) {
         return None;
     }
     let read = servers_from_toml(&text).map_err(|e: ConfigError| e.in_file(path).to_string());
-    *last = Some(text);
+    *last_text = Some(text);
     Some(read.and_then(|update| match update.servers.is_empty() {
         true => Err(format!("{}: servers: expected at least one", path.display())),
         false => Ok(update),
@@ -55,32 +57,32 @@
 
 impl Roster for File {
     fn known(&mut self) -> Option<Update> {
-        let mut last = None;
-        let read = changed(&self.path, &mut last)?.ok()?;
-        self.last = last;
+        let mut last_text = None;
+        let read = read_if_changed(&self.path, &mut last_text)?.ok()?;
+        self.last_text = last_text;
         Some(read)
     }
 
     fn run(mut self: Box<Self>, mut feed: Feed) -> RosterFuture {
         Box::pin(async move {
-            let (mut last, mut complaint) = (self.last.take(), None);
+            let (mut last_text, mut last_error) = (self.last_text.take(), None);
             loop {
-                let (path, mut text) = (self.path.clone(), last.take());
-                // A slow disk must not hold up the engine.
-                let looked = tokio::task::spawn_blocking(move || {
-                    let read = changed(&path, &mut text);
+                let (path, mut text) = (self.path.clone(), last_text.take());
+                // A slow disk must not block the engine's thread.
+                let checked = tokio::task::spawn_blocking(move || {
+                    let read = read_if_changed(&path, &mut text);
                     (read, text)
                 });
-                let Ok((read, text)) = looked.await else { return };
-                last = text;
+                let Ok((read, text)) = checked.await else { return };
+                last_text = text;
                 match read {
                     Some(Ok(update)) => {
-                        complaint = None;
+                        last_error = None;
                         feed.update(&update);
                     }
-                    Some(Err(why)) if complaint.as_ref() != Some(&why) => {
-                        feed.log(format_args!("{why}; the list stays as it was"));
-                        complaint = Some(why);
+                    Some(Err(error)) if last_error.as_ref() != Some(&error) => {
+                        feed.log(format_args!("{error}; the list stays as it was"));
+                        last_error = Some(error);
                     }
                     _ => {}
                 }
--- a/crates/dunelink/src/roster/fixed.rs
+++ b/crates/dunelink/src/roster/fixed.rs
@@ -1,7 +1,7 @@
 use super::{Feed, Roster, RosterFuture};
 use crate::entries::{Server, Update};
 
-/// A list that never changes.
+/// A server list that never changes.
 ///
 /// ```
 /// use dunelink::{Server, roster::Fixed};
@@ -12,7 +12,7 @@
 pub struct Fixed(Vec<Server>);
 
 impl Fixed {
-    /// Just these servers.
+    /// A list of these servers.
     pub fn new(servers: impl IntoIterator<Item = Server>) -> Fixed {
         Fixed(servers.into_iter().collect())
     }
--- a/crates/dunelink/src/roster/mod.rs
+++ b/crates/dunelink/src/roster/mod.rs
@@ -1,8 +1,8 @@
-//! Where the list of servers comes from.
+//! Sources of the server list.
 //!
-//! A [`Roster`] is a future that feeds lists to the node, on the engine's thread. This crate has four: the
-//! platform's [`Watch`], a [`Fixed`] list, a [`File`] that is read again when it changes, and an in-process
-//! [`channel`]. A host may bring its own:
+//! A [`Roster`] is a future that feeds server lists to the node, on the engine's thread. This crate has four:
+//! the platform's [`Watch`], a [`Fixed`] list, a [`File`] that is read again when it changes, and an
+//! in-process [`channel`]. A host may implement its own:
 //!
 //! ```
 //! use dunelink::roster::{Feed, Roster, RosterFuture};
@@ -39,124 +39,127 @@
 use crate::config::Config;
 use crate::entries::Update;
 
-/// What a roster does for as long as the node runs. It may end earlier: the list then stays as it is.
+/// The work of a roster while the node runs. If it ends earlier, the list stays as it is.
 pub type RosterFuture = Pin<Box<dyn Future<Output = ()>>>;
 
-/// A source of the list of servers.
+/// A source of the server list.
 pub trait Roster: Send + 'static {
-    /// The list to start from, if the source has one at hand; else the node starts from the configuration's
-    /// `known`. Asked once, before [`Roster::run`], on the engine's thread; the start waits for it.
+    /// The list to start from, if the source has one available; otherwise the node starts from `known` in the
+    /// configuration. Called once, before [`Roster::run`], on the engine's thread; the start of the node
+    /// waits for it.
     fn known(&mut self) -> Option<Update> {
         None
     }
 
-    /// Feeds the node. The future runs on the engine's thread, inside a tokio `LocalSet`; it must not block
-    /// the thread. It is dropped when the node ends.
+    /// Feeds server lists to the node. The future runs on the engine's thread, inside a tokio `LocalSet`, and
+    /// must not block the thread. It is dropped when the node ends.
     fn run(self: Box<Self>, feed: Feed) -> RosterFuture;
 }
 
-/// What a list tells.
+/// How up to date a list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListKind {
-    /// The list as it is now, or changes to it.
+    /// The current list, or changes to it.
     Current,
-    /// The list as it was held before the start: it may be old.
+    /// A list saved before the start, which may be out of date.
     Cached,
 }
 
-/// Who is fed: whatever takes lists in.
+/// Receives server lists from a [`Feed`].
 pub(crate) trait UpdateSink {
-    /// A list, or changes to it.
+    /// Takes a list, or changes to it.
     fn update(&self, update: &Update, kind: ListKind);
 
-    /// From now on nothing new goes to a server that is not among these.
+    /// Restricts new requests to these servers. The set is shared: later changes to it take effect at once.
     fn set_ready_servers(&self, _ready: Arc<ReadyServers>) {}
 
-    /// The source failed, for now.
+    /// The source failed temporarily.
     fn failed(&self);
 
-    /// The source is not heard, however it works, until the next update.
+    /// The source is out of reach, whether it is polled or sends updates by itself, until the next update.
     fn lost(&self);
 
-    /// Waits until the source should be asked.
+    /// Waits until the source should be polled.
     fn poll_due(&self) -> Pin<Box<dyn Future<Output = ()> + '_>>;
 }
 
-/// The way from a roster to the node.
+/// Passes server lists from a roster to the node.
 pub struct Feed {
-    to: Box<dyn UpdateSink>,
-    asked: bool,
+    sink: Box<dyn UpdateSink>,
+    is_polled: bool,
     rev: u64,
     random: fastrand::Rng,
     name: Arc<str>,
 }
 
 impl Feed {
-    pub(crate) fn new(config: &Config, seed: u64, to: impl UpdateSink + 'static) -> Feed {
+    pub(crate) fn new(config: &Config, seed: u64, sink: impl UpdateSink + 'static) -> Feed {
         Feed {
-            to: Box::new(to),
-            asked: config.settings().discovery != Discovery::Pushed,
+            sink: Box::new(sink),
+            is_polled: config.settings().discovery != Discovery::Pushed,
             rev: config.known.rev,
             random: fastrand::Rng::with_seed(seed),
             name: config.name.as_str().into(),
         }
     }
 
-    /// Passes on a list, or changes to it. From here on nothing new goes to a server that drains or is gone.
+    /// Passes on a list, or changes to it. From here on nothing new is sent to a server that is draining or
+    /// gone.
     pub fn update(&mut self, update: &Update) {
         self.rev = update.rev;
-        self.to.update(update, ListKind::Current);
+        self.sink.update(update, ListKind::Current);
     }
 
-    /// Passes on the list as it was held before the start: it may be old.
+    /// Passes on a list saved before the start, which may be out of date.
     pub(crate) fn cached(&mut self, update: &Update) {
         self.rev = update.rev;
-        self.to.update(update, ListKind::Cached);
+        self.sink.update(update, ListKind::Cached);
     }
 
-    /// From now on nothing new goes to a server that is not among these.
+    /// Restricts new requests to these servers, a set that is shared and changes with the list.
     pub(crate) fn set_ready_servers(&self, ready: Arc<ReadyServers>) {
-        self.to.set_ready_servers(ready);
+        self.sink.set_ready_servers(ready);
     }
 
-    /// The version of the list that was last passed on; at first that of the list which the node started with.
+    /// The version of the list passed on last; at first, that of the list with which the node started.
     pub fn rev(&self) -> u64 {
         self.rev
     }
 
-    /// The source failed, for now. Where it is asked, the decision module says when to ask again.
+    /// Reports that the source failed temporarily. If it is polled, the decision module schedules the next
+    /// poll.
     pub fn failed(&self) {
-        self.to.lost();
-        // One that sends by itself has its own way back.
-        if self.asked {
-            self.to.failed();
+        self.sink.lost();
+        // A source that sends updates by itself reconnects on its own.
+        if self.is_polled {
+            self.sink.failed();
         }
     }
 
-    /// The source is not heard.
+    /// Reports that the source is out of reach.
     pub(crate) fn lost(&self) {
-        self.to.lost();
+        self.sink.lost();
     }
 
-    /// Whether the source sends nothing by itself and is asked when the decision module says so.
+    /// Whether the source sends nothing by itself and is polled when the decision module schedules it.
     pub fn is_polled(&self) -> bool {
-        self.asked
+        self.is_polled
     }
 
-    /// Waits until the source should be asked; at once where it sends by itself.
+    /// Waits until the source should be polled; returns at once if it sends updates by itself.
     pub async fn poll_due(&self) {
-        if self.asked {
-            self.to.poll_due().await;
+        if self.is_polled {
+            self.sink.poll_due().await;
         }
     }
 
-    /// A random number from 0 to 1, so that nodes which failed together do not come back together.
+    /// A random number from 0 to 1, to spread the retries of nodes that failed at the same time.
     pub fn random(&mut self) -> f64 {
         self.random.f64()
     }
 
-    /// One event, with the node's name. Meant for what changes, not for what repeats.
-    pub fn log(&self, what: fmt::Arguments<'_>) {
-        tracing::info!(target: "roster", "{}: {what}", self.name);
+    /// Logs one event with the node's name. Meant for changes, not for repeated conditions.
+    pub fn log(&self, message: fmt::Arguments<'_>) {
+        tracing::info!(target: "roster", "{}: {message}", self.name);
     }
 }
