--- a/crates/dunelink/src/fleet/events.rs
+++ b/crates/dunelink/src/fleet/events.rs
@@ -1,20 +1,20 @@
-//! Events of the fleet, one for each change of view, side, lease and stance, with its epoch and cause: the logs of all
-//! processes can be merged and read as one story.
+//! Log events of the fleet, one for each change of view, side, lease and stance, each with its epoch and
+//! cause. The logs of all processes can be merged into one sequence.
 
 use dunelink_gossip::{Gossip, MemberId, Note};
 use dunelink_reach::Stance;
 use dunelink_view::{Change, Evictions, Held, Micros, Name, Side, Step, View};
 use tracing::{info, warn};
 
-use super::view::{epoch_of, side_name};
+use super::view::{format_epoch, side_name};
 
-/// Who tells: this node's name, and the names of others.
-pub(super) struct Teller<'a> {
+/// Writes the events: knows this node's name and resolves the names of others.
+pub(super) struct EventLog<'a> {
     pub(super) node: &'a str,
     pub(super) gossip: &'a Gossip,
 }
 
-impl Teller<'_> {
+impl EventLog<'_> {
     fn name(&self, name: Name) -> String {
         self.gossip.name(MemberId(name))
     }
@@ -24,37 +24,39 @@
     }
 
     fn step(&self, step: &Step, view: &View) -> String {
-        // Facts bear the number of the name that they are about.
-        let about = |key: &str| {
+        // The key of a fact contains the numeric id of the node that it concerns.
+        let subject = |key: &str| {
             let name = key.split(' ').nth(1).and_then(|hex| Name::from_str_radix(hex, 16).ok());
             name.map(|name| self.name(name)).unwrap_or_default()
         };
         match step {
-            Step::Found => "it is the first that is known here, or of a new founding".into(),
+            Step::Found => "the first view known to this node, or a new founding".into(),
             Step::Came(process) => format!("{} came in", self.name(process.name)),
             Step::Went(process) => format!("{} went out", self.name(process.name)),
-            Step::Set(key) => match Evictions::all(view).find(|(name, ..)| self.name(*name) == about(key)) {
-                Some((name, seconds, reason)) => {
-                    format!("{} is put out for {seconds} s: {reason}", self.name(name))
+            Step::Set(key) => {
+                match Evictions::all(view).find(|(name, ..)| self.name(*name) == subject(key)) {
+                    Some((name, seconds, reason)) => {
+                        format!("{} is evicted for {seconds} s: {reason}", self.name(name))
+                    }
+                    None => format!("{key} is set"),
                 }
-                None => format!("{key} is set"),
-            },
-            Step::Cleared(key) => format!("{} may come back in", about(key)),
+            }
+            Step::Cleared(key) => format!("{} is readmitted", subject(key)),
         }
     }
 
     pub(super) fn decided(&self, view: &View, before: Option<&View>) {
-        let epoch = epoch_of(Some(view));
+        let epoch = format_epoch(Some(view));
         let cause: Vec<String> = view.since(before).iter().map(|step| self.step(step, view)).collect();
         let (members, electors) =
             (self.names(view.members.keys().copied()), self.names(view.electors.keys().copied()));
         info!(target: "fleet", node = self.node, epoch, members, electors, cause = cause.join("; "), "view decided");
     }
 
-    pub(super) fn side(&self, side: Side, unheard: &[Name], epoch: &str) {
-        let cause = match unheard {
+    pub(super) fn side(&self, side: Side, unreachable: &[Name], epoch: &str) {
+        let cause = match unreachable {
             [] => "all electors are heard".into(),
-            some => format!("not heard: {}", self.names(some.iter().copied())),
+            names => format!("not heard: {}", self.names(names.iter().copied())),
         };
         info!(target: "fleet", node = self.node, epoch, side = side_name(side), cause, "side");
     }
@@ -67,17 +69,17 @@
         };
         let cause = match (held, ago) {
             (true, _) => "granted by a majority",
-            (false, 0) => "given back, or over at this moment",
-            (false, _) => "over while nobody looked",
+            (false, 0) => "released, or expired just now",
+            (false, _) => "expired while this process did not check",
         };
         info!(target: "fleet", node = self.node, epoch, of, held, ago_ms = ago / 1000, cause, "lease");
     }
 
-    pub(super) fn dropped(&self, change: &Change) {
-        warn!(target: "fleet", node = self.node, change = ?change, "what was wanted can't be decided");
+    pub(super) fn rejected(&self, change: &Change) {
+        warn!(target: "fleet", node = self.node, change = ?change, "a requested change can't be decided");
     }
 
-    pub(super) fn part(&self, part: f64, epoch: &str) {
+    pub(super) fn share(&self, part: f64, epoch: &str) {
         info!(target: "fleet", node = self.node, epoch, part = format!("{part:.3}"), "part");
     }
 
@@ -93,14 +95,14 @@
     pub(super) fn note(&self, note: &Note) {
         let node = self.node;
         match note {
-            Note::Up(member) => info!(target: "gossip", node, member, "it is there"),
-            Note::Down(member) => info!(target: "gossip", node, member, "it does not answer any more"),
+            Note::Up(member) => info!(target: "gossip", node, member, "member is up"),
+            Note::Down(member) => info!(target: "gossip", node, member, "member is down"),
             Note::NameShared => warn!(target: "gossip", node, "another process goes by this name"),
             Note::NoSense(member) => {
-                warn!(target: "gossip", node, member, "it tells ages that can't be; its word on servers is not heard");
+                warn!(target: "gossip", node, member, "impossible ages from this member; its reports on servers are ignored");
             }
             Note::StoodStill(span) => {
-                warn!(target: "gossip", node, ms = span / 1000, "this process stood still");
+                warn!(target: "gossip", node, ms = span / 1000, "this process was paused");
             }
         }
     }
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip over UDP: a thread with the socket and the clock, round the state machine of `dunelink-gossip`. What it hears
-//! goes to the engines as events of the decision module, which alone decides what that does.
+//! Gossip over UDP: a thread with the socket and the clock, around the state machine of `dunelink-gossip`.
+//! What it receives goes to the engines as events of the decision module, which alone decides how to react.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -17,120 +17,122 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until, timeout};
 
-use super::deed::Deed;
-use super::events::Teller;
-use super::reach::Reaching;
+use super::action::Action;
+use super::events::EventLog;
+use super::messages::{self, Message};
+use super::reach::Reachability;
 use super::status::{FleetView, status};
-use super::view::{Deciding, epoch_of};
-use super::words::{self, Words};
+use super::view::{Consensus, format_epoch};
 use crate::config::{Config, ConfigError};
 use crate::counts::Tally;
 use crate::engine::{Happening, Mailbox};
 use crate::thread::on_thread;
 
-/// How often engines are asked what they have seen.
-const LOOK: Duration = Duration::from_millis(200);
-/// How often they are asked how servers answer.
-const REACH: Duration = Duration::from_secs(1);
-/// How long an engine is waited for; one that stands still has nothing to say.
-const LOOK_WITHIN: Duration = Duration::from_millis(100);
-/// Questions that may wait.
-const ASKS: usize = 16;
+/// Interval at which engines are asked for their observations of servers.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which engines are asked which servers answer.
+const REACH_INTERVAL: Duration = Duration::from_secs(1);
+/// How long to wait for an engine's answer; the answer of a paused engine is left out.
+const ENGINE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Number of requests that may be queued.
+const REQUEST_QUEUE_CAPACITY: usize = 16;
 
-/// How gossip stands, for operators.
+/// Status of gossip, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipView {
     /// The other members.
     pub members: Vec<MemberView>,
-    /// The servers that others suspect.
+    /// The servers that other nodes suspect.
     pub suspicions: Vec<SuspicionView>,
-    /// What was counted since the start.
+    /// Counters since the start.
     pub figures: Figures,
-    /// How this node stands with what the fleet decides, where the configuration names electors.
+    /// Status of this node within the fleet; `None` if the configuration names no electors.
     pub fleet: Option<FleetView>,
 }
 
-/// What owners of the node want of it.
+/// Requests from the node's handles.
 pub(crate) enum GossipRequest {
     Status(oneshot::Sender<GossipView>),
-    /// The keys are to be read again.
+    /// Reads the key files again; the answer is the number of names in the ring.
     ReloadKeys(oneshot::Sender<Result<usize, ConfigError>>),
-    /// An operator wants a node put out for so many seconds, with a reason, or let in again. Told whether that can be
-    /// decided; that it is shows in a view.
+    /// Evicts a node for a number of seconds, with a reason, or readmits it if there is none. The answer says
+    /// whether this can be decided; the decision itself shows in a view.
     SetEviction(String, Option<(u64, String)>, oneshot::Sender<Result<(), String>>),
-    /// The node goes; told once others have been told.
+    /// The node shuts down; answered once the other members have been informed.
     Leave(oneshot::Sender<()>),
 }
 
 pub(crate) type GossipRequestSender = mpsc::Sender<GossipRequest>;
 
-/// Gossip of one node, to be run on a thread that nothing blocks.
+/// Gossip of one node, to be run on a thread that nothing else blocks.
 pub struct Gossiper {
     config: Config,
     socket: std::net::UdpSocket,
     gossip: Gossip,
-    deciding: Option<Deciding>,
-    reaching: Option<Reaching>,
-    reach_at: Instant,
-    /// This node's place among all names.
-    place: u32,
+    consensus: Option<Consensus>,
+    reachability: Option<Reachability>,
+    reach_polled_at: Instant,
+    /// This node's index among all nodes, from 0.
+    rank: u32,
     engines: Vec<Mailbox>,
-    asks: mpsc::Receiver<GossipRequest>,
-    began: Instant,
+    requests: mpsc::Receiver<GossipRequest>,
+    started: Instant,
 }
 
 impl Gossiper {
-    /// Reads keys and takes the address; nothing if the configuration wants no gossip.
+    /// Reads the keys and binds the address; `None` if the configuration has no gossip.
     pub(crate) fn new(
         config: &Config,
         (engines, tallies): (Vec<Mailbox>, Vec<Arc<Tally>>),
-        aside: Arc<AtomicBool>,
+        unready: Arc<AtomicBool>,
     ) -> Result<Option<(Gossiper, GossipRequestSender)>, ConfigError> {
-        let Some(wanted) = &config.gossip else { return Ok(None) };
-        let (ring, secret) = wanted.keys(&config.name)?;
-        let can_not =
+        let Some(gossip_config) = &config.gossip else { return Ok(None) };
+        let (ring, secret) = gossip_config.keys(&config.name)?;
+        let listen_error =
             |e: io::Error| ConfigError::without_key(&format!("gossip.listen: can't listen there: {e}"));
-        let socket = std::net::UdpSocket::bind(wanted.listen).map_err(can_not)?;
-        socket.set_nonblocking(true).map_err(can_not)?;
-        let mut address = wanted.address();
+        let socket = std::net::UdpSocket::bind(gossip_config.listen).map_err(listen_error)?;
+        socket.set_nonblocking(true).map_err(listen_error)?;
+        let mut address = gossip_config.address();
         if address.port() == 0 {
-            address.set_port(socket.local_addr().map_err(can_not)?.port());
+            address.set_port(socket.local_addr().map_err(listen_error)?.port());
         }
-        // Higher at each start, unless the clock went back; then others tell the number to go above.
+        // Increases with each start, unless the clock was set back; then other members report the number to
+        // exceed.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let settings = Settings {
             name: config.name.clone(),
             address,
-            seeds: wanted.seeds.clone(),
-            period: wanted.period.as_micros() as Micros,
-            ceiling: wanted.ceiling,
+            seeds: gossip_config.seeds.clone(),
+            period: gossip_config.period.as_micros() as Micros,
+            ceiling: gossip_config.ceiling,
             nodes: config.fleet.nodes,
             seed: fastrand::Rng::new().u64(..),
             number: unix.as_micros() as u64,
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let gossip = Gossip::new(settings, ring, secret, 0)
             .ok_or_else(|| ConfigError::without_key("gossip.ring: expected this node's name and key"))?;
-        let (asks, asked) = mpsc::channel(ASKS);
-        let deciding = Deciding::new(config, gossip.process(), 0);
-        let reaching =
-            deciding.as_ref().map(|deciding| Reaching::new(config, deciding.me(), tallies, aside, 0));
+        let (sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
+        let consensus = Consensus::new(config, gossip.process(), 0);
+        let reachability = consensus
+            .as_ref()
+            .map(|consensus| Reachability::new(config, consensus.me(), tallies, unready, 0));
         let gossiper = Gossiper {
-            deciding,
-            reaching,
-            reach_at: began,
-            place: config.fleet.rank,
+            consensus,
+            reachability,
+            reach_polled_at: started,
+            rank: config.fleet.rank,
             config: config.clone(),
             socket,
             gossip,
             engines,
-            asks: asked,
-            began,
+            requests,
+            started,
         };
-        Ok(Some((gossiper, asks)))
+        Ok(Some((gossiper, sender)))
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn address(&self) -> io::Result<std::net::SocketAddr> {
         self.socket.local_addr()
     }
@@ -139,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// There is no thread or descriptor to be had.
+    /// No thread or descriptor is available.
     pub fn start(self) -> io::Result<()> {
         on_thread("dunelink gossip".into(), move || async move {
             let name = self.config.name.clone();
@@ -150,218 +152,231 @@
     }
 
     fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started.elapsed().as_micros() as Micros
     }
 
     /// Runs until the node has ended. It needs a tokio runtime.
     async fn run(mut self) -> io::Result<()> {
         let socket = Arc::new(UdpSocket::from_std(self.socket.try_clone()?)?);
-        let mut look = interval(LOOK);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        // One byte more than a packet has: what is longer shows.
+        let mut observation_timer = interval(OBSERVATION_INTERVAL);
+        observation_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        // One byte more than a packet has, to detect longer ones.
         let mut bytes = [0; PACKET_MOST + 1];
         let mut out = Vec::new();
         loop {
             let now = self.now();
-            let decides = self.deciding.as_ref().map_or(Micros::MAX, |deciding| deciding.next(now));
-            let reaches = self.reaching.as_ref().map_or(Micros::MAX, Reaching::next);
-            let next = self.gossip.next().min(decides).min(reaches.max(now + 1_000));
-            let next = self.began + Duration::from_micros(next);
+            let consensus_at =
+                self.consensus.as_ref().map_or(Micros::MAX, |consensus| consensus.next_wakeup(now));
+            let reach_at = self.reachability.as_ref().map_or(Micros::MAX, Reachability::next_wakeup);
+            let next = self.gossip.next().min(consensus_at).min(reach_at.max(now + 1_000));
+            let next = self.started + Duration::from_micros(next);
             tokio::select! {
-                // An error is what came back of a packet that was sent: its member does not answer then.
+                // An error is a response to a packet sent earlier, whose receiver will count as not
+                // answering.
                 received = socket.recv_from(&mut bytes) => if let Ok((length, from)) = received {
-                    self.woke(next);
+                    self.record_wakeup(next);
                     let now = self.now();
                     self.gossip.handle(now, Input::Packet(from, &bytes[..length]), &mut out);
                 },
                 () = sleep_until(next) => {
-                    self.woke(next);
+                    self.record_wakeup(next);
                     let now = self.now();
                     self.gossip.handle(now, Input::Tick, &mut out);
                 }
-                _ = look.tick() => if self.look(&mut out).await.is_none() {
+                _ = observation_timer.tick() => if self.observe(&mut out).await.is_none() {
                     return Ok(());
                 },
-                Some(ask) = self.asks.recv() => self.answer(ask, &socket, &mut out).await,
+                Some(request) = self.requests.recv() => self.handle_request(request, &socket, &mut out).await,
             }
-            self.settle(&mut out, &socket);
+            self.process_outputs(&mut out, &socket);
         }
     }
 
-    /// It wanted to be looked at then, at the latest.
-    fn woke(&mut self, wanted: Instant) {
-        self.reaching.iter_mut().for_each(|reaching| reaching.late(wanted.elapsed()));
+    /// Records how much later than `expected` this thread woke.
+    fn record_wakeup(&mut self, expected: Instant) {
+        self.reachability.iter_mut().for_each(|reachability| reachability.record_delay(expected.elapsed()));
     }
 
-    /// Does what gossip and the others want, to the last word that one has for another.
-    fn settle(&mut self, out: &mut Vec<Output>, socket: &UdpSocket) {
+    /// Executes the outputs of gossip and of the other subsystems until none are left.
+    fn process_outputs(&mut self, out: &mut Vec<Output>, socket: &UdpSocket) {
         let now = self.now();
-        let Gossiper { deciding, gossip, reaching, .. } = self;
-        let mut deeds = deciding.as_mut().map_or(Vec::new(), |deciding| deciding.tick(now, gossip));
-        deeds.extend(reaching.iter_mut().flat_map(|reaching| reaching.tick(now, gossip)));
-        self.carry_out(deeds, out);
+        let Gossiper { consensus, gossip, reachability, .. } = self;
+        let mut actions = consensus.as_mut().map_or(Vec::new(), |consensus| consensus.tick(now, gossip));
+        actions.extend(reachability.iter_mut().flat_map(|reachability| reachability.tick(now, gossip)));
+        self.execute(actions, out);
         while !out.is_empty() {
             for output in std::mem::take(out) {
                 match output {
                     Output::Carried(from, instance, bytes) => {
-                        let deeds = self.hear(Process { name: from.0, instance }, &bytes);
-                        self.carry_out(deeds, out);
+                        let actions = self.receive(Process { name: from.0, instance }, &bytes);
+                        self.execute(actions, out);
                     }
-                    output => self.act(output, socket),
+                    output => self.apply(output, socket),
                 }
             }
         }
     }
 
-    /// What another node's subsystems say to this one's.
-    fn hear(&mut self, from: Process, bytes: &[u8]) -> Vec<Deed> {
+    /// Passes a carried packet from another node to the subsystem that it is for.
+    fn receive(&mut self, from: Process, bytes: &[u8]) -> Vec<Action> {
         let now = self.now();
-        let Gossiper { deciding, gossip, reaching, .. } = self;
-        match (words::read(bytes), deciding, reaching) {
-            (Some(Words::Council(wires)), Some(deciding), _) => deciding.hear(now, from, wires),
-            (Some(Words::Row(row)), _, Some(reaching)) => reaching.heard(now, from, row, gossip),
+        let Gossiper { consensus, gossip, reachability, .. } = self;
+        match (messages::decode(bytes), consensus, reachability) {
+            (Some(Message::Council(wires)), Some(consensus), _) => consensus.receive(now, from, wires),
+            (Some(Message::Row(row)), _, Some(reachability)) => {
+                reachability.receive_row(now, from, row, gossip)
+            }
             _ => Vec::new(),
         }
     }
 
-    /// Does what is wanted, and what follows from that.
-    fn carry_out(&mut self, mut deeds: Vec<Deed>, out: &mut Vec<Output>) {
+    /// Executes the actions and those that result from them.
+    fn execute(&mut self, mut actions: Vec<Action>, out: &mut Vec<Output>) {
         let now = self.now();
-        while !deeds.is_empty() {
-            for deed in std::mem::take(&mut deeds) {
-                let Gossiper { deciding, gossip, reaching, config, .. } = self;
-                let teller = Teller { node: &config.name, gossip };
-                let epoch = || deciding.as_ref().map_or_else(|| epoch_of(None), Deciding::epoch);
-                match deed {
-                    // By far the most frequent: nothing else is made for it.
-                    Deed::Carry(to, bytes) => gossip.handle(now, Input::Carry(to, bytes), out),
-                    Deed::Part(part) => {
-                        teller.part(part, &epoch());
-                        self.tell_fleet((1.0 / part).ceil() as u32);
+        while !actions.is_empty() {
+            for action in std::mem::take(&mut actions) {
+                let Gossiper { consensus, gossip, reachability, config, .. } = self;
+                let log = EventLog { node: &config.name, gossip };
+                let epoch = || consensus.as_ref().map_or_else(|| format_epoch(None), Consensus::epoch);
+                match action {
+                    // By far the most frequent action, so no event is formatted for it.
+                    Action::Send(to, bytes) => gossip.handle(now, Input::Carry(to, bytes), out),
+                    Action::Share(part) => {
+                        log.share(part, &epoch());
+                        self.notify_engines((1.0 / part).ceil() as u32);
                     }
-                    Deed::Decided(view, before) => {
-                        teller.decided(&view, before.as_deref());
-                        if let Some(reaching) = reaching {
+                    Action::Decided(view, before) => {
+                        log.decided(&view, before.as_deref());
+                        if let Some(reachability) = reachability {
                             let members: Vec<Name> = view.members.into_keys().collect();
-                            deeds.extend(reaching.members(now, members, gossip));
+                            actions.extend(reachability.set_members(now, members, gossip));
                         }
                     }
-                    Deed::Side(side, unheard) => teller.side(side, &unheard, &epoch()),
-                    Deed::Lease(what, held, ago) => {
-                        teller.lease(what, held, ago, &epoch());
-                        if let (Held::Aside, Some(reaching)) = (what, reaching) {
-                            deeds.extend(reaching.may_step_aside(now, held, gossip));
+                    Action::Side(side, unreachable) => log.side(side, &unreachable, &epoch()),
+                    Action::Lease(what, held, ago) => {
+                        log.lease(what, held, ago, &epoch());
+                        if let (Held::Aside, Some(reachability)) = (what, reachability) {
+                            actions.extend(reachability.set_unready_lease(now, held, gossip));
                         }
                     }
-                    Deed::Dropped(change) => teller.dropped(&change),
-                    Deed::Stance(stance, before) => teller.stance(&stance, &before, &epoch()),
-                    Deed::WantsAside(wants) => {
-                        if let Some(deciding) = deciding {
-                            deeds.extend(deciding.want(now, dunelink_view::Input::Aside(wants)));
+                    Action::Rejected(change) => log.rejected(&change),
+                    Action::Stance(stance, before) => log.stance(&stance, &before, &epoch()),
+                    Action::RequestUnready(wanted) => {
+                        if let Some(consensus) = consensus {
+                            actions.extend(consensus.submit(now, dunelink_view::Input::Aside(wanted)));
                         }
                     }
-                    Deed::Ready(ready, stance) => teller.ready(ready, &stance, &epoch()),
+                    Action::Ready(ready, stance) => log.ready(ready, &stance, &epoch()),
                 }
             }
         }
     }
 
-    /// Tells the engines of how many nodes this is one.
-    fn tell_fleet(&self, nodes: u32) {
+    /// Informs the engines of the number of nodes that share the load.
+    fn notify_engines(&self, nodes: u32) {
         let shards = self.engines.len() as u32;
         for (shard, engine) in (0..).zip(&self.engines) {
             let balancers = nodes.saturating_mul(shards);
-            let rank = self.place.saturating_mul(shards).saturating_add(shard);
+            let rank = self.rank.saturating_mul(shards).saturating_add(shard);
             engine.send(Happening::Module(Event::FleetChanged { balancers, rank }));
         }
     }
 
-    fn act(&mut self, output: Output, socket: &UdpSocket) {
+    fn apply(&mut self, output: Output, socket: &UdpSocket) {
         match output {
-            // One that can't be sent is one that got lost.
+            // A packet that can't be sent counts as lost.
             Output::Send(to, bytes) => drop(socket.try_send_to(&bytes, to)),
-            Output::Doubts(doubts) => {
+            Output::Doubts(suspicions) => {
                 for engine in &self.engines {
-                    engine.send(Happening::Module(Event::PeerSuspicions(doubts.clone())));
+                    engine.send(Happening::Module(Event::PeerSuspicions(suspicions.clone())));
                 }
             }
-            // Where the fleet decides, parts follow leases.
+            // With electors, the shares follow the leases instead.
             Output::Fleet(fleet) => {
-                self.place = fleet.place;
-                if self.deciding.is_none() {
-                    self.tell_fleet(fleet.nodes);
+                self.rank = fleet.place;
+                if self.consensus.is_none() {
+                    self.notify_engines(fleet.nodes);
                 }
             }
             Output::Carried(..) => {}
-            Output::Note(note) => Teller { node: &self.config.name, gossip: &self.gossip }.note(&note),
+            Output::Note(note) => EventLog { node: &self.config.name, gossip: &self.gossip }.note(&note),
         }
     }
 
-    /// Asks all engines something; nothing once they have ended. One that stands still has nothing to say.
-    async fn ask_engines<T>(&self, ask: impl Fn(oneshot::Sender<T>) -> Happening) -> Option<Vec<T>> {
+    /// Queries all engines; `None` once they have ended. The answers of paused engines are left out.
+    async fn query_engines<T>(&self, query: impl Fn(oneshot::Sender<T>) -> Happening) -> Option<Vec<T>> {
         let send = |engine: &Mailbox| {
-            let (tell, told) = oneshot::channel();
-            engine.send(ask(tell)).then_some(told)
+            let (reply, answer) = oneshot::channel();
+            engine.send(query(reply)).then_some(answer)
         };
-        let asked: Vec<_> = self.engines.iter().filter_map(send).collect();
-        if asked.is_empty() {
+        let pending: Vec<_> = self.engines.iter().filter_map(send).collect();
+        if pending.is_empty() {
             return None;
         }
         let mut answers = Vec::new();
-        for told in asked {
-            answers.extend(timeout(LOOK_WITHIN, told).await.ok().and_then(Result::ok));
+        for answer in pending {
+            answers.extend(timeout(ENGINE_TIMEOUT, answer).await.ok().and_then(Result::ok));
         }
         Some(answers)
     }
 
-    /// What the engines have seen, all shards together; nothing once they have ended.
-    async fn look(&mut self, out: &mut Vec<Output>) -> Option<()> {
-        let began = Instant::now();
-        let seen = self.ask_engines(Happening::Sight).await?;
-        if self.reaching.is_some() && self.reach_at.elapsed() >= REACH {
-            self.reach_at = Instant::now();
-            let zones = self.ask_engines(Happening::Reach).await?;
+    /// Collects the observations of all engines; `None` once they have ended.
+    async fn observe(&mut self, out: &mut Vec<Output>) -> Option<()> {
+        let started = Instant::now();
+        let observations = self.query_engines(Happening::Sight).await?;
+        if self.reachability.is_some() && self.reach_polled_at.elapsed() >= REACH_INTERVAL {
+            self.reach_polled_at = Instant::now();
+            let zones = self.query_engines(Happening::Reach).await?;
             let now = self.now();
-            let Gossiper { gossip, reaching, .. } = self;
-            let deeds = reaching.iter_mut().flat_map(|reaching| {
-                reaching.late(began.elapsed());
-                reaching.seen(now, by_zone(&zones), gossip)
+            let Gossiper { gossip, reachability, .. } = self;
+            let actions = reachability.iter_mut().flat_map(|reachability| {
+                reachability.record_delay(started.elapsed());
+                reachability.record_own_counts(now, sum_by_zone(&zones), gossip)
             });
-            let deeds = deeds.collect();
-            self.carry_out(deeds, out);
+            let actions = actions.collect();
+            self.execute(actions, out);
         }
         let now = self.now();
-        self.gossip.handle(now, Input::Sightings(together(seen.into_iter().flatten())), out);
+        self.gossip.handle(
+            now,
+            Input::Sightings(merge_observations(observations.into_iter().flatten())),
+            out,
+        );
         Some(())
     }
 
     fn status(&self, now: Micros) -> Option<FleetView> {
-        let (deciding, reaching) = (self.deciding.as_ref()?, self.reaching.as_ref()?);
-        let reach = (reaching.matrix(), reaching.stance());
-        Some(status(now, &self.config.name, &deciding.standing(now), reach, &self.gossip))
+        let (consensus, reachability) = (self.consensus.as_ref()?, self.reachability.as_ref()?);
+        let reach = (reachability.matrix(), reachability.stance());
+        Some(status(now, &self.config.name, &consensus.standing(now), reach, &self.gossip))
     }
 
-    /// Has a node put out or let in, if that can be decided.
-    fn put(&mut self, name: &str, how: Option<(u64, String)>, out: &mut Vec<Output>) -> Result<(), String> {
+    /// Evicts or readmits a node, if that can be decided.
+    fn set_eviction(
+        &mut self,
+        name: &str,
+        eviction: Option<(u64, String)>,
+        out: &mut Vec<Output>,
+    ) -> Result<(), String> {
         let id = MemberId::of(name);
-        let deciding = self.deciding.as_mut().ok_or("this node's configuration names no electors")?;
+        let consensus = self.consensus.as_mut().ok_or("this node's configuration names no electors")?;
         if self.gossip.name(id).is_empty() {
             return Err("expected a name in the ring".into());
         }
-        let change = match how {
+        let change = match eviction {
             Some((seconds, reason)) => Evictions::out(id.0, seconds, &reason),
             None => Evictions::back(id.0),
         };
-        deciding.may(&change).map_err(|refusal| refusal.to_string())?;
-        let now = self.began.elapsed().as_micros() as Micros;
-        let deeds = deciding.want(now, dunelink_view::Input::Want(change));
-        self.carry_out(deeds, out);
+        consensus.check_change(&change).map_err(|refusal| refusal.to_string())?;
+        let now = self.started.elapsed().as_micros() as Micros;
+        let actions = consensus.submit(now, dunelink_view::Input::Want(change));
+        self.execute(actions, out);
         Ok(())
     }
 
-    async fn answer(&mut self, ask: GossipRequest, socket: &UdpSocket, out: &mut Vec<Output>) {
-        match ask {
-            GossipRequest::Status(tell) => {
+    async fn handle_request(&mut self, request: GossipRequest, socket: &UdpSocket, out: &mut Vec<Output>) {
+        match request {
+            GossipRequest::Status(reply) => {
                 let now = self.now();
                 self.gossip.handle(now, Input::Tick, out);
                 let view = GossipView {
@@ -370,35 +385,37 @@
                     figures: self.gossip.figures(),
                     fleet: self.status(now),
                 };
-                let _ = tell.send(view);
+                let _ = reply.send(view);
             }
-            GossipRequest::ReloadKeys(tell) => {
-                let Some(wanted) = &self.config.gossip else { return };
-                let _ = tell.send(wanted.keys(&self.config.name).map(|(ring, secret)| {
+            GossipRequest::ReloadKeys(reply) => {
+                let Some(gossip_config) = &self.config.gossip else { return };
+                let _ = reply.send(gossip_config.keys(&self.config.name).map(|(ring, secret)| {
                     let (now, names) = (self.now(), ring.len());
                     self.gossip.handle(now, Input::Keys(ring, secret), out);
                     names
                 }));
             }
-            GossipRequest::SetEviction(name, how, tell) => {
-                let _ = tell.send(self.put(&name, how, out).map_err(|why| format!("{name}: {why}")));
+            GossipRequest::SetEviction(name, eviction, reply) => {
+                let _ = reply.send(
+                    self.set_eviction(&name, eviction, out).map_err(|error| format!("{name}: {error}")),
+                );
             }
-            GossipRequest::Leave(tell) => {
-                // It may well be back in a moment; if not, its part goes to the others after a minute.
+            GossipRequest::Leave(reply) => {
+                // The node may be back in a moment; if not, its share goes to the others after a minute.
                 let now = self.now();
                 self.gossip.handle(now, Input::Leave { restarts: true }, out);
-                self.settle(out, socket);
-                let _ = tell.send(());
+                self.process_outputs(out, socket);
+                let _ = reply.send(());
             }
         }
     }
 }
 
-/// What all shards have seen, each by as many requests as it rests on.
-fn together(seen: impl Iterator<Item = ServerObservation>) -> Vec<ServerObservation> {
-    let mut whole: HashMap<ServerId, ServerObservation> = HashMap::new();
-    for one in seen {
-        whole
+/// Merges the observations of all shards, weighted by their sample counts.
+fn merge_observations(observations: impl Iterator<Item = ServerObservation>) -> Vec<ServerObservation> {
+    let mut merged: HashMap<ServerId, ServerObservation> = HashMap::new();
+    for one in observations {
+        merged
             .entry(one.server)
             .and_modify(|all| {
                 let (a, b) = (f64::from(all.sample_count), f64::from(one.sample_count));
@@ -410,13 +427,14 @@
             })
             .or_insert(one);
     }
-    whole.into_values().collect()
+    merged.into_values().collect()
 }
 
-/// What all shards have seen of servers, by zone. Each server is tried by all of them.
-fn by_zone(seen: &[Vec<ZoneReach>]) -> Vec<ZoneReach> {
+/// Adds up the reachability of servers by zone, over all shards. Each shard tries every server, so that a
+/// server counts once per shard.
+fn sum_by_zone(observations: &[Vec<ZoneReach>]) -> Vec<ZoneReach> {
     let mut zones: BTreeMap<&str, ZoneReach> = BTreeMap::new();
-    for reach in seen.iter().flatten() {
+    for reach in observations.iter().flatten() {
         let sum = zones
             .entry(&reach.zone)
             .or_insert_with(|| ZoneReach { zone: reach.zone.clone(), ..Default::default() });
@@ -426,12 +444,12 @@
     zones.into_values().collect()
 }
 
-/// Asks, and waits for what comes back; nothing if there is no gossip or it has ended.
+/// Sends a request and waits for the answer; `None` if there is no gossip or it has ended.
 pub(crate) async fn request<T>(
     requests: Option<&GossipRequestSender>,
     make: impl FnOnce(oneshot::Sender<T>) -> GossipRequest,
 ) -> Option<T> {
-    let (tell, told) = oneshot::channel();
-    requests?.send(make(tell)).await.ok()?;
-    told.await.ok()
+    let (reply, answer) = oneshot::channel();
+    requests?.send(make(reply)).await.ok()?;
+    answer.await.ok()
 }
--- a/crates/dunelink/src/fleet/mod.rs
+++ b/crates/dunelink/src/fleet/mod.rs
@@ -1,14 +1,15 @@
-//! What a node does with the other nodes. One file for each subsystem's adapter, with nothing decided; `gossip` has the
-//! thread, the socket and the clock, and runs the others. A subsystem plugs in there: what it is told (`look`, `settle`),
-//! what it wants done (a [`deed::Deed`]), what it says to others (`words`), what is told of it (`events`, `status`).
+//! Cooperation of a node with the other nodes. Each file adapts one subsystem and decides nothing itself;
+//! `gossip` has the thread, the socket and the clock and runs the others. A subsystem is connected by its
+//! inputs (`observe`, `process_outputs`), the actions that it requests (an [`action::Action`]), its messages
+//! to other nodes (`messages`) and what is reported of it (`events`, `status`).
 
-mod deed;
+mod action;
 mod events;
 mod gossip;
+mod messages;
 mod reach;
 mod status;
 mod view;
-mod words;
 
 pub(crate) use gossip::{GossipRequest, GossipRequestSender, request};
 pub use gossip::{GossipView, Gossiper};
--- a/crates/dunelink/src/fleet/reach.rs
+++ b/crates/dunelink/src/fleet/reach.rs
@@ -1,5 +1,5 @@
-//! What this node tells the others of itself, and what it makes of what they tell: the clock, the engines' counts and
-//! the way to the members round the state machine of `dunelink-reach`.
+//! Reports about this node to the others, and the evaluation of theirs: connects the clock, the engines'
+//! counts and the transport to the members with the state machine of `dunelink-reach`.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,44 +9,46 @@
 use dunelink_reach::{Health, Input, Matrix, Output, Row, Settings, Stance, ZoneReach};
 use dunelink_view::{Micros, Name, Process};
 
-use super::deed::Deed;
-use super::words;
+use super::action::Action;
+use super::messages;
 use crate::config::Config;
 use crate::counts::{Counts, Tally};
 
-/// What a thread may be late by before it is said to have stood still.
-const LATE: Duration = Duration::from_millis(20);
-/// A part over the whole fleet: nobody steps aside.
-const NEVER: f64 = 2.0;
+/// Delay of a thread that is still normal; a longer one counts as a pause of the process.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(20);
+/// A floor above 1, which the ready fraction of the fleet can't reach: no node ever reports that it is not
+/// ready.
+const UNATTAINABLE_FLOOR: f64 = 2.0;
 
-/// A node's part in who reaches whom.
-pub(super) struct Reaching {
+/// This node's view of which nodes and servers reach each other.
+pub(super) struct Reachability {
     health: Health,
     tallies: Vec<Arc<Tally>>,
-    /// Read by whoever is asked whether this node is ready.
-    aside: Arc<AtomicBool>,
-    stood_still: Duration,
-    /// What it told of itself last.
+    /// Whether this node reports that it is not ready; read by readiness checks.
+    unready: Arc<AtomicBool>,
+    paused: Duration,
+    /// The stance that was reported last.
     stance: Stance,
 }
 
-impl Reaching {
-    /// Where the fleet decides something, it is also told who reaches whom.
+impl Reachability {
+    /// Creates the state machine. Without `step_aside` in the configuration, this node always reports that it
+    /// is ready.
     pub(super) fn new(
         config: &Config,
         me: Process,
         tallies: Vec<Arc<Tally>>,
-        aside: Arc<AtomicBool>,
+        unready: Arc<AtomicBool>,
         now: Micros,
-    ) -> Reaching {
-        let floor = config.gossip.as_ref().and_then(|gossip| gossip.step_aside).unwrap_or(NEVER);
+    ) -> Reachability {
+        let floor = config.gossip.as_ref().and_then(|gossip| gossip.step_aside).unwrap_or(UNATTAINABLE_FLOOR);
         let settings = Settings { me, zone: config.fleet.zone.clone(), floor };
-        let (health, stood_still) = (Health::new(settings, now), Duration::ZERO);
-        Reaching { health, tallies, aside, stood_still, stance: Stance::Well }
+        let (health, paused) = (Health::new(settings, now), Duration::ZERO);
+        Reachability { health, tallies, unready, paused, stance: Stance::Well }
     }
 
-    /// When it wants to be looked at next.
-    pub(super) fn next(&self) -> Micros {
+    /// When the state machine needs its next tick.
+    pub(super) fn next_wakeup(&self) -> Micros {
         self.health.next()
     }
 
@@ -58,62 +60,73 @@
         self.health.stance()
     }
 
-    /// This process was looked at later than it wanted to be, or an engine answered late.
-    pub(super) fn late(&mut self, by: Duration) {
-        if by > LATE {
-            self.stood_still += by;
+    /// Records that this thread woke, or an engine answered, later than expected.
+    pub(super) fn record_delay(&mut self, delay: Duration) {
+        if delay > PAUSE_THRESHOLD {
+            self.paused += delay;
         }
     }
 
-    /// What the engines have seen of servers.
-    pub(super) fn seen(&mut self, now: Micros, zones: Vec<ZoneReach>, gossip: &Gossip) -> Vec<Deed> {
+    /// Takes the reachability of servers by zone, and the engines' counts.
+    pub(super) fn record_own_counts(
+        &mut self,
+        now: Micros,
+        zones: Vec<ZoneReach>,
+        gossip: &Gossip,
+    ) -> Vec<Action> {
         let counts = self.tallies.iter().map(|tally| tally.counts()).fold(Counts::default(), Counts::plus);
-        let silent = self.tallies.iter().map(|tally| tally.list_silent()).max().flatten();
-        let list = silent.map(|silent| u32::try_from(silent.as_millis()).unwrap_or(u32::MAX));
-        let sums = [counts.served, counts.failed, self.stood_still.as_millis() as u64];
-        self.work(now, Input::Own(zones, list, sums), gossip)
+        let silence = self.tallies.iter().map(|tally| tally.list_silent()).max().flatten();
+        let list_silence_ms = silence.map(|silence| u32::try_from(silence.as_millis()).unwrap_or(u32::MAX));
+        let totals = [counts.served, counts.failed, self.paused.as_millis() as u64];
+        self.handle(now, Input::Own(zones, list_silence_ms, totals), gossip)
     }
 
-    pub(super) fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Deed> {
-        self.work(now, Input::Tick, gossip)
+    pub(super) fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Action> {
+        self.handle(now, Input::Tick, gossip)
     }
 
-    pub(super) fn heard(&mut self, now: Micros, from: Process, row: Row, gossip: &Gossip) -> Vec<Deed> {
-        self.work(now, Input::Heard(from, row), gossip)
+    pub(super) fn receive_row(
+        &mut self,
+        now: Micros,
+        from: Process,
+        row: Row,
+        gossip: &Gossip,
+    ) -> Vec<Action> {
+        self.handle(now, Input::Heard(from, row), gossip)
     }
 
-    /// Who is a member from now on.
-    pub(super) fn members(&mut self, now: Micros, members: Vec<Name>, gossip: &Gossip) -> Vec<Deed> {
-        self.work(now, Input::Members(members), gossip)
+    /// Sets the members of the current view.
+    pub(super) fn set_members(&mut self, now: Micros, members: Vec<Name>, gossip: &Gossip) -> Vec<Action> {
+        self.handle(now, Input::Members(members), gossip)
     }
 
-    /// Whether this node holds the right to say that it is not ready.
-    pub(super) fn may_step_aside(&mut self, now: Micros, held: bool, gossip: &Gossip) -> Vec<Deed> {
-        self.work(now, Input::Aside(held), gossip)
+    /// Sets whether this node holds the exclusive right to report that it is not ready.
+    pub(super) fn set_unready_lease(&mut self, now: Micros, held: bool, gossip: &Gossip) -> Vec<Action> {
+        self.handle(now, Input::Aside(held), gossip)
     }
 
-    fn work(&mut self, now: Micros, input: Input, gossip: &Gossip) -> Vec<Deed> {
+    fn handle(&mut self, now: Micros, input: Input, gossip: &Gossip) -> Vec<Action> {
         let mut out = Vec::new();
         self.health.handle(now, input, &mut out);
-        let mut deeds = Vec::new();
+        let mut actions = Vec::new();
         for output in out {
             match output {
                 Output::Tell(row) => {
-                    let bytes = words::row(&row);
+                    let bytes = messages::encode_row(&row);
                     let to = gossip.there().into_iter().map(|(id, _)| id);
-                    deeds.extend(to.map(|id: MemberId| Deed::Carry(id, bytes.clone())));
+                    actions.extend(to.map(|id: MemberId| Action::Send(id, bytes.clone())));
                 }
                 Output::Stance(stance) => {
                     let before = std::mem::replace(&mut self.stance, stance.clone());
-                    deeds.push(Deed::Stance(stance, before));
+                    actions.push(Action::Stance(stance, before));
                 }
-                Output::WantsAside(wants) => deeds.push(Deed::WantsAside(wants)),
+                Output::WantsAside(wanted) => actions.push(Action::RequestUnready(wanted)),
                 Output::Ready(ready) => {
-                    self.aside.store(!ready, Ordering::Release);
-                    deeds.push(Deed::Ready(ready, self.stance.clone()));
+                    self.unready.store(!ready, Ordering::Release);
+                    actions.push(Action::Ready(ready, self.stance.clone()));
                 }
             }
         }
-        deeds
+        actions
     }
 }
--- a/crates/dunelink/src/fleet/status.rs
+++ b/crates/dunelink/src/fleet/status.rs
@@ -1,80 +1,80 @@
-//! How a node stands with the fleet, for operators.
+//! Status of a node within the fleet, for operators.
 
 use dunelink_gossip::{Gossip, MemberId};
 use dunelink_reach::{Matrix, Stance};
 use dunelink_view::{Evictions, Micros, Name, Standing};
 use serde::Serialize;
 
-use super::view::{epoch_of, side_name};
+use super::view::{format_epoch, side_name};
 
-/// How a node stands with what the fleet decides, and who reaches whom.
+/// The consensus state of a node, and its view of which nodes and servers reach each other.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FleetView {
-    /// The node that says this.
+    /// Name of the node that reports this.
     pub node: String,
-    /// Its side of a cut: `majority`, `minority` or `alone`.
+    /// Its side of a network partition: `majority`, `minority` or `alone`.
     pub side: &'static str,
-    /// The newest view that it knows: founding and number, or `none`.
+    /// The newest view that it knows: its founding and number, or `none`.
     pub epoch: String,
-    /// For how many milliseconds it still holds its name; 0 if it does not.
+    /// Milliseconds left of the lease on its name; 0 if it does not hold it.
     pub name_for_ms: u64,
-    /// Whether it proposes what is decided.
+    /// Whether it holds the proposer's lease and proposes the decisions.
     pub chair: bool,
-    /// Whether it holds the right to say that it is not ready.
+    /// Whether it holds the exclusive right to report that it is not ready.
     pub aside: bool,
-    /// What part of the fleet's limits it takes.
+    /// Fraction of the fleet's limits that it uses.
     pub part: f64,
-    /// What it is, as against the fleet.
+    /// Its health compared with the rest of the fleet.
     pub stance: String,
-    /// The electors that it hears.
+    /// Names of the electors that it can reach.
     pub hears_electors: Vec<String>,
-    /// Members and electors.
+    /// Members of the view and electors.
     pub nodes: Vec<NodeView>,
-    /// Ways that are open in one direction only: nothing comes from the first to the second.
+    /// Pairs of nodes that communicate in one direction only: nothing arrives from the first at the second.
     pub one_way: Vec<(String, String)>,
-    /// Nodes that were put out.
+    /// Nodes that are evicted.
     pub out: Vec<EvictionView>,
 }
 
-/// A node, as its own row tells and as this one sees it.
+/// A node, as it reports itself and as the reporting node sees it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct NodeView {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
     /// Whether it is a member of the view.
     pub member: bool,
     /// Whether its process votes.
     pub elector: bool,
-    /// What it is, as against the fleet.
+    /// Its health compared with the rest of the fleet.
     pub stance: String,
-    /// Whether its row came lately; what follows is empty if not.
+    /// Whether its row arrived recently; if not, the following fields are empty.
     pub heard: bool,
-    /// Whether it says that it is ready.
+    /// Whether it reports that it is ready.
     pub ready: bool,
     /// Its zone.
     pub zone: String,
-    /// Whose rows come to it, of those listed here.
+    /// The listed nodes whose rows it receives.
     pub hears: Vec<String>,
-    /// By zone: servers that answer it, and those that are silent.
+    /// Zone, number of servers that answer it, and number of servers that don't.
     pub servers: Vec<(String, u16, u16)>,
-    /// For how many milliseconds it has not heard the list.
+    /// Milliseconds since it last heard from the source of the server list; `None` if it is in contact.
     pub list_ms: Option<u32>,
-    /// Requests of the last ten seconds.
+    /// Requests of the last ten seconds that servers answered.
     pub served: u32,
-    /// Those that failed.
+    /// Requests that failed in that time.
     pub failed: u32,
-    /// Of each second, the milliseconds in which it stood still.
+    /// Milliseconds per second during which it was paused.
     pub stalled: u16,
 }
 
-/// A node that was put out.
+/// An evicted node.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EvictionView {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// For how many seconds from the decision on.
+    /// Duration of the eviction in seconds, counted from the decision.
     pub seconds: u64,
-    /// Why.
+    /// Reason that the operator gave.
     pub reason: String,
 }
 
@@ -91,15 +91,15 @@
         view.iter().flat_map(|view| view.members.keys().chain(view.electors.keys())).copied().collect();
     names.sort_unstable();
     names.dedup();
-    let one = |of: &Name| {
-        let row = matrix.row(now, *of).cloned();
+    let node_view = |id: &Name| {
+        let row = matrix.row(now, *id).cloned();
         let heard = row.is_some();
         let row = row.unwrap_or_default();
         NodeView {
-            name: name(*of),
-            member: view.is_some_and(|view| view.members.contains_key(of)),
-            elector: view.is_some_and(|view| view.electors.contains_key(of)),
-            stance: matrix.stance(now, *of).to_string(),
+            name: name(*id),
+            member: view.is_some_and(|view| view.members.contains_key(id)),
+            elector: view.is_some_and(|view| view.electors.contains_key(id)),
+            stance: matrix.stance(now, *id).to_string(),
             heard,
             ready: row.ready,
             zone: row.zone,
@@ -111,13 +111,13 @@
             stalled: row.stalled,
         }
     };
-    let mut nodes: Vec<NodeView> = names.iter().map(one).collect();
+    let mut nodes: Vec<NodeView> = names.iter().map(node_view).collect();
     nodes.sort_by(|a, b| a.name.cmp(&b.name));
     let out = view.into_iter().flat_map(Evictions::all);
     FleetView {
         node: node.to_owned(),
         side: side_name(standing.side),
-        epoch: epoch_of(view),
+        epoch: format_epoch(view),
         name_for_ms: standing.name_for / 1000,
         chair: standing.chair,
         aside: standing.aside,
@@ -127,7 +127,7 @@
         nodes,
         one_way: matrix.one_way(now).into_iter().map(|(from, to)| (name(from), name(to))).collect(),
         out: out
-            .map(|(of, seconds, reason)| EvictionView { name: name(of), seconds, reason: reason.to_owned() })
+            .map(|(id, seconds, reason)| EvictionView { name: name(id), seconds, reason: reason.to_owned() })
             .collect(),
     }
 }
--- a/crates/dunelink/src/fleet/view.rs
+++ b/crates/dunelink/src/fleet/view.rs
@@ -1,5 +1,5 @@
-//! What the fleet decides, as this node takes part in it: the council's clock, its words on gossip's packets, and what
-//! the engines and operators are told.
+//! This node's part in the fleet's consensus: connects the council with the clock, with the packets that
+//! gossip carries, and with the engines and operators.
 
 use dunelink_gossip::{CARRIED_MOST, Gossip, MemberId};
 use dunelink_view::{
@@ -7,148 +7,149 @@
     Wire,
 };
 
-use super::deed::Deed;
-use super::words;
+use super::action::Action;
+use super::messages;
 use crate::config::Config;
 
-/// A node's council.
-pub(super) struct Deciding {
+/// The council of this node.
+pub(super) struct Consensus {
     council: Council,
     me: Process,
     names: Names,
-    silence: Micros,
-    heard_at: Micros,
-    /// The newest view that others were told of.
-    known: Option<Box<View>>,
+    report_interval: Micros,
+    reported_at: Micros,
+    /// The newest view that has been reported.
+    last_view: Option<Box<View>>,
 }
 
-/// A view's number, as logs and operators name it: its founding, which is told by its round and its founder's process,
-/// and its epoch in that.
-pub(super) fn epoch_of(view: Option<&View>) -> String {
+/// The number of a view in logs and status: the founding, identified by its round and its founder's process,
+/// and the epoch within it; `none` without a view.
+pub(super) fn format_epoch(view: Option<&View>) -> String {
     let Some(View { generation, epoch, .. }) = view else { return "none".into() };
     format!("{}-{:04x}.{epoch}", generation.round, generation.by.instance as u16)
 }
 
-impl Deciding {
-    /// Takes part, if the configuration names electors.
-    pub(super) fn new(config: &Config, (name, instance): (MemberId, u64), now: Micros) -> Option<Deciding> {
-        let wanted = config.gossip.as_ref().filter(|gossip| !gossip.electors.is_empty())?;
+impl Consensus {
+    /// Creates the council; `None` if the configuration names no electors.
+    pub(super) fn new(config: &Config, (name, instance): (MemberId, u64), now: Micros) -> Option<Consensus> {
+        let gossip_config = config.gossip.as_ref().filter(|gossip| !gossip.electors.is_empty())?;
         let me = Process { name: name.0, instance };
-        let lease = wanted.lease.as_micros() as Micros;
-        let names = Names::new(wanted.electors.iter().map(|name| MemberId::of(name).0));
+        let lease = gossip_config.lease.as_micros() as Micros;
+        let names = Names::new(gossip_config.electors.iter().map(|name| MemberId::of(name).0));
         let settings = Settings {
             me,
             names: names.clone(),
-            bounds: Bounds { lease, drift: u64::from(wanted.drift) },
+            bounds: Bounds { lease, drift: u64::from(gossip_config.drift) },
             nodes: config.fleet.nodes as usize,
             seed: instance,
         };
         let council = Council::new(settings, now);
-        Some(Deciding { council, me, names, silence: lease / 10, heard_at: 0, known: None })
+        Some(Consensus { council, me, names, report_interval: lease / 10, reported_at: 0, last_view: None })
     }
 
-    /// Its process.
+    /// The process of this node.
     pub(super) fn me(&self) -> Process {
         self.me
     }
 
-    /// When it wants to be looked at next.
-    pub(super) fn next(&self, now: Micros) -> Micros {
+    /// When the council needs its next tick.
+    pub(super) fn next_wakeup(&self, now: Micros) -> Micros {
         self.council.next(now).max(now + 1_000)
     }
 
-    /// How it stands.
+    /// The current state of this node in the fleet.
     pub(super) fn standing(&self, now: Micros) -> Standing {
         self.council.standing(now)
     }
 
-    /// The number of the newest view that it knows.
+    /// The number of the newest known view.
     pub(super) fn epoch(&self) -> String {
-        epoch_of(self.council.view())
+        format_epoch(self.council.view())
     }
 
-    /// Whether something can be decided.
-    pub(super) fn may(&self, change: &Change) -> Result<(), Refusal> {
+    /// Checks whether a change can be decided.
+    pub(super) fn check_change(&self, change: &Change) -> Result<(), Refusal> {
         self.council.may(change)
     }
 
-    /// Time has passed.
-    pub(super) fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Deed> {
+    /// Handles the passage of time.
+    pub(super) fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Action> {
         let mut inputs = vec![Input::Tick];
-        if now.saturating_sub(self.heard_at) >= self.silence {
-            self.heard_at = now;
-            let there = gossip.there().into_iter().map(|(id, instance)| Process { name: id.0, instance });
-            inputs.push(Input::There(there.collect()));
+        if now.saturating_sub(self.reported_at) >= self.report_interval {
+            self.reported_at = now;
+            let up_members =
+                gossip.there().into_iter().map(|(id, instance)| Process { name: id.0, instance });
+            inputs.push(Input::There(up_members.collect()));
         }
-        self.work(now, inputs)
+        self.handle(now, inputs)
     }
 
-    /// A process has said something.
-    pub(super) fn hear(&mut self, now: Micros, from: Process, wires: Vec<Wire>) -> Vec<Deed> {
-        self.work(now, wires.into_iter().map(|wire| Input::Heard(from, wire)).collect())
+    /// Handles messages from a process.
+    pub(super) fn receive(&mut self, now: Micros, from: Process, wires: Vec<Wire>) -> Vec<Action> {
+        self.handle(now, wires.into_iter().map(|wire| Input::Heard(from, wire)).collect())
     }
 
-    /// An operator wants something, or this node does.
-    pub(super) fn want(&mut self, now: Micros, input: Input) -> Vec<Deed> {
-        self.work(now, vec![input])
+    /// Handles a request of an operator or of this node.
+    pub(super) fn submit(&mut self, now: Micros, input: Input) -> Vec<Action> {
+        self.handle(now, vec![input])
     }
 
-    fn work(&mut self, now: Micros, mut inputs: Vec<Input>) -> Vec<Deed> {
-        let (mut deeds, mut out) = (Vec::new(), Vec::new());
-        let mut said: Vec<(u64, Vec<Wire>)> = Vec::new();
+    fn handle(&mut self, now: Micros, mut inputs: Vec<Input>) -> Vec<Action> {
+        let (mut actions, mut out) = (Vec::new(), Vec::new());
+        let mut outgoing: Vec<(u64, Vec<Wire>)> = Vec::new();
         while !inputs.is_empty() {
             for input in inputs.drain(..) {
                 self.council.handle(now, input, &mut out);
             }
             for output in out.drain(..) {
                 match output {
-                    // What it says to itself needs no network.
+                    // Messages to this node itself need no network.
                     Output::Send(name, wire) if name == self.me.name => {
                         inputs.push(Input::Heard(self.me, wire))
                     }
-                    Output::Send(name, wire) => match said.iter_mut().find(|(to, _)| *to == name) {
+                    Output::Send(name, wire) => match outgoing.iter_mut().find(|(to, _)| *to == name) {
                         Some((_, wires)) => wires.push(wire),
-                        None => said.push((name, vec![wire])),
+                        None => outgoing.push((name, vec![wire])),
                     },
-                    Output::Part(part) => deeds.push(Deed::Part(part)),
+                    Output::Part(part) => actions.push(Action::Share(part)),
                     Output::Decided(view) => {
                         let view = Box::new(view);
-                        let before = self.known.replace(view.clone());
-                        deeds.push(Deed::Decided(view, before));
+                        let before = self.last_view.replace(view.clone());
+                        actions.push(Action::Decided(view, before));
                     }
                     Output::Side(side) => {
                         let heard = self.council.standing(now).heard;
-                        let unheard = self.names.iter().filter(|name| !heard.contains(name)).collect();
-                        deeds.push(Deed::Side(side, unheard));
+                        let unreachable = self.names.iter().filter(|name| !heard.contains(name)).collect();
+                        actions.push(Action::Side(side, unreachable));
                     }
-                    Output::Lease(what, held, ago) => deeds.push(Deed::Lease(what, held, ago)),
-                    Output::Dropped(change) => deeds.push(Deed::Dropped(change)),
+                    Output::Lease(what, held, ago) => actions.push(Action::Lease(what, held, ago)),
+                    Output::Dropped(change) => actions.push(Action::Rejected(change)),
                 }
             }
         }
-        for (to, wires) in said {
-            deeds.extend(packets(wires).into_iter().map(|bytes| Deed::Carry(MemberId(to), bytes)));
+        for (to, wires) in outgoing {
+            actions.extend(packets(wires).into_iter().map(|bytes| Action::Send(MemberId(to), bytes)));
         }
-        deeds
+        actions
     }
 }
 
-/// As few packets as they fit.
+/// Packs the messages into as few packets as possible.
 fn packets(wires: Vec<Wire>) -> Vec<Vec<u8>> {
     let (mut packets, mut batch) = (Vec::new(), Vec::new());
     for wire in wires {
         batch.push(wire);
-        if words::council(&batch).len() > CARRIED_MOST && batch.len() > 1 {
+        if messages::encode_council(&batch).len() > CARRIED_MOST && batch.len() > 1 {
             let last = batch.split_off(batch.len() - 1);
-            packets.push(words::council(&batch));
+            packets.push(messages::encode_council(&batch));
             batch = last;
         }
     }
-    packets.push(words::council(&batch));
+    packets.push(messages::encode_council(&batch));
     packets
 }
 
-/// A side, for people.
+/// The name of a side in logs and status.
 pub(super) fn side_name(side: Side) -> &'static str {
     match side {
         Side::Majority => "majority",
