--- a/crates/dunelink/src/config/check.rs
+++ b/crates/dunelink/src/config/check.rs
@@ -20,61 +20,65 @@
             false => Err(Problem::new(key, expected)),
         };
         let is_non_negative = |x: f64| x.is_finite() && x >= 0.0;
-        let l = &self.limits;
-        require(l.requests > 0, "limits.requests", "expected at least 1")?;
-        require(l.requests <= 1 << 24, "limits.requests", "expected at most 16777216")?;
-        require(l.max_server_connections() > 0, "limits.server_connections", "expected at least 1")?;
-        require(l.body > 0 && l.body <= 1 << 30, "limits.body", "expected 1 to 1073741824 bytes")?;
-        require(l.transfers <= 1 << 20, "limits.transfers", "expected at most 1048576")?;
-        require(l.stream <= 1 << 40, "limits.stream", "expected at most 1099511627776 bytes")?;
+        let limits = &self.limits;
+        require(limits.requests > 0, "limits.requests", "expected at least 1")?;
+        require(limits.requests <= 1 << 24, "limits.requests", "expected at most 16777216")?;
+        require(limits.max_server_connections() > 0, "limits.server_connections", "expected at least 1")?;
+        require(limits.body > 0 && limits.body <= 1 << 30, "limits.body", "expected 1 to 1073741824 bytes")?;
+        require(limits.transfers <= 1 << 20, "limits.transfers", "expected at most 1048576")?;
+        require(limits.stream <= 1 << 40, "limits.stream", "expected at most 1099511627776 bytes")?;
         require(
             is_non_negative(self.over_share_worth),
             "over_share_worth",
             "expected a number of 0 or more",
         )?;
         require(self.attempts.most > 0, "attempts.most", "expected at least 1")?;
-        let f = &self.fleet;
-        require(f.nodes > 0, "fleet.nodes", "expected at least 1")?;
-        require(f.shards > 0 && f.shards <= 256, "fleet.shards", "expected 1 to 256")?;
+        let fleet = &self.fleet;
+        require(fleet.nodes > 0, "fleet.nodes", "expected at least 1")?;
+        require(fleet.shards > 0 && fleet.shards <= 256, "fleet.shards", "expected 1 to 256")?;
         require(
-            f.nodes.checked_mul(f.shards).is_some(),
+            fleet.nodes.checked_mul(fleet.shards).is_some(),
             "fleet.nodes",
             "expected fewer: fleet.nodes times fleet.shards overflows",
         )?;
-        let shards = f.shards as usize;
+        let shards = fleet.shards as usize;
         require(
-            shards == 1 || l.sockets >= RESERVED_SOCKETS + (SOCKETS_PER_SHARD + 8) * shards,
+            shards == 1 || limits.sockets >= RESERVED_SOCKETS + (SOCKETS_PER_SHARD + 8) * shards,
             "limits.sockets",
             "expected at least 24, and 12 for each shard",
         )?;
         require(
-            l.server_connections.is_none_or(|most| most >= shards),
+            limits.server_connections.is_none_or(|count| count >= shards),
             "limits.server_connections",
             "expected at least one for each shard",
         )?;
-        require(f.rank < f.nodes, "fleet.rank", "expected a number below fleet.nodes")?;
+        require(fleet.rank < fleet.nodes, "fleet.rank", "expected a number below fleet.nodes")?;
         require(
-            f.zone.is_empty() || f.zones.contains(&f.zone),
+            fleet.zone.is_empty() || fleet.zones.contains(&fleet.zone),
             "fleet.zone",
             "expected one of the names in fleet.zones",
         )?;
-        require(f.zones.len() < 255, "fleet.zones", "expected fewer than 255 names")?;
-        require(f.kinds.len() < 255, "fleet.kinds", "expected fewer than 255 names")?;
+        require(fleet.zones.len() < 255, "fleet.zones", "expected fewer than 255 names")?;
+        require(fleet.kinds.len() < 255, "fleet.kinds", "expected fewer than 255 names")?;
         require(
-            f.cold_from > 0.0 && f.cold_from <= 1.0,
+            fleet.cold_from > 0.0 && fleet.cold_from <= 1.0,
             "fleet.cold_from",
             "expected a number above 0, up to 1",
         )?;
-        require(is_non_negative(f.fall_multiple), "fleet.fall_multiple", "expected a number of 0 or more")?;
         require(
-            is_non_negative(f.cross_zone_price),
+            is_non_negative(fleet.fall_multiple),
+            "fleet.fall_multiple",
+            "expected a number of 0 or more",
+        )?;
+        require(
+            is_non_negative(fleet.cross_zone_price),
             "fleet.cross_zone_price",
             "expected a number of 0 or more",
         )?;
-        require(!f.connect_timeout.is_zero(), "fleet.connect_timeout", "expected a time above 0")?;
-        require(!f.step.is_zero(), "fleet.step", "expected a time above 0")?;
-        require(f.labels > 0 && f.labels <= 4096, "fleet.labels", "expected 1 to 4096")?;
-        require(f.pool_min >= 4, "fleet.pool_min", "expected at least 4")?;
+        require(!fleet.connect_timeout.is_zero(), "fleet.connect_timeout", "expected a time above 0")?;
+        require(!fleet.step.is_zero(), "fleet.step", "expected a time above 0")?;
+        require(fleet.labels > 0 && fleet.labels <= 4096, "fleet.labels", "expected 1 to 4096")?;
+        require(fleet.pool_min >= 4, "fleet.pool_min", "expected at least 4")?;
         require(!self.classes.is_empty(), "classes", "expected at least one [[classes]] entry")?;
         let mut names = HashSet::new();
         for (i, class) in self.classes.iter().enumerate() {
--- a/crates/dunelink/src/config/classes.rs
+++ b/crates/dunelink/src/config/classes.rs
@@ -70,7 +70,10 @@
 /// use dunelink::config::{Class, Effect};
 /// use std::time::Duration;
 ///
-/// let class = Class { aim: Some(Duration::from_millis(300)), ..Class::new("view", Effect::Safe, Duration::from_secs(2)) };
+/// let class = Class {
+///     aim: Some(Duration::from_millis(300)),
+///     ..Class::new("view", Effect::Safe, Duration::from_secs(2))
+/// };
 /// assert!(class.aim() < class.deadline);
 /// ```
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/dunelink/src/config/error.rs
+++ b/crates/dunelink/src/config/error.rs
@@ -24,7 +24,7 @@
 }
 
 impl ConfigError {
-    pub(super) fn of(what: impl Into<String>) -> ConfigError {
+    pub(super) fn new(what: impl Into<String>) -> ConfigError {
         ConfigError { file: None, line: None, key: String::new(), what: one_line(&what.into()) }
     }
 
@@ -35,7 +35,7 @@
 
     /// An error that concerns no single key, or whose text names it.
     pub(crate) fn without_key(what: &str) -> ConfigError {
-        ConfigError::of(what)
+        ConfigError::new(what)
     }
 
     /// The same error with the file in which it was found.
@@ -69,7 +69,7 @@
 
 impl From<Problem> for ConfigError {
     fn from(problem: Problem) -> ConfigError {
-        ConfigError::of(problem.expected).at(None, problem.key)
+        ConfigError::new(problem.expected).at(None, problem.key)
     }
 }
 
@@ -88,5 +88,5 @@
 
 /// Reads a whole file as text.
 pub(super) fn read(path: &Path) -> Result<String, ConfigError> {
-    std::fs::read_to_string(path).map_err(|e| ConfigError::of(format!("can't be read: {e}")).in_file(path))
+    std::fs::read_to_string(path).map_err(|e| ConfigError::new(format!("can't be read: {e}")).in_file(path))
 }
--- a/crates/dunelink/src/config/gossip.rs
+++ b/crates/dunelink/src/config/gossip.rs
@@ -145,16 +145,16 @@
     /// the ring with the public key of that secret, or the electors don't match the ring.
     pub fn keys(&self, name: &str) -> Result<(KeyRing, Secret), ConfigError> {
         let metadata = std::fs::metadata(&self.secret).map_err(|e| {
-            ConfigError::of(format!("can't be read: {e}")).in_file(&self.secret).at(None, "gossip.secret")
+            ConfigError::new(format!("can't be read: {e}")).in_file(&self.secret).at(None, "gossip.secret")
         })?;
         if readable_by_others(&metadata) {
             let what = "expected a file that only its owner may read (mode 0600)";
-            return Err(ConfigError::of(what).in_file(&self.secret).at(None, "gossip.secret"));
+            return Err(ConfigError::new(what).in_file(&self.secret).at(None, "gossip.secret"));
         }
         let key_error = |path: &Path, key: &str| {
             let (path, key) = (path.to_path_buf(), key.to_owned());
             move |e: dunelink_gossip::KeyError| {
-                ConfigError::of(e.expected).in_file(&path).at(Some(e.line), key.clone())
+                ConfigError::new(e.expected).in_file(&path).at(Some(e.line), key.clone())
             }
         };
         let secret =
@@ -162,9 +162,9 @@
         let ring = KeyRing::parse(&error::read(&self.ring)?).map_err(key_error(&self.ring, "gossip.ring"))?;
         if !ring.holds(dunelink_gossip::MemberId::of(name), &secret) {
             let what = format!("expected a line with the name {name} and the public key of gossip.secret");
-            return Err(ConfigError::of(what).in_file(&self.ring).at(None, "gossip.ring"));
+            return Err(ConfigError::new(what).in_file(&self.ring).at(None, "gossip.ring"));
         }
-        let electors = |what: &str| ConfigError::of(what).in_file(&self.ring).at(None, "gossip.electors");
+        let electors = |what: &str| ConfigError::new(what).in_file(&self.ring).at(None, "gossip.electors");
         let in_ring = |name: &String| ring.contains(dunelink_gossip::MemberId::of(name));
         if let Some(name) = self.electors.iter().find(|name| !in_ring(name)) {
             return Err(electors(&format!("expected a line with the name {name}")));
--- a/crates/dunelink/src/config/graphql.rs
+++ b/crates/dunelink/src/config/graphql.rs
@@ -233,18 +233,18 @@
             let expected = "expected letters, digits, _ and -, and none of GraphQL's own parameters";
             require(graphql::is_passable(name), &format!("parameters[{at}]"), expected)?;
         }
-        let l = &self.limits;
+        let limits = &self.limits;
         for (limit, key) in [
-            (l.bytes as u64, "limits.bytes"),
-            (l.tokens as u64, "limits.tokens"),
-            (l.depth as u64, "limits.depth"),
-            (l.fields, "limits.fields"),
+            (limits.bytes as u64, "limits.bytes"),
+            (limits.tokens as u64, "limits.tokens"),
+            (limits.depth as u64, "limits.depth"),
+            (limits.fields, "limits.fields"),
         ] {
             require(limit > 0, key, "expected at least 1")?;
         }
-        require(l.depth <= 64, "limits.depth", "expected at most 64")?;
-        require(l.batch <= 1_000, "limits.batch", "expected at most 1000")?;
-        require(!l.work.is_zero(), "limits.work", "expected a time above 0")?;
+        require(limits.depth <= 64, "limits.depth", "expected at most 64")?;
+        require(limits.batch <= 1_000, "limits.batch", "expected at most 1000")?;
+        require(!limits.work.is_zero(), "limits.work", "expected a time above 0")?;
         let require_class = |name: &str, key: &str| {
             let exists = classes.iter().any(|class| class.name == name);
             require(exists, key, "expected the name of one of the [[classes]]")
@@ -300,7 +300,7 @@
         let Some(path) = &self.documents else { return Ok(Documents::default()) };
         let text = error::read(path)?;
         Documents::from_json(&text).map_err(|e| {
-            let error = ConfigError::of(format!("expected a manifest of documents: {e}"));
+            let error = ConfigError::new(format!("expected a manifest of documents: {e}"));
             error.at((e.line() > 0).then_some(e.line()), "").in_file(path)
         })
     }
@@ -315,15 +315,15 @@
         self.check(classes)?;
         let GraphQlLimits { bytes, tokens, depth, aliases, directives, fields, work, batch, known } =
             self.limits.clone();
-        let w = &self.weights;
+        let weights = &self.weights;
         let reader = Reader {
             table: self.table(classes),
             limits: graphql::Limits { bytes, tokens, depth, aliases, directives, fields, work, batch },
             weights: Weights {
-                base: w.base,
-                field: w.field,
-                fields: w.fields.iter().map(|(name, weight)| (name.clone(), **weight)).collect(),
-                list_arguments: w.list_arguments.clone(),
+                base: weights.base,
+                field: weights.field,
+                fields: weights.fields.iter().map(|(name, weight)| (name.clone(), **weight)).collect(),
+                list_arguments: weights.list_arguments.clone(),
             },
             documents: self.read_documents()?,
             passed: self.parameters.clone(),
@@ -332,7 +332,7 @@
         for (name, text) in reader.documents.iter() {
             let read = graphql::Document::read(text, &Default::default(), &reader.limits, &reader.weights);
             read.map_err(|error| {
-                let error = ConfigError::of(error.to_string()).at(None, name);
+                let error = ConfigError::new(error.to_string()).at(None, name);
                 self.documents.iter().fold(error, |error, path| error.in_file(path))
             })?;
         }
--- a/crates/dunelink/src/config/mod.rs
+++ b/crates/dunelink/src/config/mod.rs
@@ -325,7 +325,7 @@
     ///
     /// A size exceeds the 63 bits of a TOML integer. (The seed may: it is written as text.)
     pub fn to_toml(&self) -> Result<String, ConfigError> {
-        toml::to_string_pretty(self).map_err(|e| ConfigError::of(e.to_string()))
+        toml::to_string_pretty(self).map_err(|e| ConfigError::new(e.to_string()))
     }
 
     /// Reads the platform's JSON file, whose path is in the environment variable `GW_CONFIG`.
--- a/crates/dunelink/src/config/platform.rs
+++ b/crates/dunelink/src/config/platform.rs
@@ -19,15 +19,15 @@
         // serde's message ends with a location, which the error shows by itself.
         let what = e.to_string();
         let what = what.split(" at line ").next().unwrap_or_default();
-        ConfigError::of(what).at((e.line() > 0).then_some(e.line()), key)
+        ConfigError::new(what).at((e.line() > 0).then_some(e.line()), key)
     })?;
     deserializer
         .end()
-        .map_err(|e| ConfigError::of("expected nothing behind the object").at(Some(e.line()), ""))?;
+        .map_err(|e| ConfigError::new("expected nothing behind the object").at(Some(e.line()), ""))?;
     let config = file.config();
     config.check().map_err(|problem| {
         let key = platform_key(&problem);
-        ConfigError::of(problem.expected).at(text::find_in_json(json, &key), key)
+        ConfigError::new(problem.expected).at(text::find_in_json(json, &key), key)
     })?;
     Ok(config)
 }
@@ -271,16 +271,16 @@
 
 impl PlatformFile {
     fn config(self) -> Config {
-        let (s, defaults) = (self.settings, Fleet::default());
+        let (settings, defaults) = (self.settings, Fleet::default());
         let duration_or = |us: Option<f64>, default: Duration| us.map_or(default, duration_from_us);
-        let mut zones = s.zones.0;
-        let zone = usize::from(s.zone.unwrap_or(0));
+        let mut zones = settings.zones.0;
+        let zone = usize::from(settings.zone.unwrap_or(0));
         // The node's zone index may exceed the list of zone names.
         while zone > 0 && zones.len() <= zone {
             zones.push(format!("zone-{}", zones.len()));
         }
-        let ask_every_us = s.obligations.ask_every_us.unwrap_or(10_000_000.0);
-        let is_polled = matches!(s.discovery, Some(Discovery::Subscribe));
+        let ask_every_us = settings.obligations.ask_every_us.unwrap_or(10_000_000.0);
+        let is_polled = matches!(settings.discovery, Some(Discovery::Subscribe));
         let sockets = self.limits.sockets.unwrap_or(1024);
         // Half of the memory, at 0.2 MB per transfer; `clamp` bounds values that make no sense.
         let memory = self.limits.memory_mb.map(|mb| (mb / 0.4) as usize);
@@ -291,36 +291,36 @@
             control: self.control,
             log: super::LogFormat::default(),
             seed: u64::from_str_radix(&self.seed, 16).ok(),
-            over_share_worth: s.over_share_worth.unwrap_or(1.0),
+            over_share_worth: settings.over_share_worth.unwrap_or(1.0),
             // Each request has a connection of its own, so the number of descriptors limits requests too.
             limits: Limits { sockets, requests: sockets.max(8), transfers, ..Limits::default() },
             intake: Intake { id: IfAbsent::Refuse, deadline: IfAbsent::Refuse, host: IfAbsent::Refuse },
             attempts: Attempts {
-                most: s.allowed.max_attempts.unwrap_or(1),
-                cancel: s.allowed.cancelling.0,
-                hedge: s.allowed.second_copies.0,
-                retry_after: match s.allowed.retry_after.0 {
-                    true => duration_from_us(s.allowed.max_retry_after_us),
+                most: settings.allowed.max_attempts.unwrap_or(1),
+                cancel: settings.allowed.cancelling.0,
+                hedge: settings.allowed.second_copies.0,
+                retry_after: match settings.allowed.retry_after.0 {
+                    true => duration_from_us(settings.allowed.max_retry_after_us),
                     false => Duration::ZERO,
                 },
                 answers: FinalAnswers::Ok,
             },
             fleet: Fleet {
                 shards: 1,
-                nodes: s.balancers.unwrap_or(defaults.nodes),
-                rank: s.rank.unwrap_or(defaults.rank),
+                nodes: settings.balancers.unwrap_or(defaults.nodes),
+                rank: settings.rank.unwrap_or(defaults.rank),
                 zone: zones.get(zone).cloned().unwrap_or_default(),
                 zones,
-                kinds: s.skus.0,
-                cold_from: s.obligations.cold_from.unwrap_or(defaults.cold_from),
-                warm_up: duration_or(s.obligations.warm_up_us, defaults.warm_up),
-                fall_multiple: s.obligations.fall_multiple.unwrap_or(defaults.fall_multiple),
-                connect_timeout: duration_or(s.allowed.connect_timeout_us, defaults.connect_timeout),
-                keepalive: duration_or(s.allowed.keepalive_us, defaults.keepalive),
-                warm_keys: s.domain.warm_keys.0,
-                live_weights: s.weights.as_deref() == Some("live"),
-                cross_zone_price: s.prices.cross_zone,
-                step: duration_or(s.step_us, defaults.step),
+                kinds: settings.skus.0,
+                cold_from: settings.obligations.cold_from.unwrap_or(defaults.cold_from),
+                warm_up: duration_or(settings.obligations.warm_up_us, defaults.warm_up),
+                fall_multiple: settings.obligations.fall_multiple.unwrap_or(defaults.fall_multiple),
+                connect_timeout: duration_or(settings.allowed.connect_timeout_us, defaults.connect_timeout),
+                keepalive: duration_or(settings.allowed.keepalive_us, defaults.keepalive),
+                warm_keys: settings.domain.warm_keys.0,
+                live_weights: settings.weights.as_deref() == Some("live"),
+                cross_zone_price: settings.prices.cross_zone,
+                step: duration_or(settings.step_us, defaults.step),
                 labels: defaults.labels,
                 pool_min: defaults.pool_min,
             },
@@ -329,11 +329,11 @@
                 ask_every: is_polled.then(|| duration_from_us(ask_every_us)),
             },
             known: self.known.into(),
-            classes: s.services.into_iter().map(Service::class).collect(),
-            tenants: s
+            classes: settings.services.into_iter().map(Service::class).collect(),
+            tenants: settings
                 .parties
                 .into_iter()
-                .map(|p| Tenant { name: p.name, quota_per_s: p.quota_rps, share: p.share })
+                .map(|party| Tenant { name: party.name, quota_per_s: party.quota_rps, share: party.share })
                 .collect(),
             graphql: None,
             gossip: None,
--- a/crates/dunelink/src/config/text.rs
+++ b/crates/dunelink/src/config/text.rs
@@ -10,7 +10,7 @@
 pub(super) fn parse_toml<T: DeserializeOwned>(text: &str) -> Result<T, ConfigError> {
     let config_error = |e: toml::de::Error, key: String| {
         let line = e.span().map(|span| line_at(text, span.start)).or_else(|| find_in_toml(text, &key));
-        ConfigError::of(e.message()).at(line, key)
+        ConfigError::new(e.message()).at(line, key)
     };
     let deserializer = toml::Deserializer::parse(text).map_err(|e| config_error(e, String::new()))?;
     serde_path_to_error::deserialize(deserializer).map_err(|e| {
@@ -28,7 +28,7 @@
 /// Converts a problem with a value that was read from `text` into an error with its line.
 pub(super) fn toml_problem(text: &str, problem: Problem) -> ConfigError {
     let line = find_in_toml(text, &problem.key);
-    ConfigError::of(problem.expected).at(line, problem.key)
+    ConfigError::new(problem.expected).at(line, problem.key)
 }
 
 /// The line of a byte position, counted from 1.
--- a/crates/dunelink/src/fleet/events.rs
+++ b/crates/dunelink/src/fleet/events.rs
@@ -50,7 +50,10 @@
         let cause: Vec<String> = view.since(before).iter().map(|step| self.step(step, view)).collect();
         let (members, electors) =
             (self.names(view.members.keys().copied()), self.names(view.electors.keys().copied()));
-        info!(target: "fleet", node = self.node, epoch, members, electors, cause = cause.join("; "), "view decided");
+        info!(
+            target: "fleet", node = self.node, epoch, members, electors, cause = cause.join("; "),
+            "view decided"
+        );
     }
 
     pub(super) fn side(&self, side: Side, unreachable: &[Name], epoch: &str) {
@@ -99,7 +102,7 @@
             Note::Down(member) => info!(target: "gossip", node, member, "member is down"),
             Note::NameShared => warn!(target: "gossip", node, "another process goes by this name"),
             Note::NoSense(member) => {
-                warn!(target: "gossip", node, member, "impossible ages from this member; its reports on servers are ignored");
+                warn!(target: "gossip", node, member, "impossible ages: its server reports are ignored");
             }
             Note::StoodStill(span) => {
                 warn!(target: "gossip", node, ms = span / 1000, "this process was paused");
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -52,6 +52,7 @@
 
 /// Requests from the node's handles.
 pub(crate) enum GossipRequest {
+    /// The status of gossip.
     Status(oneshot::Sender<GossipView>),
     /// Reads the key files again; the answer is the number of names in the ring.
     ReloadKeys(oneshot::Sender<Result<usize, ConfigError>>),
@@ -71,6 +72,7 @@
     gossip: Gossip,
     consensus: Option<Consensus>,
     reachability: Option<Reachability>,
+    /// When the engines were last asked which servers answer.
     reach_polled_at: Instant,
     /// This node's index among all nodes, from 0.
     rank: u32,
@@ -414,18 +416,18 @@
 /// Merges the observations of all shards, weighted by their sample counts.
 fn merge_observations(observations: impl Iterator<Item = ServerObservation>) -> Vec<ServerObservation> {
     let mut merged: HashMap<ServerId, ServerObservation> = HashMap::new();
-    for one in observations {
+    for observation in observations {
         merged
-            .entry(one.server)
-            .and_modify(|all| {
-                let (a, b) = (f64::from(all.sample_count), f64::from(one.sample_count));
+            .entry(observation.server)
+            .and_modify(|sum| {
+                let (a, b) = (f64::from(sum.sample_count), f64::from(observation.sample_count));
                 if a + b > 0.0 {
-                    all.suspicion = (all.suspicion * a + one.suspicion * b) / (a + b);
+                    sum.suspicion = (sum.suspicion * a + observation.suspicion * b) / (a + b);
                 }
-                all.recent_answers = all.recent_answers.saturating_add(one.recent_answers);
-                all.sample_count = all.sample_count.saturating_add(one.sample_count);
+                sum.recent_answers = sum.recent_answers.saturating_add(observation.recent_answers);
+                sum.sample_count = sum.sample_count.saturating_add(observation.sample_count);
             })
-            .or_insert(one);
+            .or_insert(observation);
     }
     merged.into_values().collect()
 }
--- a/crates/dunelink/src/fleet/reach.rs
+++ b/crates/dunelink/src/fleet/reach.rs
@@ -26,6 +26,7 @@
     tallies: Vec<Arc<Tally>>,
     /// Whether this node reports that it is not ready; read by readiness checks.
     unready: Arc<AtomicBool>,
+    /// Total time for which this process was paused.
     paused: Duration,
     /// The stance that was reported last.
     stance: Stance,
--- a/crates/dunelink/src/fleet/status.rs
+++ b/crates/dunelink/src/fleet/status.rs
@@ -57,7 +57,8 @@
     pub hears: Vec<String>,
     /// Zone, number of servers that answer it, and number of servers that don't.
     pub servers: Vec<(String, u16, u16)>,
-    /// Milliseconds since it last heard from the source of the server list; `None` if it is in contact.
+    /// Milliseconds since it lost contact with the source of the server list, 0 while it is in contact;
+    /// `None` if it never received a list.
     pub list_ms: Option<u32>,
     /// Requests of the last ten seconds that servers answered.
     pub served: u32,
--- a/crates/dunelink/src/fleet/view.rs
+++ b/crates/dunelink/src/fleet/view.rs
@@ -16,6 +16,7 @@
     council: Council,
     me: Process,
     names: Names,
+    /// How often the council is told which members are up, and when it was told last.
     report_interval: Micros,
     reported_at: Micros,
     /// The newest view that has been reported.
@@ -128,14 +129,14 @@
             }
         }
         for (to, wires) in outgoing {
-            actions.extend(packets(wires).into_iter().map(|bytes| Action::Send(MemberId(to), bytes)));
+            actions.extend(pack_messages(wires).into_iter().map(|bytes| Action::Send(MemberId(to), bytes)));
         }
         actions
     }
 }
 
 /// Packs the messages into as few packets as possible.
-fn packets(wires: Vec<Wire>) -> Vec<Vec<u8>> {
+fn pack_messages(wires: Vec<Wire>) -> Vec<Vec<u8>> {
     let (mut packets, mut batch) = (Vec::new(), Vec::new());
     for wire in wires {
         batch.push(wire);
--- a/crates/dunelink/src/roster/fanout.rs
+++ b/crates/dunelink/src/roster/fanout.rs
@@ -1,7 +1,7 @@
 //! Shares one roster among several shards. Updates that a shard has not taken yet are merged, so that a
-//! paused shard neither blocks the others nor accumulates more entries than the fleet has. Before each send,
-//! a shard also checks that the list as last *read* still has the server as ready: draining takes effect in
-//! all shards at once.
+//! paused shard neither blocks the others nor accumulates entries without bound. Before each send, a shard
+//! also checks that the list as last *read* still has the server as ready: draining takes effect in all
+//! shards at once.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -42,12 +42,15 @@
 /// The updates that one shard has not taken yet, merged.
 #[derive(Default)]
 struct Pending {
+    /// Whether `servers` is a complete list rather than changes.
     whole: bool,
+    /// Whether there is an update at all.
     has_update: bool,
     /// Whether the source failed since the shard last looked.
     failed: bool,
     /// Whether the source is out of reach.
     lost: bool,
+    /// The version of the newest update.
     rev: u64,
     servers: HashMap<String, Server>,
 }
@@ -79,6 +82,7 @@
     }
 }
 
+/// What is queued for one shard, and the signal that it has changed.
 #[derive(Default)]
 struct Slot {
     pending: Mutex<Pending>,
@@ -118,9 +122,9 @@
     /// Applies an update to the current list.
     fn record(&self, update: &Update) -> MutexGuard<'_, HashMap<String, Server>> {
         let mut list = self.0.list.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut whole = Pending { whole: true, servers: std::mem::take(&mut *list), ..Pending::default() };
-        whole.add(update);
-        *list = whole.servers;
+        let mut merged = Pending { whole: true, servers: std::mem::take(&mut *list), ..Pending::default() };
+        merged.add(update);
+        *list = merged.servers;
         list
     }
 
@@ -181,7 +185,8 @@
             loop {
                 tokio::select! {
                     () = slot.changed_notify.notified() => {
-                        let (update, failed, lost) = slot.pending.lock().unwrap_or_else(PoisonError::into_inner).take();
+                        let (update, failed, lost) =
+                            slot.pending.lock().unwrap_or_else(PoisonError::into_inner).take();
                         if let Some(update) = update {
                             feed.update(&update);
                         }
