--- a/crates/control/src/feed_server.rs
+++ b/crates/control/src/feed_server.rs
@@ -68,7 +68,7 @@
 async fn serve_connection(socket: TcpStream, engine: Engine) -> Result<(), LinkError> {
     let peer = socket.peer_addr()?.ip();
     let (mut reader, writer) = accept(socket, UNACKNOWLEDGED_TIMEOUT)?;
-    let hello: Hello = reader.read_within(HELLO_TIMEOUT).await?;
+    let hello: Hello = reader.read_with_timeout(HELLO_TIMEOUT).await?;
     if hello.protocol_version != PROTOCOL_VERSION {
         return Ok(());
     }
@@ -86,7 +86,7 @@
 /// Handles the messages of another control machine.
 async fn receive_from_replica(mut reader: LinkReader, engine: Engine) -> Result<(), LinkError> {
     loop {
-        let envelope: Envelope = reader.read_within(PEER_IDLE_TIMEOUT).await?;
+        let envelope: Envelope = reader.read_with_timeout(PEER_IDLE_TIMEOUT).await?;
         engine.update(|node, now, effects| node.handle_message(now, envelope, effects));
     }
 }
@@ -121,7 +121,7 @@
     /// Waits for the agent's subscription; reports may come before it.
     async fn wait_for_subscription(&mut self) -> Result<FeedSession, LinkError> {
         loop {
-            match self.reader.read_within(HELLO_TIMEOUT).await? {
+            match self.reader.read_with_timeout(HELLO_TIMEOUT).await? {
                 AgentMessage::Subscribe(subscribe) => return Ok(FeedSession::new(&subscribe)),
                 AgentMessage::Report(report) => {
                     self.engine.update(|node, now, effects| {
@@ -169,7 +169,7 @@
     async fn flush(&mut self) -> Result<(), LinkError> {
         match timeout(WRITE_TIMEOUT, self.writer.flush()).await {
             Ok(flushed) => flushed,
-            Err(_) => Err(LinkError::Silent(WRITE_TIMEOUT)),
+            Err(_) => Err(LinkError::Timeout(WRITE_TIMEOUT)),
         }
     }
 }
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -13,7 +13,7 @@
 use dunelink_replication::Member;
 use dunelink_runtime::Clock;
 use dunelink_runtime::log::logger;
-use dunelink_settings::Boot;
+use dunelink_settings::BootSettings;
 use dunelink_storage::Limits;
 use slog::{Level, Logger, error, info, warn};
 use tokio::net::TcpListener;
@@ -81,7 +81,7 @@
 fn check_settings() -> ExitCode {
     match load_settings() {
         Ok(boot) => {
-            println!("{}: valid settings for {}", Boot::path().display(), boot.node_name);
+            println!("{}: valid settings for {}", BootSettings::path().display(), boot.node_name);
             ExitCode::SUCCESS
         }
         Err(error) => exit_invalid_settings(&format!("{error:#}")),
@@ -89,9 +89,9 @@
 }
 
 /// Loads the settings and checks the keys that this program requires beyond the common ones.
-fn load_settings() -> anyhow::Result<Boot> {
-    let boot = Boot::load()?;
-    let path = Boot::path();
+fn load_settings() -> anyhow::Result<BootSettings> {
+    let boot = BootSettings::load()?;
+    let path = BootSettings::path();
     if boot.data_dir.is_none() {
         bail!("{}: key `dataDir` is missing; set it to the folder for the replicated log", path.display());
     }
@@ -104,7 +104,7 @@
     Ok(boot)
 }
 
-fn run_until_shutdown(boot: Boot, log: &Logger) -> anyhow::Result<()> {
+fn run_until_shutdown(boot: BootSettings, log: &Logger) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let outcome = LocalSet::new().block_on(&runtime, serve(boot, log.clone()));
     // The disk thread may hang in a system call: the process does not wait for it.
@@ -112,7 +112,7 @@
     outcome
 }
 
-async fn serve(boot: Boot, log: Logger) -> anyhow::Result<()> {
+async fn serve(boot: BootSettings, log: Logger) -> anyhow::Result<()> {
     // Both handlers are installed before the store is opened, which may take long: a signal without a handler
     // would kill the process.
     let mut terminate = signal(SignalKind::terminate()).context("cannot install the SIGTERM handler")?;
@@ -131,7 +131,7 @@
 }
 
 /// Opens the store and starts all tasks.
-async fn start_tasks(boot: &Boot, log: &Logger) -> anyhow::Result<Engine> {
+async fn start_tasks(boot: &BootSettings, log: &Logger) -> anyhow::Result<Engine> {
     let folder = boot.data_dir.clone().ok_or_else(|| anyhow!("`dataDir` is missing"))?;
     let control = boot.listen.control.ok_or_else(|| anyhow!("`listen.control` is missing"))?;
     let internal = internal_address(boot.ip, boot.internal_port());
@@ -188,7 +188,7 @@
 
 /// Determines the identity of this replica and assigns the store to it on the disk thread.
 fn initial_state(
-    boot: &Boot,
+    boot: &BootSettings,
     me: Member,
     opened: OpenedStore,
     disk_commands: &Sender<DiskCommand>,
@@ -215,7 +215,7 @@
     let _ = disk_commands.send(command);
 }
 
-fn node_settings(boot: &Boot) -> NodeSettings {
+fn node_settings(boot: &BootSettings) -> NodeSettings {
     let tolerated = usize::try_from(boot.fault_tolerance.machines.max(1)).unwrap_or(1);
     let bounds = &boot.bounds;
     NodeSettings {
@@ -229,7 +229,7 @@
     }
 }
 
-fn disk_limits(boot: &Boot) -> Limits {
+fn disk_limits(boot: &BootSettings) -> Limits {
     let disk_bytes = match boot.limits.disk_mb {
         0 => Limits::default().disk_bytes,
         megabytes => megabytes * BYTES_PER_MEGABYTE / DISK_SHARE.1 * DISK_SHARE.0,
@@ -237,7 +237,7 @@
     Limits { disk_bytes, ..Limits::default() }
 }
 
-fn hello(boot: &Boot) -> Hello {
+fn hello(boot: &BootSettings) -> Hello {
     Hello {
         protocol_version: PROTOCOL_VERSION,
         link: LinkKind::Replica,
@@ -265,7 +265,7 @@
 }
 
 /// Applies changed seeds when the settings file changes or on SIGHUP.
-async fn watch_settings(boot: Boot, engine: Engine, mut hangup: Signal) {
+async fn watch_settings(boot: BootSettings, engine: Engine, mut hangup: Signal) {
     let mut loaded_version = settings_file_version();
     let mut seeds = boot.seeds;
     loop {
@@ -275,7 +275,7 @@
             continue;
         }
         loaded_version = current_version;
-        match Boot::load() {
+        match BootSettings::load() {
             Ok(boot) if boot.seeds != seeds => {
                 info!(engine.log(), "seeds changed"; "seeds" => format!("{:?}", boot.seeds));
                 engine.update(|node, _, _| node.set_seeds(&boot.seeds));
@@ -290,7 +290,7 @@
 }
 
 fn settings_file_version() -> Option<(SystemTime, u64)> {
-    let metadata = std::fs::metadata(Boot::path()).ok()?;
+    let metadata = std::fs::metadata(BootSettings::path()).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
 }
 
--- a/crates/dunelink/src/config/check.rs
+++ b/crates/dunelink/src/config/check.rs
@@ -6,7 +6,7 @@
 use dunelink_edge::target::is_class_name;
 
 use super::{Config, Effect, Problem, RESERVED_SOCKETS, RosterConfig, SOCKETS_PER_SHARD};
-use crate::entries::Server;
+use crate::server_list::Server;
 
 /// A class name must be read the same way by every client, proxy and server.
 const CLASS_NAME_RULE: &str =
--- a/crates/dunelink/src/config/fleet.rs
+++ b/crates/dunelink/src/config/fleet.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::entries::Server;
+use crate::server_list::Server;
 
 /// Settings of the whole fleet, and this node's position in it.
 ///
--- a/crates/dunelink/src/config/platform.rs
+++ b/crates/dunelink/src/config/platform.rs
@@ -8,7 +8,7 @@
 
 use super::error::{ConfigError, Problem};
 use super::*;
-use crate::listing::Line;
+use crate::platform_list::PlatformList;
 
 /// Reads the platform's JSON.
 pub(super) fn parse(json: &str) -> Result<Config, ConfigError> {
@@ -80,7 +80,7 @@
     #[serde(default)]
     limits: PlatformLimits,
     #[serde(default)]
-    known: Line,
+    known: PlatformList,
     settings: Settings,
 }
 
--- a/crates/dunelink/src/feeding.rs
+++ b/crates/dunelink/src/engine_feed.rs
@@ -1,4 +1,5 @@
-//! What an engine is fed of lists: addresses and states go to the servers' side at once, the rest to the module.
+//! Passes server lists on to an engine: addresses and states go to [`Servers`] at once, the rest to the
+//! decision module.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -10,24 +11,24 @@
 use tokio::sync::Notify;
 
 use crate::config::Config;
-use crate::engine::{Happening, Mailbox};
-use crate::entries::{Server, ServerState, Update};
+use crate::engine::{EngineMessage, Mailbox};
 use crate::roster::{ListKind, ReadyServers, UpdateSink};
+use crate::server_list::{Server, ServerState, Update};
 use crate::servers::Servers;
 
-/// Turns a list's entries into the module's.
-struct Reader {
+/// Converts the entries of a list to those of the decision module.
+struct EntryConverter {
     zones: HashMap<String, u8>,
     kinds: HashMap<String, u8>,
 }
 
-impl Reader {
-    fn new(config: &Config) -> Reader {
-        let numbered = |names: &[String]| names.iter().cloned().zip(0..u8::MAX).collect();
-        Reader { zones: numbered(&config.fleet.zones), kinds: numbered(&config.fleet.kinds) }
+impl EntryConverter {
+    fn new(config: &Config) -> EntryConverter {
+        let indexed = |names: &[String]| names.iter().cloned().zip(0..u8::MAX).collect();
+        EntryConverter { zones: indexed(&config.fleet.zones), kinds: indexed(&config.fleet.kinds) }
     }
 
-    fn entry(&self, server: &Server) -> ServerEntry {
+    fn convert(&self, server: &Server) -> ServerEntry {
         ServerEntry {
             id: server.id(),
             state: match server.state {
@@ -44,51 +45,51 @@
     }
 }
 
-/// An engine and its servers, as a roster feeds them.
-pub(crate) struct ToEngine {
-    reader: Reader,
+/// An engine and its servers as the receiver of lists from a roster.
+pub(crate) struct EngineFeed {
+    converter: EntryConverter,
     servers: Rc<Servers>,
     engine: Mailbox,
-    /// Told when the module wants to be told of changes.
-    wanted: Rc<Notify>,
+    /// Notified when the module asks for changes to the list.
+    list_wanted: Rc<Notify>,
 }
 
-impl ToEngine {
+impl EngineFeed {
     pub(crate) fn new(
         config: &Config,
         servers: Rc<Servers>,
         engine: Mailbox,
-        wanted: Rc<Notify>,
-    ) -> ToEngine {
-        ToEngine { reader: Reader::new(config), servers, engine, wanted }
+        list_wanted: Rc<Notify>,
+    ) -> EngineFeed {
+        EngineFeed { converter: EntryConverter::new(config), servers, engine, list_wanted }
     }
 }
 
-impl UpdateSink for ToEngine {
+impl UpdateSink for EngineFeed {
     fn update(&self, update: &Update, kind: ListKind) {
         let event = match kind {
             ListKind::Cached => Event::CachedServerList,
             ListKind::Current if update.whole => Event::ServerList,
             ListKind::Current => Event::ServerChanges,
         };
-        let list: Vec<ServerEntry> = update.servers.iter().map(|s| self.reader.entry(s)).collect();
-        self.servers.list_changed(list.iter().copied().zip(&update.servers), update.whole);
-        self.engine.send(Happening::Module(event(list)));
+        let list: Vec<ServerEntry> = update.servers.iter().map(|s| self.converter.convert(s)).collect();
+        self.servers.apply_list(list.iter().copied().zip(&update.servers), update.whole);
+        self.engine.send(EngineMessage::BalancerEvent(event(list)));
     }
 
     fn set_ready_servers(&self, ready: Arc<ReadyServers>) {
-        self.servers.heed(ready);
+        self.servers.set_ready_servers(ready);
     }
 
     fn failed(&self) {
-        self.engine.send(Happening::Module(Event::DiscoveryFailed));
+        self.engine.send(EngineMessage::BalancerEvent(Event::DiscoveryFailed));
     }
 
     fn lost(&self) {
-        self.servers.tally.lost_list();
+        self.servers.counters.list_source_lost();
     }
 
     fn poll_due(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
-        Box::pin(self.wanted.notified())
+        Box::pin(self.list_wanted.notified())
     }
 }
--- a/crates/dunelink/src/fleet/events.rs
+++ b/crates/dunelink/src/fleet/events.rs
@@ -1,9 +1,9 @@
 //! Log events of the fleet, one for each change of view, side, lease and stance, each with its epoch and
 //! cause. The logs of all processes can be merged into one sequence.
 
-use dunelink_gossip::{Gossip, MemberId, Note};
-use dunelink_reach::Stance;
-use dunelink_view::{Change, Evictions, Held, Micros, Name, Side, Step, View};
+use dunelink_gossip::{Gossip, LogEvent, MemberId};
+use dunelink_reach::Condition;
+use dunelink_view::{Change, Evictions, LeaseKind, Micros, Name, PartitionSide, View, ViewDelta};
 use tracing::{info, warn};
 
 use super::view::{format_epoch, side_name};
@@ -23,31 +23,32 @@
         names.map(|name| self.name(name)).collect::<Vec<_>>().join(",")
     }
 
-    fn step(&self, step: &Step, view: &View) -> String {
+    fn step(&self, step: &ViewDelta, view: &View) -> String {
         // The key of a fact contains the numeric id of the node that it concerns.
         let subject = |key: &str| {
             let name = key.split(' ').nth(1).and_then(|hex| Name::from_str_radix(hex, 16).ok());
             name.map(|name| self.name(name)).unwrap_or_default()
         };
         match step {
-            Step::Found => "the first view known to this node, or a new founding".into(),
-            Step::Came(process) => format!("{} came in", self.name(process.name)),
-            Step::Went(process) => format!("{} went out", self.name(process.name)),
-            Step::Set(key) => {
-                match Evictions::all(view).find(|(name, ..)| self.name(*name) == subject(key)) {
+            ViewDelta::Founded => "the first view known to this node, or a new founding".into(),
+            ViewDelta::Joined(process) => format!("{} came in", self.name(process.name)),
+            ViewDelta::Left(process) => format!("{} went out", self.name(process.name)),
+            ViewDelta::Set(key) => {
+                match Evictions::evicted(view).find(|(name, ..)| self.name(*name) == subject(key)) {
                     Some((name, seconds, reason)) => {
                         format!("{} is evicted for {seconds} s: {reason}", self.name(name))
                     }
                     None => format!("{key} is set"),
                 }
             }
-            Step::Cleared(key) => format!("{} is readmitted", subject(key)),
+            ViewDelta::Cleared(key) => format!("{} is readmitted", subject(key)),
         }
     }
 
     pub(super) fn decided(&self, view: &View, before: Option<&View>) {
         let epoch = format_epoch(Some(view));
-        let cause: Vec<String> = view.since(before).iter().map(|step| self.step(step, view)).collect();
+        let cause: Vec<String> =
+            view.changes_since(before).iter().map(|step| self.step(step, view)).collect();
         let (members, electors) =
             (self.names(view.members.keys().copied()), self.names(view.electors.keys().copied()));
         info!(
@@ -56,7 +57,7 @@
         );
     }
 
-    pub(super) fn side(&self, side: Side, unreachable: &[Name], epoch: &str) {
+    pub(super) fn side(&self, side: PartitionSide, unreachable: &[Name], epoch: &str) {
         let cause = match unreachable {
             [] => "all electors are heard".into(),
             names => format!("not heard: {}", self.names(names.iter().copied())),
@@ -64,11 +65,11 @@
         info!(target: "fleet", node = self.node, epoch, side = side_name(side), cause, "side");
     }
 
-    pub(super) fn lease(&self, what: Held, held: bool, ago: Micros, epoch: &str) {
+    pub(super) fn lease(&self, what: LeaseKind, held: bool, ago: Micros, epoch: &str) {
         let of = match what {
-            Held::Name => format!("name {}", self.node),
-            Held::Chair => "chair".into(),
-            Held::Aside => "aside".into(),
+            LeaseKind::NodeName => format!("name {}", self.node),
+            LeaseKind::Proposer => "chair".into(),
+            LeaseKind::Unready => "aside".into(),
         };
         let cause = match (held, ago) {
             (true, _) => "granted by a majority",
@@ -86,25 +87,27 @@
         info!(target: "fleet", node = self.node, epoch, part = format!("{part:.3}"), "part");
     }
 
-    pub(super) fn stance(&self, stance: &Stance, before: &Stance, epoch: &str) {
+    pub(super) fn stance(&self, stance: &Condition, before: &Condition, epoch: &str) {
         let (stance, before) = (stance.to_string(), before.to_string());
         info!(target: "fleet", node = self.node, epoch, stance, before, "stance");
     }
 
-    pub(super) fn ready(&self, ready: bool, stance: &Stance, epoch: &str) {
+    pub(super) fn ready(&self, ready: bool, stance: &Condition, epoch: &str) {
         info!(target: "fleet", node = self.node, epoch, ready, cause = stance.to_string(), "ready");
     }
 
-    pub(super) fn note(&self, note: &Note) {
+    pub(super) fn note(&self, note: &LogEvent) {
         let node = self.node;
         match note {
-            Note::Up(member) => info!(target: "gossip", node, member, "member is up"),
-            Note::Down(member) => info!(target: "gossip", node, member, "member is down"),
-            Note::NameShared => warn!(target: "gossip", node, "another process goes by this name"),
-            Note::NoSense(member) => {
+            LogEvent::MemberUp(member) => info!(target: "gossip", node, member, "member is up"),
+            LogEvent::MemberDown(member) => {
+                info!(target: "gossip", node, member, "member is down")
+            }
+            LogEvent::DuplicateName => warn!(target: "gossip", node, "another process goes by this name"),
+            LogEvent::InvalidAges(member) => {
                 warn!(target: "gossip", node, member, "impossible ages: its server reports are ignored");
             }
-            Note::StoodStill(span) => {
+            LogEvent::ProcessPaused(span) => {
                 warn!(target: "gossip", node, ms = span / 1000, "this process was paused");
             }
         }
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -9,10 +9,10 @@
 
 use cherryusher::{Event, ServerId, ServerObservation};
 use dunelink_gossip::{
-    Figures, Gossip, Input, MemberId, MemberView, Micros, Output, PACKET_MOST, Settings, SuspicionView,
+    Counters, Gossip, Input, MAX_PACKET_BYTES, MemberId, MemberView, Micros, Output, Settings, SuspicionView,
 };
-use dunelink_reach::ZoneReach;
-use dunelink_view::{Evictions, Held, Name, Process};
+use dunelink_reach::ZoneReachability;
+use dunelink_view::{Evictions, LeaseKind, Name, Process};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until, timeout};
@@ -24,9 +24,9 @@
 use super::status::{FleetView, status};
 use super::view::{Consensus, format_epoch};
 use crate::config::{Config, ConfigError};
-use crate::counts::Tally;
-use crate::engine::{Happening, Mailbox};
-use crate::thread::on_thread;
+use crate::counts::Counters as EngineCounters;
+use crate::engine::{EngineMessage, Mailbox};
+use crate::thread::spawn_local_thread;
 
 /// Interval at which engines are asked for their observations of servers.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(200);
@@ -45,7 +45,7 @@
     /// The servers that other nodes suspect.
     pub suspicions: Vec<SuspicionView>,
     /// Counters since the start.
-    pub figures: Figures,
+    pub figures: Counters,
     /// Status of this node within the fleet; `None` if the configuration names no electors.
     pub fleet: Option<FleetView>,
 }
@@ -85,7 +85,7 @@
     /// Reads the keys and binds the address; `None` if the configuration has no gossip.
     pub(crate) fn new(
         config: &Config,
-        (engines, tallies): (Vec<Mailbox>, Vec<Arc<Tally>>),
+        (engines, tallies): (Vec<Mailbox>, Vec<Arc<EngineCounters>>),
         unready: Arc<AtomicBool>,
     ) -> Result<Option<(Gossiper, GossipRequestSender)>, ConfigError> {
         let Some(gossip_config) = &config.gossip else { return Ok(None) };
@@ -105,11 +105,11 @@
             name: config.name.clone(),
             address,
             seeds: gossip_config.seeds.clone(),
-            period: gossip_config.period.as_micros() as Micros,
-            ceiling: gossip_config.ceiling,
-            nodes: config.fleet.nodes,
+            probe_period: gossip_config.period.as_micros() as Micros,
+            max_bytes_per_second: gossip_config.ceiling,
+            configured_nodes: config.fleet.nodes,
             seed: fastrand::Rng::new().u64(..),
-            number: unix.as_micros() as u64,
+            first_statement_number: unix.as_micros() as u64,
         };
         let started = Instant::now();
         let gossip = Gossip::new(settings, ring, secret, 0)
@@ -145,7 +145,7 @@
     ///
     /// No thread or descriptor is available.
     pub fn start(self) -> io::Result<()> {
-        on_thread("dunelink gossip".into(), move || async move {
+        spawn_local_thread("dunelink gossip".into(), move || async move {
             let name = self.config.name.clone();
             if let Err(error) = self.run().await {
                 tracing::error!(target: "gossip", node = name, "gossip has ended: {error}");
@@ -163,14 +163,14 @@
         let mut observation_timer = interval(OBSERVATION_INTERVAL);
         observation_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         // One byte more than a packet has, to detect longer ones.
-        let mut bytes = [0; PACKET_MOST + 1];
+        let mut bytes = [0; MAX_PACKET_BYTES + 1];
         let mut out = Vec::new();
         loop {
             let now = self.now();
             let consensus_at =
                 self.consensus.as_ref().map_or(Micros::MAX, |consensus| consensus.next_wakeup(now));
             let reach_at = self.reachability.as_ref().map_or(Micros::MAX, Reachability::next_wakeup);
-            let next = self.gossip.next().min(consensus_at).min(reach_at.max(now + 1_000));
+            let next = self.gossip.next_wakeup().min(consensus_at).min(reach_at.max(now + 1_000));
             let next = self.started + Duration::from_micros(next);
             tokio::select! {
                 // An error is a response to a packet sent earlier, whose receiver will count as not
@@ -209,7 +209,7 @@
         while !out.is_empty() {
             for output in std::mem::take(out) {
                 match output {
-                    Output::Carried(from, instance, bytes) => {
+                    Output::PayloadReceived(from, instance, bytes) => {
                         let actions = self.receive(Process { name: from.0, instance }, &bytes);
                         self.execute(actions, out);
                     }
@@ -242,7 +242,7 @@
                 let epoch = || consensus.as_ref().map_or_else(|| format_epoch(None), Consensus::epoch);
                 match action {
                     // By far the most frequent action, so no event is formatted for it.
-                    Action::Send(to, bytes) => gossip.handle(now, Input::Carry(to, bytes), out),
+                    Action::Send(to, bytes) => gossip.handle(now, Input::SendPayload(to, bytes), out),
                     Action::Share(part) => {
                         log.share(part, &epoch());
                         self.notify_engines((1.0 / part).ceil() as u32);
@@ -257,7 +257,7 @@
                     Action::Side(side, unreachable) => log.side(side, &unreachable, &epoch()),
                     Action::Lease(what, held, ago) => {
                         log.lease(what, held, ago, &epoch());
-                        if let (Held::Aside, Some(reachability)) = (what, reachability) {
+                        if let (LeaseKind::Unready, Some(reachability)) = (what, reachability) {
                             actions.extend(reachability.set_unready_lease(now, held, gossip));
                         }
                     }
@@ -265,7 +265,7 @@
                     Action::Stance(stance, before) => log.stance(&stance, &before, &epoch()),
                     Action::RequestUnready(wanted) => {
                         if let Some(consensus) = consensus {
-                            actions.extend(consensus.submit(now, dunelink_view::Input::Aside(wanted)));
+                            actions.extend(consensus.submit(now, dunelink_view::Input::WantUnready(wanted)));
                         }
                     }
                     Action::Ready(ready, stance) => log.ready(ready, &stance, &epoch()),
@@ -280,7 +280,7 @@
         for (shard, engine) in (0..).zip(&self.engines) {
             let balancers = nodes.saturating_mul(shards);
             let rank = self.rank.saturating_mul(shards).saturating_add(shard);
-            engine.send(Happening::Module(Event::FleetChanged { balancers, rank }));
+            engine.send(EngineMessage::BalancerEvent(Event::FleetChanged { balancers, rank }));
         }
     }
 
@@ -288,25 +288,25 @@
         match output {
             // A packet that can't be sent counts as lost.
             Output::Send(to, bytes) => drop(socket.try_send_to(&bytes, to)),
-            Output::Doubts(suspicions) => {
+            Output::Suspicions(suspicions) => {
                 for engine in &self.engines {
-                    engine.send(Happening::Module(Event::PeerSuspicions(suspicions.clone())));
+                    engine.send(EngineMessage::BalancerEvent(Event::PeerSuspicions(suspicions.clone())));
                 }
             }
             // With electors, the shares follow the leases instead.
-            Output::Fleet(fleet) => {
-                self.rank = fleet.place;
+            Output::FleetPosition(fleet) => {
+                self.rank = fleet.rank;
                 if self.consensus.is_none() {
                     self.notify_engines(fleet.nodes);
                 }
             }
-            Output::Carried(..) => {}
-            Output::Note(note) => EventLog { node: &self.config.name, gossip: &self.gossip }.note(&note),
+            Output::PayloadReceived(..) => {}
+            Output::LogEvent(note) => EventLog { node: &self.config.name, gossip: &self.gossip }.note(&note),
         }
     }
 
     /// Queries all engines; `None` once they have ended. The answers of paused engines are left out.
-    async fn query_engines<T>(&self, query: impl Fn(oneshot::Sender<T>) -> Happening) -> Option<Vec<T>> {
+    async fn query_engines<T>(&self, query: impl Fn(oneshot::Sender<T>) -> EngineMessage) -> Option<Vec<T>> {
         let send = |engine: &Mailbox| {
             let (reply, answer) = oneshot::channel();
             engine.send(query(reply)).then_some(answer)
@@ -325,10 +325,10 @@
     /// Collects the observations of all engines; `None` once they have ended.
     async fn observe(&mut self, out: &mut Vec<Output>) -> Option<()> {
         let started = Instant::now();
-        let observations = self.query_engines(Happening::Sight).await?;
+        let observations = self.query_engines(EngineMessage::Observations).await?;
         if self.reachability.is_some() && self.reach_polled_at.elapsed() >= REACH_INTERVAL {
             self.reach_polled_at = Instant::now();
-            let zones = self.query_engines(Happening::Reach).await?;
+            let zones = self.query_engines(EngineMessage::ZoneReach).await?;
             let now = self.now();
             let Gossiper { gossip, reachability, .. } = self;
             let actions = reachability.iter_mut().flat_map(|reachability| {
@@ -341,7 +341,7 @@
         let now = self.now();
         self.gossip.handle(
             now,
-            Input::Sightings(merge_observations(observations.into_iter().flatten())),
+            Input::Observations(merge_observations(observations.into_iter().flatten())),
             out,
         );
         Some(())
@@ -366,12 +366,12 @@
             return Err("expected a name in the ring".into());
         }
         let change = match eviction {
-            Some((seconds, reason)) => Evictions::out(id.0, seconds, &reason),
-            None => Evictions::back(id.0),
+            Some((seconds, reason)) => Evictions::evict(id.0, seconds, &reason),
+            None => Evictions::restore(id.0),
         };
         consensus.check_change(&change).map_err(|refusal| refusal.to_string())?;
         let now = self.started.elapsed().as_micros() as Micros;
-        let actions = consensus.submit(now, dunelink_view::Input::Want(change));
+        let actions = consensus.submit(now, dunelink_view::Input::Propose(change));
         self.execute(actions, out);
         Ok(())
     }
@@ -384,7 +384,7 @@
                 let view = GossipView {
                     members: self.gossip.members(),
                     suspicions: self.gossip.suspicions(),
-                    figures: self.gossip.figures(),
+                    figures: self.gossip.counters(),
                     fleet: self.status(now),
                 };
                 let _ = reply.send(view);
@@ -434,13 +434,13 @@
 
 /// Adds up the reachability of servers by zone, over all shards. Each shard tries every server, so that a
 /// server counts once per shard.
-fn sum_by_zone(observations: &[Vec<ZoneReach>]) -> Vec<ZoneReach> {
-    let mut zones: BTreeMap<&str, ZoneReach> = BTreeMap::new();
+fn sum_by_zone(observations: &[Vec<ZoneReachability>]) -> Vec<ZoneReachability> {
+    let mut zones: BTreeMap<&str, ZoneReachability> = BTreeMap::new();
     for reach in observations.iter().flatten() {
         let sum = zones
             .entry(&reach.zone)
-            .or_insert_with(|| ZoneReach { zone: reach.zone.clone(), ..Default::default() });
-        sum.answer = sum.answer.saturating_add(reach.answer);
+            .or_insert_with(|| ZoneReachability { zone: reach.zone.clone(), ..Default::default() });
+        sum.answering = sum.answering.saturating_add(reach.answering);
         sum.silent = sum.silent.saturating_add(reach.silent);
     }
     zones.into_values().collect()
--- a/crates/dunelink/src/fleet/messages.rs
+++ b/crates/dunelink/src/fleet/messages.rs
@@ -3,7 +3,7 @@
 //! them ignores them.
 
 use dunelink_reach::Row;
-use dunelink_view::Wire;
+use dunelink_view::FleetMessage;
 use serde::Serialize;
 
 /// No packet of council messages begins with this byte: it would announce more messages than fit.
@@ -14,13 +14,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Message {
     /// Council messages about views and leases.
-    Council(Vec<Wire>),
+    Council(Vec<FleetMessage>),
     /// A node's report about itself.
     Row(Row),
 }
 
 /// Encodes council messages.
-pub(super) fn encode_council(wires: &[Wire]) -> Vec<u8> {
+pub(super) fn encode_council(wires: &[FleetMessage]) -> Vec<u8> {
     // Writing to memory can't fail.
     postcard::to_stdvec(wires).unwrap_or_default()
 }
@@ -51,12 +51,12 @@
 
     #[test]
     fn each_kind_of_message_round_trips() {
-        let hellos = vec![Wire::Hello(Default::default(), 7); 3];
+        let hellos = vec![FleetMessage::Hello(Default::default(), 7); 3];
         assert_eq!(decode(&encode_council(&hellos)), Some(Message::Council(hellos)));
         let sent = Row { zone: "a".into(), served: 300, ..Row::default() };
         assert_eq!(decode(&encode_row(&sent)), Some(Message::Row(sent.clone())));
         // A build that knows no marks decodes it as council messages, which must fail.
-        assert!(postcard::from_bytes::<Vec<Wire>>(&encode_row(&sent)).is_err());
+        assert!(postcard::from_bytes::<Vec<FleetMessage>>(&encode_row(&sent)).is_err());
         for other in [&[][..], &[EXTENSION_MARK], &[EXTENSION_MARK, 9, 1], &[EXTENSION_MARK, ROW_KIND, 1]] {
             assert_eq!(decode(other), None, "{other:?}");
         }
--- a/crates/dunelink/src/fleet/reach.rs
+++ b/crates/dunelink/src/fleet/reach.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use dunelink_gossip::{Gossip, MemberId};
-use dunelink_reach::{Health, Input, Matrix, Output, Row, Settings, Stance, ZoneReach};
+use dunelink_reach::{Condition, HealthMonitor, Input, Output, ReachMatrix, Row, Settings, ZoneReachability};
 use dunelink_view::{Micros, Name, Process};
 
 use super::action::Action;
 use super::messages;
 use crate::config::Config;
-use crate::counts::{Counts, Tally};
+use crate::counts::{Counters, Counts};
 
 /// Delay of a thread that is still normal; a longer one counts as a pause of the process.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(20);
@@ -22,14 +22,14 @@
 
 /// This node's view of which nodes and servers reach each other.
 pub(super) struct Reachability {
-    health: Health,
-    tallies: Vec<Arc<Tally>>,
+    health: HealthMonitor,
+    tallies: Vec<Arc<Counters>>,
     /// Whether this node reports that it is not ready; read by readiness checks.
     unready: Arc<AtomicBool>,
     /// Total time for which this process was paused.
     paused: Duration,
     /// The stance that was reported last.
-    stance: Stance,
+    stance: Condition,
 }
 
 impl Reachability {
@@ -38,27 +38,27 @@
     pub(super) fn new(
         config: &Config,
         me: Process,
-        tallies: Vec<Arc<Tally>>,
+        tallies: Vec<Arc<Counters>>,
         unready: Arc<AtomicBool>,
         now: Micros,
     ) -> Reachability {
         let floor = config.gossip.as_ref().and_then(|gossip| gossip.step_aside).unwrap_or(UNATTAINABLE_FLOOR);
-        let settings = Settings { me, zone: config.fleet.zone.clone(), floor };
-        let (health, paused) = (Health::new(settings, now), Duration::ZERO);
-        Reachability { health, tallies, unready, paused, stance: Stance::Well }
+        let settings = Settings { me, zone: config.fleet.zone.clone(), min_ready_fraction: floor };
+        let (health, paused) = (HealthMonitor::new(settings, now), Duration::ZERO);
+        Reachability { health, tallies, unready, paused, stance: Condition::Healthy }
     }
 
     /// When the state machine needs its next tick.
     pub(super) fn next_wakeup(&self) -> Micros {
-        self.health.next()
+        self.health.next_wakeup()
     }
 
-    pub(super) fn matrix(&self) -> &Matrix {
+    pub(super) fn matrix(&self) -> &ReachMatrix {
         self.health.matrix()
     }
 
-    pub(super) fn stance(&self) -> &Stance {
-        self.health.stance()
+    pub(super) fn stance(&self) -> &Condition {
+        self.health.condition()
     }
 
     /// Records that this thread woke, or an engine answered, later than expected.
@@ -72,14 +72,14 @@
     pub(super) fn record_own_counts(
         &mut self,
         now: Micros,
-        zones: Vec<ZoneReach>,
+        zones: Vec<ZoneReachability>,
         gossip: &Gossip,
     ) -> Vec<Action> {
         let counts = self.tallies.iter().map(|tally| tally.counts()).fold(Counts::default(), Counts::plus);
-        let silence = self.tallies.iter().map(|tally| tally.list_silent()).max().flatten();
+        let silence = self.tallies.iter().map(|tally| tally.list_source_silence()).max().flatten();
         let list_silence_ms = silence.map(|silence| u32::try_from(silence.as_millis()).unwrap_or(u32::MAX));
         let totals = [counts.served, counts.failed, self.paused.as_millis() as u64];
-        self.handle(now, Input::Own(zones, list_silence_ms, totals), gossip)
+        self.handle(now, Input::OwnMeasurements(zones, list_silence_ms, totals), gossip)
     }
 
     pub(super) fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Action> {
@@ -93,7 +93,7 @@
         row: Row,
         gossip: &Gossip,
     ) -> Vec<Action> {
-        self.handle(now, Input::Heard(from, row), gossip)
+        self.handle(now, Input::Received(from, row), gossip)
     }
 
     /// Sets the members of the current view.
@@ -103,7 +103,7 @@
 
     /// Sets whether this node holds the exclusive right to report that it is not ready.
     pub(super) fn set_unready_lease(&mut self, now: Micros, held: bool, gossip: &Gossip) -> Vec<Action> {
-        self.handle(now, Input::Aside(held), gossip)
+        self.handle(now, Input::UnreadyLease(held), gossip)
     }
 
     fn handle(&mut self, now: Micros, input: Input, gossip: &Gossip) -> Vec<Action> {
@@ -112,16 +112,16 @@
         let mut actions = Vec::new();
         for output in out {
             match output {
-                Output::Tell(row) => {
+                Output::SendRow(row) => {
                     let bytes = messages::encode_row(&row);
-                    let to = gossip.there().into_iter().map(|(id, _)| id);
+                    let to = gossip.alive_processes().into_iter().map(|(id, _)| id);
                     actions.extend(to.map(|id: MemberId| Action::Send(id, bytes.clone())));
                 }
-                Output::Stance(stance) => {
+                Output::Condition(stance) => {
                     let before = std::mem::replace(&mut self.stance, stance.clone());
                     actions.push(Action::Stance(stance, before));
                 }
-                Output::WantsAside(wanted) => actions.push(Action::RequestUnready(wanted)),
+                Output::WantUnready(wanted) => actions.push(Action::RequestUnready(wanted)),
                 Output::Ready(ready) => {
                     self.unready.store(!ready, Ordering::Release);
                     actions.push(Action::Ready(ready, self.stance.clone()));
--- a/crates/dunelink/src/fleet/view.rs
+++ b/crates/dunelink/src/fleet/view.rs
@@ -1,10 +1,10 @@
 //! This node's part in the fleet's consensus: connects the council with the clock, with the packets that
 //! gossip carries, and with the engines and operators.
 
-use dunelink_gossip::{CARRIED_MOST, Gossip, MemberId};
+use dunelink_gossip::{Gossip, MAX_PAYLOAD_BYTES, MemberId};
 use dunelink_view::{
-    Bounds, Change, Council, Input, Micros, Names, Output, Process, Refusal, Settings, Side, Standing, View,
-    Wire,
+    Change, Coordinator, ElectorNames, FleetMessage, Input, LeaseBounds, Micros, NodeStatus, Output,
+    PartitionSide, Process, Refusal, Settings, View,
 };
 
 use super::action::Action;
@@ -13,9 +13,9 @@
 
 /// The council of this node.
 pub(super) struct Consensus {
-    council: Council,
+    council: Coordinator,
     me: Process,
-    names: Names,
+    names: ElectorNames,
     /// How often the council is told which members are up, and when it was told last.
     report_interval: Micros,
     reported_at: Micros,
@@ -27,7 +27,7 @@
 /// and the epoch within it; `none` without a view.
 pub(super) fn format_epoch(view: Option<&View>) -> String {
     let Some(View { generation, epoch, .. }) = view else { return "none".into() };
-    format!("{}-{:04x}.{epoch}", generation.round, generation.by.instance as u16)
+    format!("{}-{:04x}.{epoch}", generation.round, generation.proposer.instance as u16)
 }
 
 impl Consensus {
@@ -36,15 +36,15 @@
         let gossip_config = config.gossip.as_ref().filter(|gossip| !gossip.electors.is_empty())?;
         let me = Process { name: name.0, instance };
         let lease = gossip_config.lease.as_micros() as Micros;
-        let names = Names::new(gossip_config.electors.iter().map(|name| MemberId::of(name).0));
+        let names = ElectorNames::new(gossip_config.electors.iter().map(|name| MemberId::of(name).0));
         let settings = Settings {
             me,
-            names: names.clone(),
-            bounds: Bounds { lease, drift: u64::from(gossip_config.drift) },
-            nodes: config.fleet.nodes as usize,
+            elector_names: names.clone(),
+            lease_bounds: LeaseBounds { lease, drift_ppm: u64::from(gossip_config.drift) },
+            configured_nodes: config.fleet.nodes as usize,
             seed: instance,
         };
-        let council = Council::new(settings, now);
+        let council = Coordinator::new(settings, now);
         Some(Consensus { council, me, names, report_interval: lease / 10, reported_at: 0, last_view: None })
     }
 
@@ -55,12 +55,12 @@
 
     /// When the council needs its next tick.
     pub(super) fn next_wakeup(&self, now: Micros) -> Micros {
-        self.council.next(now).max(now + 1_000)
+        self.council.next_wakeup(now).max(now + 1_000)
     }
 
     /// The current state of this node in the fleet.
-    pub(super) fn standing(&self, now: Micros) -> Standing {
-        self.council.standing(now)
+    pub(super) fn standing(&self, now: Micros) -> NodeStatus {
+        self.council.status(now)
     }
 
     /// The number of the newest known view.
@@ -70,7 +70,7 @@
 
     /// Checks whether a change can be decided.
     pub(super) fn check_change(&self, change: &Change) -> Result<(), Refusal> {
-        self.council.may(change)
+        self.council.validate(change)
     }
 
     /// Handles the passage of time.
@@ -79,15 +79,15 @@
         if now.saturating_sub(self.reported_at) >= self.report_interval {
             self.reported_at = now;
             let up_members =
-                gossip.there().into_iter().map(|(id, instance)| Process { name: id.0, instance });
-            inputs.push(Input::There(up_members.collect()));
+                gossip.alive_processes().into_iter().map(|(id, instance)| Process { name: id.0, instance });
+            inputs.push(Input::AliveProcesses(up_members.collect()));
         }
         self.handle(now, inputs)
     }
 
     /// Handles messages from a process.
-    pub(super) fn receive(&mut self, now: Micros, from: Process, wires: Vec<Wire>) -> Vec<Action> {
-        self.handle(now, wires.into_iter().map(|wire| Input::Heard(from, wire)).collect())
+    pub(super) fn receive(&mut self, now: Micros, from: Process, wires: Vec<FleetMessage>) -> Vec<Action> {
+        self.handle(now, wires.into_iter().map(|wire| Input::Received(from, wire)).collect())
     }
 
     /// Handles a request of an operator or of this node.
@@ -97,7 +97,7 @@
 
     fn handle(&mut self, now: Micros, mut inputs: Vec<Input>) -> Vec<Action> {
         let (mut actions, mut out) = (Vec::new(), Vec::new());
-        let mut outgoing: Vec<(u64, Vec<Wire>)> = Vec::new();
+        let mut outgoing: Vec<(u64, Vec<FleetMessage>)> = Vec::new();
         while !inputs.is_empty() {
             for input in inputs.drain(..) {
                 self.council.handle(now, input, &mut out);
@@ -106,25 +106,25 @@
                 match output {
                     // Messages to this node itself need no network.
                     Output::Send(name, wire) if name == self.me.name => {
-                        inputs.push(Input::Heard(self.me, wire))
+                        inputs.push(Input::Received(self.me, wire))
                     }
                     Output::Send(name, wire) => match outgoing.iter_mut().find(|(to, _)| *to == name) {
                         Some((_, wires)) => wires.push(wire),
                         None => outgoing.push((name, vec![wire])),
                     },
-                    Output::Part(part) => actions.push(Action::Share(part)),
+                    Output::LimitShare(part) => actions.push(Action::Share(part)),
                     Output::Decided(view) => {
                         let view = Box::new(view);
                         let before = self.last_view.replace(view.clone());
                         actions.push(Action::Decided(view, before));
                     }
-                    Output::Side(side) => {
-                        let heard = self.council.standing(now).heard;
+                    Output::PartitionSide(side) => {
+                        let heard = self.council.status(now).reachable_electors;
                         let unreachable = self.names.iter().filter(|name| !heard.contains(name)).collect();
                         actions.push(Action::Side(side, unreachable));
                     }
                     Output::Lease(what, held, ago) => actions.push(Action::Lease(what, held, ago)),
-                    Output::Dropped(change) => actions.push(Action::Rejected(change)),
+                    Output::Rejected(change) => actions.push(Action::Rejected(change)),
                 }
             }
         }
@@ -136,11 +136,11 @@
 }
 
 /// Packs the messages into as few packets as possible.
-fn pack_messages(wires: Vec<Wire>) -> Vec<Vec<u8>> {
+fn pack_messages(wires: Vec<FleetMessage>) -> Vec<Vec<u8>> {
     let (mut packets, mut batch) = (Vec::new(), Vec::new());
     for wire in wires {
         batch.push(wire);
-        if messages::encode_council(&batch).len() > CARRIED_MOST && batch.len() > 1 {
+        if messages::encode_council(&batch).len() > MAX_PAYLOAD_BYTES && batch.len() > 1 {
             let last = batch.split_off(batch.len() - 1);
             packets.push(messages::encode_council(&batch));
             batch = last;
@@ -151,10 +151,10 @@
 }
 
 /// The name of a side in logs and status.
-pub(super) fn side_name(side: Side) -> &'static str {
+pub(super) fn side_name(side: PartitionSide) -> &'static str {
     match side {
-        Side::Majority => "majority",
-        Side::Minority => "minority",
-        Side::Alone => "alone",
+        PartitionSide::Majority => "majority",
+        PartitionSide::Minority => "minority",
+        PartitionSide::Alone => "alone",
     }
 }
--- a/crates/dunelink/src/payload.rs
+++ b/crates/dunelink/src/payload.rs
@@ -1,5 +1,5 @@
-//! The body of a request on its way to servers: whole, or passed on as it comes. What is passed on goes to one
-//! attempt; until some of it is gone, another one may have it.
+//! The body of a request sent to servers: buffered, or streamed as it arrives. A streamed body goes to one
+//! attempt at a time; until some of it has been consumed, another attempt may have it.
 
 use std::future::pending;
 use std::pin::Pin;
@@ -18,139 +18,163 @@
 
 /// The body of a request.
 pub(crate) enum Payload {
-    Whole(Bytes),
-    Coming(Arc<Coming>),
+    Buffered(Bytes),
+    Streaming(Arc<StreamingPayload>),
 }
 
-/// One that is passed on as it comes.
-pub(crate) struct Coming {
-    /// Its length, if its sender has stated it.
+/// A body that is streamed as it arrives.
+pub(crate) struct StreamingPayload {
+    /// Its length; `None` if its sender has not stated it.
     length: Option<u64>,
-    /// What was read before it was known to be long.
+    /// The bytes read before the body turned out to exceed the buffer limit.
     first: Bytes,
-    /// What comes after that, while nobody has taken any of it.
+    /// The chunks after `first`; `None` while an attempt has them, and for good once it has consumed any.
     rest: Mutex<Option<mpsc::Receiver<Bytes>>>,
-    /// When the client gives up; known once the last byte has come.
+    /// When the client gives up; `None` until the last byte has arrived.
     deadline: watch::Receiver<Option<Instant>>,
-    /// Whether an attempt has been given its end.
-    ended: AtomicBool,
-    patience: Duration,
+    /// Whether an attempt has been given the end of the body.
+    fully_sent: AtomicBool,
+    client_timeout: Duration,
 }
 
-/// The other end, where the body comes in.
-pub(crate) struct Inlet {
-    /// Dropped before the end is told, the body is broken.
-    pub(crate) pieces: mpsc::Sender<Bytes>,
+/// The sending side, into which the body is read.
+pub(crate) struct PayloadSender {
+    /// If it is dropped while `deadline` is unset, the body is incomplete.
+    pub(crate) chunks: mpsc::Sender<Bytes>,
+    /// Set when the last byte has arrived, to the time at which the client gives up.
     pub(crate) deadline: watch::Sender<Option<Instant>>,
 }
 
-impl Coming {
-    pub(crate) fn new(length: Option<u64>, first: Bytes, patience: Duration) -> (Arc<Coming>, Inlet) {
-        // One piece waits while another is on its way to the socket.
-        let (pieces, rest) = mpsc::channel(1);
-        let (tell, deadline) = watch::channel(None);
+impl StreamingPayload {
+    pub(crate) fn new(
+        length: Option<u64>,
+        first: Bytes,
+        client_timeout: Duration,
+    ) -> (Arc<StreamingPayload>, PayloadSender) {
+        // One chunk is queued while another one is being written to the socket.
+        let (chunks, rest) = mpsc::channel(1);
+        let (deadline_sender, deadline) = watch::channel(None);
         let rest = Mutex::new(Some(rest));
-        let coming = Coming { length, first, rest, deadline, ended: AtomicBool::new(false), patience };
-        (Arc::new(coming), Inlet { pieces, deadline: tell })
+        let streaming = StreamingPayload {
+            length,
+            first,
+            rest,
+            deadline,
+            fully_sent: AtomicBool::new(false),
+            client_timeout,
+        };
+        (Arc::new(streaming), PayloadSender { chunks, deadline: deadline_sender })
     }
 
-    fn rest(&self) -> MutexGuard<'_, Option<mpsc::Receiver<Bytes>>> {
+    fn lock_rest(&self) -> MutexGuard<'_, Option<mpsc::Receiver<Bytes>>> {
         self.rest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Payload {
-    /// Its length, if that is known.
+    /// Its length; `None` if it is not known.
     pub(crate) fn length(&self) -> Option<u64> {
         match self {
-            Payload::Whole(bytes) => Some(bytes.len() as u64),
-            Payload::Coming(coming) => coming.length,
+            Payload::Buffered(bytes) => Some(bytes.len() as u64),
+            Payload::Streaming(streaming) => streaming.length,
         }
     }
 
-    /// How long a client that is asked now waits, where its patience has not begun.
-    pub(crate) fn patience(&self) -> Option<Duration> {
+    /// How long the client will wait after the last byte, while that has not arrived; otherwise `None`.
+    pub(crate) fn client_timeout(&self) -> Option<Duration> {
         match self {
-            Payload::Coming(coming) if coming.deadline.borrow().is_none() => Some(coming.patience),
+            Payload::Streaming(streaming) if streaming.deadline.borrow().is_none() => {
+                Some(streaming.client_timeout)
+            }
             _ => None,
         }
     }
 
-    /// When the client gives up, if its patience has begun.
-    pub(crate) fn by(&self, deadline: Instant) -> Option<Instant> {
+    /// When the client gives up; `None` while its timeout has not started. `deadline` is that of a buffered
+    /// body.
+    pub(crate) fn client_deadline(&self, deadline: Instant) -> Option<Instant> {
         match self {
-            Payload::Whole(_) => Some(deadline),
-            Payload::Coming(coming) => *coming.deadline.borrow(),
+            Payload::Buffered(_) => Some(deadline),
+            Payload::Streaming(streaming) => *streaming.deadline.borrow(),
         }
     }
 
-    /// Waits until the client has given up.
-    pub(crate) async fn over(&self, deadline: Instant) {
-        let Payload::Coming(coming) = self else { return sleep_until(deadline).await };
-        let mut told = coming.deadline.clone();
-        match told.wait_for(Option::is_some).await.map(|at| *at) {
+    /// Waits until the client has given up. `deadline` is that of a buffered body.
+    pub(crate) async fn wait_client_deadline(&self, deadline: Instant) {
+        let Payload::Streaming(streaming) = self else { return sleep_until(deadline).await };
+        let mut deadline_watch = streaming.deadline.clone();
+        match deadline_watch.wait_for(Option::is_some).await.map(|at| *at) {
             Ok(Some(at)) => sleep_until(at).await,
-            // It broke off: whoever reads it has left.
+            // The body broke off: the call that reads it reports that the client has left.
             _ => pending().await,
         }
     }
 
-    /// When its last byte came, if that is known and matters.
-    pub(crate) fn whole_since(&self) -> Option<Instant> {
+    /// When its last byte arrived; `None` if it has not, or if the body is buffered.
+    pub(crate) fn fully_received_at(&self) -> Option<Instant> {
         match self {
-            Payload::Whole(_) => None,
-            Payload::Coming(coming) => coming.deadline.borrow().map(|at| at - coming.patience),
+            Payload::Buffered(_) => None,
+            Payload::Streaming(streaming) => {
+                streaming.deadline.borrow().map(|at| at - streaming.client_timeout)
+            }
         }
     }
 
     /// Whether an attempt has been given all of it.
-    pub(crate) fn has_ended(&self) -> bool {
+    pub(crate) fn is_fully_sent(&self) -> bool {
         match self {
-            Payload::Whole(_) => true,
-            Payload::Coming(coming) => coming.ended.load(Ordering::Acquire),
+            Payload::Buffered(_) => true,
+            Payload::Streaming(streaming) => streaming.fully_sent.load(Ordering::Acquire),
         }
     }
 
-    /// Whether some of it is gone, so that it can't be sent once more.
-    pub(crate) fn is_spent(&self) -> bool {
-        matches!(self, Payload::Coming(coming) if coming.rest().is_none())
+    /// Whether some of it has been consumed, or an attempt is using it, so that it can't be sent again.
+    pub(crate) fn is_consumed(&self) -> bool {
+        matches!(self, Payload::Streaming(streaming) if streaming.lock_rest().is_none())
     }
 
-    /// The body for an attempt; none if it is spent or out.
-    pub(crate) fn body(&self) -> Option<OutgoingBody> {
+    /// The body for an attempt; `None` if it has been consumed or another attempt is using it.
+    pub(crate) fn attempt_body(&self) -> Option<OutgoingBody> {
         match self {
-            Payload::Whole(bytes) => Some(OutgoingBody::Left(Full::new(bytes.clone()))),
-            Payload::Coming(coming) => {
-                let rest = coming.rest().take()?;
-                let first = coming.first.clone();
-                let coming = coming.clone();
-                Some(OutgoingBody::Right(Sending { coming, first, rest: Some(rest), begun: false, sent: 0 }))
+            Payload::Buffered(bytes) => Some(OutgoingBody::Left(Full::new(bytes.clone()))),
+            Payload::Streaming(streaming) => {
+                let rest = streaming.lock_rest().take()?;
+                let first = streaming.first.clone();
+                let streaming = streaming.clone();
+                Some(OutgoingBody::Right(StreamingPayloadBody {
+                    payload: streaming,
+                    first,
+                    rest: Some(rest),
+                    consumed: false,
+                    sent_bytes: 0,
+                }))
             }
         }
     }
 }
 
-/// A body as an attempt sends it.
-pub(crate) type OutgoingBody = Either<Full<Bytes>, Sending>;
+/// The body as an attempt sends it.
+pub(crate) type OutgoingBody = Either<Full<Bytes>, StreamingPayloadBody>;
 
-/// One that is passed on. Dropped before any of what comes was taken, it can be had again.
-pub(crate) struct Sending {
-    coming: Arc<Coming>,
+/// A streamed body in an attempt. If it is dropped before it took any queued chunk, another attempt can have
+/// the body.
+pub(crate) struct StreamingPayloadBody {
+    payload: Arc<StreamingPayload>,
     first: Bytes,
     rest: Option<mpsc::Receiver<Bytes>>,
-    begun: bool,
-    sent: u64,
+    consumed: bool,
+    sent_bytes: u64,
 }
 
-impl Drop for Sending {
+impl Drop for StreamingPayloadBody {
     fn drop(&mut self) {
-        if !self.begun {
-            *self.coming.rest() = self.rest.take();
+        if !self.consumed {
+            *self.payload.lock_rest() = self.rest.take();
         }
     }
 }
 
-impl Body for Sending {
+impl Body for StreamingPayloadBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -159,31 +183,33 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         if !self.first.is_empty() {
-            self.sent = self.first.len() as u64;
+            self.sent_bytes = self.first.len() as u64;
             return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.first)))));
         }
         let Some(rest) = &mut self.rest else { return Poll::Ready(None) };
         let polled = std::task::ready!(rest.poll_recv(cx));
-        self.begun = true;
+        self.consumed = true;
         match polled {
-            Some(piece) => {
-                self.sent += piece.len() as u64;
-                // Where its length is stated, nobody asks for its end.
-                if self.coming.length == Some(self.sent) {
-                    self.coming.ended.store(true, Ordering::Release);
+            Some(chunk) => {
+                self.sent_bytes += chunk.len() as u64;
+                // With a stated length, nobody polls for the end.
+                if self.payload.length == Some(self.sent_bytes) {
+                    self.payload.fully_sent.store(true, Ordering::Release);
                 }
-                Poll::Ready(Some(Ok(Frame::data(piece))))
+                Poll::Ready(Some(Ok(Frame::data(chunk))))
             }
-            None if self.coming.deadline.borrow().is_some() => {
-                self.coming.ended.store(true, Ordering::Release);
+            None if self.payload.deadline.borrow().is_some() => {
+                self.payload.fully_sent.store(true, Ordering::Release);
                 Poll::Ready(None)
             }
-            // A body without its end must not look whole.
-            None => Poll::Ready(Some(Err("the client broke its request off".into()))),
+            // A truncated body must not look complete.
+            None => Poll::Ready(Some(Err(
+                "the client closed the connection before the end of its request body".into(),
+            ))),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.coming.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.payload.length.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/dunelink/src/listing.rs
+++ b/crates/dunelink/src/platform_list.rs
@@ -1,22 +1,22 @@
-//! The platform's form of a list of servers: in its configuration, and on the lines of its watch.
+//! The platform's format of server lists, in its configuration and on the lines of its watch stream.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-use crate::entries::{Server, ServerState, Update};
+use crate::server_list::{Server, ServerState, Update};
 
-/// What discovery says on one line, and the configuration of the list as it was last held.
+/// A list or changes to one: a line of the watch stream, or the initial list in the configuration.
 #[derive(Default, Deserialize)]
-pub(crate) struct Line {
+pub(crate) struct PlatformList {
     rev: u64,
-    /// Whether it is the whole list, not changes.
+    /// Whether this is the complete list rather than changes to it.
     all: bool,
-    targets: Vec<Target>,
+    targets: Vec<PlatformServer>,
 }
 
 #[derive(Deserialize)]
-struct Target {
+struct PlatformServer {
     uid: String,
     endpoint: SocketAddr,
     #[serde(default)]
@@ -32,9 +32,9 @@
     boot_ms: u64,
 }
 
-impl From<Line> for Update {
-    fn from(line: Line) -> Update {
-        let server = |target: Target| Server {
+impl From<PlatformList> for Update {
+    fn from(list: PlatformList) -> Update {
+        let server = |target: PlatformServer| Server {
             uid: target.uid,
             endpoint: target.endpoint,
             state: target.state,
@@ -44,17 +44,17 @@
             weight: target.capacity_hint.max(0.0),
             started_ms: target.boot_ms,
         };
-        Update { rev: line.rev, whole: line.all, servers: line.targets.into_iter().map(server).collect() }
+        Update { rev: list.rev, whole: list.all, servers: list.targets.into_iter().map(server).collect() }
     }
 }
 
 impl Update {
-    /// Reads a line of the platform's watch.
+    /// Parses a line of the platform's watch stream.
     ///
     /// # Errors
     ///
-    /// It is not JSON of that form; keys beyond it are passed over.
+    /// The line is not JSON of that form. Unknown keys are ignored.
     pub fn from_watch_line(line: &[u8]) -> Result<Update, serde_json::Error> {
-        serde_json::from_slice::<Line>(line).map(Update::from)
+        serde_json::from_slice::<PlatformList>(line).map(Update::from)
     }
 }
--- a/crates/dunelink/src/roster/channel.rs
+++ b/crates/dunelink/src/roster/channel.rs
@@ -1,7 +1,7 @@
 use tokio::sync::mpsc;
 
 use super::{Feed, Roster, RosterFuture};
-use crate::entries::Update;
+use crate::server_list::Update;
 
 /// Number of updates that may be queued for the engine's thread, which takes them as they arrive.
 const QUEUE_CAPACITY: usize = 64;
--- a/crates/dunelink/src/roster/fanout.rs
+++ b/crates/dunelink/src/roster/fanout.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 
 use super::{Feed, ListKind, Roster, RosterFuture, UpdateSink};
-use crate::entries::{Server, ServerState, Update};
+use crate::server_list::{Server, ServerState, Update};
 
 /// The servers that are ready according to the list as last read, with their addresses.
 #[derive(Default)]
--- a/crates/dunelink/src/roster/file.rs
+++ b/crates/dunelink/src/roster/file.rs
@@ -5,7 +5,7 @@
 
 use super::{Feed, Roster, RosterFuture};
 use crate::config::{ConfigError, servers_from_toml};
-use crate::entries::Update;
+use crate::server_list::Update;
 
 /// A server list in a TOML file of `[[servers]]` entries, read again when its text changes. If the file is
 /// missing, malformed or without any server (which is hardly ever intended), the list stays as it was and the
--- a/crates/dunelink/src/roster/mod.rs
+++ b/crates/dunelink/src/roster/mod.rs
@@ -37,7 +37,7 @@
 pub use watch::{Watch, WatchMover};
 
 use crate::config::Config;
-use crate::entries::Update;
+use crate::server_list::Update;
 
 /// The work of a roster while the node runs. If it ends earlier, the list stays as it is.
 pub type RosterFuture = Pin<Box<dyn Future<Output = ()>>>;
--- a/crates/dunelink/src/roster/watch.rs
+++ b/crates/dunelink/src/roster/watch.rs
@@ -15,7 +15,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::{Feed, Roster, RosterFuture};
-use crate::entries::Update;
+use crate::server_list::Update;
 
 /// A watch that is silent for this long is dead: discovery sends a line every 2 s. A change counts as
 /// announced after at most 6 s, so a second watch must be established by then.
