--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -24,7 +24,7 @@
 use super::status::{FleetView, status};
 use super::view::{Consensus, format_epoch};
 use crate::config::{Config, ConfigError};
-use crate::counts::Counters as EngineCounters;
+use crate::counts::RequestCounters;
 use crate::engine::{EngineMessage, Mailbox};
 use crate::thread::spawn_local_thread;
 
@@ -85,7 +85,7 @@
     /// Reads the keys and binds the address; `None` if the configuration has no gossip.
     pub(crate) fn new(
         config: &Config,
-        (engines, tallies): (Vec<Mailbox>, Vec<Arc<EngineCounters>>),
+        (engines, tallies): (Vec<Mailbox>, Vec<Arc<RequestCounters>>),
         unready: Arc<AtomicBool>,
     ) -> Result<Option<(Gossiper, GossipRequestSender)>, ConfigError> {
         let Some(gossip_config) = &config.gossip else { return Ok(None) };
--- a/crates/dunelink/src/fleet/reach.rs
+++ b/crates/dunelink/src/fleet/reach.rs
@@ -12,7 +12,7 @@
 use super::action::Action;
 use super::messages;
 use crate::config::Config;
-use crate::counts::{Counters, Counts};
+use crate::counts::{Counts, RequestCounters};
 
 /// Delay of a thread that is still normal; a longer one counts as a pause of the process.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(20);
@@ -23,7 +23,7 @@
 /// This node's view of which nodes and servers reach each other.
 pub(super) struct Reachability {
     health: HealthMonitor,
-    tallies: Vec<Arc<Counters>>,
+    tallies: Vec<Arc<RequestCounters>>,
     /// Whether this node reports that it is not ready; read by readiness checks.
     unready: Arc<AtomicBool>,
     /// Total time for which this process was paused.
@@ -38,7 +38,7 @@
     pub(super) fn new(
         config: &Config,
         me: Process,
-        tallies: Vec<Arc<Counters>>,
+        tallies: Vec<Arc<RequestCounters>>,
         unready: Arc<AtomicBool>,
         now: Micros,
     ) -> Reachability {
