--- a/crates/dunelink/src/fleet/action.rs
+++ b/crates/dunelink/src/fleet/action.rs
@@ -19,10 +19,10 @@
     Lease(LeaseKind, bool, Micros),
     /// A requested change can't be decided.
     Rejected(Change),
-    /// The stance of this node has changed from the second to the first.
-    Stance(Condition, Condition),
+    /// The condition of this node has changed from the second to the first.
+    Condition(Condition, Condition),
     /// This node requests, or gives up, the exclusive right to report that it is not ready.
     RequestUnready(bool),
-    /// This node now reports that it is ready, or not, because of this stance.
+    /// This node now reports that it is ready, or not, because of this condition.
     Ready(bool, Condition),
 }
--- a/crates/dunelink/src/fleet/events.rs
+++ b/crates/dunelink/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! Log events of the fleet, one for each change of view, side, lease and stance, each with its epoch and
+//! Log events of the fleet, one for each change of view, side, lease and condition, each with its epoch and
 //! cause. The logs of all processes can be merged into one sequence.
 
 use dunelink_gossip::{Gossip, LogEvent, MemberId};
@@ -41,7 +41,7 @@
                     None => format!("{key} is set"),
                 }
             }
-            ViewDelta::Cleared(key) => format!("{} is readmitted", subject(key)),
+            ViewDelta::Cleared(key) => format!("{} is restored", subject(key)),
         }
     }
 
@@ -83,22 +83,22 @@
         warn!(target: "fleet", node = self.node, change = ?change, "a requested change can't be decided");
     }
 
-    pub(super) fn share(&self, part: f64, epoch: &str) {
-        info!(target: "fleet", node = self.node, epoch, part = format!("{part:.3}"), "part");
+    pub(super) fn share(&self, share: f64, epoch: &str) {
+        info!(target: "fleet", node = self.node, epoch, part = format!("{share:.3}"), "part");
     }
 
-    pub(super) fn stance(&self, stance: &Condition, before: &Condition, epoch: &str) {
-        let (stance, before) = (stance.to_string(), before.to_string());
+    pub(super) fn condition(&self, condition: &Condition, before: &Condition, epoch: &str) {
+        let (stance, before) = (condition.to_string(), before.to_string());
         info!(target: "fleet", node = self.node, epoch, stance, before, "stance");
     }
 
-    pub(super) fn ready(&self, ready: bool, stance: &Condition, epoch: &str) {
-        info!(target: "fleet", node = self.node, epoch, ready, cause = stance.to_string(), "ready");
+    pub(super) fn ready(&self, ready: bool, condition: &Condition, epoch: &str) {
+        info!(target: "fleet", node = self.node, epoch, ready, cause = condition.to_string(), "ready");
     }
 
-    pub(super) fn note(&self, note: &LogEvent) {
+    pub(super) fn event(&self, event: &LogEvent) {
         let node = self.node;
-        match note {
+        match event {
             LogEvent::MemberUp(member) => info!(target: "gossip", node, member, "member is up"),
             LogEvent::MemberDown(member) => {
                 info!(target: "gossip", node, member, "member is down")
--- a/crates/dunelink/src/fleet/gossip.rs
+++ b/crates/dunelink/src/fleet/gossip.rs
@@ -56,7 +56,7 @@
     Status(oneshot::Sender<GossipView>),
     /// Reads the key files again; the answer is the number of names in the ring.
     ReloadKeys(oneshot::Sender<Result<usize, ConfigError>>),
-    /// Evicts a node for a number of seconds, with a reason, or readmits it if there is none. The answer says
+    /// Evicts a node for a number of seconds, with a reason, or restores it if there is none. The answer says
     /// whether this can be decided; the decision itself shows in a view.
     SetEviction(String, Option<(u64, String)>, oneshot::Sender<Result<(), String>>),
     /// The node shuts down; answered once the other members have been informed.
@@ -85,7 +85,7 @@
     /// Reads the keys and binds the address; `None` if the configuration has no gossip.
     pub(crate) fn new(
         config: &Config,
-        (engines, tallies): (Vec<Mailbox>, Vec<Arc<RequestCounters>>),
+        (engines, counters): (Vec<Mailbox>, Vec<Arc<RequestCounters>>),
         unready: Arc<AtomicBool>,
     ) -> Result<Option<(Gossiper, GossipRequestSender)>, ConfigError> {
         let Some(gossip_config) = &config.gossip else { return Ok(None) };
@@ -118,7 +118,7 @@
         let consensus = Consensus::new(config, gossip.process(), 0);
         let reachability = consensus
             .as_ref()
-            .map(|consensus| Reachability::new(config, consensus.me(), tallies, unready, 0));
+            .map(|consensus| Reachability::new(config, consensus.me(), counters, unready, 0));
         let gossiper = Gossiper {
             consensus,
             reachability,
@@ -224,7 +224,9 @@
         let now = self.now();
         let Gossiper { consensus, gossip, reachability, .. } = self;
         match (messages::decode(bytes), consensus, reachability) {
-            (Some(Message::Council(wires)), Some(consensus), _) => consensus.receive(now, from, wires),
+            (Some(Message::Coordinator(fleet_messages)), Some(consensus), _) => {
+                consensus.receive(now, from, fleet_messages)
+            }
             (Some(Message::Row(row)), _, Some(reachability)) => {
                 reachability.receive_row(now, from, row, gossip)
             }
@@ -243,9 +245,9 @@
                 match action {
                     // By far the most frequent action, so no event is formatted for it.
                     Action::Send(to, bytes) => gossip.handle(now, Input::SendPayload(to, bytes), out),
-                    Action::Share(part) => {
-                        log.share(part, &epoch());
-                        self.notify_engines((1.0 / part).ceil() as u32);
+                    Action::Share(share) => {
+                        log.share(share, &epoch());
+                        self.notify_engines((1.0 / share).ceil() as u32);
                     }
                     Action::Decided(view, before) => {
                         log.decided(&view, before.as_deref());
@@ -262,13 +264,13 @@
                         }
                     }
                     Action::Rejected(change) => log.rejected(&change),
-                    Action::Stance(stance, before) => log.stance(&stance, &before, &epoch()),
+                    Action::Condition(condition, before) => log.condition(&condition, &before, &epoch()),
                     Action::RequestUnready(wanted) => {
                         if let Some(consensus) = consensus {
                             actions.extend(consensus.submit(now, dunelink_view::Input::WantUnready(wanted)));
                         }
                     }
-                    Action::Ready(ready, stance) => log.ready(ready, &stance, &epoch()),
+                    Action::Ready(ready, condition) => log.ready(ready, &condition, &epoch()),
                 }
             }
         }
@@ -301,7 +303,9 @@
                 }
             }
             Output::PayloadReceived(..) => {}
-            Output::LogEvent(note) => EventLog { node: &self.config.name, gossip: &self.gossip }.note(&note),
+            Output::LogEvent(event) => {
+                EventLog { node: &self.config.name, gossip: &self.gossip }.event(&event)
+            }
         }
     }
 
@@ -349,11 +353,11 @@
 
     fn status(&self, now: Micros) -> Option<FleetView> {
         let (consensus, reachability) = (self.consensus.as_ref()?, self.reachability.as_ref()?);
-        let reach = (reachability.matrix(), reachability.stance());
-        Some(status(now, &self.config.name, &consensus.standing(now), reach, &self.gossip))
+        let reach = (reachability.matrix(), reachability.condition());
+        Some(status(now, &self.config.name, &consensus.status(now), reach, &self.gossip))
     }
 
-    /// Evicts or readmits a node, if that can be decided.
+    /// Evicts or restores a node, if that can be decided.
     fn set_eviction(
         &mut self,
         name: &str,
--- a/crates/dunelink/src/fleet/messages.rs
+++ b/crates/dunelink/src/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between the fleet's subsystems on different nodes, in packets that gossip carries. Council
+//! Messages between the fleet's subsystems on different nodes, in packets that gossip carries. Coordinator
 //! messages are unmarked, as they existed first; all others have a mark, so that a build which does not know
 //! them ignores them.
 
@@ -6,23 +6,23 @@
 use dunelink_view::FleetMessage;
 use serde::Serialize;
 
-/// No packet of council messages begins with this byte: it would announce more messages than fit.
+/// No packet of coordinator messages begins with this byte: it would announce more messages than fit.
 const EXTENSION_MARK: u8 = 0xff;
 const ROW_KIND: u8 = 1;
 
 /// Content of a packet.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Message {
-    /// Council messages about views and leases.
-    Council(Vec<FleetMessage>),
+    /// Coordinator messages about views and leases.
+    Coordinator(Vec<FleetMessage>),
     /// A node's report about itself.
     Row(Row),
 }
 
-/// Encodes council messages.
-pub(super) fn encode_council(wires: &[FleetMessage]) -> Vec<u8> {
+/// Encodes coordinator messages.
+pub(super) fn encode_coordinator(messages: &[FleetMessage]) -> Vec<u8> {
     // Writing to memory can't fail.
-    postcard::to_stdvec(wires).unwrap_or_default()
+    postcard::to_stdvec(messages).unwrap_or_default()
 }
 
 /// Encodes a row.
@@ -41,7 +41,7 @@
     match bytes {
         [EXTENSION_MARK, ROW_KIND, rest @ ..] => postcard::from_bytes(rest).ok().map(Message::Row),
         [EXTENSION_MARK, ..] => None,
-        _ => postcard::from_bytes(bytes).ok().map(Message::Council),
+        _ => postcard::from_bytes(bytes).ok().map(Message::Coordinator),
     }
 }
 
@@ -52,10 +52,10 @@
     #[test]
     fn each_kind_of_message_round_trips() {
         let hellos = vec![FleetMessage::Hello(Default::default(), 7); 3];
-        assert_eq!(decode(&encode_council(&hellos)), Some(Message::Council(hellos)));
+        assert_eq!(decode(&encode_coordinator(&hellos)), Some(Message::Coordinator(hellos)));
         let sent = Row { zone: "a".into(), served: 300, ..Row::default() };
         assert_eq!(decode(&encode_row(&sent)), Some(Message::Row(sent.clone())));
-        // A build that knows no marks decodes it as council messages, which must fail.
+        // A build that knows no marks decodes it as coordinator messages, which must fail.
         assert!(postcard::from_bytes::<Vec<FleetMessage>>(&encode_row(&sent)).is_err());
         for other in [&[][..], &[EXTENSION_MARK], &[EXTENSION_MARK, 9, 1], &[EXTENSION_MARK, ROW_KIND, 1]] {
             assert_eq!(decode(other), None, "{other:?}");
--- a/crates/dunelink/src/fleet/reach.rs
+++ b/crates/dunelink/src/fleet/reach.rs
@@ -23,13 +23,13 @@
 /// This node's view of which nodes and servers reach each other.
 pub(super) struct Reachability {
     health: HealthMonitor,
-    tallies: Vec<Arc<RequestCounters>>,
+    counters: Vec<Arc<RequestCounters>>,
     /// Whether this node reports that it is not ready; read by readiness checks.
     unready: Arc<AtomicBool>,
     /// Total time for which this process was paused.
     paused: Duration,
-    /// The stance that was reported last.
-    stance: Condition,
+    /// The condition that was reported last.
+    condition: Condition,
 }
 
 impl Reachability {
@@ -38,14 +38,14 @@
     pub(super) fn new(
         config: &Config,
         me: Process,
-        tallies: Vec<Arc<RequestCounters>>,
+        counters: Vec<Arc<RequestCounters>>,
         unready: Arc<AtomicBool>,
         now: Micros,
     ) -> Reachability {
         let floor = config.gossip.as_ref().and_then(|gossip| gossip.step_aside).unwrap_or(UNATTAINABLE_FLOOR);
         let settings = Settings { me, zone: config.fleet.zone.clone(), min_ready_fraction: floor };
         let (health, paused) = (HealthMonitor::new(settings, now), Duration::ZERO);
-        Reachability { health, tallies, unready, paused, stance: Condition::Healthy }
+        Reachability { health, counters, unready, paused, condition: Condition::Healthy }
     }
 
     /// When the state machine needs its next tick.
@@ -57,7 +57,7 @@
         self.health.matrix()
     }
 
-    pub(super) fn stance(&self) -> &Condition {
+    pub(super) fn condition(&self) -> &Condition {
         self.health.condition()
     }
 
@@ -75,8 +75,9 @@
         zones: Vec<ZoneReachability>,
         gossip: &Gossip,
     ) -> Vec<Action> {
-        let counts = self.tallies.iter().map(|tally| tally.counts()).fold(Counts::default(), Counts::plus);
-        let silence = self.tallies.iter().map(|tally| tally.list_source_silence()).max().flatten();
+        let counts =
+            self.counters.iter().map(|counters| counters.counts()).fold(Counts::default(), Counts::plus);
+        let silence = self.counters.iter().map(|counters| counters.list_source_silence()).max().flatten();
         let list_silence_ms = silence.map(|silence| u32::try_from(silence.as_millis()).unwrap_or(u32::MAX));
         let totals = [counts.served, counts.failed, self.paused.as_millis() as u64];
         self.handle(now, Input::OwnMeasurements(zones, list_silence_ms, totals), gossip)
@@ -117,14 +118,14 @@
                     let to = gossip.alive_processes().into_iter().map(|(id, _)| id);
                     actions.extend(to.map(|id: MemberId| Action::Send(id, bytes.clone())));
                 }
-                Output::Condition(stance) => {
-                    let before = std::mem::replace(&mut self.stance, stance.clone());
-                    actions.push(Action::Stance(stance, before));
+                Output::Condition(condition) => {
+                    let before = std::mem::replace(&mut self.condition, condition.clone());
+                    actions.push(Action::Condition(condition, before));
                 }
                 Output::WantUnready(wanted) => actions.push(Action::RequestUnready(wanted)),
                 Output::Ready(ready) => {
                     self.unready.store(!ready, Ordering::Release);
-                    actions.push(Action::Ready(ready, self.stance.clone()));
+                    actions.push(Action::Ready(ready, self.condition.clone()));
                 }
             }
         }
--- a/crates/dunelink/src/fleet/status.rs
+++ b/crates/dunelink/src/fleet/status.rs
@@ -82,12 +82,12 @@
 pub(super) fn status(
     now: Micros,
     node: &str,
-    standing: &NodeStatus,
-    (matrix, stance): (&ReachMatrix, &Condition),
+    node_status: &NodeStatus,
+    (matrix, condition): (&ReachMatrix, &Condition),
     gossip: &Gossip,
 ) -> FleetView {
     let name = |name: Name| gossip.name(MemberId(name));
-    let view = standing.view.as_ref();
+    let view = node_status.view.as_ref();
     let mut names: Vec<Name> =
         view.iter().flat_map(|view| view.members.keys().chain(view.electors.keys())).copied().collect();
     names.sort_unstable();
@@ -117,14 +117,14 @@
     let out = view.into_iter().flat_map(Evictions::evicted);
     FleetView {
         node: node.to_owned(),
-        side: side_name(standing.side),
+        side: side_name(node_status.side),
         epoch: format_epoch(view),
-        name_for_ms: standing.name_lease_left / 1000,
-        chair: standing.holds_proposer_lease,
-        aside: standing.holds_unready_lease,
-        part: standing.limit_share,
-        stance: stance.to_string(),
-        hears_electors: standing.reachable_electors.iter().map(|elector| name(*elector)).collect(),
+        name_for_ms: node_status.name_lease_left / 1000,
+        chair: node_status.holds_proposer_lease,
+        aside: node_status.holds_unready_lease,
+        part: node_status.limit_share,
+        stance: condition.to_string(),
+        hears_electors: node_status.reachable_electors.iter().map(|elector| name(*elector)).collect(),
         nodes,
         one_way: matrix.one_way_links(now).into_iter().map(|(from, to)| (name(from), name(to))).collect(),
         out: out
--- a/crates/dunelink/src/fleet/view.rs
+++ b/crates/dunelink/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! This node's part in the fleet's consensus: connects the council with the clock, with the packets that
+//! This node's part in the fleet's consensus: connects the coordinator with the clock, with the packets that
 //! gossip carries, and with the engines and operators.
 
 use dunelink_gossip::{Gossip, MAX_PAYLOAD_BYTES, MemberId};
@@ -11,12 +11,12 @@
 use super::messages;
 use crate::config::Config;
 
-/// The council of this node.
+/// The coordinator of this node.
 pub(super) struct Consensus {
-    council: Coordinator,
+    coordinator: Coordinator,
     me: Process,
     names: ElectorNames,
-    /// How often the council is told which members are up, and when it was told last.
+    /// How often the coordinator is told which processes are alive, and when it was told last.
     report_interval: Micros,
     reported_at: Micros,
     /// The newest view that has been reported.
@@ -31,7 +31,7 @@
 }
 
 impl Consensus {
-    /// Creates the council; `None` if the configuration names no electors.
+    /// Creates the coordinator; `None` if the configuration names no electors.
     pub(super) fn new(config: &Config, (name, instance): (MemberId, u64), now: Micros) -> Option<Consensus> {
         let gossip_config = config.gossip.as_ref().filter(|gossip| !gossip.electors.is_empty())?;
         let me = Process { name: name.0, instance };
@@ -44,8 +44,15 @@
             configured_nodes: config.fleet.nodes as usize,
             seed: instance,
         };
-        let council = Coordinator::new(settings, now);
-        Some(Consensus { council, me, names, report_interval: lease / 10, reported_at: 0, last_view: None })
+        let coordinator = Coordinator::new(settings, now);
+        Some(Consensus {
+            coordinator,
+            me,
+            names,
+            report_interval: lease / 10,
+            reported_at: 0,
+            last_view: None,
+        })
     }
 
     /// The process of this node.
@@ -53,24 +60,24 @@
         self.me
     }
 
-    /// When the council needs its next tick.
+    /// When the coordinator needs its next tick.
     pub(super) fn next_wakeup(&self, now: Micros) -> Micros {
-        self.council.next_wakeup(now).max(now + 1_000)
+        self.coordinator.next_wakeup(now).max(now + 1_000)
     }
 
     /// The current state of this node in the fleet.
-    pub(super) fn standing(&self, now: Micros) -> NodeStatus {
-        self.council.status(now)
+    pub(super) fn status(&self, now: Micros) -> NodeStatus {
+        self.coordinator.status(now)
     }
 
     /// The number of the newest known view.
     pub(super) fn epoch(&self) -> String {
-        format_epoch(self.council.view())
+        format_epoch(self.coordinator.view())
     }
 
     /// Checks whether a change can be decided.
     pub(super) fn check_change(&self, change: &Change) -> Result<(), Refusal> {
-        self.council.validate(change)
+        self.coordinator.validate(change)
     }
 
     /// Handles the passage of time.
@@ -78,16 +85,21 @@
         let mut inputs = vec![Input::Tick];
         if now.saturating_sub(self.reported_at) >= self.report_interval {
             self.reported_at = now;
-            let up_members =
+            let alive =
                 gossip.alive_processes().into_iter().map(|(id, instance)| Process { name: id.0, instance });
-            inputs.push(Input::AliveProcesses(up_members.collect()));
+            inputs.push(Input::AliveProcesses(alive.collect()));
         }
         self.handle(now, inputs)
     }
 
     /// Handles messages from a process.
-    pub(super) fn receive(&mut self, now: Micros, from: Process, wires: Vec<FleetMessage>) -> Vec<Action> {
-        self.handle(now, wires.into_iter().map(|wire| Input::Received(from, wire)).collect())
+    pub(super) fn receive(
+        &mut self,
+        now: Micros,
+        from: Process,
+        fleet_messages: Vec<FleetMessage>,
+    ) -> Vec<Action> {
+        self.handle(now, fleet_messages.into_iter().map(|message| Input::Received(from, message)).collect())
     }
 
     /// Handles a request of an operator or of this node.
@@ -100,27 +112,28 @@
         let mut outgoing: Vec<(u64, Vec<FleetMessage>)> = Vec::new();
         while !inputs.is_empty() {
             for input in inputs.drain(..) {
-                self.council.handle(now, input, &mut out);
+                self.coordinator.handle(now, input, &mut out);
             }
             for output in out.drain(..) {
                 match output {
                     // Messages to this node itself need no network.
-                    Output::Send(name, wire) if name == self.me.name => {
-                        inputs.push(Input::Received(self.me, wire))
+                    Output::Send(name, message) if name == self.me.name => {
+                        inputs.push(Input::Received(self.me, message))
                     }
-                    Output::Send(name, wire) => match outgoing.iter_mut().find(|(to, _)| *to == name) {
-                        Some((_, wires)) => wires.push(wire),
-                        None => outgoing.push((name, vec![wire])),
+                    Output::Send(name, message) => match outgoing.iter_mut().find(|(to, _)| *to == name) {
+                        Some((_, fleet_messages)) => fleet_messages.push(message),
+                        None => outgoing.push((name, vec![message])),
                     },
-                    Output::LimitShare(part) => actions.push(Action::Share(part)),
+                    Output::LimitShare(share) => actions.push(Action::Share(share)),
                     Output::Decided(view) => {
                         let view = Box::new(view);
                         let before = self.last_view.replace(view.clone());
                         actions.push(Action::Decided(view, before));
                     }
                     Output::PartitionSide(side) => {
-                        let heard = self.council.status(now).reachable_electors;
-                        let unreachable = self.names.iter().filter(|name| !heard.contains(name)).collect();
+                        let reachable = self.coordinator.status(now).reachable_electors;
+                        let unreachable =
+                            self.names.iter().filter(|name| !reachable.contains(name)).collect();
                         actions.push(Action::Side(side, unreachable));
                     }
                     Output::Lease(what, held, ago) => actions.push(Action::Lease(what, held, ago)),
@@ -128,25 +141,27 @@
                 }
             }
         }
-        for (to, wires) in outgoing {
-            actions.extend(pack_messages(wires).into_iter().map(|bytes| Action::Send(MemberId(to), bytes)));
+        for (to, fleet_messages) in outgoing {
+            actions.extend(
+                pack_messages(fleet_messages).into_iter().map(|bytes| Action::Send(MemberId(to), bytes)),
+            );
         }
         actions
     }
 }
 
 /// Packs the messages into as few packets as possible.
-fn pack_messages(wires: Vec<FleetMessage>) -> Vec<Vec<u8>> {
+fn pack_messages(fleet_messages: Vec<FleetMessage>) -> Vec<Vec<u8>> {
     let (mut packets, mut batch) = (Vec::new(), Vec::new());
-    for wire in wires {
-        batch.push(wire);
-        if messages::encode_council(&batch).len() > MAX_PAYLOAD_BYTES && batch.len() > 1 {
+    for message in fleet_messages {
+        batch.push(message);
+        if messages::encode_coordinator(&batch).len() > MAX_PAYLOAD_BYTES && batch.len() > 1 {
             let last = batch.split_off(batch.len() - 1);
-            packets.push(messages::encode_council(&batch));
+            packets.push(messages::encode_coordinator(&batch));
             batch = last;
         }
     }
-    packets.push(messages::encode_council(&batch));
+    packets.push(messages::encode_coordinator(&batch));
     packets
 }
 
