--- a/crates/dunelink/src/intake.rs
+++ b/crates/dunelink/src/intake.rs
@@ -14,7 +14,7 @@
 use http::{Method, StatusCode};
 use tokio::time::Instant;
 
-use crate::config::{Absent, Config, Effect, Intake as IntakeRules, LONGEST};
+use crate::config::{Config, Effect, IfAbsent, Intake as IntakeRules, MAX_DEADLINE};
 use crate::error::InvalidRequest;
 use crate::payload::Payload;
 use crate::types::Outgoing;
@@ -77,7 +77,7 @@
         /// A deadline this long from now.
         pub fn after(wait: Duration) -> Deadline {
             let now = Instant::now();
-            Deadline(now.checked_add(wait.min(super::LONGEST)).unwrap_or(now))
+            Deadline(now.checked_add(wait.min(super::MAX_DEADLINE)).unwrap_or(now))
         }
     }
 
@@ -145,7 +145,7 @@
 impl Intake {
     pub(crate) fn new(config: &Config) -> Intake {
         let rule = |(index, class): (usize, &crate::config::Class)| {
-            let deadline = class.deadline.min(LONGEST);
+            let deadline = class.deadline.min(MAX_DEADLINE);
             ClassRule { index, effect: class.effect, deadline }
         };
         let indexed_name = |(index, class): (usize, &crate::config::Class)| (class.name.clone(), index);
@@ -167,8 +167,8 @@
             return Err(InvalidRequest::new(status, "the headers are over 32 KiB"));
         }
         let hosting = match self.rules.host {
-            Absent::Refuse => Hosting::Wire,
-            Absent::Default => Hosting::Program,
+            IfAbsent::Refuse => Hosting::Wire,
+            IfAbsent::Default => Hosting::Program,
         };
         Ok(request::read(parts, hosting)?)
     }
@@ -183,7 +183,7 @@
         let (headers, ext) = (&parts.headers, &parts.extensions);
         let id = match ext.get::<ext::Id>() {
             Some(id) => Some(&*id.0),
-            None if headers.contains_key(&ID) || self.rules.id == Absent::Refuse => {
+            None if headers.contains_key(&ID) || self.rules.id == IfAbsent::Refuse => {
                 Some(only(headers, &ID).ok_or(bad_request("Req-Id is missing or unreadable"))?)
             }
             None => None,
@@ -195,7 +195,7 @@
         }
         let client_timeout = match ext.get::<ext::Deadline>() {
             Some(at) => Some(at.0.saturating_duration_since(received_at.into_std())),
-            None if headers.contains_key(&DEADLINE) || self.rules.deadline == Absent::Refuse => {
+            None if headers.contains_key(&DEADLINE) || self.rules.deadline == IfAbsent::Refuse => {
                 let timeout = only(headers, &DEADLINE).and_then(parse_seconds);
                 Some(
                     timeout
--- a/crates/dunelink/src/node/endpoint.rs
+++ b/crates/dunelink/src/node/endpoint.rs
@@ -26,7 +26,7 @@
         Ok(Some(Endpoint {
             settings,
             classes: config.classes.clone(),
-            longest_timeout: config.longest(),
+            longest_timeout: config.max_deadline(),
             reader,
         }))
     }
