--- a/crates/control/examples/scale/node_costs.rs
+++ b/crates/control/examples/scale/node_costs.rs
@@ -36,7 +36,8 @@
         gate.apply(SECOND + now, &update);
     });
     json!({"phase": "a node's steps", "bytes": text.len(), "tenants": quotas.len(),
-        "activeTenants": active_tenants, "parseUs": parse_us, "setTenantsUs": set_us, "demandUs": demand_us, "applyGrantsUs": apply_us})
+        "activeTenants": active_tenants, "parseUs": parse_us, "setTenantsUs": set_us, "demandUs": demand_us,
+        "applyGrantsUs": apply_us})
 }
 
 /// Grants for the first `active_tenants` tenants.
--- a/crates/control/tests/cluster/calls.rs
+++ b/crates/control/tests/cluster/calls.rs
@@ -47,6 +47,7 @@
         self.schedule_after(CALL_TIMEOUT_US, Event::DeliverReply { operator, call, reply });
     }
 
+    /// Handles a call that arrives at a machine.
     pub(crate) fn call(&mut self, call: CallId, index: usize) {
         let machine = &mut self.machines[index];
         let recently_paused = self.now < machine.paused_until + 5 * MILLISECOND;
--- a/crates/control/tests/fleet_schedules.rs
+++ b/crates/control/tests/fleet_schedules.rs
@@ -108,7 +108,7 @@
     }
     assert!(
         start.elapsed() <= APPLY_LIMIT,
-        "seed {seed}: in force after {:?}, {fault_history:?}",
+        "seed {seed}: applied after {:?}, {fault_history:?}",
         start.elapsed()
     );
 }
