--- a/crates/dunelink/src/engine_feed.rs
+++ b/crates/dunelink/src/engine_feed.rs
@@ -12,7 +12,7 @@
 
 use crate::config::Config;
 use crate::engine::{EngineMessage, Mailbox};
-use crate::roster::{Fed, News, Ready};
+use crate::roster::{ListKind, ReadyServers, UpdateSink};
 use crate::server_list::{Server, ServerState, Update};
 use crate::servers::Servers;
 
@@ -65,19 +65,19 @@
     }
 }
 
-impl Fed for EngineFeed {
-    fn update(&self, update: &Update, news: News) {
-        let event = match news {
-            News::Cached => Event::CachedServerList,
-            News::Current if update.whole => Event::ServerList,
-            News::Current => Event::ServerChanges,
+impl UpdateSink for EngineFeed {
+    fn update(&self, update: &Update, kind: ListKind) {
+        let event = match kind {
+            ListKind::Cached => Event::CachedServerList,
+            ListKind::Current if update.whole => Event::ServerList,
+            ListKind::Current => Event::ServerChanges,
         };
         let list: Vec<ServerEntry> = update.servers.iter().map(|s| self.converter.convert(s)).collect();
         self.servers.apply_list(list.iter().copied().zip(&update.servers), update.whole);
         self.engine.send(EngineMessage::BalancerEvent(event(list)));
     }
 
-    fn heed(&self, ready: Arc<Ready>) {
+    fn set_ready_servers(&self, ready: Arc<ReadyServers>) {
         self.servers.set_ready_servers(ready);
     }
 
@@ -89,7 +89,7 @@
         self.servers.counters.list_source_lost();
     }
 
-    fn wanted(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
+    fn poll_due(&self) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(self.list_wanted.notified())
     }
 }
--- a/crates/dunelink/src/fleet/view.rs
+++ b/crates/dunelink/src/fleet/view.rs
@@ -1,5 +1,5 @@
-//! What the fleet decides, as this node takes part in it: the council's clock, its words on gossip's packets, and what
-//! the engines and operators are told.
+//! This node's part in the fleet's consensus: connects the coordinator with the clock, with the packets that
+//! gossip carries, and with the engines and operators.
 
 use dunelink_gossip::{Gossip, MAX_PAYLOAD_BYTES, MemberId};
 use dunelink_view::{
@@ -7,149 +7,165 @@
     PartitionSide, Process, Refusal, Settings, View,
 };
 
-use super::deed::Deed;
-use super::words;
+use super::action::Action;
+use super::messages;
 use crate::config::Config;
 
-/// A node's council.
-pub(super) struct Deciding {
-    council: Coordinator,
+/// The coordinator of this node.
+pub(super) struct Consensus {
+    coordinator: Coordinator,
     me: Process,
     names: ElectorNames,
-    silence: Micros,
-    heard_at: Micros,
-    /// The newest view that others were told of.
-    known: Option<Box<View>>,
+    /// How often the coordinator is told which processes are alive, and when it was told last.
+    report_interval: Micros,
+    reported_at: Micros,
+    /// The newest view that has been reported.
+    last_view: Option<Box<View>>,
 }
 
-/// A view's number, as logs and operators name it: its founding, which is told by its round and its founder's process,
-/// and its epoch in that.
-pub(super) fn epoch_of(view: Option<&View>) -> String {
+/// The number of a view in logs and status: the founding, identified by its round and its founder's process,
+/// and the epoch within it; `none` without a view.
+pub(super) fn format_epoch(view: Option<&View>) -> String {
     let Some(View { generation, epoch, .. }) = view else { return "none".into() };
     format!("{}-{:04x}.{epoch}", generation.round, generation.proposer.instance as u16)
 }
 
-impl Deciding {
-    /// Takes part, if the configuration names electors.
-    pub(super) fn new(config: &Config, (name, instance): (MemberId, u64), now: Micros) -> Option<Deciding> {
-        let wanted = config.gossip.as_ref().filter(|gossip| !gossip.electors.is_empty())?;
+impl Consensus {
+    /// Creates the coordinator; `None` if the configuration names no electors.
+    pub(super) fn new(config: &Config, (name, instance): (MemberId, u64), now: Micros) -> Option<Consensus> {
+        let gossip_config = config.gossip.as_ref().filter(|gossip| !gossip.electors.is_empty())?;
         let me = Process { name: name.0, instance };
-        let lease = wanted.lease.as_micros() as Micros;
-        let names = ElectorNames::new(wanted.electors.iter().map(|name| MemberId::of(name).0));
+        let lease = gossip_config.lease.as_micros() as Micros;
+        let names = ElectorNames::new(gossip_config.electors.iter().map(|name| MemberId::of(name).0));
         let settings = Settings {
             me,
             elector_names: names.clone(),
-            lease_bounds: LeaseBounds { lease, drift_ppm: u64::from(wanted.drift) },
+            lease_bounds: LeaseBounds { lease, drift_ppm: u64::from(gossip_config.drift) },
             configured_nodes: config.fleet.nodes as usize,
             seed: instance,
         };
-        let council = Coordinator::new(settings, now);
-        Some(Deciding { council, me, names, silence: lease / 10, heard_at: 0, known: None })
+        let coordinator = Coordinator::new(settings, now);
+        Some(Consensus {
+            coordinator,
+            me,
+            names,
+            report_interval: lease / 10,
+            reported_at: 0,
+            last_view: None,
+        })
     }
 
-    /// Its process.
+    /// The process of this node.
     pub(super) fn me(&self) -> Process {
         self.me
     }
 
-    /// When it wants to be looked at next.
-    pub(super) fn next(&self, now: Micros) -> Micros {
-        self.council.next_wakeup(now).max(now + 1_000)
+    /// When the coordinator needs its next tick.
+    pub(super) fn next_wakeup(&self, now: Micros) -> Micros {
+        self.coordinator.next_wakeup(now).max(now + 1_000)
     }
 
-    /// How it stands.
-    pub(super) fn standing(&self, now: Micros) -> NodeStatus {
-        self.council.status(now)
+    /// The current state of this node in the fleet.
+    pub(super) fn status(&self, now: Micros) -> NodeStatus {
+        self.coordinator.status(now)
     }
 
-    /// The number of the newest view that it knows.
+    /// The number of the newest known view.
     pub(super) fn epoch(&self) -> String {
-        epoch_of(self.council.view())
+        format_epoch(self.coordinator.view())
     }
 
-    /// Whether something can be decided.
-    pub(super) fn may(&self, change: &Change) -> Result<(), Refusal> {
-        self.council.validate(change)
+    /// Checks whether a change can be decided.
+    pub(super) fn check_change(&self, change: &Change) -> Result<(), Refusal> {
+        self.coordinator.validate(change)
     }
 
-    /// Time has passed.
-    pub(super) fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Deed> {
+    /// Handles the passage of time.
+    pub(super) fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Action> {
         let mut inputs = vec![Input::Tick];
-        if now.saturating_sub(self.heard_at) >= self.silence {
-            self.heard_at = now;
-            let there =
+        if now.saturating_sub(self.reported_at) >= self.report_interval {
+            self.reported_at = now;
+            let alive =
                 gossip.alive_processes().into_iter().map(|(id, instance)| Process { name: id.0, instance });
-            inputs.push(Input::AliveProcesses(there.collect()));
+            inputs.push(Input::AliveProcesses(alive.collect()));
         }
-        self.work(now, inputs)
+        self.handle(now, inputs)
     }
 
-    /// A process has said something.
-    pub(super) fn hear(&mut self, now: Micros, from: Process, wires: Vec<FleetMessage>) -> Vec<Deed> {
-        self.work(now, wires.into_iter().map(|wire| Input::Received(from, wire)).collect())
+    /// Handles messages from a process.
+    pub(super) fn receive(
+        &mut self,
+        now: Micros,
+        from: Process,
+        fleet_messages: Vec<FleetMessage>,
+    ) -> Vec<Action> {
+        self.handle(now, fleet_messages.into_iter().map(|message| Input::Received(from, message)).collect())
     }
 
-    /// An operator wants something, or this node does.
-    pub(super) fn want(&mut self, now: Micros, input: Input) -> Vec<Deed> {
-        self.work(now, vec![input])
+    /// Handles a request of an operator or of this node.
+    pub(super) fn submit(&mut self, now: Micros, input: Input) -> Vec<Action> {
+        self.handle(now, vec![input])
     }
 
-    fn work(&mut self, now: Micros, mut inputs: Vec<Input>) -> Vec<Deed> {
-        let (mut deeds, mut out) = (Vec::new(), Vec::new());
-        let mut said: Vec<(u64, Vec<FleetMessage>)> = Vec::new();
+    fn handle(&mut self, now: Micros, mut inputs: Vec<Input>) -> Vec<Action> {
+        let (mut actions, mut out) = (Vec::new(), Vec::new());
+        let mut outgoing: Vec<(u64, Vec<FleetMessage>)> = Vec::new();
         while !inputs.is_empty() {
             for input in inputs.drain(..) {
-                self.council.handle(now, input, &mut out);
+                self.coordinator.handle(now, input, &mut out);
             }
             for output in out.drain(..) {
                 match output {
-                    // What it says to itself needs no network.
-                    Output::Send(name, wire) if name == self.me.name => {
-                        inputs.push(Input::Received(self.me, wire))
+                    // Messages to this node itself need no network.
+                    Output::Send(name, message) if name == self.me.name => {
+                        inputs.push(Input::Received(self.me, message))
                     }
-                    Output::Send(name, wire) => match said.iter_mut().find(|(to, _)| *to == name) {
-                        Some((_, wires)) => wires.push(wire),
-                        None => said.push((name, vec![wire])),
+                    Output::Send(name, message) => match outgoing.iter_mut().find(|(to, _)| *to == name) {
+                        Some((_, fleet_messages)) => fleet_messages.push(message),
+                        None => outgoing.push((name, vec![message])),
                     },
-                    Output::LimitShare(part) => deeds.push(Deed::Part(part)),
+                    Output::LimitShare(share) => actions.push(Action::Share(share)),
                     Output::Decided(view) => {
                         let view = Box::new(view);
-                        let before = self.known.replace(view.clone());
-                        deeds.push(Deed::Decided(view, before));
+                        let before = self.last_view.replace(view.clone());
+                        actions.push(Action::Decided(view, before));
                     }
                     Output::PartitionSide(side) => {
-                        let heard = self.council.status(now).reachable_electors;
-                        let unheard = self.names.iter().filter(|name| !heard.contains(name)).collect();
-                        deeds.push(Deed::Side(side, unheard));
+                        let reachable = self.coordinator.status(now).reachable_electors;
+                        let unreachable =
+                            self.names.iter().filter(|name| !reachable.contains(name)).collect();
+                        actions.push(Action::Side(side, unreachable));
                     }
-                    Output::Lease(what, held, ago) => deeds.push(Deed::Lease(what, held, ago)),
-                    Output::Rejected(change) => deeds.push(Deed::Dropped(change)),
+                    Output::Lease(what, held, ago) => actions.push(Action::Lease(what, held, ago)),
+                    Output::Rejected(change) => actions.push(Action::Rejected(change)),
                 }
             }
         }
-        for (to, wires) in said {
-            deeds.extend(packets(wires).into_iter().map(|bytes| Deed::Carry(MemberId(to), bytes)));
+        for (to, fleet_messages) in outgoing {
+            actions.extend(
+                pack_messages(fleet_messages).into_iter().map(|bytes| Action::Send(MemberId(to), bytes)),
+            );
         }
-        deeds
+        actions
     }
 }
 
-/// As few packets as they fit.
-fn packets(wires: Vec<FleetMessage>) -> Vec<Vec<u8>> {
+/// Packs the messages into as few packets as possible.
+fn pack_messages(fleet_messages: Vec<FleetMessage>) -> Vec<Vec<u8>> {
     let (mut packets, mut batch) = (Vec::new(), Vec::new());
-    for wire in wires {
-        batch.push(wire);
-        if words::council(&batch).len() > MAX_PAYLOAD_BYTES && batch.len() > 1 {
+    for message in fleet_messages {
+        batch.push(message);
+        if messages::encode_coordinator(&batch).len() > MAX_PAYLOAD_BYTES && batch.len() > 1 {
             let last = batch.split_off(batch.len() - 1);
-            packets.push(words::council(&batch));
+            packets.push(messages::encode_coordinator(&batch));
             batch = last;
         }
     }
-    packets.push(words::council(&batch));
+    packets.push(messages::encode_coordinator(&batch));
     packets
 }
 
-/// A side, for people.
+/// The name of a side in logs and status.
 pub(super) fn side_name(side: PartitionSide) -> &'static str {
     match side {
         PartitionSide::Majority => "majority",
