--- a/crates/dunelink/src/config/graphql.rs
+++ b/crates/dunelink/src/config/graphql.rs
@@ -6,7 +6,9 @@
 
 use dunelink_edge::target::is_class_name;
 use dunelink_graphql as graphql;
-use dunelink_graphql::{Documents, Known, Reader, Rule, Table, TableError, Weights};
+use dunelink_graphql::{
+    ClassRule, ClassTable, ClassTableError, DocumentCache, DocumentManifest, RequestReader, Weights,
+};
 use serde::{Deserialize, Serialize};
 
 use super::{Class, Config, ConfigError, Effect, Problem, error};
@@ -221,7 +223,7 @@
         want(!taken, "path", "expected a path that does not begin with a class's name, and not /_health")?;
         for (at, name) in self.parameters.iter().enumerate() {
             let expected = "expected letters, digits, _ and -, and none of GraphQL's own parameters";
-            want(graphql::is_passable(name), &format!("parameters[{at}]"), expected)?;
+            want(graphql::is_allowable_parameter(name), &format!("parameters[{at}]"), expected)?;
         }
         let l = &self.limits;
         for (most, key) in [
@@ -246,17 +248,19 @@
         }
         self.table(classes).check().map_err(|error| {
             let key = match error {
-                TableError::Query => "query".to_string(),
-                TableError::Mutation => "mutation".to_string(),
-                TableError::RuleSafe(at) | TableError::RuleKeyed(at) => format!("operations[{at}].class"),
-                TableError::RuleOpen(at) => format!("operations[{at}].fields"),
+                ClassTableError::QueryClass => "query".to_string(),
+                ClassTableError::MutationClass => "mutation".to_string(),
+                ClassTableError::SafeMutationRule(at) | ClassTableError::KeyedQueryRule(at) => {
+                    format!("operations[{at}].class")
+                }
+                ClassTableError::RuleWithoutFields(at) => format!("operations[{at}].fields"),
             };
             Problem::new(format!("graphql.{key}"), error.to_string())
         })
     }
 
     /// Which class an operation is of.
-    fn table(&self, classes: &[Class]) -> Table {
+    fn table(&self, classes: &[Class]) -> ClassTable {
         let class = |name: &str| {
             // Names were checked; without classes nothing is safe.
             let index = classes.iter().position(|class| class.name == name).unwrap_or(0);
@@ -267,17 +271,17 @@
             };
             graphql::Class { index, effect }
         };
-        let rule = |operation: &GraphQlOperation| Rule {
+        let rule = |operation: &GraphQlOperation| ClassRule {
             kind: match operation.kind {
-                GraphQlType::Query => graphql::Kind::Query,
-                GraphQlType::Mutation => graphql::Kind::Mutation,
+                GraphQlType::Query => graphql::OperationKind::Query,
+                GraphQlType::Mutation => graphql::OperationKind::Mutation,
             },
             fields: operation.fields.clone(),
             names: operation.names.clone(),
             documents: operation.documents.iter().map(|name| name.to_ascii_lowercase()).collect(),
             class: class(&operation.class),
         };
-        Table {
+        ClassTable {
             query: class(&self.query),
             mutation: class(&self.mutation),
             rules: self.operations.iter().map(rule).collect(),
@@ -285,10 +289,10 @@
     }
 
     /// Reads the manifest, if there is one.
-    fn read_documents(&self) -> Result<Documents, ConfigError> {
-        let Some(path) = &self.documents else { return Ok(Documents::default()) };
+    fn read_documents(&self) -> Result<DocumentManifest, ConfigError> {
+        let Some(path) = &self.documents else { return Ok(DocumentManifest::default()) };
         let text = error::read(path)?;
-        Documents::from_json(&text).map_err(|e| {
+        DocumentManifest::from_json(&text).map_err(|e| {
             let wrong = ConfigError::of(format!("expected a manifest of documents: {e}"));
             wrong.at((e.line() > 0).then_some(e.line()), "").in_file(path)
         })
@@ -300,12 +304,12 @@
     ///
     /// It does not hold together with the classes, or the manifest can't be read or has a document that would be
     /// turned down.
-    pub(crate) fn reader(&self, classes: &[Class]) -> Result<Reader, ConfigError> {
+    pub(crate) fn reader(&self, classes: &[Class]) -> Result<RequestReader, ConfigError> {
         self.check(classes)?;
         let GraphQlLimits { bytes, tokens, depth, aliases, directives, fields, work, batch, known } =
             self.limits.clone();
         let w = &self.weights;
-        let reader = Reader {
+        let reader = RequestReader {
             table: self.table(classes),
             limits: graphql::Limits { bytes, tokens, depth, aliases, directives, fields, work, batch },
             weights: Weights {
@@ -314,12 +318,12 @@
                 fields: w.fields.iter().map(|(name, weight)| (name.clone(), **weight)).collect(),
                 list_arguments: w.list_arguments.clone(),
             },
-            documents: self.read_documents()?,
-            passed: self.parameters.clone(),
-            known: Known::holding(known as u64),
+            manifest: self.read_documents()?,
+            allowed_parameters: self.parameters.clone(),
+            document_cache: DocumentCache::with_capacity(known as u64),
         };
-        for (name, text) in reader.documents.iter() {
-            let read = graphql::Document::read(text, &Default::default(), &reader.limits, &reader.weights);
+        for (name, text) in reader.manifest.iter() {
+            let read = graphql::Document::parse(text, &Default::default(), &reader.limits, &reader.weights);
             read.map_err(|wrong| {
                 let wrong = ConfigError::of(wrong.to_string()).at(None, name);
                 self.documents.iter().fold(wrong, |wrong, path| wrong.in_file(path))
@@ -336,7 +340,7 @@
     ///
     /// The configuration does not hold together, or the manifest can't be read or has a document that would be
     /// turned down.
-    pub fn graphql_reader(&self) -> Result<Option<Reader>, ConfigError> {
+    pub fn graphql_reader(&self) -> Result<Option<RequestReader>, ConfigError> {
         self.graphql.as_ref().map(|endpoint| endpoint.reader(&self.classes)).transpose()
     }
 }
--- a/crates/dunelink/src/error.rs
+++ b/crates/dunelink/src/error.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dunelink_edge::Fault;
-use dunelink_graphql::{Media, Rejection};
+use dunelink_graphql::{Rejection, ResponseMediaType};
 use http::StatusCode;
 
 /// A boxed error of any kind, as tower's middleware passes on.
@@ -38,7 +38,7 @@
         /// Why it was rejected.
         rejection: Rejection,
         /// The media type that the client accepts.
-        media: Media,
+        media: ResponseMediaType,
     },
     /// The node was shut down. Nothing ran; another node may be tried.
     #[error("the node was shut down")]
--- a/crates/dunelink/src/http.rs
+++ b/crates/dunelink/src/http.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunelink_graphql::{Code, Fate, Media, Rejection, error_body};
+use dunelink_graphql::{ErrorCode, FailureResponse, Rejection, ResponseMediaType, error_body};
 use http::header::{self, HeaderValue};
 use http::{Response, StatusCode};
 
@@ -70,9 +70,9 @@
 ///
 /// ```
 /// use dunelink::http::Rendering;
-/// use dunelink::{Answer, graphql::Media};
+/// use dunelink::{Answer, graphql::ResponseMediaType};
 ///
-/// let response = Rendering::GraphQl(Media::Json).respond(Ok(Answer::Failed { timed_out: true }));
+/// let response = Rendering::GraphQl(ResponseMediaType::Json).respond(Ok(Answer::Failed { timed_out: true }));
 /// assert_eq!(response.headers()["content-type"], "application/json; charset=utf-8");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,7 +80,7 @@
     /// Plain HTTP, as by [`respond`].
     Plain,
     /// A GraphQL response of this media type, with the status of [`respond`].
-    GraphQl(Media),
+    GraphQl(ResponseMediaType),
 }
 
 impl Rendering {
@@ -89,8 +89,10 @@
         let Rendering::GraphQl(media) = self else { return respond(result) };
         let body = match &result {
             Ok(Answer::Served(_)) | Err(CallError::GraphQl { .. }) => None,
-            Ok(Answer::Refused { retry_after }) => Some(Fate::Refused(*retry_after).body()),
-            Ok(Answer::Failed { timed_out }) => Some(Fate::Failed { timed_out: *timed_out }.body()),
+            Ok(Answer::Refused { retry_after }) => Some(FailureResponse::Refused(*retry_after).body()),
+            Ok(Answer::Failed { timed_out }) => {
+                Some(FailureResponse::Failed { timed_out: *timed_out }.body())
+            }
             Err(error @ CallError::Closed) => Some(error_body(&error.to_string(), "REFUSED")),
             Err(error) => Some(error_body(&error.to_string(), "BAD_REQUEST")),
         };
@@ -128,16 +130,16 @@
 }
 
 /// A GraphQL response that the node builds itself.
-pub(crate) fn graphql_response<B>(status: StatusCode, media: Media, body: B) -> Response<B> {
+pub(crate) fn graphql_response<B>(status: StatusCode, media: ResponseMediaType, body: B) -> Response<B> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(media.name()));
     response
 }
 
-fn rejected_response(rejection: &Rejection, media: Media) -> Response<AnswerBody> {
+fn rejected_response(rejection: &Rejection, media: ResponseMediaType) -> Response<AnswerBody> {
     let mut response = graphql_response(rejection.status(media), media, AnswerBody::from(rejection.body()));
-    if rejection.code == Code::MethodNotAllowed {
+    if rejection.code == ErrorCode::MethodNotAllowed {
         response.headers_mut().insert(header::ALLOW, HeaderValue::from_static("GET, POST"));
     }
     response
--- a/crates/dunelink/src/node/batch.rs
+++ b/crates/dunelink/src/node/batch.rs
@@ -1,10 +1,13 @@
-//! A GraphQL batch: its parts run in the order that [`Order`] determines, and their answers are joined into
-//! one.
+//! A GraphQL batch: its parts run in the order that [`BatchSchedule`] determines, and their answers are joined
+//! into one.
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunelink_graphql::{End, Fate, Media, Order, Rejection, Step, is_json, join};
+use dunelink_graphql::{
+    BatchSchedule, BatchStep, FailureResponse, PartStatus, Rejection, ResponseMediaType, is_json,
+    join_responses,
+};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use http::StatusCode;
@@ -18,7 +21,7 @@
 /// The parts of a batch, each a request of its own.
 pub(super) struct Batch {
     pub(super) parts: Vec<BatchPart>,
-    pub(super) media: Media,
+    pub(super) media: ResponseMediaType,
     /// The maximum length of a part's answer in bytes.
     pub(super) max_body_bytes: usize,
     /// The id of the batch itself; the ids of its parts start with it.
@@ -37,23 +40,23 @@
     /// A server's answer.
     Answered(Bytes),
     /// The node's own answer, where there is none of a server.
-    NodeAnswered(Fate),
+    NodeAnswered(FailureResponse),
     Rejected(Rejection),
 }
 
 impl PartOutcome {
     /// Reads the answer into memory, because the answers of all parts are joined.
-    async fn of(answer: Answer, max_bytes: usize) -> (PartOutcome, End) {
+    async fn of(answer: Answer, max_bytes: usize) -> (PartOutcome, PartStatus) {
         match answer {
             Answer::Served(response) => match response.into_body().bytes(max_bytes).await {
-                Ok(body) if is_json(&body) => (PartOutcome::Answered(body), End::Served),
-                _ => (PartOutcome::NodeAnswered(Fate::Unreadable), End::Served),
+                Ok(body) if is_json(&body) => (PartOutcome::Answered(body), PartStatus::Served),
+                _ => (PartOutcome::NodeAnswered(FailureResponse::NotJson), PartStatus::Served),
             },
             Answer::Refused { retry_after } => {
-                (PartOutcome::NodeAnswered(Fate::Refused(retry_after)), End::Refused)
+                (PartOutcome::NodeAnswered(FailureResponse::Refused(retry_after)), PartStatus::Refused)
             }
             Answer::Failed { timed_out } => {
-                (PartOutcome::NodeAnswered(Fate::Failed { timed_out }), End::Failed)
+                (PartOutcome::NodeAnswered(FailureResponse::Failed { timed_out }), PartStatus::Failed)
             }
         }
     }
@@ -77,25 +80,25 @@
 
     pub(super) async fn answer(self) -> Answer {
         let Batch { parts, media, max_body_bytes, _id_claim } = self;
-        let mut order = Order::new(parts.iter().map(|part| part.read_only));
+        let mut order = BatchSchedule::new(parts.iter().map(|part| part.read_only));
         let mut pending: Vec<Option<Result<SingleRequest, Rejection>>> =
             parts.into_iter().map(|part| Some(part.request)).collect();
         let mut outcomes: Vec<Option<PartOutcome>> = pending.iter().map(|_| None).collect();
         let mut in_flight = FuturesUnordered::new();
-        while !order.is_over() {
+        while !order.is_finished() {
             for step in order.next() {
-                let (Step::Send(index) | Step::Skip(index)) = step;
+                let (BatchStep::Send(index) | BatchStep::Skip(index)) = step;
                 match (pending.get_mut(index).and_then(Option::take), step) {
-                    (Some(Ok(request)), Step::Send(_)) => {
+                    (Some(Ok(request)), BatchStep::Send(_)) => {
                         in_flight.push(async move { (index, request.answer().await) })
                     }
-                    (Some(Ok(request)), Step::Skip(_)) => {
+                    (Some(Ok(request)), BatchStep::Skip(_)) => {
                         let _ = request.refuse(None);
-                        outcomes[index] = Some(PartOutcome::NodeAnswered(Fate::Skipped));
+                        outcomes[index] = Some(PartOutcome::NodeAnswered(FailureResponse::Skipped));
                     }
                     (Some(Err(rejection)), _) => {
                         outcomes[index] = Some(PartOutcome::Rejected(rejection));
-                        order.ended(index, End::Rejected);
+                        order.finish(index, PartStatus::Rejected);
                     }
                     (None, _) => {}
                 }
@@ -103,7 +106,7 @@
             if let Some((index, answer)) = in_flight.next().await {
                 let (outcome, end) = PartOutcome::of(answer, max_body_bytes).await;
                 outcomes[index] = Some(outcome);
-                order.ended(index, end);
+                order.finish(index, end);
             }
         }
         combine(outcomes.into_iter().flatten().collect(), media)
@@ -112,13 +115,13 @@
 
 /// Joins the answers. If all parts were refused, the batch is refused; otherwise the client needs to see the
 /// outcome of each part.
-fn combine(outcomes: Vec<PartOutcome>, media: Media) -> Answer {
+fn combine(outcomes: Vec<PartOutcome>, media: ResponseMediaType) -> Answer {
     let is_refused = |outcome: &PartOutcome| {
-        matches!(outcome, PartOutcome::NodeAnswered(Fate::Refused(_) | Fate::Skipped))
+        matches!(outcome, PartOutcome::NodeAnswered(FailureResponse::Refused(_) | FailureResponse::Skipped))
     };
     if outcomes.iter().all(is_refused) {
         let retry_after = |outcome: &PartOutcome| match outcome {
-            PartOutcome::NodeAnswered(Fate::Refused(after)) => *after,
+            PartOutcome::NodeAnswered(FailureResponse::Refused(after)) => *after,
             _ => None,
         };
         return Answer::Refused { retry_after: outcomes.iter().filter_map(retry_after).max() };
@@ -128,7 +131,7 @@
         let has_failed = |o: &PartOutcome| {
             matches!(
                 o,
-                PartOutcome::NodeAnswered(Fate::Failed { timed_out: t }) if *t == timed_out
+                PartOutcome::NodeAnswered(FailureResponse::Failed { timed_out: t }) if *t == timed_out
             )
         };
         outcomes.iter().any(has_failed)
@@ -138,9 +141,9 @@
         true => StatusCode::OK,
         false if any_failed(true) => StatusCode::GATEWAY_TIMEOUT,
         false if any_failed(false) => StatusCode::BAD_GATEWAY,
-        false if media == Media::Json => StatusCode::OK,
+        false if media == ResponseMediaType::Json => StatusCode::OK,
         false => StatusCode::BAD_REQUEST,
     };
     let bodies: Vec<Bytes> = outcomes.iter().map(PartOutcome::body).collect();
-    Answer::Served(graphql_response(status, media, AnswerBody::from(join(&bodies))))
+    Answer::Served(graphql_response(status, media, AnswerBody::from(join_responses(&bodies))))
 }
--- a/crates/dunelink/src/node/endpoint.rs
+++ b/crates/dunelink/src/node/endpoint.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ::http::request::Parts;
-use dunelink_graphql::Reader;
+use dunelink_graphql::RequestReader;
 
 use crate::config::{Class, Config, ConfigError, GraphQl};
 use crate::intake::ext;
@@ -16,7 +16,7 @@
     classes: Vec<Class>,
     /// The longest time that any client waits there.
     pub(super) longest_timeout: Duration,
-    reader: RwLock<Arc<Reader>>,
+    reader: RwLock<Arc<RequestReader>>,
 }
 
 impl Endpoint {
@@ -31,7 +31,7 @@
         }))
     }
 
-    pub(super) fn reader(&self) -> Arc<Reader> {
+    pub(super) fn reader(&self) -> Arc<RequestReader> {
         self.reader.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -43,7 +43,7 @@
     /// Reloads the manifest and returns its number of documents. On an error, the old one stays in use.
     pub(super) fn reload(&self) -> Result<usize, ConfigError> {
         let reader = Arc::new(self.settings.reader(&self.classes)?);
-        let count = reader.documents.len();
+        let count = reader.manifest.len();
         *self.reader.write().unwrap_or_else(PoisonError::into_inner) = reader;
         Ok(count)
     }
--- a/crates/dunelink/src/node/graphql.rs
+++ b/crates/dunelink/src/node/graphql.rs
@@ -4,7 +4,9 @@
 use ::http::request::Parts;
 use dunelink_edge::fields::KEY;
 use dunelink_edge::request;
-use dunelink_graphql::{self as graphql, Effect, Media, Rejection, Ruling, Verdict};
+use dunelink_graphql::{
+    self as graphql, Classification, ClassifiedRequest, Effect, Rejection, ResponseMediaType,
+};
 use http::{HeaderValue, StatusCode};
 use http_body::Body;
 use tokio::sync::OwnedSemaphorePermit;
@@ -21,7 +23,7 @@
 use crate::payload::Payload;
 
 /// The error for a rejected request.
-fn rejection_error(media: Media) -> impl Fn(Rejection) -> CallError {
+fn rejection_error(media: ResponseMediaType) -> impl Fn(Rejection) -> CallError {
     move |rejection| CallError::GraphQl { rejection, media }
 }
 
@@ -40,7 +42,9 @@
     /// GraphQL response in the media type that the client accepts.
     pub fn rendering(&self, head: &Parts) -> Rendering {
         match self.endpoint(head) {
-            Some(_) => Rendering::GraphQl(Media::accepted(&head.headers).unwrap_or(Media::Response)),
+            Some(_) => Rendering::GraphQl(
+                ResponseMediaType::negotiate(&head.headers).unwrap_or(ResponseMediaType::GraphqlResponse),
+            ),
             None => Rendering::Plain,
         }
     }
@@ -70,7 +74,8 @@
     {
         self.shared.intake.target(&parts)?;
         let common = self.shared.intake.common_head(&parts, received_at)?;
-        let media = Media::accepted(&parts.headers).map_err(rejection_error(Media::Response))?;
+        let media = ResponseMediaType::negotiate(&parts.headers)
+            .map_err(rejection_error(ResponseMediaType::GraphqlResponse))?;
         let latest = common.latest_deadline(endpoint.longest_timeout);
         let body = self.read_buffered(body, received_at, latest, read_by).await?;
         let reader = endpoint.reader();
@@ -83,7 +88,7 @@
         });
         let rendering = Rendering::GraphQl(media);
         match verdict.map_err(rejection_error(media))? {
-            Verdict::Single(ruling) => {
+            ClassifiedRequest::Single(ruling) => {
                 let request = self.single_request(
                     self.head_for_class(&ruling, common),
                     parts,
@@ -97,7 +102,7 @@
                     work: Work::Single(request),
                 })
             }
-            Verdict::Batch(rulings) => {
+            ClassifiedRequest::Batch(rulings) => {
                 let batch = self.batch(&parts, rulings, common, permit, media)?;
                 let deadline =
                     |part: &BatchPart| part.request.as_ref().ok().map(|request| request.head.deadline);
@@ -108,7 +113,7 @@
     }
 
     /// The head of a request of the class that the ruling gives it.
-    fn head_for_class(&self, ruling: &Ruling, common: CommonHead) -> Head {
+    fn head_for_class(&self, ruling: &Classification, common: CommonHead) -> Head {
         let work = ruling.operation.as_ref().map(|operation| operation.work);
         self.shared.intake.head_for_class(ruling.class.index, common, work)
     }
@@ -119,16 +124,16 @@
     fn batch(
         &self,
         parts: &Parts,
-        rulings: Vec<graphql::Part>,
+        rulings: Vec<graphql::BatchPart>,
         common: CommonHead,
         mut permit: Option<OwnedSemaphorePermit>,
-        media: Media,
+        media: ResponseMediaType,
     ) -> Result<Batch, InvalidRequest> {
         let request_id = self.engine().mailbox.next_request_id();
         let id_claim = self.shared.intake.claim(common.id.as_deref(), request_id)?;
         let mut keyed_count = 0;
         let mut batch_parts = Vec::with_capacity(rulings.len());
-        for (index, graphql::Part { body, ruling }) in rulings.into_iter().enumerate() {
+        for (index, graphql::BatchPart { body, classification: ruling }) in rulings.into_iter().enumerate() {
             let ruling = match ruling {
                 Ok(ruling) => ruling,
                 Err(rejection) => {
--- a/crates/graphql/src/order.rs
+++ b/crates/graphql/src/batch_schedule.rs
@@ -4,9 +4,9 @@
 //! served no other that may change something runs: the first may be running still, or its client will ask for it
 //! again, and then it would be the later one.
 
-/// How a part ended.
+/// How a part finish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum PartStatus {
     /// A server answered.
     Served,
     /// It did not run, or a repeat is harmless.
@@ -21,10 +21,10 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum BatchStep {
     /// Send this part.
     Send(usize),
-    /// Leave this part; it has ended as [`End::Skipped`].
+    /// Leave this part; it has finish as [`PartStatus::Skipped`].
     Skip(usize),
 }
 
@@ -32,26 +32,26 @@
 enum State {
     Waits,
     Out,
-    Over(End),
+    Over(PartStatus),
 }
 
 /// The parts of one batch.
 ///
 /// ```
-/// use dunelink_graphql::{End, Order, Step};
+/// use dunelink_graphql::{PartStatus, BatchSchedule, BatchStep};
 ///
 /// // A query, two mutations and a query.
-/// let mut order = Order::new([true, false, false, true]);
-/// assert_eq!(order.next(), [Step::Send(0)]);
-/// order.ended(0, End::Served);
-/// assert_eq!(order.next(), [Step::Send(1)]);
-/// order.ended(1, End::Failed);
-/// assert_eq!(order.next(), [Step::Skip(2), Step::Send(3)]);
-/// order.ended(3, End::Served);
-/// assert!(order.is_over());
+/// let mut order = BatchSchedule::new([true, false, false, true]);
+/// assert_eq!(order.next(), [BatchStep::Send(0)]);
+/// order.finish(0, PartStatus::Served);
+/// assert_eq!(order.next(), [BatchStep::Send(1)]);
+/// order.finish(1, PartStatus::Failed);
+/// assert_eq!(order.next(), [BatchStep::Skip(2), BatchStep::Send(3)]);
+/// order.finish(3, PartStatus::Served);
+/// assert!(order.is_finished());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct BatchSchedule {
     /// Whether a part only reads, and how it stands.
     parts: Vec<(bool, State)>,
     /// All parts before this one are over.
@@ -60,27 +60,27 @@
     broken: bool,
 }
 
-impl Order {
+impl BatchSchedule {
     /// Of parts of which it is known whether they only read.
-    pub fn new(reads: impl IntoIterator<Item = bool>) -> Order {
+    pub fn new(reads: impl IntoIterator<Item = bool>) -> BatchSchedule {
         let parts = reads.into_iter().map(|reads| (reads, State::Waits)).collect();
-        Order { parts, from: 0, broken: false }
+        BatchSchedule { parts, from: 0, broken: false }
     }
 
     /// What can be begun now, each once.
     #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Vec<Step> {
+    pub fn next(&mut self) -> Vec<BatchStep> {
         let mut steps = Vec::new();
         let mut all_over = true;
         for at in self.from..self.parts.len() {
             let (reads, state) = self.parts[at];
             let begins = state == State::Waits && (reads || all_over);
             if begins && !reads && self.broken {
-                self.parts[at].1 = State::Over(End::Skipped);
-                steps.push(Step::Skip(at));
+                self.parts[at].1 = State::Over(PartStatus::Skipped);
+                steps.push(BatchStep::Skip(at));
             } else if begins {
                 self.parts[at].1 = State::Out;
-                steps.push(Step::Send(at));
+                steps.push(BatchStep::Send(at));
             }
             let over = matches!(self.parts[at].1, State::Over(_));
             if over && all_over {
@@ -95,17 +95,17 @@
         steps
     }
 
-    /// A part that was sent has ended; another end of it is passed over.
-    pub fn ended(&mut self, at: usize, end: End) {
+    /// A part that was sent has finish; another end of it is passed over.
+    pub fn finish(&mut self, at: usize, end: PartStatus) {
         let Some((reads, state)) = self.parts.get_mut(at) else { return };
         if *state == State::Out {
             *state = State::Over(end);
-            self.broken |= !*reads && end != End::Served;
+            self.broken |= !*reads && end != PartStatus::Served;
         }
     }
 
-    /// Whether all parts have ended.
-    pub fn is_over(&self) -> bool {
+    /// Whether all parts have finish.
+    pub fn is_finished(&self) -> bool {
         self.parts.iter().all(|(_, state)| matches!(state, State::Over(_)))
     }
 }
--- a/crates/graphql/src/table.rs
+++ b/crates/graphql/src/class_table.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::document::{Document, Kind, Operation};
+use crate::document::{Document, Operation, OperationKind};
 use crate::error::Rejection;
 
 /// What may happen to a request that is sent more than once.
@@ -38,9 +38,9 @@
 
 /// One line of the table: operations that are of a class of their own.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rule {
+pub struct ClassRule {
     /// What they do.
-    pub kind: Kind,
+    pub kind: OperationKind,
     /// The root fields that they may ask for, one or more of these and no others. Empty: any.
     pub fields: Vec<String>,
     /// Their names. Empty: any, or none.
@@ -51,7 +51,7 @@
     pub class: Class,
 }
 
-impl Rule {
+impl ClassRule {
     fn fits(&self, operation: &Operation, document: Option<&str>) -> bool {
         let within = |list: &[String], item: &str| list.is_empty() || list.iter().any(|known| known == item);
         self.kind == operation.kind
@@ -66,95 +66,103 @@
 /// The first line that fits counts. A mutation of a keyed class is keyed if its request has an `Idempotency-Key`;
 /// else it is as any other mutation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Table {
+pub struct ClassTable {
     /// Queries; safe.
     pub query: Class,
     /// Mutations, and what can't be told; unsafe.
     pub mutation: Class,
     /// The lines.
-    pub rules: Vec<Rule>,
+    pub rules: Vec<ClassRule>,
 }
 
 /// What a part of the table does not allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum TableError {
+pub enum ClassTableError {
     /// The class for queries.
     #[error("expected a class whose effect is safe")]
-    Query,
+    QueryClass,
     /// The class for mutations.
     #[error("expected a class whose effect is unsafe")]
-    Mutation,
+    MutationClass,
     /// A line about mutations, by its number.
     #[error("expected a class whose effect is keyed or unsafe: these are mutations")]
-    RuleSafe(usize),
+    SafeMutationRule(usize),
     /// A line about queries, by its number.
     #[error("expected a class whose effect is safe or unsafe: queries have no key")]
-    RuleKeyed(usize),
+    KeyedQueryRule(usize),
     /// A line about keyed mutations that names no fields, by its number.
     #[error("expected the root fields of these mutations: clients choose an operation's name")]
-    RuleOpen(usize),
+    RuleWithoutFields(usize),
 }
 
-/// Why an operation is of its class.
+/// ClassReason an operation is of its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ClassReason {
     /// By a line of the table, by its number.
     Rule(usize),
     /// No line fits.
-    Default(Kind),
+    Default(OperationKind),
     /// A line fits, by its number, and its class is keyed; but the request has no key.
-    NoKey(usize),
+    MissingKey(usize),
     /// Another operation of the document is not as harmless, and a server might run that one.
-    Companion(Kind),
+    StricterOperation(OperationKind),
     /// The document is not known.
-    Unknown,
+    UnknownDocument,
 }
 
-/// Why, in words.
-impl std::fmt::Display for Why {
+/// ClassReason, in words.
+impl std::fmt::Display for ClassReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Why::Rule(at) => write!(f, "operations[{at}] fits"),
-            Why::Default(kind) => write!(f, "no line of the table fits; a {} by default", kind.name()),
-            Why::NoKey(at) => write!(f, "operations[{at}] fits, but there is no Idempotency-Key"),
-            Why::Companion(kind) => {
+            ClassReason::Rule(at) => write!(f, "operations[{at}] fits"),
+            ClassReason::Default(kind) => {
+                write!(f, "no line of the table fits; a {} by default", kind.name())
+            }
+            ClassReason::MissingKey(at) => {
+                write!(f, "operations[{at}] fits, but there is no Idempotency-Key")
+            }
+            ClassReason::StricterOperation(kind) => {
                 write!(f, "the document has another operation, a {}, that must not run twice", kind.name())
             }
-            Why::Unknown => write!(f, "the document is not known here, so it may be anything"),
+            ClassReason::UnknownDocument => {
+                write!(f, "the document is not known here, so it may be anything")
+            }
         }
     }
 }
 
 /// What a request is taken for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ruling {
+pub struct Classification {
     /// Its class.
     pub class: Class,
-    /// Why.
-    pub why: Why,
+    /// ClassReason.
+    pub reason: ClassReason,
     /// The operation, if it is known.
     pub operation: Option<Arc<Operation>>,
 }
 
-impl Table {
+impl ClassTable {
     /// Checks that no line makes light of an effect.
     ///
     /// # Errors
     ///
     /// The first that does.
-    pub fn check(&self) -> Result<(), TableError> {
+    pub fn check(&self) -> Result<(), ClassTableError> {
         if self.query.effect != Effect::Safe {
-            return Err(TableError::Query);
+            return Err(ClassTableError::QueryClass);
         }
         if self.mutation.effect != Effect::Unsafe {
-            return Err(TableError::Mutation);
+            return Err(ClassTableError::MutationClass);
         }
         for (at, rule) in self.rules.iter().enumerate() {
             match (rule.kind, rule.class.effect) {
-                (Kind::Query, Effect::Keyed) => return Err(TableError::RuleKeyed(at)),
-                (Kind::Mutation | Kind::Subscription, Effect::Safe) => return Err(TableError::RuleSafe(at)),
-                (Kind::Mutation, Effect::Keyed) if rule.fields.is_empty() => {
-                    return Err(TableError::RuleOpen(at));
+                (OperationKind::Query, Effect::Keyed) => return Err(ClassTableError::KeyedQueryRule(at)),
+                (OperationKind::Mutation | OperationKind::Subscription, Effect::Safe) => {
+                    return Err(ClassTableError::SafeMutationRule(at));
+                }
+                (OperationKind::Mutation, Effect::Keyed) if rule.fields.is_empty() => {
+                    return Err(ClassTableError::RuleWithoutFields(at));
                 }
                 _ => {}
             }
@@ -162,14 +170,16 @@
         Ok(())
     }
 
-    fn class_of(&self, operation: &Operation, document: Option<&str>, has_key: bool) -> (Class, Why) {
+    fn class_of(&self, operation: &Operation, document: Option<&str>, has_key: bool) -> (Class, ClassReason) {
         match self.rules.iter().enumerate().find(|(_, rule)| rule.fits(operation, document)) {
             Some((at, rule)) if rule.class.effect == Effect::Keyed && !has_key => {
-                (self.mutation, Why::NoKey(at))
+                (self.mutation, ClassReason::MissingKey(at))
+            }
+            Some((at, rule)) => (rule.class, ClassReason::Rule(at)),
+            None if operation.kind == OperationKind::Query => {
+                (self.query, ClassReason::Default(OperationKind::Query))
             }
-            Some((at, rule)) => (rule.class, Why::Rule(at)),
-            None if operation.kind == Kind::Query => (self.query, Why::Default(Kind::Query)),
-            None => (self.mutation, Why::Default(operation.kind)),
+            None => (self.mutation, ClassReason::Default(operation.kind)),
         }
     }
 
@@ -178,32 +188,32 @@
     /// # Errors
     ///
     /// The operation can't be told, or is a subscription.
-    pub fn rule(
+    pub fn classify(
         &self,
         document: &Document,
         operation: Option<&str>,
         name: Option<&str>,
         has_key: bool,
-    ) -> Result<Ruling, Rejection> {
-        let meant = document.pick(operation)?;
-        if meant.kind == Kind::Subscription {
-            return Err(Rejection::new(crate::Code::Subscription, "subscriptions are not passed on"));
+    ) -> Result<Classification, Rejection> {
+        let meant = document.select_operation(operation)?;
+        if meant.kind == OperationKind::Subscription {
+            return Err(Rejection::new(crate::ErrorCode::Subscription, "subscriptions are not passed on"));
         }
-        let (class, why) = self.class_of(meant, name, has_key);
+        let (class, reason) = self.class_of(meant, name, has_key);
         // Which operation runs is the server's choice in the end.
         let stricter = |other: &&Arc<Operation>| {
             let of = self.class_of(other, name, has_key).0;
             of.effect > class.effect || of.effect == Effect::Keyed && of != class
         };
-        let (class, why) = match document.operations.iter().find(stricter) {
-            Some(other) => (self.mutation, Why::Companion(other.kind)),
-            None => (class, why),
+        let (class, reason) = match document.operations.iter().find(stricter) {
+            Some(other) => (self.mutation, ClassReason::StricterOperation(other.kind)),
+            None => (class, reason),
         };
-        Ok(Ruling { class, why, operation: Some(meant.clone()) })
+        Ok(Classification { class, reason, operation: Some(meant.clone()) })
     }
 
     /// What a request for a document that is not known is taken for.
-    pub fn unknown(&self) -> Ruling {
-        Ruling { class: self.mutation, why: Why::Unknown, operation: None }
+    pub fn classify_unknown(&self) -> Classification {
+        Classification { class: self.mutation, reason: ClassReason::UnknownDocument, operation: None }
     }
 }
--- a/crates/graphql/src/document.rs
+++ b/crates/graphql/src/document.rs
@@ -10,13 +10,13 @@
 use apollo_parser::cst::{self, CstNode, Definition};
 use serde_json::{Map, Value};
 
-use crate::error::{Code, Limit, Rejection};
+use crate::error::{ErrorCode, Limit, Rejection};
 use crate::limits::{Limits, Weights};
 use walk::Walk;
 
 /// What an operation does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum OperationKind {
     /// It reads.
     Query,
     /// It changes something.
@@ -25,13 +25,13 @@
     Subscription,
 }
 
-impl Kind {
+impl OperationKind {
     /// The word in a document.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Query => "query",
-            Kind::Mutation => "mutation",
-            Kind::Subscription => "subscription",
+            OperationKind::Query => "query",
+            OperationKind::Mutation => "mutation",
+            OperationKind::Subscription => "subscription",
         }
     }
 }
@@ -40,20 +40,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
     /// What it does.
-    pub kind: Kind,
+    pub kind: OperationKind,
     /// Its name, if it has one.
     pub name: Option<String>,
     /// The fields that it asks the root for, once each, fragments spread out; without their aliases.
     pub root_fields: Vec<String>,
     /// How large it is, fragments spread out.
-    pub size: Size,
+    pub size: OperationSize,
     /// What work to expect.
     pub work: Duration,
 }
 
 /// How large an operation is, fragments spread out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Size {
+pub struct OperationSize {
     /// Levels of fields within fields.
     pub depth: usize,
     /// Fields.
@@ -80,7 +80,7 @@
     ///
     /// It does not follow the grammar, could not be run by any server, is over a limit, or has characters by
     /// which another parser could see another end of a comment or a string.
-    pub fn read(
+    pub fn parse(
         text: &str,
         variables: &Map<String, Value>,
         limits: &Limits,
@@ -127,8 +127,8 @@
     /// # Errors
     ///
     /// There is none of that name, or no name where there are several.
-    pub fn pick(&self, name: Option<&str>) -> Result<&Arc<Operation>, Rejection> {
-        let none = |message: &'static str| Rejection::new(Code::Operation, message);
+    pub fn select_operation(&self, name: Option<&str>) -> Result<&Arc<Operation>, Rejection> {
+        let none = |message: &'static str| Rejection::new(ErrorCode::Operation, message);
         match (name, &self.operations[..]) {
             (None, [only]) => Ok(only),
             (None, _) => Err(none("operationName has to say which operation is meant")),
@@ -141,13 +141,13 @@
 }
 
 pub(crate) fn invalid(message: &'static str) -> Rejection {
-    Rejection::new(Code::Validation, message)
+    Rejection::new(ErrorCode::Validation, message)
 }
 
 /// What the parser says, with the line.
 fn syntax(text: &str, error: &apollo_parser::Error) -> Rejection {
     let line = 1 + text.bytes().take(error.index()).filter(|b| *b == b'\n').count();
-    Rejection::new(Code::Syntax, format!("line {line}: {}", error.message()))
+    Rejection::new(ErrorCode::Syntax, format!("line {line}: {}", error.message()))
 }
 
 /// Characters of which parsers have different opinions: whether they end a line, and so a comment, or are ignored,
@@ -161,7 +161,7 @@
             let shown = if odd { c } else { before };
             let message =
                 format!("the document has {}, which not all parsers read alike", shown.escape_unicode());
-            return Err(Rejection::new(Code::Ambiguous, message));
+            return Err(Rejection::new(ErrorCode::Ambiguous, message));
         }
         before = c;
     }
@@ -170,10 +170,10 @@
 
 fn read_operation(from: &cst::OperationDefinition, walk: &mut Walk<'_>) -> Result<Operation, Rejection> {
     let kind = match from.operation_type() {
-        None => Kind::Query,
-        Some(word) if word.mutation_token().is_some() => Kind::Mutation,
-        Some(word) if word.subscription_token().is_some() => Kind::Subscription,
-        Some(word) if word.query_token().is_some() => Kind::Query,
+        None => OperationKind::Query,
+        Some(word) if word.mutation_token().is_some() => OperationKind::Mutation,
+        Some(word) if word.subscription_token().is_some() => OperationKind::Subscription,
+        Some(word) if word.query_token().is_some() => OperationKind::Query,
         Some(_) => return Err(invalid("an operation's type is not known")),
     };
     let selections = from.selection_set().ok_or(invalid("an operation asks for nothing"))?;
@@ -196,7 +196,7 @@
 /// Checks that operations can be told apart; only one that is alone has no name.
 fn check_names(operations: &[Arc<Operation>]) -> Result<(), Rejection> {
     if operations.is_empty() {
-        return Err(Rejection::new(Code::Operation, "the document has no operation"));
+        return Err(Rejection::new(ErrorCode::Operation, "the document has no operation"));
     }
     let mut names = HashSet::new();
     for operation in operations {
@@ -227,10 +227,10 @@
     }
 
     fn read_with(text: &str, variables: Value, limits: &Limits) -> Result<Document, Rejection> {
-        Document::read(text, variables.as_object().unwrap(), limits, &Weights::default())
+        Document::parse(text, variables.as_object().unwrap(), limits, &Weights::default())
     }
 
-    fn code(text: &str) -> Option<Code> {
+    fn code(text: &str) -> Option<ErrorCode> {
         read(text).err().map(|wrong| wrong.code)
     }
 
@@ -241,18 +241,18 @@
             mutation B($a: Int = 3) { order(amount: $a) { id } }";
         let document = read(text).unwrap();
         let kinds: Vec<_> = document.operations.iter().map(|o| (o.kind, o.name.as_deref())).collect();
-        assert_eq!(kinds, [(Kind::Query, Some("A")), (Kind::Mutation, Some("B"))]);
+        assert_eq!(kinds, [(OperationKind::Query, Some("A")), (OperationKind::Mutation, Some("B"))]);
         assert_eq!(document.operations[0].root_fields, ["payslips", "bureau", "account", "z"]);
-        let size = Size { depth: 2, fields: 7, aliases: 2, directives: 1 };
+        let size = OperationSize { depth: 2, fields: 7, aliases: 2, directives: 1 };
         assert_eq!(document.operations[0].size, size);
-        assert_eq!(document.pick(Some("B")).unwrap().root_fields, ["order"]);
-        assert!(document.pick(None).is_err() && document.pick(Some("C")).is_err());
-        assert_eq!(read("{ a }").unwrap().pick(None).unwrap().kind, Kind::Query);
+        assert_eq!(document.select_operation(Some("B")).unwrap().root_fields, ["order"]);
+        assert!(document.select_operation(None).is_err() && document.select_operation(Some("C")).is_err());
+        assert_eq!(read("{ a }").unwrap().select_operation(None).unwrap().kind, OperationKind::Query);
     }
 
     #[test]
     fn what_no_server_could_run_or_parsers_read_differently_is_an_error() {
-        let (syntax, invalid) = (Some(Code::Syntax), Some(Code::Validation));
+        let (syntax, invalid) = (Some(ErrorCode::Syntax), Some(ErrorCode::Validation));
         for (text, wrong) in [
             ("{ a }", None),
             // Descriptions of operations are of the edition of 2025-09; the parser does not know them yet.
@@ -275,7 +275,7 @@
             ("type A { b: Int }", invalid),
             ("{ a } type A { b: Int }", invalid),
             ("extend type A { b: Int } { a }", invalid),
-            ("fragment F on Q { a }", Some(Code::Operation)),
+            ("fragment F on Q { a }", Some(ErrorCode::Operation)),
             ("{ a } { b }", invalid),
             ("{ a } query B { b }", invalid),
             ("query A { a } mutation A { b }", invalid),
@@ -283,15 +283,15 @@
             ("{ ...F }", invalid),
             ("{ ...F } fragment F on Q { ...F }", invalid),
             ("{ a { ...F } } fragment F on Q { ...G } fragment G on Q { b { ...F } }", invalid),
-            ("{ a @defer { b } }", Some(Code::Incremental)),
-            ("{ ... @defer(if: $x) { b } }", Some(Code::Incremental)),
-            ("{ ...F } fragment F on Q { a @stream }", Some(Code::Incremental)),
-            ("# x\rmutation { b }\n{ a }", Some(Code::Ambiguous)),
-            ("# x\u{2028}mutation { b }\n{ a }", Some(Code::Ambiguous)),
-            ("# x\u{85}mutation { b }\n{ a }", Some(Code::Ambiguous)),
-            ("{ a\0 }", Some(Code::Ambiguous)),
-            ("\u{feff}{ a }", Some(Code::Ambiguous)),
-            ("{ a } \r", Some(Code::Ambiguous)),
+            ("{ a @defer { b } }", Some(ErrorCode::Incremental)),
+            ("{ ... @defer(if: $x) { b } }", Some(ErrorCode::Incremental)),
+            ("{ ...F } fragment F on Q { a @stream }", Some(ErrorCode::Incremental)),
+            ("# x\rmutation { b }\n{ a }", Some(ErrorCode::Ambiguous)),
+            ("# x\u{2028}mutation { b }\n{ a }", Some(ErrorCode::Ambiguous)),
+            ("# x\u{85}mutation { b }\n{ a }", Some(ErrorCode::Ambiguous)),
+            ("{ a\0 }", Some(ErrorCode::Ambiguous)),
+            ("\u{feff}{ a }", Some(ErrorCode::Ambiguous)),
+            ("{ a } \r", Some(ErrorCode::Ambiguous)),
         ] {
             assert_eq!(code(text), wrong, "{text:?}");
         }
@@ -323,7 +323,7 @@
     #[test]
     fn hostile_documents_meet_a_limit_with_a_name() {
         let limit = |text: String| match code(&text) {
-            Some(Code::Limit(limit)) => Some(limit.name()),
+            Some(ErrorCode::Limit(limit)) => Some(limit.name()),
             _ => None,
         };
         assert_eq!(limit(format!("{{ {} }}", "a: b ".repeat(600))), Some("aliases"));
--- a/crates/graphql/src/document/walk.rs
+++ b/crates/graphql/src/document/walk.rs
@@ -7,8 +7,8 @@
 use apollo_parser::cst::{self, CstNode, Selection};
 use serde_json::{Map, Value};
 
-use super::{Size, invalid, source};
-use crate::error::{Code, Limit, Rejection};
+use super::{OperationSize, invalid, source};
+use crate::error::{ErrorCode, Limit, Rejection};
 use crate::limits::{Limits, Weights};
 
 /// No list is taken to be longer.
@@ -19,7 +19,7 @@
 /// What is known of some selections.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Facts {
-    pub(super) size: Size,
+    pub(super) size: OperationSize,
     /// Microseconds.
     pub(super) work: f64,
 }
@@ -40,7 +40,7 @@
     New,
     /// It is being gone through: met again, it would be without end.
     Open,
-    Known(Facts),
+    DocumentCache(Facts),
 }
 
 /// One way through all operations of a document. What a fragment adds up to is worked out once.
@@ -101,7 +101,7 @@
         Ok(facts)
     }
 
-    fn check(&self, size: &Size) -> Result<(), Rejection> {
+    fn check(&self, size: &OperationSize) -> Result<(), Rejection> {
         let limits = self.limits;
         for (over, limit) in [
             (size.depth > limits.depth, Limit::Depth),
@@ -134,8 +134,8 @@
         let (fragment, state) = self.fragments.get_mut(name).ok_or(invalid("a fragment is not there"))?;
         match std::mem::replace(state, Fragment::Open) {
             Fragment::Open => return Err(invalid("a fragment spreads itself")),
-            Fragment::Known(facts) => {
-                *state = Fragment::Known(facts);
+            Fragment::DocumentCache(facts) => {
+                *state = Fragment::DocumentCache(facts);
                 return Ok(facts);
             }
             Fragment::New => {}
@@ -147,7 +147,7 @@
         };
         self.directives(fragment.directives(), &mut facts.size)?;
         if let Some((_, state)) = self.fragments.get_mut(name) {
-            *state = Fragment::Known(facts);
+            *state = Fragment::DocumentCache(facts);
         }
         Ok(facts)
     }
@@ -190,11 +190,15 @@
     }
 
     /// Counts directives, and turns down those by which an answer would come in parts.
-    pub(super) fn directives(&self, from: Option<cst::Directives>, size: &mut Size) -> Result<(), Rejection> {
+    pub(super) fn directives(
+        &self,
+        from: Option<cst::Directives>,
+        size: &mut OperationSize,
+    ) -> Result<(), Rejection> {
         for directive in from.iter().flat_map(|d| d.directives()) {
             size.directives = size.directives.saturating_add(1);
             if directive.name().is_some_and(|n| matches!(&*n.text(), "defer" | "stream")) {
-                return Err(Rejection::new(Code::Incremental, "@defer and @stream are not passed on"));
+                return Err(Rejection::new(ErrorCode::Incremental, "@defer and @stream are not passed on"));
             }
         }
         self.check(size)
--- a/crates/graphql/src/known.rs
+++ b/crates/graphql/src/document_cache.rs
@@ -1,4 +1,4 @@
-//! Documents that were read before: clients send the same few again and again, and to parse one costs more than all else
+//! DocumentManifest that were read before: clients send the same few again and again, and to parse one costs more than all else
 //! that is done for a request.
 
 use std::hash::RandomState;
@@ -14,9 +14,9 @@
 /// What an entry takes beside its text, roughly.
 const ENTRY: u64 = 512;
 
-/// Documents that were read before, by their whole text: nobody can make another one pass for one of them. Bounded by
+/// DocumentManifest that were read before, by their whole text: nobody can make another one pass for one of them. Bounded by
 /// bytes; which ones are kept is up to `quick_cache` (S3-FIFO, after Yang et al., SOSP 2023).
-pub struct Known(Option<Cache<Box<str>, Arc<Document>, ByText, RandomState>>);
+pub struct DocumentCache(Option<Cache<Box<str>, Arc<Document>, ByText, RandomState>>);
 
 #[derive(Clone)]
 struct ByText;
@@ -27,14 +27,14 @@
     }
 }
 
-impl Known {
+impl DocumentCache {
     /// Remembers about so many bytes of documents; none for 0.
-    pub fn holding(bytes: u64) -> Known {
+    pub fn with_capacity(bytes: u64) -> DocumentCache {
         let items = usize::try_from(bytes / (2 * ENTRY)).unwrap_or(usize::MAX);
         // Clients choose the texts: a hash that they can't work out.
         let cache =
             || Cache::with(items.max(1), bytes, ByText, RandomState::new(), DefaultLifecycle::default());
-        Known((bytes > 0).then(cache))
+        DocumentCache((bytes > 0).then(cache))
     }
 
     /// The document of this text, as it was read before or by `read` now. One whose work follows from variables is
@@ -66,28 +66,28 @@
 }
 
 /// A reader's copy begins anew.
-impl Clone for Known {
-    fn clone(&self) -> Known {
-        Known::holding(self.0.as_ref().map_or(0, Cache::capacity))
+impl Clone for DocumentCache {
+    fn clone(&self) -> DocumentCache {
+        DocumentCache::with_capacity(self.0.as_ref().map_or(0, Cache::capacity))
     }
 }
 
-impl Default for Known {
-    fn default() -> Known {
-        Known::holding(0)
+impl Default for DocumentCache {
+    fn default() -> DocumentCache {
+        DocumentCache::with_capacity(0)
     }
 }
 
 /// What is remembered makes no difference to what is read.
-impl PartialEq for Known {
-    fn eq(&self, _: &Known) -> bool {
+impl PartialEq for DocumentCache {
+    fn eq(&self, _: &DocumentCache) -> bool {
         true
     }
 }
 
-impl std::fmt::Debug for Known {
+impl std::fmt::Debug for DocumentCache {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Known").field("len", &self.len()).finish_non_exhaustive()
+        f.debug_struct("DocumentCache").field("len", &self.len()).finish_non_exhaustive()
     }
 }
 
@@ -102,12 +102,12 @@
 
     #[test]
     fn a_document_is_read_once_for_each_value_that_its_work_follows_from() {
-        let (known, reads) = (Known::holding(1 << 20), Cell::new(0));
+        let (known, reads) = (DocumentCache::with_capacity(1 << 20), Cell::new(0));
         let get = |text: &str, variables: Value| {
             let variables = variables.as_object().unwrap();
             let read = || {
                 reads.set(reads.get() + 1);
-                Document::read(text, variables, &Limits::default(), &Weights::default())
+                Document::parse(text, variables, &Limits::default(), &Weights::default())
             };
             let document = known.get(text, variables, read).unwrap();
             (document.operations[0].work.as_micros(), reads.get())
@@ -125,10 +125,10 @@
 
     #[test]
     fn what_it_holds_is_bounded() {
-        let known = Known::holding(64 * 1024);
+        let known = DocumentCache::with_capacity(64 * 1024);
         for number in 0..10_000 {
             let text = format!("{{ a{number} }}");
-            let read = || Document::read(&text, &Map::new(), &Limits::default(), &Weights::default());
+            let read = || Document::parse(&text, &Map::new(), &Limits::default(), &Weights::default());
             known.get(&text, &Map::new(), read).unwrap();
         }
         assert!(!known.is_empty() && known.len() <= 64 * 1024 / ENTRY as usize, "{known:?}");
--- a/crates/graphql/src/error.rs
+++ b/crates/graphql/src/error.rs
@@ -1,38 +1,38 @@
-//! Why a request is not passed on, and how a client is told.
+//! ClassReason a request is not passed on, and how a client is told.
 
 use std::borrow::Cow;
 
 use http::StatusCode;
 
-use crate::media::Media;
+use crate::media::ResponseMediaType;
 
-/// Why a request is not passed on. Nothing of it was sent.
+/// ClassReason a request is not passed on. Nothing of it was sent.
 ///
 /// ```
-/// use dunelink_graphql::{Code, Media, Rejection};
+/// use dunelink_graphql::{ErrorCode, ResponseMediaType, Rejection};
 ///
-/// let wrong = Rejection::new(Code::Syntax, "expected a name");
-/// assert_eq!(wrong.status(Media::Response), 400);
+/// let wrong = Rejection::new(ErrorCode::Syntax, "expected a name");
+/// assert_eq!(wrong.status(ResponseMediaType::GraphqlResponse), 400);
 /// // To a client that only reads `application/json` an intermediary's 4xx and a server's look alike.
-/// assert_eq!(wrong.status(Media::Json), 200);
+/// assert_eq!(wrong.status(ResponseMediaType::Json), 200);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct Rejection {
     /// What kind of thing is wrong.
-    pub code: Code,
+    pub code: ErrorCode,
     /// What is wrong, in words.
     pub message: Cow<'static, str>,
 }
 
 impl Rejection {
     /// What is wrong, by kind and in words.
-    pub fn new(code: Code, message: impl Into<Cow<'static, str>>) -> Rejection {
+    pub fn new(code: ErrorCode, message: impl Into<Cow<'static, str>>) -> Rejection {
         Rejection { code, message: message.into() }
     }
 
     /// The status that says so in this media type.
-    pub fn status(&self, media: Media) -> StatusCode {
+    pub fn status(&self, media: ResponseMediaType) -> StatusCode {
         self.code.status(media)
     }
 }
@@ -40,7 +40,7 @@
 /// What kind of thing is wrong with a request; `extensions.code` of its error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
-pub enum Code {
+pub enum ErrorCode {
     /// The client reads no media type that GraphQL answers come in.
     NotAcceptable,
     /// The body is not `application/json` in UTF-8.
@@ -67,34 +67,34 @@
     Incremental,
 }
 
-impl Code {
+impl ErrorCode {
     /// As clients see it.
     pub fn name(self) -> &'static str {
         match self {
-            Code::NotAcceptable => "NOT_ACCEPTABLE",
-            Code::UnsupportedMediaType => "UNSUPPORTED_MEDIA_TYPE",
-            Code::MethodNotAllowed => "METHOD_NOT_ALLOWED",
-            Code::BadRequest => "BAD_REQUEST",
-            Code::Ambiguous => "AMBIGUOUS_REQUEST",
-            Code::Batch => "BATCH_NOT_TAKEN",
-            Code::Syntax => "GRAPHQL_PARSE_FAILED",
-            Code::Validation => "GRAPHQL_VALIDATION_FAILED",
-            Code::Operation => "OPERATION_RESOLUTION_FAILURE",
-            Code::Limit(_) => "LIMIT_EXCEEDED",
-            Code::Subscription => "SUBSCRIPTION_NOT_SUPPORTED",
-            Code::Incremental => "INCREMENTAL_DELIVERY_NOT_SUPPORTED",
+            ErrorCode::NotAcceptable => "NOT_ACCEPTABLE",
+            ErrorCode::UnsupportedMediaType => "UNSUPPORTED_MEDIA_TYPE",
+            ErrorCode::MethodNotAllowed => "METHOD_NOT_ALLOWED",
+            ErrorCode::BadRequest => "BAD_REQUEST",
+            ErrorCode::Ambiguous => "AMBIGUOUS_REQUEST",
+            ErrorCode::Batch => "BATCH_NOT_TAKEN",
+            ErrorCode::Syntax => "GRAPHQL_PARSE_FAILED",
+            ErrorCode::Validation => "GRAPHQL_VALIDATION_FAILED",
+            ErrorCode::Operation => "OPERATION_RESOLUTION_FAILURE",
+            ErrorCode::Limit(_) => "LIMIT_EXCEEDED",
+            ErrorCode::Subscription => "SUBSCRIPTION_NOT_SUPPORTED",
+            ErrorCode::Incremental => "INCREMENTAL_DELIVERY_NOT_SUPPORTED",
         }
     }
 
     /// The status for it. A request that is well-formed, with a document that can't be run, is told so with 200
     /// where the answer is `application/json` (GraphQL over HTTP, 6.4.1), and with 400 otherwise (6.4.2).
-    pub fn status(self, media: Media) -> StatusCode {
+    pub fn status(self, media: ResponseMediaType) -> StatusCode {
         match self {
-            Code::NotAcceptable => StatusCode::NOT_ACCEPTABLE,
-            Code::UnsupportedMediaType => StatusCode::UNSUPPORTED_MEDIA_TYPE,
-            Code::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
-            Code::BadRequest | Code::Ambiguous | Code::Batch => StatusCode::BAD_REQUEST,
-            _ if media == Media::Json => StatusCode::OK,
+            ErrorCode::NotAcceptable => StatusCode::NOT_ACCEPTABLE,
+            ErrorCode::UnsupportedMediaType => StatusCode::UNSUPPORTED_MEDIA_TYPE,
+            ErrorCode::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            ErrorCode::BadRequest | ErrorCode::Ambiguous | ErrorCode::Batch => StatusCode::BAD_REQUEST,
+            _ if media == ResponseMediaType::Json => StatusCode::OK,
             _ => StatusCode::BAD_REQUEST,
         }
     }
@@ -138,6 +138,6 @@
 
     /// A request is over it.
     pub(crate) fn exceeded(self) -> Rejection {
-        Rejection::new(Code::Limit(self), format!("over the limit on {}", self.name()))
+        Rejection::new(ErrorCode::Limit(self), format!("over the limit on {}", self.name()))
     }
 }
--- a/crates/graphql/src/json.rs
+++ b/crates/graphql/src/json.rs
@@ -7,7 +7,7 @@
 use serde::de::{Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 
-use crate::error::{Code, Rejection};
+use crate::error::{ErrorCode, Rejection};
 
 /// A value, at any depth without a name that an object has twice.
 struct Strict(Value);
@@ -84,9 +84,13 @@
     let read: Result<Strict, serde_json::Error> = serde_json::from_str(text);
     match read {
         Ok(Strict(Value::Object(members))) => Ok(members),
-        Ok(_) => Err(Rejection::new(Code::BadRequest, format!("{what}: expected an object"))),
+        Ok(_) => Err(Rejection::new(ErrorCode::BadRequest, format!("{what}: expected an object"))),
         Err(error) => {
-            let code = if error.to_string().starts_with(TWICE) { Code::Ambiguous } else { Code::BadRequest };
+            let code = if error.to_string().starts_with(TWICE) {
+                ErrorCode::Ambiguous
+            } else {
+                ErrorCode::BadRequest
+            };
             Err(Rejection::new(code, format!("{what}: {error}")))
         }
     }
@@ -101,25 +105,25 @@
         let code = |text: &str| object(text, "the body").err().map(|wrong| wrong.code);
         for (text, wrong) in [
             (r#"{"a": 1, "b": [{"c": null}], "d": -0.5e3}"#, None),
-            (r#"{"a": 1, "a": 1}"#, Some(Code::Ambiguous)),
-            (r#"{"a": 1, "\u0061": 1}"#, Some(Code::Ambiguous)),
-            (r#"{"a": [{"b": 1, "b": 1}]}"#, Some(Code::Ambiguous)),
-            (r#"{"a": "\ud800"}"#, Some(Code::BadRequest)),
-            (r#"{"a": 1} {"b": 1}"#, Some(Code::BadRequest)),
-            (r#"{"a": 1,}"#, Some(Code::BadRequest)),
-            (r#"{'a': 1}"#, Some(Code::BadRequest)),
-            (r#"{"a": 1 /* b */}"#, Some(Code::BadRequest)),
-            (r#"{"a": NaN}"#, Some(Code::BadRequest)),
-            ("\u{feff}{}", Some(Code::BadRequest)),
-            ("{\"a\": \"\n\"}", Some(Code::BadRequest)),
-            ("{\"a\": \"\0\"}", Some(Code::BadRequest)),
-            ("[]", Some(Code::BadRequest)),
-            ("7", Some(Code::BadRequest)),
-            ("", Some(Code::BadRequest)),
+            (r#"{"a": 1, "a": 1}"#, Some(ErrorCode::Ambiguous)),
+            (r#"{"a": 1, "\u0061": 1}"#, Some(ErrorCode::Ambiguous)),
+            (r#"{"a": [{"b": 1, "b": 1}]}"#, Some(ErrorCode::Ambiguous)),
+            (r#"{"a": "\ud800"}"#, Some(ErrorCode::BadRequest)),
+            (r#"{"a": 1} {"b": 1}"#, Some(ErrorCode::BadRequest)),
+            (r#"{"a": 1,}"#, Some(ErrorCode::BadRequest)),
+            (r#"{'a': 1}"#, Some(ErrorCode::BadRequest)),
+            (r#"{"a": 1 /* b */}"#, Some(ErrorCode::BadRequest)),
+            (r#"{"a": NaN}"#, Some(ErrorCode::BadRequest)),
+            ("\u{feff}{}", Some(ErrorCode::BadRequest)),
+            ("{\"a\": \"\n\"}", Some(ErrorCode::BadRequest)),
+            ("{\"a\": \"\0\"}", Some(ErrorCode::BadRequest)),
+            ("[]", Some(ErrorCode::BadRequest)),
+            ("7", Some(ErrorCode::BadRequest)),
+            ("", Some(ErrorCode::BadRequest)),
         ] {
             assert_eq!(code(text), wrong, "{text:?}");
         }
         let deep = format!("{{\"a\": {}{}}}", "[".repeat(100_000), "]".repeat(100_000));
-        assert_eq!(code(&deep), Some(Code::BadRequest), "bounded");
+        assert_eq!(code(&deep), Some(ErrorCode::BadRequest), "bounded");
     }
 }
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -1,21 +1,21 @@
-//! What a GraphQL-over-HTTP request would run, and whether it may run twice. Bytes in, a [`Verdict`] out: no
+//! What a GraphQL-over-HTTP request would run, and whether it may run twice. Bytes in, a [`ClassifiedRequest`] out: no
 //! sockets, clocks or threads.
 //!
 //! A request is passed on as it came or turned down, and never changed. Where two readings of its bytes are
-//! possible, by different parsers of URLs, JSON or GraphQL, it is turned down ([`Code::Ambiguous`]); whatever can't
+//! possible, by different parsers of URLs, JSON or GraphQL, it is turned down ([`ErrorCode::Ambiguous`]); whatever can't
 //! be told is unsafe.
 //!
 //! ```
 //! use dunelink_graphql::*;
 //!
 //! let (read, pay) = (Class { index: 0, effect: Effect::Safe }, Class { index: 1, effect: Effect::Unsafe });
-//! let reader = Reader {
-//!     table: Table { query: read, mutation: pay, rules: Vec::new() },
+//! let reader = RequestReader {
+//!     table: ClassTable { query: read, mutation: pay, rules: Vec::new() },
 //!     limits: Limits::default(),
 //!     weights: Weights::default(),
-//!     documents: Documents::default(),
-//!     passed: Vec::new(),
-//!     known: Known::holding(1 << 20),
+//!     manifest: DocumentManifest::default(),
+//!     allowed_parameters: Vec::new(),
+//!     document_cache: DocumentCache::with_capacity(1 << 20),
 //! };
 //! let mut headers = http::HeaderMap::new();
 //! headers.insert("content-type", "application/json".parse()?);
@@ -23,33 +23,33 @@
 //!     let body = bytes::Bytes::from(body);
 //!     reader.read(Request { method: &http::Method::POST, query: None, headers: &headers, body: &body, has_key: false })
 //! };
-//! assert!(matches!(ask(r#"{"query": "{ payslips { id } }"}"#)?, Verdict::Single(ruling) if ruling.class == read));
-//! assert!(matches!(ask(r#"{"query": "mutation { pay }"}"#)?, Verdict::Single(ruling) if ruling.class == pay));
+//! assert!(matches!(ask(r#"{"query": "{ payslips { id } }"}"#)?, ClassifiedRequest::Single(classification) if classification.class == read));
+//! assert!(matches!(ask(r#"{"query": "mutation { pay }"}"#)?, ClassifiedRequest::Single(classification) if classification.class == pay));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod answer;
+mod batch_schedule;
+mod class_table;
 mod document;
-mod documents;
+mod document_cache;
 mod error;
 mod json;
-mod known;
 mod limits;
+mod manifest;
 mod media;
 mod negotiation;
-mod order;
 mod params;
 mod reader;
-mod table;
+mod response;
 
-pub use answer::{Fate, error_body, is_json, join};
-pub use document::{Document, Kind, Operation, Size};
-pub use documents::Documents;
-pub use error::{Code, Limit, Rejection};
-pub use known::Known;
+pub use batch_schedule::{BatchSchedule, BatchStep, PartStatus};
+pub use class_table::{Class, ClassReason, ClassRule, ClassTable, ClassTableError, Classification, Effect};
+pub use document::{Document, Operation, OperationKind, OperationSize};
+pub use document_cache::DocumentCache;
+pub use error::{ErrorCode, Limit, Rejection};
 pub use limits::{Limits, Weights};
-pub use media::Media;
-pub use order::{End, Order, Step};
-pub use params::is_passable;
-pub use reader::{Part, Reader, Request, Verdict};
-pub use table::{Class, Effect, Rule, Ruling, Table, TableError, Why};
+pub use manifest::DocumentManifest;
+pub use media::ResponseMediaType;
+pub use params::is_allowable_parameter;
+pub use reader::{BatchPart, ClassifiedRequest, Request, RequestReader};
+pub use response::{FailureResponse, error_body, is_json, join_responses};
--- a/crates/graphql/src/documents.rs
+++ b/crates/graphql/src/manifest.rs
@@ -1,14 +1,14 @@
-//! Documents that are known by name: the operator's manifest.
+//! DocumentManifest that are known by name: the operator's manifest.
 
 use std::collections::HashMap;
 
 use serde::Deserialize;
 
-/// Documents by name: an Apollo client's manifest, or an object of names and texts as Relay's compiler writes it.
+/// DocumentManifest by name: an Apollo client's manifest, or an object of names and texts as Relay's compiler writes it.
 ///
 /// ```
-/// let relay = dunelink_graphql::Documents::from_json(r#"{"7f3a": "query A { a }"}"#)?;
-/// let apollo = dunelink_graphql::Documents::from_json(r#"{
+/// let relay = dunelink_graphql::DocumentManifest::from_json(r#"{"7f3a": "query A { a }"}"#)?;
+/// let apollo = dunelink_graphql::DocumentManifest::from_json(r#"{
 ///     "format": "apollo-persisted-query-manifest", "version": 1,
 ///     "operations": [{"id": "7f3a", "name": "A", "type": "query", "body": "query A { a }"}]
 /// }"#)?;
@@ -16,7 +16,7 @@
 /// # Ok::<(), serde_json::Error>(())
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Documents(HashMap<String, String>);
+pub struct DocumentManifest(HashMap<String, String>);
 
 #[derive(Deserialize)]
 #[serde(untagged)]
@@ -44,19 +44,21 @@
     body: String,
 }
 
-impl Documents {
+impl DocumentManifest {
     /// Reads a manifest.
     ///
     /// # Errors
     ///
     /// It is not JSON, or of neither form.
-    pub fn from_json(text: &str) -> Result<Documents, serde_json::Error> {
+    pub fn from_json(text: &str) -> Result<DocumentManifest, serde_json::Error> {
         let documents = match serde_json::from_str(text)? {
             Manifest::Apollo(apollo) => apollo.operations.into_iter().map(|o| (o.id, o.body)).collect(),
             Manifest::Plain(texts) => texts,
         };
         // Hashes are compared in lower case.
-        Ok(Documents(documents.into_iter().map(|(name, text)| (name.to_ascii_lowercase(), text)).collect()))
+        Ok(DocumentManifest(
+            documents.into_iter().map(|(name, text)| (name.to_ascii_lowercase(), text)).collect(),
+        ))
     }
 
     /// The text of a document.
--- a/crates/graphql/src/media.rs
+++ b/crates/graphql/src/media.rs
@@ -2,19 +2,19 @@
 
 /// The media type of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Media {
+pub enum ResponseMediaType {
     /// `application/graphql-response+json`.
-    Response,
+    GraphqlResponse,
     /// `application/json`.
     Json,
 }
 
-impl Media {
+impl ResponseMediaType {
     /// Its name, for `Content-Type`.
     pub fn name(self) -> &'static str {
         match self {
-            Media::Response => "application/graphql-response+json; charset=utf-8",
-            Media::Json => "application/json; charset=utf-8",
+            ResponseMediaType::GraphqlResponse => "application/graphql-response+json; charset=utf-8",
+            ResponseMediaType::Json => "application/json; charset=utf-8",
         }
     }
 }
--- a/crates/graphql/src/negotiation.rs
+++ b/crates/graphql/src/negotiation.rs
@@ -1,34 +1,34 @@
-//! Media types: what a client reads, and what it sent.
+//! ResponseMediaType types: what a client reads, and what it sent.
 
 use http::header::{self, HeaderMap, HeaderValue};
 use mediatype::{MediaType, MediaTypeList, Name, ReadParams};
 
-use crate::error::{Code, Rejection};
-use crate::media::Media;
+use crate::error::{ErrorCode, Rejection};
+use crate::media::ResponseMediaType;
 
 const CHARSET: Name<'static> = Name::new_unchecked("charset");
 const Q: Name<'static> = Name::new_unchecked("q");
 
-impl Media {
+impl ResponseMediaType {
     /// What a client reads best, by its `Accept` fields; without any it reads
     /// `application/graphql-response+json`, as it may since the specification's watershed of 2025-01-01. Of two
     /// that it reads equally well, the same.
     ///
     /// ```
-    /// use dunelink_graphql::Media;
+    /// use dunelink_graphql::ResponseMediaType;
     ///
     /// let request = http::Request::post("/graphql").header("accept", "application/json, */*;q=0.5").body(())?;
-    /// assert_eq!(Media::accepted(request.headers()), Ok(Media::Json));
+    /// assert_eq!(ResponseMediaType::negotiate(request.headers()), Ok(ResponseMediaType::Json));
     /// # Ok::<(), http::Error>(())
     /// ```
     ///
     /// # Errors
     ///
-    /// It reads neither ([`Code::NotAcceptable`]).
-    pub fn accepted(headers: &HeaderMap) -> Result<Media, Rejection> {
+    /// It reads neither ([`ErrorCode::NotAcceptable`]).
+    pub fn negotiate(headers: &HeaderMap) -> Result<ResponseMediaType, Rejection> {
         let mut fields = headers.get_all(header::ACCEPT).iter().peekable();
         if fields.peek().is_none() {
-            return Ok(Media::Response);
+            return Ok(ResponseMediaType::GraphqlResponse);
         }
         // How well each is read, and how precisely that is said.
         let (mut response, mut json) = ((0_u8, 0.0_f32), (0_u8, 0.0_f32));
@@ -53,11 +53,11 @@
             }
         }
         match (response.1, json.1) {
-            (response, json) if response > 0.0 && response >= json => Ok(Media::Response),
-            (_, json) if json > 0.0 => Ok(Media::Json),
+            (response, json) if response > 0.0 && response >= json => Ok(ResponseMediaType::GraphqlResponse),
+            (_, json) if json > 0.0 => Ok(ResponseMediaType::Json),
             _ => {
                 let known = "Accept has neither application/graphql-response+json nor application/json";
-                Err(Rejection::new(Code::NotAcceptable, known))
+                Err(Rejection::new(ErrorCode::NotAcceptable, known))
             }
         }
     }
@@ -89,9 +89,9 @@
 ///
 /// # Errors
 ///
-/// It is something else, or does not say ([`Code::UnsupportedMediaType`]).
+/// It is something else, or does not say ([`ErrorCode::UnsupportedMediaType`]).
 pub(crate) fn check_body(headers: &HeaderMap) -> Result<(), Rejection> {
-    let wrong = |what: &'static str| Err(Rejection::new(Code::UnsupportedMediaType, what));
+    let wrong = |what: &'static str| Err(Rejection::new(ErrorCode::UnsupportedMediaType, what));
     let encoded = |value: &HeaderValue| !value.as_bytes().eq_ignore_ascii_case(b"identity");
     if headers.get_all(header::CONTENT_ENCODING).iter().any(encoded) {
         return wrong("a body with a Content-Encoding is not read");
@@ -126,7 +126,8 @@
 
     #[test]
     fn a_client_is_answered_in_what_it_reads_best() {
-        let (response, json, neither) = (Some(Media::Response), Some(Media::Json), None);
+        let (response, json, neither) =
+            (Some(ResponseMediaType::GraphqlResponse), Some(ResponseMediaType::Json), None);
         for (accept, wanted) in [
             (&[][..], response),
             (&["application/graphql-response+json"][..], response),
@@ -151,7 +152,11 @@
             (&["application/json;q=2"], neither),
             (&[""], neither),
         ] {
-            assert_eq!(Media::accepted(&fields(header::ACCEPT, accept)).ok(), wanted, "{accept:?}");
+            assert_eq!(
+                ResponseMediaType::negotiate(&fields(header::ACCEPT, accept)).ok(),
+                wanted,
+                "{accept:?}"
+            );
         }
     }
 
--- a/crates/graphql/src/params.rs
+++ b/crates/graphql/src/params.rs
@@ -6,7 +6,7 @@
 use serde_json::{Map, Value};
 use sha2::{Digest, Sha256};
 
-use crate::error::{Code, Rejection};
+use crate::error::{ErrorCode, Rejection};
 use crate::json;
 
 /// The parameters that the specification names, and `documentId` of its appendix on persisted documents.
@@ -33,18 +33,18 @@
 }
 
 /// Whether operators may let this parameter pass: it can't be taken for one that is heeded.
-pub fn is_passable(name: &str) -> bool {
+pub fn is_allowable_parameter(name: &str) -> bool {
     !name.is_empty()
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'-'))
         && !NAMED.iter().any(|known| is_like(name, known))
 }
 
 fn bad(message: impl Into<Cow<'static, str>>) -> Rejection {
-    Rejection::new(Code::BadRequest, message)
+    Rejection::new(ErrorCode::BadRequest, message)
 }
 
 fn ambiguous(message: impl Into<Cow<'static, str>>) -> Rejection {
-    Rejection::new(Code::Ambiguous, message)
+    Rejection::new(ErrorCode::Ambiguous, message)
 }
 
 fn unknown(name: &str) -> Rejection {
@@ -221,7 +221,7 @@
                 r#"{{"query": {text}, "extensions": {{"persistedQuery": {{"version": 1, "sha256Hash": "{hash}"}}}}}}"#
             )
         };
-        let (ambiguous, bad) = (Some(Code::Ambiguous), Some(Code::BadRequest));
+        let (ambiguous, bad) = (Some(ErrorCode::Ambiguous), Some(ErrorCode::BadRequest));
         for (body, wrong) in [
             (r#"{"query": "{a}"}"#.to_string(), None),
             (
@@ -258,7 +258,7 @@
 
     #[test]
     fn urls_that_can_be_read_in_two_ways_are_turned_down() {
-        let (ambiguous, bad) = (Some(Code::Ambiguous), Some(Code::BadRequest));
+        let (ambiguous, bad) = (Some(ErrorCode::Ambiguous), Some(ErrorCode::BadRequest));
         for (query, wrong) in [
             ("query=%7Ba%7D", None),
             ("query=%7Ba%7D&variables=&operationName=&cache=1", None),
@@ -305,7 +305,7 @@
             ("", false),
             ("a[]", false),
         ] {
-            assert_eq!(is_passable(name), passes, "{name}");
+            assert_eq!(is_allowable_parameter(name), passes, "{name}");
         }
     }
 }
--- a/crates/graphql/src/answer.rs
+++ b/crates/graphql/src/response.rs
@@ -6,11 +6,11 @@
 use serde_json::value::RawValue;
 use serde_json::{Map, Value, json};
 
-use crate::error::{Code, Rejection};
+use crate::error::{ErrorCode, Rejection};
 
 /// What became of a request that no server's answer tells of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum FailureResponse {
     /// Trying again is harmless, once this time is over.
     Refused(Option<Duration>),
     /// It may have run. Whether it was time that ran out.
@@ -21,41 +21,43 @@
     /// It was not begun, as one before it in its batch was not served.
     Skipped,
     /// A server answered, but not in JSON. It has run, or was turned down.
-    Unreadable,
+    NotJson,
 }
 
-impl Fate {
+impl FailureResponse {
     /// `extensions.code` of its error.
     pub fn code(self) -> &'static str {
         match self {
-            Fate::Refused(_) => "REFUSED",
-            Fate::Failed { timed_out: true } => "OUTCOME_UNKNOWN_TIMED_OUT",
-            Fate::Failed { timed_out: false } => "OUTCOME_UNKNOWN",
-            Fate::Skipped => "NOT_RUN",
-            Fate::Unreadable => "ANSWER_UNREADABLE",
+            FailureResponse::Refused(_) => "REFUSED",
+            FailureResponse::Failed { timed_out: true } => "OUTCOME_UNKNOWN_TIMED_OUT",
+            FailureResponse::Failed { timed_out: false } => "OUTCOME_UNKNOWN",
+            FailureResponse::Skipped => "NOT_RUN",
+            FailureResponse::NotJson => "ANSWER_UNREADABLE",
         }
     }
 
     fn message(self) -> &'static str {
         match self {
-            Fate::Refused(_) => "refused: asking again is harmless",
-            Fate::Failed { .. } => "no answer: it may have run",
-            Fate::Skipped => "not run: an earlier part of the batch that may change something was not served",
-            Fate::Unreadable => "the server's answer to this part is no JSON",
+            FailureResponse::Refused(_) => "refused: asking again is harmless",
+            FailureResponse::Failed { .. } => "no answer: it may have run",
+            FailureResponse::Skipped => {
+                "not run: an earlier part of the batch that may change something was not served"
+            }
+            FailureResponse::NotJson => "the server's answer to this part is no JSON",
         }
     }
 
     /// The response's body.
     ///
     /// ```
-    /// use dunelink_graphql::Fate;
+    /// use dunelink_graphql::FailureResponse;
     ///
-    /// let body = Fate::Refused(Some(std::time::Duration::from_millis(1500))).body();
+    /// let body = FailureResponse::Refused(Some(std::time::Duration::from_millis(1500))).body();
     /// assert_eq!(&body[..], br#"{"errors":[{"message":"refused: asking again is harmless","extensions":{"code":"REFUSED","retryAfter":1.5}}]}"#);
     /// ```
     pub fn body(self) -> Bytes {
         let retry_after = match self {
-            Fate::Refused(after) => after.map(|after| ("retryAfter", json!(after.as_secs_f64()))),
+            FailureResponse::Refused(after) => after.map(|after| ("retryAfter", json!(after.as_secs_f64()))),
             _ => None,
         };
         errors(self.message(), self.code(), retry_after)
@@ -66,7 +68,7 @@
     /// The response's body.
     pub fn body(&self) -> Bytes {
         let limit = match self.code {
-            Code::Limit(limit) => Some(("limit", json!(limit.name()))),
+            ErrorCode::Limit(limit) => Some(("limit", json!(limit.name()))),
             _ => None,
         };
         errors(&self.message, self.code.name(), limit)
@@ -98,7 +100,7 @@
 }
 
 /// The answers to a batch's parts as one.
-pub fn join<'a>(bodies: impl IntoIterator<Item = &'a Bytes>) -> Bytes {
+pub fn join_responses<'a>(bodies: impl IntoIterator<Item = &'a Bytes>) -> Bytes {
     let mut whole = BytesMut::from(&b"["[..]);
     for (at, body) in bodies.into_iter().enumerate() {
         if at > 0 {
--- a/crates/graphql/tests/differential/mod.rs
+++ b/crates/graphql/tests/differential/mod.rs
@@ -7,20 +7,24 @@
 use serde_json::Value;
 
 /// An endpoint whose operator lists nothing.
-pub(crate) fn reader() -> Reader {
+pub(crate) fn reader() -> RequestReader {
     let class = |index, effect| Class { index, effect };
-    Reader {
-        table: Table { query: class(0, Effect::Safe), mutation: class(1, Effect::Unsafe), rules: Vec::new() },
+    RequestReader {
+        table: ClassTable {
+            query: class(0, Effect::Safe),
+            mutation: class(1, Effect::Unsafe),
+            rules: Vec::new(),
+        },
         limits: Limits::default(),
         weights: Weights::default(),
-        documents: Documents::default(),
-        passed: vec!["cache".into()],
-        known: Known::default(),
+        manifest: DocumentManifest::default(),
+        allowed_parameters: vec!["cache".into()],
+        document_cache: DocumentCache::default(),
     }
 }
 
 /// Reads a request of JSON, whatever its bytes are.
-pub(crate) fn post(reader: &Reader, body: &[u8]) -> Result<Verdict, Rejection> {
+pub(crate) fn post(reader: &RequestReader, body: &[u8]) -> Result<ClassifiedRequest, Rejection> {
     let mut headers = HeaderMap::new();
     headers.insert("content-type", HeaderValue::from_static("application/json"));
     let body = Bytes::copy_from_slice(body);
@@ -28,7 +32,7 @@
 }
 
 /// Reads a request by GET.
-pub(crate) fn get(reader: &Reader, query: &str) -> Result<Verdict, Rejection> {
+pub(crate) fn get(reader: &RequestReader, query: &str) -> Result<ClassifiedRequest, Rejection> {
     let (headers, body) = (HeaderMap::new(), Bytes::new());
     let request =
         Request { method: &Method::GET, query: Some(query), headers: &headers, body: &body, has_key: true };
@@ -38,18 +42,21 @@
 /// Checks one body, and tells whether it is taken for safe.
 pub(crate) fn check_post(body: &[u8]) -> bool {
     match post(&reader(), body) {
-        Ok(Verdict::Single(ruling)) => check_ruling(&ruling, body),
-        Ok(Verdict::Batch(parts)) => {
-            let check =
-                |part: &Part| part.ruling.as_ref().is_ok_and(|ruling| check_ruling(ruling, &part.body));
+        Ok(ClassifiedRequest::Single(classification)) => check_classification(&classification, body),
+        Ok(ClassifiedRequest::Batch(parts)) => {
+            let check = |part: &BatchPart| {
+                part.classification
+                    .as_ref()
+                    .is_ok_and(|classification| check_classification(classification, &part.body))
+            };
             parts.iter().filter(|part| check(part)).count() == parts.len()
         }
         Err(_) => false,
     }
 }
 
-fn check_ruling(ruling: &Ruling, body: &[u8]) -> bool {
-    let safe = ruling.class.effect == Effect::Safe;
+fn check_classification(classification: &Classification, body: &[u8]) -> bool {
+    let safe = classification.class.effect == Effect::Safe;
     if safe {
         let texts = texts_of_body(body);
         assert!(!texts.is_empty(), "something runs");
@@ -60,8 +67,8 @@
 
 /// Checks one URL's query, and tells whether it is taken for safe. None is sent that surely holds a mutation.
 pub(crate) fn check_get(query: &str) -> bool {
-    let Ok(Verdict::Single(ruling)) = get(&reader(), query) else { return false };
-    let safe = ruling.class.effect == Effect::Safe;
+    let Ok(ClassifiedRequest::Single(classification)) = get(&reader(), query) else { return false };
+    let safe = classification.class.effect == Effect::Safe;
     if safe {
         check_texts(&texts_of_query(query), query);
     }
--- a/crates/graphql/tests/readings.rs
+++ b/crates/graphql/tests/readings.rs
@@ -56,13 +56,16 @@
     for query in ["query=mutation%7Bpay%7D", "query=query+A%7Ba%7D+mutation+B%7Bpay%7D&operationName=A"] {
         let wrong = get(&reader(), query).unwrap_err();
         assert_eq!(
-            (wrong.code, wrong.status(Media::Json).as_u16()),
-            (Code::MethodNotAllowed, 405),
+            (wrong.code, wrong.status(ResponseMediaType::Json).as_u16()),
+            (ErrorCode::MethodNotAllowed, 405),
             "{query}"
         );
     }
     let unknown = get(&reader(), "documentId=7f3a").unwrap();
-    assert!(matches!(unknown, Verdict::Single(r) if r.class.effect == Effect::Unsafe), "it goes once");
+    assert!(
+        matches!(unknown, ClassifiedRequest::Single(r) if r.class.effect == Effect::Unsafe),
+        "it goes once"
+    );
 }
 
 /// Pieces of bodies, by which readings come apart.
@@ -88,7 +91,7 @@
     (name, value).prop_map(|(name, value)| format!("\"{name}\": {value}"))
 }
 
-/// Documents, some with a mutation, made of pieces that parsers may see differently.
+/// DocumentManifest, some with a mutation, made of pieces that parsers may see differently.
 fn document() -> impl Strategy<Value = String> {
     let piece = prop::sample::select(vec![
         "{a}",
@@ -179,20 +182,20 @@
     #[test]
     fn a_batch_runs_as_if_in_order(parts in prop::collection::vec((any::<bool>(), 0_u8..4), 1..12), choice in any::<u64>()) {
         let reads: Vec<bool> = parts.iter().map(|(reads, _)| *reads).collect();
-        let mut order = Order::new(reads.clone());
+        let mut order = BatchSchedule::new(reads.clone());
         let (mut out, mut sent, mut over, mut broken) = (Vec::new(), Vec::new(), vec![false; parts.len()], false);
         let mut choice = choice;
         loop {
             for step in order.next() {
                 match step {
-                    Step::Send(at) => {
+                    BatchStep::Send(at) => {
                         prop_assert!(!sent.contains(&at));
                         prop_assert!((0..at).all(|b| over[b] || reads[b] && reads[at]), "{at} waits for what is before it");
                         prop_assert!(reads[at] || !broken);
                         sent.push(at);
                         out.push(at);
                     }
-                    Step::Skip(at) => {
+                    BatchStep::Skip(at) => {
                         prop_assert!(broken && !reads[at] && !over[at]);
                         over[at] = true;
                     }
@@ -203,12 +206,12 @@
             }
             let at = out.swap_remove(choice as usize % out.len());
             choice = choice.rotate_right(7);
-            let end = [End::Served, End::Served, End::Refused, End::Failed][usize::from(parts[at].1)];
-            broken |= !reads[at] && end != End::Served;
+            let end = [PartStatus::Served, PartStatus::Served, PartStatus::Refused, PartStatus::Failed][usize::from(parts[at].1)];
+            broken |= !reads[at] && end != PartStatus::Served;
             over[at] = true;
-            order.ended(at, end);
+            order.finish(at, end);
         }
-        prop_assert!(order.is_over() && over.iter().all(|over| *over));
+        prop_assert!(order.is_finished() && over.iter().all(|over| *over));
         prop_assert!(reads.iter().enumerate().all(|(at, reads)| !reads || sent.contains(&at)));
     }
 }
