--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -21,7 +21,7 @@
 
 use crate::answer_body::{AnswerBody, ReaderState};
 use crate::body_buffer::BodyBuffer;
-use crate::config::Answers;
+use crate::config::FinalAnswers;
 use crate::counted_socket::CountedSocket;
 use crate::payload::OutgoingBody;
 use crate::servers::{Connection, ReusableConnection, Servers};
@@ -252,7 +252,7 @@
         };
         let outcome = match Meaning::of(&parts) {
             _ if matches!(read, BodyRead::Broken) => Outcome::Reset,
-            Meaning::Done | Meaning::ClientError if self.answers == Answers::Ok => Outcome::Error,
+            Meaning::Done | Meaning::ClientError if self.answers == FinalAnswers::Ok => Outcome::Error,
             Meaning::Served | Meaning::Done | Meaning::ClientError => Outcome::Served,
             Meaning::Declined => Outcome::Rejected,
             Meaning::Error => Outcome::Error,
--- a/crates/dunelink/src/lib.rs
+++ b/crates/dunelink/src/lib.rs
@@ -87,7 +87,7 @@
 /// Decisions that the fleet makes by quorum, such as evictions.
 pub use dunelink_view as consensus;
 pub use error::{BodyError, BoxError, CallError, Closed, InvalidRequest, StartError};
-pub use fleet::{FleetView, GossipView, Gossiper, NodeView, OutView};
+pub use fleet::{EvictionView, FleetView, GossipView, Gossiper, NodeView};
 pub use intake::ext;
 pub use node::{Builder, Completion, Handle, Node, NodeParts, ReceivedRequest, ServerListReader, Shard};
 pub use server_list::{Server, ServerState, Update};
--- a/crates/dunelink/tests/conformance/main.rs
+++ b/crates/dunelink/tests/conformance/main.rs
@@ -28,7 +28,7 @@
 
     fn start_with(config: &Value, extra_toml: &str) -> Self {
         let mut config = Config::from_platform(&config.to_string()).unwrap();
-        config.attempts.answers = dunelink::config::Answers::Http;
+        config.attempts.answers = dunelink::config::FinalAnswers::Http;
         Self::start_node(Config::from_toml(&(config.to_toml().unwrap() + extra_toml)).unwrap())
     }
 
