--- a/crates/graphql/src/media.rs
+++ b/crates/graphql/src/media.rs
@@ -1,20 +1,20 @@
-//! The media types that an answer may have.
+//! The media types of responses.
 
-/// The media type of an answer.
+/// The media type of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Media {
+pub enum ResponseMediaType {
     /// `application/graphql-response+json`.
-    Response,
+    GraphqlResponse,
     /// `application/json`.
     Json,
 }
 
-impl Media {
-    /// Its name, for `Content-Type`.
+impl ResponseMediaType {
+    /// The value for `Content-Type`.
     pub fn name(self) -> &'static str {
         match self {
-            Media::Response => "application/graphql-response+json; charset=utf-8",
-            Media::Json => "application/json; charset=utf-8",
+            ResponseMediaType::GraphqlResponse => "application/graphql-response+json; charset=utf-8",
+            ResponseMediaType::Json => "application/json; charset=utf-8",
         }
     }
 }
