--- a/crates/dunelinkd/src/log.rs
+++ b/crates/dunelinkd/src/log.rs
@@ -3,30 +3,30 @@
 use clap::ValueEnum;
 use dunelink::config::LogFormat;
 
-/// The format of a log line.
+/// The format of a log line, as given on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub(crate) enum LogFormat {
+pub(crate) enum LogFormatArg {
     /// Readable text.
     Text,
     /// A JSON object.
     Json,
 }
 
-impl From<LogFormat> for LogFormat {
-    fn from(format: LogFormat) -> LogFormat {
+impl From<LogFormat> for LogFormatArg {
+    fn from(format: LogFormat) -> LogFormatArg {
         match format {
-            LogFormat::Text => LogFormat::Text,
-            LogFormat::Json => LogFormat::Json,
+            LogFormat::Text => LogFormatArg::Text,
+            LogFormat::Json => LogFormatArg::Json,
         }
     }
 }
 
 /// Starts writing events to the log, unless a subscriber is already installed.
-pub(crate) fn init(format: LogFormat) {
+pub(crate) fn init(format: LogFormatArg) {
     let subscriber = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
     // It fails only if a subscriber is already installed, which then stays.
     let _ = match format {
-        LogFormat::Text => subscriber.try_init(),
-        LogFormat::Json => subscriber.json().try_init(),
+        LogFormatArg::Text => subscriber.try_init(),
+        LogFormatArg::Json => subscriber.json().try_init(),
     };
 }
--- a/crates/dunelinkd/src/serve.rs
+++ b/crates/dunelinkd/src/serve.rs
@@ -73,7 +73,7 @@
     }
 }
 
-async fn run(source: Source, format: Option<log::LogFormat>) -> anyhow::Result<()> {
+async fn run(source: Source, format: Option<log::LogFormatArg>) -> anyhow::Result<()> {
     // Handlers are installed before anything else: unhandled, both signals end the process.
     let (hang_up, mut terminate) = (signal(SignalKind::hangup())?, signal(SignalKind::terminate())?);
     let mut config = source.read()?;
@@ -108,8 +108,8 @@
     }
     let ready = spawn_local(wait_until_ready(node.handle().clone(), shared, serving.clone()));
     spawn_local(reload_on_hangup(source, hang_up, discovery_mover, node.handle().clone()));
-    let close_timeout =
-        (config.max_deadline() + LAST_ANSWER_TIMEOUT).min(MAX_SHUTDOWN_TIME.saturating_sub(ACCEPT_AFTER_SIGTERM));
+    let close_timeout = (config.max_deadline() + LAST_ANSWER_TIMEOUT)
+        .min(MAX_SHUTDOWN_TIME.saturating_sub(ACCEPT_AFTER_SIGTERM));
     if let Some(list_source) = list_source {
         spawn_local(list_source.run());
         let mut shards = Shards::start(shards, node.handle(), listener, ready, shared)?;
@@ -247,7 +247,7 @@
 }
 
 /// Serves until SIGTERM.
-pub(crate) fn serve(source: Source, format: Option<log::LogFormat>) -> anyhow::Result<()> {
+pub(crate) fn serve(source: Source, format: Option<log::LogFormatArg>) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(source, format))
 }
