--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use cherryusher::{Outcome, ServerId};
-use dunelink_edge::answer::{self, Meaning};
 use dunelink_edge::fields::DEADLINE;
+use dunelink_edge::response::{self, RequestOutcome};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::ext::on_informational;
@@ -237,11 +237,11 @@
         stalled: Pin<&mut impl Future<Output = ()>>,
     ) -> AttemptResult {
         let (mut parts, mut body) = response.into_parts();
-        let framed = answer::states_its_end(&parts.headers, parts.version);
-        let closes = answer::ends_with_connection(&parts.headers, parts.version);
+        let framed = response::is_self_delimited(&parts.headers, parts.version);
+        let closes = response::ends_with_connection(&parts.headers, parts.version);
         // A truncated answer would look complete if its end is marked only by an unannounced close of the
         // connection.
-        let ends_cleanly = framed || closes || answer::has_no_body(parts.status);
+        let ends_cleanly = framed || closes || response::has_no_body(parts.status);
         if !ends_cleanly || body.size_hint().lower() > self.max_stream_bytes.max(self.max_body_bytes as u64) {
             return AttemptResult::without_response(Outcome::Reset);
         }
@@ -250,14 +250,18 @@
             read = read_body(&mut body, self.max_body_bytes) => read,
             () = stalled => BodyRead::Broken,
         };
-        let outcome = match Meaning::of(&parts) {
+        let outcome = match RequestOutcome::of(&parts) {
             _ if matches!(read, BodyRead::Broken) => Outcome::Reset,
-            Meaning::Done | Meaning::ClientError if self.answers == Answers::Ok => Outcome::Error,
-            Meaning::Served | Meaning::Done | Meaning::ClientError => Outcome::Served,
-            Meaning::Declined => Outcome::Rejected,
-            Meaning::Error => Outcome::Error,
+            RequestOutcome::ServedNonOk | RequestOutcome::ClientError if self.answers == Answers::Ok => {
+                Outcome::Error
+            }
+            RequestOutcome::Served | RequestOutcome::ServedNonOk | RequestOutcome::ClientError => {
+                Outcome::Served
+            }
+            RequestOutcome::Declined => Outcome::Rejected,
+            RequestOutcome::Error => Outcome::Error,
         };
-        answer::onward(&mut parts);
+        response::prepare_for_forwarding(&mut parts);
         let served =
             |body: AnswerBody| (outcome == Outcome::Served).then(|| Response::from_parts(parts, body));
         match read {
--- a/crates/dunelink/src/intake.rs
+++ b/crates/dunelink/src/intake.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cherryusher::RequestId;
-use dunelink_edge::fields::{COST, DEADLINE, ID, KEY, OWNER, only};
-use dunelink_edge::request::{self, Hosting};
+use dunelink_edge::fields::{COST, DEADLINE, ID, KEY, OWNER, single_text_value};
+use dunelink_edge::request::{self, HostRequirement};
 use dunelink_edge::target::Target;
 use http::header::{self, HeaderMap, HeaderValue};
 use http::request::Parts;
@@ -167,10 +167,10 @@
             return Err(InvalidRequest::new(status, "the headers are over 32 KiB"));
         }
         let hosting = match self.rules.host {
-            Absent::Refuse => Hosting::Wire,
-            Absent::Default => Hosting::Program,
+            Absent::Refuse => HostRequirement::Required,
+            Absent::Default => HostRequirement::Optional,
         };
-        Ok(request::read(parts, hosting)?)
+        Ok(request::validate_head(parts, hosting)?)
     }
 
     /// Reads the parts of a request's head that do not depend on its class, except for its target. Extensions
@@ -184,7 +184,7 @@
         let id = match ext.get::<ext::Id>() {
             Some(id) => Some(&*id.0),
             None if headers.contains_key(&ID) || self.rules.id == Absent::Refuse => {
-                Some(only(headers, &ID).ok_or(bad_request("Req-Id is missing or unreadable"))?)
+                Some(single_text_value(headers, &ID).ok_or(bad_request("Req-Id is missing or unreadable"))?)
             }
             None => None,
         };
@@ -196,7 +196,7 @@
         let client_timeout = match ext.get::<ext::Deadline>() {
             Some(at) => Some(at.0.saturating_duration_since(received_at.into_std())),
             None if headers.contains_key(&DEADLINE) || self.rules.deadline == Absent::Refuse => {
-                let timeout = only(headers, &DEADLINE).and_then(parse_seconds);
+                let timeout = single_text_value(headers, &DEADLINE).and_then(parse_seconds);
                 Some(
                     timeout
                         .ok_or(bad_request("Req-Deadline is missing or unreadable"))?
@@ -207,11 +207,13 @@
         };
         let tenant = match ext.get::<ext::Tenant>() {
             Some(tenant) => Some(&*tenant.0),
-            None => only(headers, &OWNER),
+            None => single_text_value(headers, &OWNER),
         };
         let expected_work = match ext.get::<ext::ExpectedWork>() {
             Some(work) => u64::try_from(work.0.as_micros()).ok(),
-            None => only(headers, &COST).and_then(|us| us.parse::<f64>().ok()).map(|us| us as u64),
+            None => {
+                single_text_value(headers, &COST).and_then(|us| us.parse::<f64>().ok()).map(|us| us as u64)
+            }
         };
         Ok(CommonHead {
             id: id.map(Box::from),
@@ -228,7 +230,7 @@
         let class_name = match parts.extensions.get::<ext::Class>() {
             // The host may have derived the class from any part of the path, so all of the path must be
             // unambiguous.
-            Some(class) => target.plain().map(|()| &*class.0)?,
+            Some(class) => target.check_every_segment().map(|()| &*class.0)?,
             None => target.class(),
         };
         let Some(class) = self.classes.get(class_name).map(|class| self.class_rules[*class]) else {
@@ -236,7 +238,7 @@
         };
         let common = self.common_head(parts, received_at)?;
         check_method(&class, &parts.method, &parts.headers)?;
-        let key = target.key().map(|part| xxhash_rust::xxh3::xxh3_64(part.as_bytes()));
+        let key = target.last_segment().map(|part| xxhash_rust::xxh3::xxh3_64(part.as_bytes()));
         Ok(Head { key, ..common.for_class(class) })
     }
 
@@ -357,14 +359,14 @@
             return Err(bad_request("a GET has no body"));
         }
         let target = parts.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
-        request::onward(&mut parts, DEFAULT_HOST);
+        request::prepare_for_forwarding(&mut parts, DEFAULT_HOST);
         let mut headers = parts.headers;
         headers.remove(DEADLINE);
         // Without a length, the body is sent in chunks.
         if let Some(length) = body.length().filter(|_| parts.method == Method::POST) {
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         }
-        if !headers.contains_key(&ID) || self.id.as_deref() != only(&headers, &ID) {
+        if !headers.contains_key(&ID) || self.id.as_deref() != single_text_value(&headers, &ID) {
             let id = HeaderValue::from_str(&id_claim.id).map_err(|_| bad_request("Req-Id is unreadable"))?;
             headers.insert(ID, id);
         }
--- a/crates/dunelinkd/src/clients.rs
+++ b/crates/dunelinkd/src/clients.rs
@@ -14,7 +14,7 @@
 use dunelink::http::plain;
 use dunelink::{AnswerBody, CallError, Completion, Config, Handle};
 use dunelink_edge::Fault;
-use dunelink_edge::request::{self, Hosting};
+use dunelink_edge::request::{self, HostRequirement};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
@@ -370,15 +370,15 @@
     /// The answer, and whether the request came in chunks; or the error for what is wrong with it.
     async fn respond(&self, request: Request<Incoming>, seen: &Seen, by: Instant) -> Result<Answered, Wrong> {
         // Where among the bytes the next request begins is hyper's to know: it drops what contradicts it.
-        let (line, came) = seen.next_head().ok_or(Fault::TwoFramings).map_err(turned_down)?;
+        let (line, came) = seen.next_head().ok_or(Fault::ConflictingFraming).map_err(turned_down)?;
         line.check().map_err(turned_down)?;
-        let chunked = line.codings > 0;
+        let chunked = line.transfer_codings > 0;
         if request.uri().path() == "/_health" {
             if !request.body().is_end_stream() {
                 return Err(plain(StatusCode::BAD_REQUEST, "a GET has no body"));
             }
             let (head, _) = request.into_parts();
-            request::read(&head, Hosting::Wire).map_err(turned_down)?;
+            request::validate_head(&head, HostRequirement::Required).map_err(turned_down)?;
             return Ok((self.health(&head.method), chunked));
         }
         let (mut head, body) = request.into_parts();
--- a/crates/dunelinkd/src/socket.rs
+++ b/crates/dunelinkd/src/socket.rs
@@ -85,14 +85,15 @@
 
     /// Whether some of a request has come and some has not.
     pub(crate) fn has_begun(&self) -> bool {
-        self.scanner.borrow().has_begun()
+        self.scanner.borrow().is_mid_request()
     }
 
     /// Whether more has come than the requests that were handed over: another one, a part of one, or bytes that were
     /// not read yet.
     pub(crate) fn has_more(&self) -> bool {
         let unread = |mut byte: [MaybeUninit<u8>; 1]| SockRef::from(&*self.stream.borrow()).peek(&mut byte);
-        self.scanner.borrow().has_more() || unread([MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
+        self.scanner.borrow().has_pending_input()
+            || unread([MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
     }
 
     /// Whether some of what came was dropped: the answer at hand is the connection's last.
@@ -102,7 +103,7 @@
 
     /// The head of the request that was just handed over as it stood on the wire, if it could be followed up to there,
     /// and when its last byte came, if it has.
-    pub(crate) fn next_head(&self) -> Option<(wire::Head, Option<Instant>)> {
+    pub(crate) fn next_head(&self) -> Option<(wire::RawHead, Option<Instant>)> {
         let head = self.scanner.borrow_mut().next_head()?;
         self.handed.set(self.handed.get() + 1);
         Some((head, self.came.borrow_mut().pop_front()))
@@ -131,9 +132,9 @@
         let before = buf.filled().len();
         ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf))?;
         let mut scanner = self.scanner.borrow_mut();
-        scanner.take(&buf.filled()[before..]);
+        scanner.feed(&buf.filled()[before..]);
         let mut came = self.came.borrow_mut();
-        let waiting = scanner.whole().saturating_sub(self.handed.get());
+        let waiting = scanner.completed_requests().saturating_sub(self.handed.get());
         came.resize(usize::try_from(waiting).unwrap_or(usize::MAX), Instant::now());
         Poll::Ready(Ok(()))
     }
@@ -148,7 +149,7 @@
     pub(crate) fn poll_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
         while !self.reads.get() {
             let ahead = self.ahead.borrow().len();
-            let body_comes = self.scanner.borrow().whole() < self.handed.get();
+            let body_comes = self.scanner.borrow().completed_requests() < self.handed.get();
             if body_comes && ahead >= BODY_AHEAD || self.ahead_all.get() >= AHEAD_ALL {
                 return self.poll_shut(cx);
             }
--- a/crates/edge/src/fault.rs
+++ b/crates/edge/src/fault.rs
@@ -9,95 +9,95 @@
 /// ```
 /// use dunelink_edge::Fault;
 ///
-/// assert_eq!((Fault::DotSegment.status().as_u16(), Fault::Expectation.status().as_u16()), (400, 417));
+/// assert_eq!((Fault::DotSegment.status().as_u16(), Fault::UnsupportedExpectation.status().as_u16()), (400, 417));
 /// assert_eq!(Fault::DotSegment.to_string(), "the path has a dot segment");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum Fault {
     /// It does not begin with `/`: the authority or asterisk form, or nothing at all.
-    Form,
+    NotAPath,
     /// It has a fragment, which never belongs into a message.
     Fragment,
     /// It has octets outside ASCII, which have to be percent-encoded.
-    RawOctet,
+    NonAsciiOctet,
     /// A `%` without two hexadecimal digits behind it.
-    Encoding,
+    BrokenPercentEncoding,
     /// What is percent-encoded is not UTF-8, or overlong.
-    Utf8,
+    InvalidUtf8,
     /// A control octet, also an encoded one.
-    Control,
+    ControlOctet,
     /// A part that some servers take for `.` or `..`.
     DotSegment,
     /// A backslash, or a character that some code pages turn into one or into a slash or dot.
-    Backslash,
+    SeparatorLookAlike,
     /// It begins with an empty part.
-    EmptyClass,
+    EmptyFirstSegment,
     /// The first part has octets that some servers decode, fold or cut off.
-    ImpureClass,
+    AmbiguousFirstSegment,
     /// A part has octets that some servers decode, fold or cut off, where the whole path says what class it is.
-    ImpurePath,
+    AmbiguousSegment,
     /// A field that may stand there once stands there more often.
-    Repeated,
+    RepeatedField,
     /// A field's name differs from one of the protocol's only in what some servers fold.
-    LookAlike,
+    LookAlikeField,
     /// A field that the protocol reads is not text.
-    Unreadable,
+    NonTextField,
     /// No `Host`, in HTTP/1.1.
-    NoHost,
+    MissingHost,
     /// `Host` is not a host with an optional port.
-    BadHost,
+    InvalidHost,
     /// `Host` and the target name different hosts.
-    OtherHost,
+    HostMismatch,
     /// The target's scheme is not HTTP.
-    Scheme,
+    UnsupportedScheme,
     /// A field that makes some servers take another target.
-    OtherTarget,
+    TargetOverride,
     /// A field that makes some servers take another method.
-    OtherMethod,
+    MethodOverride,
     /// `Transfer-Encoding` is not `chunked`, once.
-    Coding,
+    UnsupportedTransferCoding,
     /// `Content-Length` stands there more than once.
-    Lengths,
+    RepeatedContentLength,
     /// Both `Content-Length` and `Transfer-Encoding`.
-    TwoFramings,
+    ConflictingFraming,
     /// An expectation other than `100-continue`.
-    Expectation,
+    UnsupportedExpectation,
 }
 
 impl Fault {
     /// All of them, for tables and tests.
     pub const ALL: [Fault; 24] = [
-        Fault::Form,
+        Fault::NotAPath,
         Fault::Fragment,
-        Fault::RawOctet,
-        Fault::Encoding,
-        Fault::Utf8,
-        Fault::Control,
+        Fault::NonAsciiOctet,
+        Fault::BrokenPercentEncoding,
+        Fault::InvalidUtf8,
+        Fault::ControlOctet,
         Fault::DotSegment,
-        Fault::Backslash,
-        Fault::EmptyClass,
-        Fault::ImpureClass,
-        Fault::ImpurePath,
-        Fault::Repeated,
-        Fault::LookAlike,
-        Fault::Unreadable,
-        Fault::NoHost,
-        Fault::BadHost,
-        Fault::OtherHost,
-        Fault::Scheme,
-        Fault::OtherTarget,
-        Fault::OtherMethod,
-        Fault::Coding,
-        Fault::Lengths,
-        Fault::TwoFramings,
-        Fault::Expectation,
+        Fault::SeparatorLookAlike,
+        Fault::EmptyFirstSegment,
+        Fault::AmbiguousFirstSegment,
+        Fault::AmbiguousSegment,
+        Fault::RepeatedField,
+        Fault::LookAlikeField,
+        Fault::NonTextField,
+        Fault::MissingHost,
+        Fault::InvalidHost,
+        Fault::HostMismatch,
+        Fault::UnsupportedScheme,
+        Fault::TargetOverride,
+        Fault::MethodOverride,
+        Fault::UnsupportedTransferCoding,
+        Fault::RepeatedContentLength,
+        Fault::ConflictingFraming,
+        Fault::UnsupportedExpectation,
     ];
 
     /// 417 for an expectation (RFC 9110, 10.1.1), 400 for all else.
     pub const fn status(self) -> StatusCode {
         match self {
-            Fault::Expectation => StatusCode::EXPECTATION_FAILED,
+            Fault::UnsupportedExpectation => StatusCode::EXPECTATION_FAILED,
             _ => StatusCode::BAD_REQUEST,
         }
     }
@@ -105,30 +105,30 @@
     /// What is wrong, in words for the sender.
     pub const fn reason(self) -> &'static str {
         match self {
-            Fault::Form => "the target is not a path",
+            Fault::NotAPath => "the target is not a path",
             Fault::Fragment => "the target has a fragment",
-            Fault::RawOctet => "the target has octets that must be percent-encoded",
-            Fault::Encoding => "the path has a broken percent-encoding",
-            Fault::Utf8 => "the path is not UTF-8",
-            Fault::Control => "the path has a control octet",
+            Fault::NonAsciiOctet => "the target has octets that must be percent-encoded",
+            Fault::BrokenPercentEncoding => "the path has a broken percent-encoding",
+            Fault::InvalidUtf8 => "the path is not UTF-8",
+            Fault::ControlOctet => "the path has a control octet",
             Fault::DotSegment => "the path has a dot segment",
-            Fault::Backslash => "the path has a backslash, or what may become a separator",
-            Fault::EmptyClass => "the path begins with an empty part",
-            Fault::ImpureClass => "the path's first part is encoded or has parameters",
-            Fault::ImpurePath => "a part of the path is empty, encoded or has parameters",
-            Fault::Repeated => "a field that may stand there once is repeated",
-            Fault::LookAlike => "a field's name can be taken for another",
-            Fault::Unreadable => "a field that is read on the way is not text",
-            Fault::NoHost => "Host is missing",
-            Fault::BadHost => "Host is not a host",
-            Fault::OtherHost => "Host and the target name different hosts",
-            Fault::Scheme => "the target's scheme is not http or https",
-            Fault::OtherTarget => "a field names another target",
-            Fault::OtherMethod => "a field names another method",
-            Fault::Coding => "Transfer-Encoding is not chunked, once",
-            Fault::Lengths => "Content-Length stands there more than once",
-            Fault::TwoFramings => "both Content-Length and Transfer-Encoding",
-            Fault::Expectation => "only 100-continue can be expected",
+            Fault::SeparatorLookAlike => "the path has a backslash, or what may become a separator",
+            Fault::EmptyFirstSegment => "the path begins with an empty part",
+            Fault::AmbiguousFirstSegment => "the path's first part is encoded or has parameters",
+            Fault::AmbiguousSegment => "a part of the path is empty, encoded or has parameters",
+            Fault::RepeatedField => "a field that may stand there once is repeated",
+            Fault::LookAlikeField => "a field's name can be taken for another",
+            Fault::NonTextField => "a field that is read on the way is not text",
+            Fault::MissingHost => "Host is missing",
+            Fault::InvalidHost => "Host is not a host",
+            Fault::HostMismatch => "Host and the target name different hosts",
+            Fault::UnsupportedScheme => "the target's scheme is not http or https",
+            Fault::TargetOverride => "a field names another target",
+            Fault::MethodOverride => "a field names another method",
+            Fault::UnsupportedTransferCoding => "Transfer-Encoding is not chunked, once",
+            Fault::RepeatedContentLength => "Content-Length stands there more than once",
+            Fault::ConflictingFraming => "both Content-Length and Transfer-Encoding",
+            Fault::UnsupportedExpectation => "only 100-continue can be expected",
         }
     }
 }
--- a/crates/edge/src/fields.rs
+++ b/crates/edge/src/fields.rs
@@ -37,16 +37,16 @@
 /// The value of a field that is there once and is text.
 ///
 /// ```
-/// use dunelink_edge::fields::{KEY, only};
+/// use dunelink_edge::fields::{KEY, single_text_value};
 ///
 /// let mut headers = http::HeaderMap::new();
-/// assert_eq!(only(&headers, &KEY), None);
+/// assert_eq!(single_text_value(&headers, &KEY), None);
 /// headers.append(KEY, "5c0f".parse().unwrap());
-/// assert_eq!(only(&headers, &KEY), Some("5c0f"));
+/// assert_eq!(single_text_value(&headers, &KEY), Some("5c0f"));
 /// headers.append(KEY, "5c0f".parse().unwrap());
-/// assert_eq!(only(&headers, &KEY), None);
+/// assert_eq!(single_text_value(&headers, &KEY), None);
 /// ```
-pub fn only<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+pub fn single_text_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())?.to_str().ok()
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -9,7 +9,7 @@
 //!   encodings.
 //! - [`request`]: the fields of a request: which may stand there once only, which have look-alikes, where its
 //!   host is named; and what of them goes on.
-//! - [`answer`]: a server's answer: where it ends, what it says, what of it goes on.
+//! - [`response`]: a server's answer: where it ends, what it says, what of it goes on.
 //! - [`fields`]: names of the protocol, and the fields of one hop.
 //! - [`wire`]: the bytes of a client's connection, for what HTTP libraries drop before they hand a request on.
 //!
@@ -18,10 +18,10 @@
 
 #![forbid(unsafe_code)]
 
-pub mod answer;
 mod fault;
 pub mod fields;
 pub mod request;
+pub mod response;
 pub mod target;
 pub mod wire;
 
--- a/crates/edge/src/answer.rs
+++ b/crates/edge/src/response.rs
@@ -4,25 +4,25 @@
 use http::response::Parts;
 use http::{StatusCode, Version};
 
-use crate::fields::{DECLINED, drop_hop_fields, only};
+use crate::fields::{DECLINED, drop_hop_fields, single_text_value};
 
 /// What an answer says of the request.
 ///
 /// ```
-/// use dunelink_edge::answer::Meaning;
+/// use dunelink_edge::response::RequestOutcome;
 ///
 /// let (head, ()) = http::Response::builder().status(503).header("srv-declined", "1").body(())?.into_parts();
-/// assert_eq!(Meaning::of(&head), Meaning::Declined);
+/// assert_eq!(RequestOutcome::of(&head), RequestOutcome::Declined);
 /// # Ok::<(), http::Error>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum RequestOutcome {
     /// It ran, and this is its result.
     Served,
     /// It has not run: the server's word, said once and clearly.
     Declined,
     /// A 2xx other than 200: it ran too, where servers go by HTTP alone.
-    Done,
+    ServedNonOk,
     /// A 4xx about the request, which any other server would answer alike: all but 408, 421, 425 and 429, which are
     /// about the server or its connection.
     ClientError,
@@ -30,23 +30,23 @@
     Error,
 }
 
-impl Meaning {
+impl RequestOutcome {
     /// What a head says.
-    pub fn of(head: &Parts) -> Meaning {
+    pub fn of(head: &Parts) -> RequestOutcome {
         match head.status {
-            StatusCode::OK => Meaning::Served,
+            StatusCode::OK => RequestOutcome::Served,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
-                if only(&head.headers, &DECLINED) == Some("1") =>
+                if single_text_value(&head.headers, &DECLINED) == Some("1") =>
             {
-                Meaning::Declined
+                RequestOutcome::Declined
             }
             StatusCode::REQUEST_TIMEOUT
             | StatusCode::MISDIRECTED_REQUEST
             | StatusCode::TOO_EARLY
-            | StatusCode::TOO_MANY_REQUESTS => Meaning::Error,
-            status if status.is_success() => Meaning::Done,
-            status if status.is_client_error() => Meaning::ClientError,
-            _ => Meaning::Error,
+            | StatusCode::TOO_MANY_REQUESTS => RequestOutcome::Error,
+            status if status.is_success() => RequestOutcome::ServedNonOk,
+            status if status.is_client_error() => RequestOutcome::ClientError,
+            _ => RequestOutcome::Error,
         }
     }
 }
@@ -56,17 +56,17 @@
 /// (6.1).
 ///
 /// ```
-/// use dunelink_edge::answer::states_its_end;
+/// use dunelink_edge::response::is_self_delimited;
 /// use http::{HeaderMap, Version};
 ///
 /// let mut headers = HeaderMap::new();
-/// assert!(!states_its_end(&headers, Version::HTTP_11));
+/// assert!(!is_self_delimited(&headers, Version::HTTP_11));
 /// headers.insert("transfer-encoding", "chunked".parse().unwrap());
-/// assert!(states_its_end(&headers, Version::HTTP_11) && !states_its_end(&headers, Version::HTTP_10));
+/// assert!(is_self_delimited(&headers, Version::HTTP_11) && !is_self_delimited(&headers, Version::HTTP_10));
 /// headers.insert("content-length", "3".parse().unwrap());
-/// assert!(!states_its_end(&headers, Version::HTTP_11));
+/// assert!(!is_self_delimited(&headers, Version::HTTP_11));
 /// ```
-pub fn states_its_end(headers: &HeaderMap, version: Version) -> bool {
+pub fn is_self_delimited(headers: &HeaderMap, version: Version) -> bool {
     let length = headers.contains_key(header::CONTENT_LENGTH);
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     match codings.next() {
@@ -82,7 +82,7 @@
 /// 9.6). Its end is then one that was meant, if the connection was not reset.
 ///
 /// ```
-/// use dunelink_edge::answer::ends_with_connection;
+/// use dunelink_edge::response::ends_with_connection;
 /// use http::{HeaderMap, Version};
 ///
 /// let mut headers = HeaderMap::new();
@@ -103,7 +103,7 @@
 /// Whether an answer has no framing at all, so that the end of its connection is its end (RFC 9112, 6.3).
 ///
 /// ```
-/// use dunelink_edge::answer::is_unframed;
+/// use dunelink_edge::response::is_unframed;
 /// use http::HeaderMap;
 ///
 /// let mut headers = HeaderMap::new();
@@ -118,7 +118,7 @@
 /// Whether an answer of this status has no body, whatever its fields say (RFC 9112, 6.3).
 ///
 /// ```
-/// assert!(dunelink_edge::answer::has_no_body(http::StatusCode::NO_CONTENT));
+/// assert!(dunelink_edge::response::has_no_body(http::StatusCode::NO_CONTENT));
 /// ```
 pub fn has_no_body(status: StatusCode) -> bool {
     matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
@@ -130,11 +130,11 @@
 /// ```
 /// let answer = http::Response::builder().version(http::Version::HTTP_10).header("connection", "close");
 /// let (mut head, ()) = answer.header("x-note", "1").body(())?.into_parts();
-/// dunelink_edge::answer::onward(&mut head);
+/// dunelink_edge::response::prepare_for_forwarding(&mut head);
 /// assert_eq!((head.version, head.headers.len()), (http::Version::HTTP_11, 1));
 /// # Ok::<(), http::Error>(())
 /// ```
-pub fn onward(head: &mut Parts) {
+pub fn prepare_for_forwarding(head: &mut Parts) {
     drop_hop_fields(&mut head.headers);
     head.version = Version::HTTP_11;
 }
--- a/crates/edge/src/target.rs
+++ b/crates/edge/src/target.rs
@@ -14,11 +14,11 @@
 /// ```
 /// use dunelink_edge::{Fault, target::Target};
 ///
-/// let target = Target::read("/view/2026%2F11/7f3a")?;
-/// assert_eq!((target.class(), target.key()), ("view", Some("7f3a")));
+/// let target = Target::parse("/view/2026%2F11/7f3a")?;
+/// assert_eq!((target.class(), target.last_segment()), ("view", Some("7f3a")));
 ///
-/// assert_eq!(Target::read("/view/..%2forder/x"), Err(Fault::DotSegment));
-/// assert_eq!(Target::read("/%6frder/x"), Err(Fault::ImpureClass));
+/// assert_eq!(Target::parse("/view/..%2forder/x"), Err(Fault::DotSegment));
+/// assert_eq!(Target::parse("/%6frder/x"), Err(Fault::AmbiguousFirstSegment));
 /// # Ok::<(), Fault>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,10 +57,10 @@
     /// # Errors
     ///
     /// It is not a path, or there are servers that could read another class in it.
-    pub fn read(path: &'a str) -> Result<Target<'a>, Fault> {
+    pub fn parse(path: &'a str) -> Result<Target<'a>, Fault> {
         let octets = path.as_bytes();
         if octets.first() != Some(&b'/') {
-            return Err(Fault::Form);
+            return Err(Fault::NotAPath);
         }
         // Nearly all paths have nothing to look into.
         let mut before = PLAIN;
@@ -75,10 +75,10 @@
         }
         let class = path[1..].split('/').next().unwrap_or_default();
         if class.is_empty() && path.len() > 1 {
-            return Err(Fault::EmptyClass);
+            return Err(Fault::EmptyFirstSegment);
         }
         if !class.bytes().all(in_class) {
-            return Err(Fault::ImpureClass);
+            return Err(Fault::AmbiguousFirstSegment);
         }
         Ok(Target { path, class })
     }
@@ -89,7 +89,7 @@
     }
 
     /// The last part, if it is another than the first and not empty.
-    pub fn key(&self) -> Option<&'a str> {
+    pub fn last_segment(&self) -> Option<&'a str> {
         let (before, last) = self.path.rsplit_once('/')?;
         Some(last).filter(|last| !before.is_empty() && !last.is_empty())
     }
@@ -100,9 +100,9 @@
     /// ```
     /// use dunelink_edge::{Fault, target::Target};
     ///
-    /// assert!(Target::read("/portal/payslips/a%20b")?.plain().is_ok());
+    /// assert!(Target::parse("/portal/payslips/a%20b")?.check_every_segment().is_ok());
     /// for path in ["/portal//orders", "/portal/%6frders/7", "/portal/payslips%2F7", "/portal/payslips;v=1"] {
-    ///     assert_eq!(Target::read(path)?.plain(), Err(Fault::ImpurePath), "{path}");
+    ///     assert_eq!(Target::parse(path)?.check_every_segment(), Err(Fault::AmbiguousSegment), "{path}");
     /// }
     /// # Ok::<(), Fault>(())
     /// ```
@@ -110,12 +110,12 @@
     /// # Errors
     ///
     /// There are servers that could read another part somewhere.
-    pub fn plain(&self) -> Result<(), Fault> {
+    pub fn check_every_segment(&self) -> Result<(), Fault> {
         let path = self.path.as_bytes();
         let impure = path.windows(2).any(|two| two == b"//")
             || path.contains(&b';')
             || path.split(|octet| *octet == b'%').skip(1).any(needless);
-        if impure { Err(Fault::ImpurePath) } else { Ok(()) }
+        if impure { Err(Fault::AmbiguousSegment) } else { Ok(()) }
     }
 }
 
@@ -182,22 +182,22 @@
 /// Looks closely at a path that has something odd.
 fn examine(path: &[u8]) -> Result<(), Fault> {
     if !path.is_ascii() {
-        return Err(Fault::RawOctet);
+        return Err(Fault::NonAsciiOctet);
     }
     let mut at = 0;
     while let Some(next) = path[at..].iter().position(|octet| *octet == b'%') {
         at += next + 1;
         if path.get(at..at + 2).is_none_or(|two| octet(two[0], two[1]).is_none()) {
-            return Err(Fault::Encoding);
+            return Err(Fault::BrokenPercentEncoding);
         }
     }
     let decoded = decode_wholly(path);
-    let text = std::str::from_utf8(&decoded).map_err(|_| Fault::Utf8)?;
+    let text = std::str::from_utf8(&decoded).map_err(|_| Fault::InvalidUtf8)?;
     if text.bytes().any(|octet| octet.is_ascii_control()) {
-        return Err(Fault::Control);
+        return Err(Fault::ControlOctet);
     }
     if text.chars().any(becomes_separator) {
-        return Err(Fault::Backslash);
+        return Err(Fault::SeparatorLookAlike);
     }
     if text.split('/').any(is_dots) {
         return Err(Fault::DotSegment);
@@ -266,8 +266,8 @@
             ("/view/%3Fq", "view", Some("%3Fq")),
             ("/a:b@c/x", "a:b@c", Some("x")),
         ] {
-            let target = Target::read(path).unwrap();
-            assert_eq!((target.class(), target.key()), (class, key), "{path}");
+            let target = Target::parse(path).unwrap();
+            assert_eq!((target.class(), target.last_segment()), (class, key), "{path}");
         }
     }
 
@@ -275,10 +275,10 @@
     fn what_some_server_could_read_otherwise_is_turned_down() {
         use Fault::*;
         for (path, fault) in [
-            ("", Form),
-            ("*", Form),
-            ("origin.svc:443", Form),
-            ("\\view", Form),
+            ("", NotAPath),
+            ("*", NotAPath),
+            ("origin.svc:443", NotAPath),
+            ("\\view", NotAPath),
             ("/view/..", DotSegment),
             ("/view/../order/x", DotSegment),
             ("/view/./x", DotSegment),
@@ -300,45 +300,45 @@
             ("/view/+../order", DotSegment),
             ("/view/%C2%A0../order", DotSegment),
             ("/view/.../order", DotSegment),
-            ("/view\\..\\order", Backslash),
-            ("/view/..%5corder", Backslash),
-            ("/view/..%255corder", Backslash),
-            ("/view/%C2%A5..", Backslash),
-            ("/view/%EF%BC%8E%EF%BC%8E/order", Backslash),
-            ("/view/..%EF%BC%8Forder", Backslash),
-            ("/view/%E2%80%A5/order", Backslash),
-            ("/view/%c0%ae%c0%ae/order", Utf8),
-            ("/view/%c0%afx", Utf8),
-            ("/view/%ed%a0%80", Utf8),
-            ("/view/%E9", Utf8),
-            ("/view/a%00b", Control),
-            ("/view/a%0d%0ab", Control),
-            ("/view/a%7f", Control),
-            ("/view/%2500", Control),
-            ("/view/a\tb", Control),
-            ("/view/%", Encoding),
-            ("/view/%2", Encoding),
-            ("/view/%zz", Encoding),
-            ("/view/%u002e%u002e/order", Encoding),
-            ("/view/é", RawOctet),
-            ("//view/x", EmptyClass),
-            ("//", EmptyClass),
-            ("/%76iew/x", ImpureClass),
-            ("/view%20/x", ImpureClass),
-            ("/view;a=1/x", ImpureClass),
-            ("/;/order/x", ImpureClass),
+            ("/view\\..\\order", SeparatorLookAlike),
+            ("/view/..%5corder", SeparatorLookAlike),
+            ("/view/..%255corder", SeparatorLookAlike),
+            ("/view/%C2%A5..", SeparatorLookAlike),
+            ("/view/%EF%BC%8E%EF%BC%8E/order", SeparatorLookAlike),
+            ("/view/..%EF%BC%8Forder", SeparatorLookAlike),
+            ("/view/%E2%80%A5/order", SeparatorLookAlike),
+            ("/view/%c0%ae%c0%ae/order", InvalidUtf8),
+            ("/view/%c0%afx", InvalidUtf8),
+            ("/view/%ed%a0%80", InvalidUtf8),
+            ("/view/%E9", InvalidUtf8),
+            ("/view/a%00b", ControlOctet),
+            ("/view/a%0d%0ab", ControlOctet),
+            ("/view/a%7f", ControlOctet),
+            ("/view/%2500", ControlOctet),
+            ("/view/a\tb", ControlOctet),
+            ("/view/%", BrokenPercentEncoding),
+            ("/view/%2", BrokenPercentEncoding),
+            ("/view/%zz", BrokenPercentEncoding),
+            ("/view/%u002e%u002e/order", BrokenPercentEncoding),
+            ("/view/é", NonAsciiOctet),
+            ("//view/x", EmptyFirstSegment),
+            ("//", EmptyFirstSegment),
+            ("/%76iew/x", AmbiguousFirstSegment),
+            ("/view%20/x", AmbiguousFirstSegment),
+            ("/view;a=1/x", AmbiguousFirstSegment),
+            ("/;/order/x", AmbiguousFirstSegment),
             ("/view%2f..%2forder", DotSegment),
-            ("/view%3f/x", ImpureClass),
-            ("/+order/x", ImpureClass),
+            ("/view%3f/x", AmbiguousFirstSegment),
+            ("/+order/x", AmbiguousFirstSegment),
         ] {
-            assert_eq!(Target::read(path).map(|_| ()), Err(fault), "{path}");
+            assert_eq!(Target::parse(path).map(|_| ()), Err(fault), "{path}");
         }
     }
 
     #[test]
     fn an_encoding_within_encodings_is_undone_in_one_pass() {
         let nested = format!("/view/%{}2e%2e", "25".repeat(10_000));
-        assert_eq!(Target::read(&nested), Err(Fault::DotSegment));
+        assert_eq!(Target::parse(&nested), Err(Fault::DotSegment));
         assert_eq!(decode_wholly(nested.as_bytes()), b"/view/..");
         assert_eq!(decode_wholly(b"/%%32%65"), b"/.");
     }
--- a/crates/edge/src/wire.rs
+++ b/crates/edge/src/wire.rs
@@ -12,16 +12,16 @@
 
 /// What a request's head holds on the wire.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Head {
+pub struct RawHead {
     /// Whether the target has a `#`.
-    pub fragment: bool,
+    pub has_fragment: bool,
     /// How many lines state a length.
-    pub lengths: usize,
+    pub content_lengths: usize,
     /// How many lines state a transfer coding.
-    pub codings: usize,
+    pub transfer_codings: usize,
 }
 
-impl Head {
+impl RawHead {
     /// What could be read otherwise.
     ///
     /// # Errors
@@ -29,9 +29,9 @@
     /// There are servers that could read it otherwise.
     pub fn check(&self) -> Result<(), Fault> {
         match self {
-            Head { fragment: true, .. } => Err(Fault::Fragment),
-            Head { lengths: 1.., codings: 1.., .. } => Err(Fault::TwoFramings),
-            Head { lengths: 2.., .. } => Err(Fault::Lengths),
+            RawHead { has_fragment: true, .. } => Err(Fault::Fragment),
+            RawHead { content_lengths: 1.., transfer_codings: 1.., .. } => Err(Fault::ConflictingFraming),
+            RawHead { content_lengths: 2.., .. } => Err(Fault::RepeatedContentLength),
             _ => Ok(()),
         }
     }
@@ -54,10 +54,10 @@
 /// use dunelink_edge::{Fault, wire::Scanner};
 ///
 /// let mut scanner = Scanner::default();
-/// scanner.take(b"POST /order/1 HTTP/1.1\r\nContent-Length: 3\r\n\r\nyenGET /view/1#x HTT");
+/// scanner.feed(b"POST /order/1 HTTP/1.1\r\nContent-Length: 3\r\n\r\nyenGET /view/1#x HTT");
 /// assert_eq!(scanner.next_head().map(|head| head.check()), Some(Ok(())));
-/// assert!(scanner.next_head().is_none() && scanner.has_begun());
-/// scanner.take(b"P/1.1\r\n\r\n");
+/// assert!(scanner.next_head().is_none() && scanner.is_mid_request());
+/// scanner.feed(b"P/1.1\r\n\r\n");
 /// assert_eq!(scanner.next_head().map(|head| head.check()), Some(Err(Fault::Fragment)));
 /// ```
 #[derive(Debug)]
@@ -67,9 +67,9 @@
     line: Vec<u8>,
     /// Whether the head's first line is there: empty lines before it are skipped (RFC 9112, 2.2).
     begun: bool,
-    head: Head,
+    head: RawHead,
     length: u64,
-    heads: VecDeque<Head>,
+    heads: VecDeque<RawHead>,
     /// How many requests have come whole.
     whole: u64,
 }
@@ -80,7 +80,7 @@
             at: At::Head,
             line: Vec::new(),
             begun: false,
-            head: Head::default(),
+            head: RawHead::default(),
             length: 0,
             heads: VecDeque::new(),
             whole: 0,
@@ -90,7 +90,7 @@
 
 impl Scanner {
     /// Takes in what has come.
-    pub fn take(&mut self, mut bytes: &[u8]) {
+    pub fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             match self.at {
                 At::Lost => return,
@@ -136,7 +136,7 @@
             (false, false) => {
                 self.begun = true;
                 let target = line.split(|octet| *octet == b' ').nth(1);
-                self.head.fragment = target.is_some_and(|target| target.contains(&b'#'));
+                self.head.has_fragment = target.is_some_and(|target| target.contains(&b'#'));
             }
             (false, true) => self.take_field(line),
         }
@@ -146,9 +146,9 @@
         let Some(colon) = line.iter().position(|octet| *octet == b':') else { return self.lose() };
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            self.head.codings += 1;
+            self.head.transfer_codings += 1;
         } else if name.eq_ignore_ascii_case(b"content-length") {
-            self.head.lengths += 1;
+            self.head.content_lengths += 1;
             let digits = std::str::from_utf8(value).ok().filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
             match digits.and_then(|digits| digits.parse().ok()) {
                 Some(length) => self.length = length,
@@ -159,7 +159,7 @@
 
     fn end_head(&mut self) {
         let head = std::mem::take(&mut self.head);
-        self.at = match head.codings {
+        self.at = match head.transfer_codings {
             0 if self.length > 0 => At::Body(self.length),
             0 => At::Head,
             _ => At::Lost,
@@ -173,23 +173,23 @@
     }
 
     /// How many requests have come to their last byte, as far as they could be followed.
-    pub fn whole(&self) -> u64 {
+    pub fn completed_requests(&self) -> u64 {
         self.whole
     }
 
     /// Whether there is more than the heads that were asked for: another one, or a part of a request.
-    pub fn has_more(&self) -> bool {
-        !self.heads.is_empty() || self.has_begun()
+    pub fn has_pending_input(&self) -> bool {
+        !self.heads.is_empty() || self.is_mid_request()
     }
 
     /// The head of the next request, in the order in which they came; nothing if there is none, or it could not
     /// be followed.
-    pub fn next_head(&mut self) -> Option<Head> {
+    pub fn next_head(&mut self) -> Option<RawHead> {
         self.heads.pop_front()
     }
 
     /// Whether some of a request has come and some has not.
-    pub fn has_begun(&self) -> bool {
+    pub fn is_mid_request(&self) -> bool {
         match self.at {
             At::Head => self.begun || !self.line.is_empty(),
             At::Body(_) => true,
--- a/crates/edge/src/wire_tests.rs
+++ b/crates/edge/src/wire_tests.rs
@@ -11,9 +11,13 @@
     let heads = [(false, 1, 0), (false, 0, 0), (true, 2, 0), (false, 1, 1)];
     for size in 1..MESSAGES.len() {
         let mut scanner = Scanner::default();
-        MESSAGES.chunks(size).for_each(|bytes| scanner.take(bytes));
-        for (fragment, lengths, codings) in heads {
-            assert_eq!(scanner.next_head(), Some(Head { fragment, lengths, codings }), "by {size}");
+        MESSAGES.chunks(size).for_each(|bytes| scanner.feed(bytes));
+        for (has_fragment, content_lengths, transfer_codings) in heads {
+            assert_eq!(
+                scanner.next_head(),
+                Some(RawHead { has_fragment, content_lengths, transfer_codings }),
+                "by {size}"
+            );
         }
         assert_eq!(scanner.next_head(), None);
     }
@@ -22,24 +26,24 @@
 #[test]
 fn a_request_has_begun_until_it_is_whole() {
     let mut scanner = Scanner::default();
-    assert!(!scanner.has_begun());
-    scanner.take(b"\r\n");
-    assert!(!scanner.has_begun());
-    scanner.take(b"P");
-    assert!(scanner.has_begun());
-    scanner.take(b"OST /order/1 HTTP/1.1\r\nContent-Length: 3\r\n\r\nye");
-    assert!(scanner.has_begun());
-    scanner.take(b"n");
-    assert!(!scanner.has_begun());
+    assert!(!scanner.is_mid_request());
+    scanner.feed(b"\r\n");
+    assert!(!scanner.is_mid_request());
+    scanner.feed(b"P");
+    assert!(scanner.is_mid_request());
+    scanner.feed(b"OST /order/1 HTTP/1.1\r\nContent-Length: 3\r\n\r\nye");
+    assert!(scanner.is_mid_request());
+    scanner.feed(b"n");
+    assert!(!scanner.is_mid_request());
 }
 
 #[test]
 fn what_has_come_whole_is_counted_however_the_bytes_come() {
     for size in 1..MESSAGES.len() {
         let mut scanner = Scanner::default();
-        MESSAGES.chunks(size).for_each(|bytes| scanner.take(bytes));
+        MESSAGES.chunks(size).for_each(|bytes| scanner.feed(bytes));
         // The one in chunks is not followed to its end.
-        assert_eq!((scanner.whole(), scanner.has_more()), (3, true), "by {size}");
+        assert_eq!((scanner.completed_requests(), scanner.has_pending_input()), (3, true), "by {size}");
     }
 }
 
@@ -49,11 +53,11 @@
         [&b"GET / HTTP/1.1\r\nno colon\r\n\r\n"[..], b"GET / HTTP/1.1\r\nContent-Length: 3, 3\r\n\r\n"]
     {
         let mut scanner = Scanner::default();
-        scanner.take(bytes);
+        scanner.feed(bytes);
         assert_eq!(scanner.next_head(), None);
     }
     let mut scanner = Scanner::default();
-    scanner.take(&vec![b'a'; 2 * LINE_MOST]);
-    scanner.take(b"\r\n\r\n");
-    assert!(scanner.next_head().is_none() && !scanner.has_begun() && scanner.line.is_empty());
+    scanner.feed(&vec![b'a'; 2 * LINE_MOST]);
+    scanner.feed(b"\r\n\r\n");
+    assert!(scanner.next_head().is_none() && !scanner.is_mid_request() && scanner.line.is_empty());
 }
--- a/crates/edge/tests/corpus.rs
+++ b/crates/edge/tests/corpus.rs
@@ -9,7 +9,7 @@
     let paths = corpus("target");
     let read = paths.iter().filter_map(|path| std::str::from_utf8(path).ok());
     let good = read.inspect(|path| differential::check_target(path));
-    assert!(good.filter(|path| dunelink_edge::target::Target::read(path).is_ok()).count() > 3);
+    assert!(good.filter(|path| dunelink_edge::target::Target::parse(path).is_ok()).count() > 3);
 }
 
 #[test]
--- a/crates/edge/tests/differential/mod.rs
+++ b/crates/edge/tests/differential/mod.rs
@@ -2,13 +2,13 @@
 //! dots and takes backslashes for slashes) and `httparse` (where heads and bodies end). Fuzz targets and the replay of
 //! their corpora share it.
 
-use dunelink_edge::request::{Hosting, onward, read};
+use dunelink_edge::request::{HostRequirement, prepare_for_forwarding, validate_head};
 use dunelink_edge::target::Target;
-use dunelink_edge::wire::{Head, Scanner};
+use dunelink_edge::wire::{RawHead, Scanner};
 
 /// A path that is not turned down has the first part that a browser sees, and the last.
 pub(crate) fn check_target(path: &str) {
-    let Ok(target) = Target::read(path) else { return };
+    let Ok(target) = Target::parse(path) else { return };
     let Ok(url) = url::Url::parse(&format!("http://origin.svc{path}")) else { return };
     assert_eq!(url.host_str(), Some("origin.svc"));
     let mut parts = url.path_segments().unwrap();
@@ -20,13 +20,13 @@
             assert_eq!(url.path().rsplit('/').next(), Some(last), "{path}");
         }
     }
-    if target.plain().is_ok() {
+    if target.check_every_segment().is_ok() {
         assert_eq!(url.path().split('/').count(), path.split(['?', '#']).next().unwrap().split('/').count());
     }
 }
 
 /// What `httparse` finds in these bytes: heads, and the requests that they make.
-pub(crate) fn heads(mut bytes: &[u8]) -> Vec<(Head, http::Request<()>)> {
+pub(crate) fn heads(mut bytes: &[u8]) -> Vec<(RawHead, http::Request<()>)> {
     let mut found = Vec::new();
     loop {
         let mut fields = [httparse::EMPTY_HEADER; 100];
@@ -34,10 +34,10 @@
         let Ok(httparse::Status::Complete(size)) = request.parse(bytes) else { return found };
         bytes = &bytes[size..];
         let of = |name: &str| request.headers.iter().filter(|f| f.name.eq_ignore_ascii_case(name)).count();
-        let head = Head {
-            fragment: request.path.unwrap().contains('#'),
-            lengths: of("content-length"),
-            codings: of("transfer-encoding"),
+        let head = RawHead {
+            has_fragment: request.path.unwrap().contains('#'),
+            content_lengths: of("content-length"),
+            transfer_codings: of("transfer-encoding"),
         };
         let mut made = http::Request::builder().method(request.method.unwrap()).uri(request.path.unwrap());
         let mut length = Some(0_u64);
@@ -56,7 +56,7 @@
             Err(_) => found.push((head, http::Request::new(()))),
         }
         match usize::try_from(length) {
-            Ok(length) if head.codings == 0 && length <= bytes.len() => bytes = &bytes[length..],
+            Ok(length) if head.transfer_codings == 0 && length <= bytes.len() => bytes = &bytes[length..],
             _ => return found,
         }
     }
@@ -67,16 +67,16 @@
 pub(crate) fn check_message(bytes: &[u8]) {
     let cut = bytes.first().map_or(1, |first| usize::from(*first % 32) + 1);
     let (mut whole, mut pieces) = (Scanner::default(), Scanner::default());
-    whole.take(bytes);
-    bytes.chunks(cut).for_each(|piece| pieces.take(piece));
+    whole.feed(bytes);
+    bytes.chunks(cut).for_each(|piece| pieces.feed(piece));
     for (head, request) in heads(bytes) {
         assert_eq!((whole.next_head(), pieces.next_head()), (Some(head), Some(head)));
         let (mut parts, ()) = request.into_parts();
-        let Ok(target) = read(&parts, Hosting::Wire) else { continue };
+        let Ok(target) = validate_head(&parts, HostRequirement::Required) else { continue };
         assert!(parts.uri.path().starts_with('/') && !target.class().contains(['%', ';', '\\']));
         check_target(parts.uri.path());
         let key = parts.headers.get("idempotency-key").cloned();
-        onward(&mut parts, "origin.svc");
+        prepare_for_forwarding(&mut parts, "origin.svc");
         let count = |name: &'static str| parts.headers.get_all(name).iter().count();
         assert_eq!((count("host"), count("connection"), count("transfer-encoding")), (1, 0, 0));
         assert_eq!(count("content-length") + count("te") + count("upgrade"), 0);
--- a/crates/edge/tests/readings.rs
+++ b/crates/edge/tests/readings.rs
@@ -2,7 +2,7 @@
 //! without a look at the crate's own code: each is a pipeline of what some product or framework does.
 
 use dunelink_edge::fields::{ID, KEY};
-use dunelink_edge::request::{Hosting, read};
+use dunelink_edge::request::{HostRequirement, validate_head};
 use dunelink_edge::target::Target;
 use http::header::{HOST, HeaderName, HeaderValue};
 use proptest::collection::vec;
@@ -237,14 +237,14 @@
 
     #[test]
     fn a_class_is_the_same_to_every_server_or_the_request_is_turned_down(path in path(), server in server()) {
-        if let Ok(target) = Target::read(&path) && ["view", "order"].contains(&target.class()) {
+        if let Ok(target) = Target::parse(&path) && ["view", "order"].contains(&target.class()) {
             prop_assert_eq!(server.class(&path), target.class(), "{}", path);
         }
     }
 
     #[test]
     fn a_plain_path_is_decoded_and_resolved_to_itself(path in path(), server in server()) {
-        if let Ok(target) = Target::read(&path) && target.plain().is_ok() {
+        if let Ok(target) = Target::parse(&path) && target.check_every_segment().is_ok() {
             let parts = |path: &str| path.split('/').map(str::to_string).collect::<Vec<_>>();
             let resolved = String::from_utf8(resolve(path.as_bytes())).unwrap();
             prop_assert_eq!(parts(&resolved), parts(&path));
@@ -264,7 +264,7 @@
             request.headers_mut().append(name, HeaderValue::from_static(value));
         }
         let (head, ()) = request.into_parts();
-        if read(&head, Hosting::Wire).is_err() {
+        if validate_head(&head, HostRequirement::Required).is_err() {
             return Ok(());
         }
         for name in [ID, KEY, HOST] {
@@ -334,6 +334,6 @@
     ] {
         assert_eq!(server.class(path), "order", "{path}");
         assert_ne!(path.split('/').nth(1), Some("order"));
-        assert!(Target::read(path).is_err(), "{path}");
+        assert!(Target::parse(path).is_err(), "{path}");
     }
 }
--- a/crates/operator/src/api.rs
+++ b/crates/operator/src/api.rs
@@ -43,9 +43,9 @@
 
 /// An answer with a status, and who gave it.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     /// The machine.
-    pub from: SocketAddr,
+    pub machine: SocketAddr,
     /// Its status.
     pub status: StatusCode,
     /// Its body.
@@ -53,7 +53,7 @@
     location: Option<SocketAddr>,
 }
 
-impl Answer {
+impl Response {
     /// The body as text, without white space around it.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).trim().to_owned()
@@ -102,7 +102,7 @@
 /// # Errors
 ///
 /// A text that says why there is no answer.
-pub async fn ask_once(to: SocketAddr, call: &Call) -> Result<Answer, String> {
+pub async fn send_once(to: SocketAddr, call: &Call) -> Result<Response, String> {
     match timeout(call.patience(), exchange(to, call)).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(reason)) => Err(reason.to_string()),
@@ -112,7 +112,7 @@
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-async fn exchange(to: SocketAddr, call: &Call) -> Result<Answer, Failure> {
+async fn exchange(to: SocketAddr, call: &Call) -> Result<Response, Failure> {
     let stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
@@ -122,7 +122,7 @@
         let location = answer.headers().get(LOCATION).and_then(|value| value.to_str().ok());
         let location = location.and_then(address_of);
         let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await?.to_bytes();
-        Ok(Answer { from: to, status, body, location })
+        Ok(Response { machine: to, status, body, location })
     };
     tokio::pin!(answering);
     tokio::select! {
@@ -141,12 +141,12 @@
 }
 
 /// Asks one machine and follows its redirects.
-async fn follow(to: SocketAddr, call: &Call) -> Result<Answer, String> {
-    let mut answer = ask_once(to, call).await?;
+async fn follow(to: SocketAddr, call: &Call) -> Result<Response, String> {
+    let mut answer = send_once(to, call).await?;
     for _ in 0..MAX_REDIRECTS {
         let redirects = answer.status == StatusCode::TEMPORARY_REDIRECT;
         let Some(next) = answer.location.filter(|_| redirects) else { break };
-        answer = ask_once(next, call).await.map_err(|reason| format!("sent on to {next}: {reason}"))?;
+        answer = send_once(next, call).await.map_err(|reason| format!("sent on to {next}: {reason}"))?;
     }
     Ok(answer)
 }
@@ -156,8 +156,8 @@
 ///
 /// # Errors
 ///
-/// [`OperatorError::NoControl`] without an address, [`OperatorError::NoAnswer`] after 15 s.
-pub async fn ask_any(machines: &[SocketAddr], call: &Call) -> Result<Answer, OperatorError> {
+/// [`OperatorError::NoControlAddress`] without an address, [`OperatorError::NoResponse`] after 15 s.
+pub async fn send_to_any(machines: &[SocketAddr], call: &Call) -> Result<Response, OperatorError> {
     let began = Instant::now();
     let mut backoff = FIRST_BACKOFF;
     let mut failures = vec![String::new(); machines.len()];
@@ -170,10 +170,10 @@
             }
         }
         if machines.is_empty() {
-            return Err(OperatorError::NoControl);
+            return Err(OperatorError::NoControlAddress);
         }
         if began.elapsed() + backoff > CALL_PATIENCE {
-            return Err(OperatorError::NoAnswer { tried: failures.join("; ") });
+            return Err(OperatorError::NoResponse { tried: failures.join("; ") });
         }
         sleep(backoff).await;
         backoff = (backoff * 2).min(LAST_BACKOFF);
--- a/crates/operator/src/check.rs
+++ b/crates/operator/src/check.rs
@@ -9,7 +9,7 @@
 
 /// What a file is and what was found in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Checked {
+pub struct CheckReport {
     /// One line on a file that can be used.
     pub summary: String,
     /// What a program would refuse or do without, each with its key and remedy; empty if all is well.
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// The file can't be read, or its first fault: place, what belongs there and the remedy.
-pub fn check_file(path: &Path) -> Result<Checked, OperatorError> {
+pub fn check_file(path: &Path) -> Result<CheckReport, OperatorError> {
     let bytes = std::fs::read(path).map_err(OperatorError::file(path))?;
     let is_json = bytes.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'{');
     if is_json || path.extension().is_some_and(|kind| kind == "json") {
@@ -35,10 +35,10 @@
         })
     })?;
     let boot = BootSettings::parse(&text, path)?;
-    Ok(Checked { summary: summary_of_settings(&boot), faults: faults_of_settings(&boot) })
+    Ok(CheckReport { summary: summary_of_settings(&boot), faults: faults_of_settings(&boot) })
 }
 
-fn check_configuration(path: &Path, bytes: &[u8]) -> Result<Checked, OperatorError> {
+fn check_configuration(path: &Path, bytes: &[u8]) -> Result<CheckReport, OperatorError> {
     let place = path.display().to_string();
     let configuration = FleetConfig::parse(bytes)
         .map_err(|reason| OperatorError::Configuration { place: place.clone(), reason })?;
@@ -49,7 +49,7 @@
         configuration.services.len(),
         configuration.tenants.len(),
     );
-    Ok(Checked { summary, faults: faults_of_configuration(&configuration) })
+    Ok(CheckReport { summary, faults: faults_of_configuration(&configuration) })
 }
 
 fn summary_of_settings(boot: &BootSettings) -> String {
--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -6,9 +6,9 @@
 use std::process::ExitCode;
 
 use anyhow::Context;
-use dunelink_operator::configuration::{self, Taken};
+use dunelink_operator::configuration::{self, HistoryEntry};
+use dunelink_operator::data_folder::{self, DataFolder, SnapshotSummary};
 use dunelink_operator::demo::{self, Options};
-use dunelink_operator::disk::{self, DataFolder, SnapshotLine};
 use dunelink_operator::status::{self, FleetStatus, findings};
 use dunelink_operator::{OperatorError, check};
 use dunelink_settings::{BootSettings, FleetConfig};
@@ -76,7 +76,7 @@
     let mut known: Vec<SocketAddr> = boot.listen.control.into_iter().chain(boot.seeds).collect();
     known.dedup();
     if known.is_empty() {
-        return Err(OperatorError::NoControl.into());
+        return Err(OperatorError::NoControlAddress.into());
     }
     Ok(known)
 }
@@ -169,7 +169,7 @@
 
 #[derive(Serialize)]
 struct HistoryDocument {
-    versions: Vec<Taken>,
+    versions: Vec<HistoryEntry>,
 }
 
 async fn history(controls: &[SocketAddr], json: bool) -> anyhow::Result<ExitCode> {
@@ -179,14 +179,14 @@
         return Ok(ExitCode::SUCCESS);
     }
     line(&format!("{:>12} {:>12} {:>10}", "version", "on top of", "bytes"));
-    for Taken { version, base, bytes } in versions {
+    for HistoryEntry { version, base, bytes } in versions {
         line(&format!("{version:>12} {base:>12} {bytes:>10}"));
     }
     Ok(ExitCode::SUCCESS)
 }
 
 fn look(part: Part, verify: bool, folder: &Path) -> anyhow::Result<ExitCode> {
-    let found = disk::read(folder)?;
+    let found = data_folder::read(folder)?;
     match (part, verify) {
         (Part::Log, false) => show_log(&found),
         (Part::Log, true) => verify_log(&found),
@@ -235,7 +235,7 @@
     line(&range);
 }
 
-fn show_snapshot(snapshot: Option<&SnapshotLine>) {
+fn show_snapshot(snapshot: Option<&SnapshotSummary>) {
     let Some(snapshot) = snapshot else {
         line("no snapshot");
         return;
--- a/crates/operator/src/configuration.rs
+++ b/crates/operator/src/configuration.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use sonic_rs::{JsonContainerTrait, JsonValueMutTrait, JsonValueTrait, Value};
 
-use crate::api::{Call, ask_any, ask_once};
+use crate::api::{Call, send_once, send_to_any};
 use crate::error::OperatorError;
 
 /// Stands in place of each API key where keys are hidden.
@@ -17,14 +17,14 @@
 
 /// A configuration as it was taken, and as it is read.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct LoadedConfiguration {
     /// The operator's JSON, byte for byte.
     pub body: Bytes,
     /// The same, read.
     pub parsed: FleetConfig,
 }
 
-impl Held {
+impl LoadedConfiguration {
     /// The JSON with each API key replaced by [`HIDDEN_KEY`].
     ///
     /// # Errors
@@ -48,7 +48,7 @@
 const HISTORY: &str = "/api/history";
 
 fn answer(place: &str, path: &'static str, reason: String) -> OperatorError {
-    OperatorError::Answer { place: place.to_owned(), path, reason }
+    OperatorError::InvalidResponse { place: place.to_owned(), path, reason }
 }
 
 /// A configuration in a file, checked.
@@ -56,24 +56,24 @@
 /// # Errors
 ///
 /// The file can't be read or is no valid configuration.
-pub fn from_file(path: &Path) -> Result<Held, OperatorError> {
+pub fn from_file(path: &Path) -> Result<LoadedConfiguration, OperatorError> {
     let body = Bytes::from(std::fs::read(path).map_err(OperatorError::file(path))?);
     held(body, &path.display().to_string())
 }
 
-fn held(body: Bytes, place: &str) -> Result<Held, OperatorError> {
+fn held(body: Bytes, place: &str) -> Result<LoadedConfiguration, OperatorError> {
     let parsed = FleetConfig::parse(&body);
     let parsed = parsed.map_err(|reason| OperatorError::Configuration { place: place.to_owned(), reason })?;
-    Ok(Held { body, parsed })
+    Ok(LoadedConfiguration { body, parsed })
 }
 
 /// The newest configuration in a stopped control machine's data folder, and whether that is damaged.
 ///
 /// # Errors
 ///
-/// As [`crate::disk::newest_configuration`], or it can't be read.
-pub fn from_folder(path: &Path) -> Result<(Held, bool), OperatorError> {
-    let (body, is_damaged) = crate::disk::newest_configuration(path)?;
+/// As [`crate::data_folder::newest_configuration`], or it can't be read.
+pub fn from_folder(path: &Path) -> Result<(LoadedConfiguration, bool), OperatorError> {
+    let (body, is_damaged) = crate::data_folder::newest_configuration(path)?;
     Ok((held(body, &path.display().to_string())?, is_damaged))
 }
 
@@ -82,10 +82,10 @@
 /// # Errors
 ///
 /// Nobody answers clearly, there is no configuration yet, or it can't be read.
-pub async fn newest(machines: &[SocketAddr]) -> Result<Held, OperatorError> {
-    let reply = ask_any(machines, &Call::read(READ)).await?;
+pub async fn newest(machines: &[SocketAddr]) -> Result<LoadedConfiguration, OperatorError> {
+    let reply = send_to_any(machines, &Call::read(READ)).await?;
     match reply.status {
-        StatusCode::OK => held(reply.body, &reply.from.to_string()),
+        StatusCode::OK => held(reply.body, &reply.machine.to_string()),
         StatusCode::NOT_FOUND => Err(OperatorError::NoConfiguration),
         status => Err(OperatorError::Refused { status: status.as_u16(), reason: reply.text() }),
     }
@@ -93,7 +93,7 @@
 
 /// How a configuration was put in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Put {
+pub struct AppliedConfiguration {
     /// The version that it was built on.
     pub base: u64,
     /// Its version, which is in force now or was before.
@@ -105,8 +105,12 @@
 /// # Errors
 ///
 /// The file is not valid or has hidden keys, nobody answers clearly, or the fleet refuses: another version is current.
-pub async fn put(machines: &[SocketAddr], path: &Path, base: Option<u64>) -> Result<Put, OperatorError> {
-    let Held { body, parsed } = from_file(path)?;
+pub async fn put(
+    machines: &[SocketAddr],
+    path: &Path,
+    base: Option<u64>,
+) -> Result<AppliedConfiguration, OperatorError> {
+    let LoadedConfiguration { body, parsed } = from_file(path)?;
     let has_hidden = parsed.tenants.iter().any(|tenant| tenant.api_keys.iter().any(|key| key == HIDDEN_KEY));
     if has_hidden {
         return Err(OperatorError::HiddenKeys { path: path.to_owned() });
@@ -119,16 +123,16 @@
             Err(error) => return Err(error),
         },
     };
-    let reply = ask_any(machines, &Call::replace(base, body)).await?;
+    let reply = send_to_any(machines, &Call::replace(base, body)).await?;
     if reply.status.is_success() {
-        return Ok(Put { base, version: parsed.version });
+        return Ok(AppliedConfiguration { base, version: parsed.version });
     }
     Err(OperatorError::Refused { status: reply.status.as_u16(), reason: reply.text() })
 }
 
 /// A version that was put in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct HistoryEntry {
     /// The version.
     pub version: u64,
     /// The version that it was built on.
@@ -139,7 +143,7 @@
 
 #[derive(Deserialize)]
 struct History {
-    versions: Vec<Taken>,
+    versions: Vec<HistoryEntry>,
 }
 
 /// The versions that were put in force, oldest first, from the machine that knows the newest of those that answer.
@@ -147,11 +151,11 @@
 /// # Errors
 ///
 /// No machine answers, or an answer can't be read.
-pub async fn history(machines: &[SocketAddr]) -> Result<Vec<Taken>, OperatorError> {
-    let mut best: Option<Vec<Taken>> = None;
+pub async fn history(machines: &[SocketAddr]) -> Result<Vec<HistoryEntry>, OperatorError> {
+    let mut best: Option<Vec<HistoryEntry>> = None;
     let mut failures = Vec::new();
     for machine in machines {
-        let reply = match ask_once(*machine, &Call::read(HISTORY)).await {
+        let reply = match send_once(*machine, &Call::read(HISTORY)).await {
             Ok(reply) if reply.status.is_success() => reply,
             Ok(reply) => {
                 failures.push(format!("{machine}: {}", reply.status));
@@ -164,14 +168,14 @@
         };
         let read: Result<History, _> = sonic_rs::from_slice(&reply.body);
         let read = read.map_err(|error| answer(&machine.to_string(), HISTORY, error.to_string()))?;
-        let newest = |versions: &Vec<Taken>| versions.last().map_or(0, |taken| taken.version);
+        let newest = |versions: &Vec<HistoryEntry>| versions.last().map_or(0, |taken| taken.version);
         if best.as_ref().is_none_or(|best| newest(best) < newest(&read.versions)) {
             best = Some(read.versions);
         }
     }
     match best {
         Some(versions) => Ok(versions),
-        None if machines.is_empty() => Err(OperatorError::NoControl),
-        None => Err(OperatorError::NoAnswer { tried: failures.join("; ") }),
+        None if machines.is_empty() => Err(OperatorError::NoControlAddress),
+        None => Err(OperatorError::NoResponse { tried: failures.join("; ") }),
     }
 }
--- a/crates/operator/src/disk.rs
+++ b/crates/operator/src/data_folder.rs
@@ -18,9 +18,9 @@
     /// Identity, term and vote; none on an empty disk, or if they can't be read.
     pub identity: Option<StoreMetadata>,
     /// The entries of the log, in their order.
-    pub entries: Vec<EntryLine>,
+    pub entries: Vec<LogEntrySummary>,
     /// The snapshot in use.
-    pub snapshot: Option<SnapshotLine>,
+    pub snapshot: Option<SnapshotSummary>,
     /// The files.
     pub files: Vec<FileReport>,
     /// What is damaged, each with its place; empty if all checksums are right and all contents can be read.
@@ -31,7 +31,7 @@
 
 /// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EntryLine {
+pub struct LogEntrySummary {
     /// Its index.
     pub index: u64,
     /// Term of the leader that made it; none if its contents can't be read.
@@ -44,7 +44,7 @@
 
 /// The snapshot in use.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SnapshotLine {
+pub struct SnapshotSummary {
     /// Last entry that it contains.
     pub index: u64,
     /// Term of that entry.
@@ -118,7 +118,7 @@
         if let Some(Err(reason)) = &snapshot {
             damage.push(format!("the snapshot's contents can't be read: {reason}"));
         }
-        let entries: Vec<EntryLine> =
+        let entries: Vec<LogEntrySummary> =
             recovered.entries.iter().map(|stored| entry_line(stored.index, &stored.bytes)).collect();
         let unreadable = entries.iter().filter(|entry| entry.term.is_none());
         damage.extend(unreadable.map(|entry| format!("entry {}: its contents can't be read", entry.index)));
@@ -149,11 +149,13 @@
     }
 }
 
-fn entry_line(index: u64, bytes: &[u8]) -> EntryLine {
+fn entry_line(index: u64, bytes: &[u8]) -> LogEntrySummary {
     let size = bytes.len() as u64;
     match decode::<Entry>(bytes) {
-        Ok(entry) => EntryLine { index, term: Some(entry.term), kind: kind(&entry.payload), bytes: size },
-        Err(_) => EntryLine { index, term: None, kind: "unreadable".to_owned(), bytes: size },
+        Ok(entry) => {
+            LogEntrySummary { index, term: Some(entry.term), kind: kind(&entry.payload), bytes: size }
+        }
+        Err(_) => LogEntrySummary { index, term: None, kind: "unreadable".to_owned(), bytes: size },
     }
 }
 
@@ -170,10 +172,10 @@
     }
 }
 
-fn snapshot_line(bytes: &[u8]) -> Result<SnapshotLine, String> {
+fn snapshot_line(bytes: &[u8]) -> Result<SnapshotSummary, String> {
     let snapshot: Snapshot = decode(bytes).map_err(|error| error.to_string())?;
     let state = ConfigurationState::restore(&snapshot.state).map_err(|error| error.to_string())?;
-    Ok(SnapshotLine {
+    Ok(SnapshotSummary {
         index: snapshot.index,
         term: snapshot.term,
         members: addresses(&snapshot.membership),
--- a/crates/operator/src/demo/stage.rs
+++ b/crates/operator/src/demo/stage.rs
@@ -94,18 +94,19 @@
     }
 
     fn note(&mut self, found: &FleetStatus) -> String {
-        let leading = found.best().filter(|page| page.group().is_some_and(|group| group.holds_lease));
+        let leading =
+            found.preferred_page().filter(|page| page.group().is_some_and(|group| group.holds_lease));
         self.leader = leading.and_then(|page| page.group()?.leader);
         if let (Some(_), Some((_, at)), None) = (self.leader, self.killed, self.gap) {
             self.gap = Some(at.elapsed());
         }
         let pages = || found.machines.iter().filter_map(|machine| machine.page.as_ref());
-        let agents: usize = pages().map(|page| page.readers.len()).sum();
+        let agents: usize = pages().map(|page| page.agents.len()).sum();
         let leader = match (self.leader, leading.and_then(|page| page.group())) {
             (Some(leader), Some(group)) => format!("leader {} term {}", leader.ip(), group.term),
             _ => "no leader".to_owned(),
         };
-        let servers = found.best().map_or(0, |page| page.roster.servers);
+        let servers = found.preferred_page().map_or(0, |page| page.server_list.servers);
         format!(
             "{leader}  control {}/{CORES}  configuration {}  agents {agents}/{FRONTS}  servers {servers}",
             pages().count(),
--- a/crates/operator/src/demo/tally.rs
+++ b/crates/operator/src/demo/tally.rs
@@ -45,13 +45,20 @@
     }
 
     /// All that was seen.
-    pub(super) fn summary(&self, leaderless: Option<Duration>, late_at_drained: usize) -> Summary {
+    pub(super) fn summary(&self, leaderless: Option<Duration>, requests_after_drain: usize) -> Summary {
         let mut counts = self.counts();
         let served = counts.all.len() as u64;
         let (p50_ms, p95_ms) = quantiles(&mut counts.all);
         let failures = counts.failures.clone();
         let leaderless_ms = leaderless.map(|gap| gap.as_millis() as u64);
-        Summary { served, p50_ms, p95_ms, failures, leaderless_ms, late_at_drained: late_at_drained as u64 }
+        Summary {
+            served,
+            p50_ms,
+            p95_ms,
+            failures,
+            leaderless_ms,
+            requests_after_drain: requests_after_drain as u64,
+        }
     }
 
     fn counts(&self) -> MutexGuard<'_, Counts> {
@@ -83,7 +90,7 @@
     /// Time from the killing of the leader until another was seen, in milliseconds; none if that was not reached.
     pub leaderless_ms: Option<u64>,
     /// Requests that came to the drained server after its time to drain.
-    pub late_at_drained: u64,
+    pub requests_after_drain: u64,
 }
 
 impl Summary {
@@ -97,7 +104,7 @@
         lines.extend(self.failures.iter().map(|(reason, count)| format!("  {count} x {reason}")));
         if let Some(gap) = self.leaderless_ms {
             lines.push(format!("another leader was seen {gap} ms after the first was killed"));
-            let late = self.late_at_drained;
+            let late = self.requests_after_drain;
             lines.push(format!("requests at the drained server after its time to drain: {late}"));
         }
         lines
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -33,12 +33,12 @@
     #[error(
         "no control address is known; name one with --control IP:PORT or point DUNELINK_BOOT to a settings file"
     )]
-    NoControl,
+    NoControlAddress,
     /// No control machine gave a clear answer.
     #[error(
         "no control machine gave a clear answer ({tried}); see that over half of them run and reach one another"
     )]
-    NoAnswer {
+    NoResponse {
         /// The last failure at each address.
         tried: String,
     },
@@ -54,7 +54,7 @@
     #[error(
         "{place}: the answer to {path} can't be read ({reason}); use the command of the release that runs there"
     )]
-    Answer {
+    InvalidResponse {
         /// The machine.
         place: String,
         /// The path asked.
--- a/crates/operator/src/status/findings.rs
+++ b/crates/operator/src/status/findings.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use super::FleetStatus;
-use super::page::{Group, Member, Page};
+use super::page::{Group, Member, StatusPage};
 
 /// Silence after which a member counts as not in touch, in milliseconds.
 const SILENT_MS: u64 = 3_000;
@@ -18,13 +18,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Finding {
     /// The machine or agent; `fleet` for all.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub subject: String,
     /// What is wrong, and what to do.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub problem: String,
 }
 
-fn finding(who: impl ToString, why: impl Into<String>) -> Finding {
-    Finding { who: who.to_string(), why: why.into() }
+fn finding(subject: impl ToString, problem: impl Into<String>) -> Finding {
+    Finding { subject: subject.to_string(), problem: problem.into() }
 }
 
 /// All that needs a look; empty if everything is in touch.
@@ -39,7 +41,7 @@
     found
 }
 
-fn pages(fleet: &FleetStatus) -> impl Iterator<Item = (String, &Page)> {
+fn pages(fleet: &FleetStatus) -> impl Iterator<Item = (String, &StatusPage)> {
     let page = |machine: &'_ super::Machine| machine.control.to_string();
     fleet.machines.iter().filter_map(move |machine| Some((page(machine), machine.page.as_ref()?)))
 }
@@ -75,12 +77,12 @@
 
 fn disks(fleet: &FleetStatus) -> Vec<Finding> {
     let why = "its disk refuses writes: free space or replace the disk; its process need not be restarted";
-    let unhealthy = |page: &Page| page.groups.iter().any(|group| !group.disk_healthy);
+    let unhealthy = |page: &StatusPage| page.groups.iter().any(|group| !group.disk_healthy);
     pages(fleet).filter(|(_, page)| unhealthy(page)).map(|(control, _)| finding(control, why)).collect()
 }
 
 fn leading_group(fleet: &FleetStatus) -> Option<&Group> {
-    fleet.best()?.group().filter(|group| group.holds_lease)
+    fleet.preferred_page()?.group().filter(|group| group.holds_lease)
 }
 
 fn members(fleet: &FleetStatus) -> Vec<Finding> {
@@ -93,7 +95,7 @@
 }
 
 fn member_trouble(member: &Member) -> Option<String> {
-    match member.heard_ms {
+    match member.last_contact_ms {
         None => return Some("never heard by the leader since its election; see whether it runs".to_owned()),
         Some(age) if age > SILENT_MS => {
             return Some(format!(
@@ -113,10 +115,10 @@
 
 /// Agents that are connected nowhere, and those that were sent an older configuration than the newest.
 fn agents(fleet: &FleetStatus) -> Vec<Finding> {
-    let readers = || pages(fleet).flat_map(|(_, page)| &page.readers);
+    let readers = || pages(fleet).flat_map(|(_, page)| &page.agents);
     let connected: BTreeSet<&str> = readers().map(|reader| reader.node.as_str()).collect();
     let mut left: BTreeMap<&str, u64> = BTreeMap::new();
-    for leaver in pages(fleet).flat_map(|(_, page)| &page.absent_readers) {
+    for leaver in pages(fleet).flat_map(|(_, page)| &page.disconnected_agents) {
         let since = left.entry(&leaver.node).or_insert(leaver.since_ms);
         *since = leaver.since_ms.min(*since);
     }
@@ -139,9 +141,9 @@
 }
 
 fn roster(fleet: &FleetStatus) -> Vec<Finding> {
-    let Some(page) = fleet.best() else { return Vec::new() };
+    let Some(page) = fleet.preferred_page() else { return Vec::new() };
     let advice = "the platform's list is not being read; see `cloudApi.address` and the leader's log";
-    match page.roster.age_ms {
+    match page.server_list.age_ms {
         None => vec![finding("fleet", format!("the list of servers was never read: {advice}"))],
         Some(age) if age > OLD_ROSTER_MS => {
             vec![finding("fleet", format!("the list of servers is {age} ms old: {advice}"))]
--- a/crates/operator/src/status/mod.rs
+++ b/crates/operator/src/status/mod.rs
@@ -10,10 +10,12 @@
 use serde::Serialize;
 
 pub use findings::{Finding, findings};
-pub use page::{Configuration, Group, Leaver, Member, Page, Reader, Roster};
+pub use page::{
+    AgentConnection, Configuration, DisconnectedAgent, Group, Member, ServerListState, StatusPage,
+};
 pub use text::text;
 
-use crate::api::{Call, ask_once};
+use crate::api::{Call, send_once};
 use crate::error::OperatorError;
 
 const STATUS: &str = "/api/status";
@@ -26,7 +28,7 @@
     /// Its control address.
     pub control: SocketAddr,
     /// Its page; none if it did not answer.
-    pub page: Option<Page>,
+    pub page: Option<StatusPage>,
     /// Why it did not answer.
     pub failure: Option<String>,
 }
@@ -40,9 +42,9 @@
 
 impl FleetStatus {
     /// The page of the machine that holds the leader lease, else of any that answered.
-    pub fn best(&self) -> Option<&Page> {
+    pub fn preferred_page(&self) -> Option<&StatusPage> {
         let pages = || self.machines.iter().filter_map(|machine| machine.page.as_ref());
-        let leads = |page: &&Page| page.group().is_some_and(|group| group.holds_lease);
+        let leads = |page: &&StatusPage| page.group().is_some_and(|group| group.holds_lease);
         pages().find(leads).or_else(|| pages().next())
     }
 
@@ -60,7 +62,7 @@
 /// No address is given, or no machine answers.
 pub async fn collect(machines: &[SocketAddr]) -> Result<FleetStatus, OperatorError> {
     if machines.is_empty() {
-        return Err(OperatorError::NoControl);
+        return Err(OperatorError::NoControlAddress);
     }
     let mut asked = BTreeSet::new();
     let mut waiting: Vec<SocketAddr> = machines.to_vec();
@@ -83,11 +85,11 @@
         format!("{}: {reason}", machine.control)
     };
     let tried: Vec<String> = found.iter().map(failure).collect();
-    Err(OperatorError::NoAnswer { tried: tried.join("; ") })
+    Err(OperatorError::NoResponse { tried: tried.join("; ") })
 }
 
 async fn ask(control: SocketAddr) -> Result<Machine, OperatorError> {
-    let reply = match ask_once(control, &Call::read(STATUS)).await {
+    let reply = match send_once(control, &Call::read(STATUS)).await {
         Ok(reply) if reply.status.is_success() => reply,
         Ok(reply) => {
             return Ok(Machine { control, page: None, failure: Some(reply.status.to_string()) });
@@ -98,7 +100,7 @@
         Ok(page) => Ok(Machine { control, page: Some(page), failure: None }),
         Err(error) => {
             let reason = error.to_string();
-            Err(OperatorError::Answer { place: control.to_string(), path: STATUS, reason })
+            Err(OperatorError::InvalidResponse { place: control.to_string(), path: STATUS, reason })
         }
     }
 }
--- a/crates/operator/src/status/page.rs
+++ b/crates/operator/src/status/page.rs
@@ -7,23 +7,26 @@
 /// The page. Fields that are not known are ignored.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Page {
+pub struct StatusPage {
     /// The replica groups that the machine is in.
     pub groups: Vec<Group>,
     /// The configuration in force there.
     pub configuration: Configuration,
     /// The list of servers held there.
-    pub roster: Roster,
+    #[serde(rename = "roster")]
+    pub server_list: ServerListState,
     /// The agents connected there.
-    pub readers: Vec<Reader>,
+    #[serde(rename = "readers")]
+    pub agents: Vec<AgentConnection>,
     /// Agents that were connected there and are not any more.
-    #[serde(default)]
-    pub absent_readers: Vec<Leaver>,
+    #[serde(default, rename = "absentReaders")]
+    pub disconnected_agents: Vec<DisconnectedAgent>,
     /// Connections opened to other control machines.
-    pub links: u64,
+    #[serde(rename = "links")]
+    pub control_connections: u64,
 }
 
-impl Page {
+impl StatusPage {
     /// The group of the configuration.
     pub fn group(&self) -> Option<&Group> {
         self.groups.first()
@@ -79,7 +82,8 @@
     /// Entries that it is behind the leader's log.
     pub lag_entries: Option<u64>,
     /// Time since it was last heard, in milliseconds.
-    pub heard_ms: Option<u64>,
+    #[serde(rename = "heardMs")]
+    pub last_contact_ms: Option<u64>,
     /// Whether its disk takes writes.
     pub disk_healthy: Option<bool>,
 }
@@ -97,13 +101,15 @@
 /// The list of servers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Roster {
+pub struct ServerListState {
     /// Servers in it.
     pub servers: u64,
     /// Term of the leader that read it.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub term: u64,
     /// Its position in that term.
-    pub sequence: u64,
+    #[serde(rename = "sequence")]
+    pub position: u64,
     /// Time since it was confirmed, in milliseconds.
     pub age_ms: Option<u64>,
 }
@@ -111,21 +117,23 @@
 /// An agent that is connected.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Reader {
+pub struct AgentConnection {
     /// Name of its machine.
     pub node: String,
     /// Version of the configuration that it was sent.
     pub version: u64,
     /// Term of the list of servers that it was sent.
-    pub roster_epoch: u64,
+    #[serde(rename = "rosterEpoch")]
+    pub server_list_term: u64,
     /// Position in it.
-    pub roster_sequence: u64,
+    #[serde(rename = "rosterSequence")]
+    pub server_list_position: u64,
 }
 
 /// An agent that left.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Leaver {
+pub struct DisconnectedAgent {
     /// Name of its machine.
     pub node: String,
     /// Time since it left, in milliseconds.
--- a/crates/operator/src/status/text.rs
+++ b/crates/operator/src/status/text.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use super::page::{Group, Member, Page, Reader};
+use super::page::{AgentConnection, Group, Member, StatusPage};
 use super::{FleetStatus, Machine, findings};
 
 /// The whole state, some lines for each part.
@@ -14,7 +14,7 @@
 }
 
 fn write(out: &mut String, fleet: &FleetStatus) -> std::fmt::Result {
-    if let Some(page) = fleet.best() {
+    if let Some(page) = fleet.preferred_page() {
         overview(out, page, fleet.newest_version())?;
         if let Some(group) = page.group() {
             members(out, group)?;
@@ -27,19 +27,19 @@
         return writeln!(out, "\nall in touch");
     }
     writeln!(out, "\nneeds a look")?;
-    found.iter().try_for_each(|finding| writeln!(out, "  {}: {}", finding.who, finding.why))
+    found.iter().try_for_each(|finding| writeln!(out, "  {}: {}", finding.subject, finding.problem))
 }
 
-fn overview(out: &mut String, page: &Page, version: u64) -> std::fmt::Result {
+fn overview(out: &mut String, page: &StatusPage, version: u64) -> std::fmt::Result {
     let group = page.group();
     let leader = group.and_then(|group| group.leader).map_or_else(|| "none".to_owned(), |at| at.to_string());
     let term = group.map_or(0, |group| group.term);
     let commit = group.map_or(0, |group| group.commit_index);
-    let roster = &page.roster;
+    let roster = &page.server_list;
     let age = roster.age_ms.map_or_else(|| "never read".to_owned(), |age| format!("{age} ms old"));
     writeln!(out, "leader {leader}, term {term}, committed {commit}")?;
     writeln!(out, "configuration {version}, {} bytes", page.configuration.bytes)?;
-    writeln!(out, "servers {}, list at {}.{}, {age}", roster.servers, roster.epoch, roster.sequence)
+    writeln!(out, "servers {}, list at {}.{}, {age}", roster.servers, roster.term, roster.position)
 }
 
 fn members(out: &mut String, group: &Group) -> std::fmt::Result {
@@ -53,7 +53,7 @@
     let vote = if member.voter { "voter" } else { "learner" };
     let own = if member.id == group.id { " (itself)" } else { "" };
     let (control, zone) = (member.control.to_string(), &member.zone);
-    let (lag, heard) = (number(member.lag_entries), number(member.heard_ms));
+    let (lag, heard) = (number(member.lag_entries), number(member.last_contact_ms));
     format!("  {control:<22} {zone:<10} {:<14} {lag:>6} {heard:>9}", format!("{vote}{own}"))
 }
 
@@ -87,14 +87,14 @@
 fn readers(out: &mut String, fleet: &FleetStatus) -> std::fmt::Result {
     writeln!(out, "\nagents, and what they were sent")?;
     writeln!(out, "  {:<20} {:<22} {:>8} {:>12}", "node", "connected to", "version", "list")?;
-    let mut lines: Vec<(&Reader, String)> = Vec::new();
+    let mut lines: Vec<(&AgentConnection, String)> = Vec::new();
     for machine in &fleet.machines {
-        let readers = machine.page.iter().flat_map(|page| &page.readers);
+        let readers = machine.page.iter().flat_map(|page| &page.agents);
         lines.extend(readers.map(|reader| (reader, machine.control.to_string())));
     }
     lines.sort_by(|left, right| left.0.node.cmp(&right.0.node));
     lines.iter().try_for_each(|(reader, control)| {
-        let list = format!("{}.{}", reader.roster_epoch, reader.roster_sequence);
+        let list = format!("{}.{}", reader.server_list_term, reader.server_list_position);
         writeln!(out, "  {:<20} {control:<22} {:>8} {list:>12}", reader.node, reader.version)
     })
 }
--- a/crates/operator/tests/data_folder.rs
+++ b/crates/operator/tests/data_folder.rs
@@ -173,12 +173,12 @@
 fn no_changed_byte_goes_unseen() {
     let folder = Folder::new();
     fill(folder.path());
-    let calm = dunelink_operator::disk::read(folder.path()).unwrap();
+    let calm = dunelink_operator::data_folder::read(folder.path()).unwrap();
     assert!(calm.damage.is_empty() && calm.notes.is_empty(), "{calm:?}");
     for (name, bytes) in contents(folder.path()) {
         for at in (0..bytes.len()).step_by(STEP) {
             flip(&name, at);
-            let seen = dunelink_operator::disk::read(folder.path()).unwrap();
+            let seen = dunelink_operator::data_folder::read(folder.path()).unwrap();
             assert!(!seen.damage.is_empty() || !seen.notes.is_empty(), "byte {at} of {name}");
             flip(&name, at);
         }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunelink_edge::answer as edge_answer;
+use dunelink_edge::response as edge_response;
 use dunelink_routing::{Outcome, ServerHandle};
 use http::header::HeaderValue;
 use http::{Request, Response, StatusCode};
@@ -195,8 +195,8 @@
         let head = &upstream.head;
         let ids = head.headers.get_all(&REQUEST_ID);
         let matches_request = ids.iter().count() == 1 && ids.iter().all(|id| *id == self.request.id);
-        let framed = edge_answer::states_its_end(&head.headers, head.version)
-            || edge_answer::has_no_body(head.status)
+        let framed = edge_response::is_self_delimited(&head.headers, head.version)
+            || edge_response::has_no_body(head.status)
             || upstream.is_close_delimited;
         let sealed = !head.status.is_success() || head.headers.contains_key(&RESPONSE_SEAL);
         matches_request && framed && sealed
@@ -261,7 +261,7 @@
     head: &mut http::response::Parts,
     body: ResponseBody,
 ) -> Response<ResponseBody> {
-    edge_answer::onward(head);
+    edge_response::prepare_for_forwarding(head);
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = std::mem::take(&mut head.headers);
--- a/crates/proxy/src/client_socket.rs
+++ b/crates/proxy/src/client_socket.rs
@@ -27,8 +27,8 @@
 
 impl HeadScanState {
     fn scan(&mut self, bytes: &[u8]) {
-        self.scanner.take(bytes);
-        if !self.scanner.has_begun() {
+        self.scanner.feed(bytes);
+        if !self.scanner.is_mid_request() {
             self.partial_since = None;
         } else if self.partial_since.is_none() {
             self.partial_since = Some(Instant::now());
@@ -52,7 +52,7 @@
     pub fn check_framing(&self, headers: &HeaderMap) -> Result<(), Fault> {
         match self.0.borrow_mut().scanner.next_head() {
             Some(head) => head.check(),
-            None if headers.contains_key(header::TRANSFER_ENCODING) => Err(Fault::TwoFramings),
+            None if headers.contains_key(header::TRANSFER_ENCODING) => Err(Fault::ConflictingFraming),
             None => Ok(()),
         }
     }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunelink_edge::fields::{drop_hop_fields, only};
-use dunelink_edge::request::{Hosting, read as validate_head};
+use dunelink_edge::fields::{drop_hop_fields, single_text_value};
+use dunelink_edge::request::{HostRequirement, validate_head};
 use dunelink_serving_model::PromptPart;
 use dunelink_settings::ClientLimits;
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -58,8 +58,8 @@
     /// Parses the `x-dunelink-prompt-prefix` and `x-dunelink-token-counts` headers. Invalid values are
     /// ignored.
     pub fn from_headers(headers: &HeaderMap) -> Self {
-        let parts = only(headers, &PROMPT_PREFIX).map(parse_prompt_parts).unwrap_or_default();
-        Self { tokens: only(headers, &TOKEN_COUNTS).and_then(parse_token_counts), parts }
+        let parts = single_text_value(headers, &PROMPT_PREFIX).map(parse_prompt_parts).unwrap_or_default();
+        Self { tokens: single_text_value(headers, &TOKEN_COUNTS).and_then(parse_token_counts), parts }
     }
 
     /// Returns the sum of prompt tokens and maximum output tokens, if the request states them.
@@ -96,7 +96,7 @@
     let (mut head, body) = request.into_parts();
     let id = single_value(&head.headers, &REQUEST_ID).cloned();
     // The head is ambiguous, so the end of the request's body is uncertain.
-    if validate_head(&head, Hosting::Wire).is_err() {
+    if validate_head(&head, HostRequirement::Required).is_err() {
         return Err((LocalReply::new(StatusCode::BAD_REQUEST).closing_connection(), id));
     }
     let max_bytes = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dunelink_edge::answer as edge_answer;
+use dunelink_edge::response as edge_response;
 use dunelink_routing::ServerHandle;
 use http::header::{self, HeaderMap};
 use http::{Request, Response};
@@ -204,7 +204,7 @@
         if let Some(seconds) = keep_alive_seconds(&head.headers) {
             self.idle_timeout = Duration::from_secs(seconds).mul_f64(IDLE_TIMEOUT_FRACTION);
         }
-        let is_close_delimited = edge_answer::is_unframed(&head.headers);
+        let is_close_delimited = edge_response::is_unframed(&head.headers);
         self.closes_after_response |= is_close_delimited;
         UpstreamResponse { head, body, is_close_delimited, connection: self }
     }
