--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -1,4 +1,4 @@
-//! Carries commands out and prints what comes of them.
+//! Executes the commands and prints their results.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -16,87 +16,87 @@
 use serde::Serialize;
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::command_line::{Command, HELP, Part};
+use crate::command_line::{Command, FolderPart, HELP};
 
-/// Exit code when something is wrong or differs.
-const WRONG: u8 = 1;
+/// Exit code of a command that was executed and found a problem or a difference.
+const EXIT_PROBLEM: u8 = 1;
 
-/// Carries a command out.
+/// Executes a command.
 pub(crate) fn run(command: Command) -> anyhow::Result<ExitCode> {
     match command {
         Command::Help => {
             print(HELP);
             Ok(ExitCode::SUCCESS)
         }
-        Command::Check(file) => checked(&file),
-        Command::Folder { part, verify, folder } => look(part, verify, &folder),
+        Command::Check(file) => check_file(&file),
+        Command::Folder { part, verify, folder } => inspect_folder(part, verify, &folder),
         other => {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-            runtime.block_on(ask(other))
+            runtime.block_on(run_async(other))
         }
     }
 }
 
-async fn ask(command: Command) -> anyhow::Result<ExitCode> {
+async fn run_async(command: Command) -> anyhow::Result<ExitCode> {
     match command {
-        Command::Status { controls, json } => show_status(&known(controls)?, json).await,
+        Command::Status { controls, json } => show_status(&control_addresses(controls)?, json).await,
         Command::Read { controls, with_keys, folder } => read(controls, with_keys, folder.as_deref()).await,
-        Command::Put { controls, file, base } => put(&known(controls)?, &file, base).await,
+        Command::Put { controls, file, base } => put(&control_addresses(controls)?, &file, base).await,
         Command::Diff { controls, file, newer } => diff(controls, &file, newer.as_deref()).await,
-        Command::History { controls, json } => history(&known(controls)?, json).await,
-        Command::Demo(options) => play(options).await,
+        Command::History { controls, json } => history(&control_addresses(controls)?, json).await,
+        Command::Demo(options) => run_demo(options).await,
         Command::Help | Command::Check(_) | Command::Folder { .. } => Ok(ExitCode::SUCCESS),
     }
 }
 
-/// Prints; a reader that has gone away is no error.
+/// Prints to standard output and ignores write errors, such as a closed pipe.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-fn line(text: &str) {
+fn print_line(text: &str) {
     print(&format!("{text}\n"));
 }
 
 fn print_json(value: &impl Serialize) -> anyhow::Result<()> {
-    line(&sonic_rs::to_string_pretty(value)?);
+    print_line(&sonic_rs::to_string_pretty(value)?);
     Ok(())
 }
 
-fn code(is_well: bool) -> ExitCode {
-    if is_well { ExitCode::SUCCESS } else { ExitCode::from(WRONG) }
+fn exit_code(is_healthy: bool) -> ExitCode {
+    if is_healthy { ExitCode::SUCCESS } else { ExitCode::from(EXIT_PROBLEM) }
 }
 
-/// The addresses given, else those of the settings file.
-fn known(controls: Vec<SocketAddr>) -> anyhow::Result<Vec<SocketAddr>> {
+/// The addresses of the command line, or else those of the settings file.
+fn control_addresses(controls: Vec<SocketAddr>) -> anyhow::Result<Vec<SocketAddr>> {
     if !controls.is_empty() {
         return Ok(controls);
     }
     let boot = BootSettings::load().context("no --control is given")?;
-    let mut known: Vec<SocketAddr> = boot.listen.control.into_iter().chain(boot.seeds).collect();
-    known.dedup();
-    if known.is_empty() {
+    let mut addresses: Vec<SocketAddr> = boot.listen.control.into_iter().chain(boot.seeds).collect();
+    addresses.dedup();
+    if addresses.is_empty() {
         return Err(OperatorError::NoControlAddress.into());
     }
-    Ok(known)
+    Ok(addresses)
 }
 
-fn checked(file: &Path) -> anyhow::Result<ExitCode> {
+fn check_file(file: &Path) -> anyhow::Result<ExitCode> {
     match check::check_file(file) {
-        Ok(checked) => {
-            line(&format!("{}: {}", file.display(), checked.summary));
-            checked.faults.iter().for_each(|fault| line(&format!("{}: {fault}", file.display())));
-            Ok(code(checked.faults.is_empty()))
+        Ok(report) => {
+            print_line(&format!("{}: {}", file.display(), report.summary));
+            report.faults.iter().for_each(|fault| print_line(&format!("{}: {fault}", file.display())));
+            Ok(exit_code(report.faults.is_empty()))
         }
         Err(error @ OperatorError::File { .. }) => Err(error.into()),
         Err(error) => {
-            line(&error.to_string());
-            Ok(code(false))
+            print_line(&error.to_string());
+            Ok(exit_code(false))
         }
     }
 }
 
-/// The state as JSON, with what needs a look.
+/// The JSON output of `status`.
 #[derive(Serialize)]
 struct StatusDocument<'a> {
     fleet: &'a FleetStatus,
@@ -106,36 +106,41 @@
 async fn show_status(controls: &[SocketAddr], json: bool) -> anyhow::Result<ExitCode> {
     let fleet = status::collect(controls).await?;
     let findings = findings(&fleet);
-    let is_well = findings.is_empty();
+    let is_healthy = findings.is_empty();
     if json {
         print_json(&StatusDocument { fleet: &fleet, findings })?;
     } else {
         print(&status::text(&fleet));
     }
-    Ok(code(is_well))
+    Ok(exit_code(is_healthy))
 }
 
 async fn read(controls: Vec<SocketAddr>, with_keys: bool, folder: Option<&Path>) -> anyhow::Result<ExitCode> {
-    let (newest, is_damaged) = match folder {
+    let (configuration, is_damaged) = match folder {
         Some(folder) => configuration::from_folder(folder)?,
-        None => (configuration::newest(&known(controls)?).await?, false),
+        None => (configuration::newest(&control_addresses(controls)?).await?, false),
     };
     if with_keys {
-        let _ = std::io::stdout().write_all(&newest.body);
+        let _ = std::io::stdout().write_all(&configuration.body);
         print("\n");
     } else {
-        line(&newest.without_keys()?);
+        print_line(&configuration.without_keys()?);
     }
     if is_damaged {
-        eprintln!("dunelink-fleet: the folder is damaged, newer versions may be lost: see `log verify`");
+        eprintln!(
+            "dunelink-fleet: the folder is damaged, newer versions may be lost; run `log verify` for details"
+        );
     }
-    Ok(code(!is_damaged))
+    Ok(exit_code(!is_damaged))
 }
 
 async fn put(controls: &[SocketAddr], file: &Path, base: Option<u64>) -> anyhow::Result<ExitCode> {
     match configuration::put(controls, file, base).await {
-        Ok(put) => {
-            line(&format!("configuration {} taken, on top of {}", put.version, put.base));
+        Ok(applied) => {
+            print_line(&format!(
+                "configuration {} applied, based on version {}",
+                applied.version, applied.base
+            ));
             Ok(ExitCode::SUCCESS)
         }
         Err(
@@ -143,8 +148,8 @@
             | OperatorError::Configuration { .. }
             | OperatorError::HiddenKeys { .. }),
         ) => {
-            line(&error.to_string());
-            Ok(code(false))
+            print_line(&error.to_string());
+            Ok(exit_code(false))
         }
         Err(error) => Err(error.into()),
     }
@@ -154,17 +159,17 @@
     let file = configuration::from_file(file)?.parsed;
     let (old, new) = match newer {
         Some(newer) => (file, configuration::from_file(newer)?.parsed),
-        None => (configuration::newest(&known(controls)?).await?.parsed, file),
+        None => (configuration::newest(&control_addresses(controls)?).await?.parsed, file),
     };
-    Ok(code(print_differences(&old, &new)))
+    Ok(exit_code(print_differences(&old, &new)))
 }
 
-/// Whether there are none.
+/// Prints the differences; returns whether there are none.
 fn print_differences(old: &FleetConfig, new: &FleetConfig) -> bool {
-    let found = dunelink_operator::difference::differences(old, new);
-    line(&format!("version {} -> {}, {} differences", old.version, new.version, found.len()));
-    found.iter().for_each(|difference| line(&difference.to_string()));
-    found.is_empty()
+    let differences = dunelink_operator::difference::differences(old, new);
+    print_line(&format!("version {} -> {}, {} differences", old.version, new.version, differences.len()));
+    differences.iter().for_each(|difference| print_line(&difference.to_string()));
+    differences.is_empty()
 }
 
 #[derive(Serialize)]
@@ -178,86 +183,86 @@
         print_json(&HistoryDocument { versions })?;
         return Ok(ExitCode::SUCCESS);
     }
-    line(&format!("{:>12} {:>12} {:>10}", "version", "on top of", "bytes"));
+    print_line(&format!("{:>12} {:>12} {:>10}", "version", "based on", "bytes"));
     for HistoryEntry { version, base, bytes } in versions {
-        line(&format!("{version:>12} {base:>12} {bytes:>10}"));
+        print_line(&format!("{version:>12} {base:>12} {bytes:>10}"));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn look(part: Part, verify: bool, folder: &Path) -> anyhow::Result<ExitCode> {
-    let found = data_folder::read(folder)?;
+fn inspect_folder(part: FolderPart, verify: bool, folder: &Path) -> anyhow::Result<ExitCode> {
+    let data = data_folder::read(folder)?;
     match (part, verify) {
-        (Part::Log, false) => show_log(&found),
-        (Part::Log, true) => verify_log(&found),
-        (Part::Snapshot, false) => show_snapshot(found.snapshot.as_ref()),
-        (Part::Snapshot, true) => verify_snapshot(&found),
+        (FolderPart::Log, false) => show_log(&data),
+        (FolderPart::Log, true) => verify_log(&data),
+        (FolderPart::Snapshot, false) => show_snapshot(data.snapshot.as_ref()),
+        (FolderPart::Snapshot, true) => verify_snapshot(&data),
     }
-    found.notes.iter().for_each(|note| line(&format!("note: {note}")));
-    found.damage.iter().for_each(|damage| line(&format!("damage: {damage}")));
-    if !found.damage.is_empty() {
-        line(
-            "remedy: empty the folder while the process is stopped; the machine then joins anew and is sent all",
+    data.notes.iter().for_each(|note| print_line(&format!("note: {note}")));
+    data.damage.iter().for_each(|damage| print_line(&format!("damage: {damage}")));
+    if !data.damage.is_empty() {
+        print_line(
+            "remedy: stop the process and empty the folder; the machine joins again and receives all data",
         );
     }
-    Ok(code(found.damage.is_empty()))
+    Ok(exit_code(data.damage.is_empty()))
 }
 
-fn show_log(found: &DataFolder) {
-    match &found.identity {
+fn show_log(data: &DataFolder) {
+    match &data.identity {
         Some(identity) => {
             let vote =
-                identity.hard_state.voted_for.map_or_else(|| "nobody".to_owned(), |vote| vote.to_string());
+                identity.hard_state.voted_for.map_or_else(|| "none".to_owned(), |vote| vote.to_string());
             let term = identity.hard_state.term;
-            line(&format!("replica {}, term {term}, voted for {vote}", identity.id));
+            print_line(&format!("replica {}, term {term}, voted for {vote}", identity.id));
         }
-        None => line("no identity: the disk is empty"),
+        None => print_line("no identity: the disk is empty"),
     }
-    line(&format!("{:>10} {:>6} {:>9}  kind", "index", "term", "bytes"));
-    for entry in &found.entries {
+    print_line(&format!("{:>10} {:>6} {:>9}  kind", "index", "term", "bytes"));
+    for entry in &data.entries {
         let term = entry.term.map_or_else(|| "?".to_owned(), |term| term.to_string());
-        line(&format!("{:>10} {term:>6} {:>9}  {}", entry.index, entry.bytes, entry.kind));
+        print_line(&format!("{:>10} {term:>6} {:>9}  {}", entry.index, entry.bytes, entry.kind));
     }
 }
 
-fn verify_log(found: &DataFolder) {
-    for file in found.files.iter().filter(|file| file.snapshot.is_none()) {
-        let state = if file.valid_bytes == file.length { "right" } else { "end before the file does" };
-        line(&format!(
+fn verify_log(data: &DataFolder) {
+    for file in data.files.iter().filter(|file| file.snapshot.is_none()) {
+        let state = if file.valid_bytes == file.length { "valid" } else { "valid only up to that byte" };
+        print_line(&format!(
             "{}: {} frames, {} records, {} of {} bytes, checksums {state}",
             file.name, file.frames, file.records, file.valid_bytes, file.length
         ));
     }
-    let range = match (found.entries.first(), found.entries.last()) {
+    let range = match (data.entries.first(), data.entries.last()) {
         (Some(first), Some(last)) => format!("entries {} to {}", first.index, last.index),
         _ => "no entries".to_owned(),
     };
-    line(&range);
+    print_line(&range);
 }
 
 fn show_snapshot(snapshot: Option<&SnapshotSummary>) {
     let Some(snapshot) = snapshot else {
-        line("no snapshot");
+        print_line("no snapshot");
         return;
     };
-    line(&format!("index {}, term {}, {} bytes", snapshot.index, snapshot.term, snapshot.bytes));
-    line(&format!("configuration {}, {} bytes", snapshot.version, snapshot.configuration_bytes));
-    line(&format!("members {}", snapshot.members.join(", ")));
+    print_line(&format!("index {}, term {}, {} bytes", snapshot.index, snapshot.term, snapshot.bytes));
+    print_line(&format!("configuration {}, {} bytes", snapshot.version, snapshot.configuration_bytes));
+    print_line(&format!("members {}", snapshot.members.join(", ")));
 }
 
-fn verify_snapshot(found: &DataFolder) {
-    for file in &found.files {
+fn verify_snapshot(data: &DataFolder) {
+    for file in &data.files {
         let Some(snapshot) = file.snapshot else { continue };
         let state = match snapshot {
-            SnapshotUse::InUse => "in use, checksum right",
+            SnapshotUse::InUse => "in use, checksum valid",
             SnapshotUse::NotUsed => "not in use",
         };
-        line(&format!("{}: {} bytes, {state}", file.name, file.length));
+        print_line(&format!("{}: {} bytes, {state}", file.name, file.length));
     }
-    show_snapshot(found.snapshot.as_ref());
+    show_snapshot(data.snapshot.as_ref());
 }
 
-async fn play(options: Options) -> anyhow::Result<ExitCode> {
+async fn run_demo(options: Options) -> anyhow::Result<ExitCode> {
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let stop = async move {
--- a/crates/operator/src/data_folder.rs
+++ b/crates/operator/src/data_folder.rs
@@ -1,6 +1,6 @@
-//! A look at the data folder of a control machine, without changing it.
+//! Inspects the data folder of a control machine without changing it.
 //!
-//! The process of the machine should not be running: of a folder in use, the last frame may look cut short.
+//! The process of the machine should be stopped: in a folder in use, the last frame may appear truncated.
 
 use std::path::Path;
 
@@ -12,78 +12,79 @@
 
 use crate::error::OperatorError;
 
-/// What a data folder holds.
+/// The contents of a data folder.
 #[derive(Debug, Clone)]
 pub struct DataFolder {
-    /// Identity, term and vote; none on an empty disk, or if they can't be read.
+    /// Identity, term and vote; `None` on an empty disk, or if they cannot be decoded.
     pub identity: Option<StoreMetadata>,
-    /// The entries of the log, in their order.
+    /// The log entries, by ascending index.
     pub entries: Vec<LogEntrySummary>,
-    /// The snapshot in use.
+    /// The snapshot in use; `None` if there is none, or if it cannot be decoded.
     pub snapshot: Option<SnapshotSummary>,
-    /// The files.
+    /// The log segments and snapshot files.
     pub files: Vec<FileReport>,
-    /// What is damaged, each with its place; empty if all checksums are right and all contents can be read.
+    /// Descriptions of all damage, each with its place; empty if all checksums are valid and all contents can
+    /// be decoded.
     pub damage: Vec<String>,
-    /// What an opening would put right without a loss.
+    /// Descriptions of what the next start repairs without data loss.
     pub notes: Vec<String>,
 }
 
-/// An entry of the log.
+/// A log entry, summarized for display.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogEntrySummary {
-    /// Its index.
+    /// Index in the log.
     pub index: u64,
-    /// Term of the leader that made it; none if its contents can't be read.
+    /// Term of the leader that appended it; `None` if the entry cannot be decoded.
     pub term: Option<u64>,
-    /// What it is, and what it says.
+    /// Kind and contents, as text.
     pub kind: String,
-    /// Its length on the disk in bytes.
+    /// Size on disk in bytes.
     pub bytes: u64,
 }
 
-/// The snapshot in use.
+/// The snapshot in use, summarized for display.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SnapshotSummary {
-    /// Last entry that it contains.
+    /// Index of the last entry that it covers.
     pub index: u64,
     /// Term of that entry.
     pub term: u64,
-    /// Voters and learners, by control address.
+    /// Control addresses of voters and learners; learners are marked.
     pub members: Vec<String>,
-    /// Version of the configuration in it; 0 for none.
+    /// Version of the configuration in it; 0 if there is none.
     pub version: u64,
-    /// Length of that configuration in bytes.
+    /// Size of that configuration in bytes.
     pub configuration_bytes: u64,
-    /// Its length on the disk in bytes.
+    /// Size on disk in bytes.
     pub bytes: u64,
 }
 
-/// Reads a data folder; nothing in it is changed.
+/// Reads a data folder without changing it.
 ///
 /// # Errors
 ///
-/// It can't be read, or was written by another version of the program.
+/// The folder cannot be read, or was written by another version of the program.
 pub fn read(path: &Path) -> Result<DataFolder, OperatorError> {
-    look(path).map(DataFolder::of)
+    inspect_folder(path).map(DataFolder::from_inspection)
 }
 
-/// The newest configuration in a data folder, as its log and snapshot have it, and whether the folder is damaged. It
-/// may hold one that was never acknowledged: what is committed is known to a majority only.
+/// The newest configuration in the log and snapshot of a data folder, and whether the folder is damaged. The
+/// configuration may never have been acknowledged: one replica alone cannot tell which entries are committed.
 ///
 /// # Errors
 ///
-/// The folder can't be read, or holds no configuration.
+/// The folder cannot be read, or contains no configuration.
 pub fn newest_configuration(path: &Path) -> Result<(Bytes, bool), OperatorError> {
-    let Inspection { recovered, .. } = look(path)?;
+    let Inspection { recovered, .. } = inspect_folder(path)?;
     let snapshot = recovered.snapshot.as_ref().and_then(|stored| decode::<Snapshot>(&stored.bytes).ok());
-    let covered = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+    let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
     let restored = snapshot.and_then(|snapshot| ConfigurationState::restore(&snapshot.state).ok());
     let mut state = restored.unwrap_or_default();
-    let later = recovered.entries.iter().filter(|stored| stored.index > covered);
-    for entry in later.filter_map(|stored| decode::<Entry>(&stored.bytes).ok()) {
+    let later_entries = recovered.entries.iter().filter(|stored| stored.index > snapshot_index);
+    for entry in later_entries.filter_map(|stored| decode::<Entry>(&stored.bytes).ok()) {
         if let Payload::Command(command) = entry.payload {
-            // A command that can't be read changes nothing at a control machine either.
+            // Control machines also ignore a command that they cannot decode.
             let _ = state.apply(&command);
         }
     }
@@ -93,35 +94,35 @@
     }
 }
 
-fn look(path: &Path) -> Result<Inspection, OperatorError> {
+fn inspect_folder(path: &Path) -> Result<Inspection, OperatorError> {
     let mut folder = ReadOnlyFolder::new(path).map_err(OperatorError::file(path))?;
     inspect(&mut folder).map_err(|source| OperatorError::Storage { path: path.to_owned(), source })
 }
 
 impl DataFolder {
-    fn of(found: Inspection) -> Self {
-        let Inspection { recovered, files } = found;
+    fn from_inspection(inspection: Inspection) -> Self {
+        let Inspection { recovered, files } = inspection;
         let mut damage = Vec::new();
         let mut notes = Vec::new();
         for note in &recovered.notes {
-            let (is_damage, text) = describe(note);
+            let (is_damage, text) = describe_note(note);
             if is_damage { damage.push(text) } else { notes.push(text) }
         }
         if recovered.damaged && damage.is_empty() {
-            damage.push("an earlier opening found damage, and the disk was not emptied since".to_owned());
+            damage.push("an earlier start found damage, and the disk has not been emptied since".to_owned());
         }
         let identity = recovered.metadata.as_deref().map(decode::<StoreMetadata>);
         if matches!(identity, Some(Err(_))) {
-            damage.push("identity, term and vote can't be read".to_owned());
+            damage.push("identity, term and vote cannot be decoded".to_owned());
         }
-        let snapshot = recovered.snapshot.as_ref().map(|stored| snapshot_line(&stored.bytes));
+        let snapshot = recovered.snapshot.as_ref().map(|stored| summarize_snapshot(&stored.bytes));
         if let Some(Err(reason)) = &snapshot {
-            damage.push(format!("the snapshot's contents can't be read: {reason}"));
+            damage.push(format!("the snapshot cannot be decoded: {reason}"));
         }
         let entries: Vec<LogEntrySummary> =
-            recovered.entries.iter().map(|stored| entry_line(stored.index, &stored.bytes)).collect();
-        let unreadable = entries.iter().filter(|entry| entry.term.is_none());
-        damage.extend(unreadable.map(|entry| format!("entry {}: its contents can't be read", entry.index)));
+            recovered.entries.iter().map(|stored| summarize_entry(stored.index, &stored.bytes)).collect();
+        let undecodable = entries.iter().filter(|entry| entry.term.is_none());
+        damage.extend(undecodable.map(|entry| format!("entry {} cannot be decoded", entry.index)));
         Self {
             identity: identity.and_then(Result::ok),
             entries,
@@ -133,62 +134,67 @@
     }
 }
 
-/// Whether a note tells of damage, and its text.
-fn describe(note: &RecoveryNote) -> (bool, String) {
+/// Whether a note reports damage, and its text.
+fn describe_note(note: &RecoveryNote) -> (bool, String) {
     match note {
         RecoveryNote::TornTail { file, kept, dropped } => {
-            let text = format!("{file}: the last write was cut short; {kept} bytes count, {dropped} do not");
+            let text = format!(
+                "{file}: the last write was truncated; {kept} bytes are kept, {dropped} are discarded"
+            );
             (false, text)
         }
         RecoveryNote::Leftover { file } => (false, format!("{file}: not needed, removed at the next start")),
         RecoveryNote::DamagedSegment { file, offset } => {
-            (true, format!("{file}: damaged from byte {offset} on; entries from there on are lost"))
+            (true, format!("{file}: damaged from byte {offset} on; the entries from there on are lost"))
         }
         RecoveryNote::MissingFile { file } => (true, format!("{file}: missing")),
         RecoveryNote::DamagedSnapshot { file } => (true, format!("{file}: the snapshot is damaged")),
     }
 }
 
-fn entry_line(index: u64, bytes: &[u8]) -> LogEntrySummary {
+fn summarize_entry(index: u64, bytes: &[u8]) -> LogEntrySummary {
     let size = bytes.len() as u64;
     match decode::<Entry>(bytes) {
-        Ok(entry) => {
-            LogEntrySummary { index, term: Some(entry.term), kind: kind(&entry.payload), bytes: size }
-        }
+        Ok(entry) => LogEntrySummary {
+            index,
+            term: Some(entry.term),
+            kind: describe_payload(&entry.payload),
+            bytes: size,
+        },
         Err(_) => LogEntrySummary { index, term: None, kind: "unreadable".to_owned(), bytes: size },
     }
 }
 
-fn kind(payload: &Payload) -> String {
+fn describe_payload(payload: &Payload) -> String {
     match payload {
-        Payload::Noop => "first entry of a leader".to_owned(),
-        Payload::Membership(membership) => format!("members {}", addresses(membership).join(", ")),
+        Payload::Noop => "no-op of a new leader".to_owned(),
+        Payload::Membership(membership) => format!("members {}", member_addresses(membership).join(", ")),
         Payload::Command(bytes) => match decode::<Command>(bytes) {
             Ok(Command::Replace { base, version, body, .. }) => {
-                format!("configuration {version} on {base}, {} bytes", body.len())
+                format!("configuration {version} based on {base}, {} bytes", body.len())
             }
-            Err(_) => "command of another release".to_owned(),
+            Err(_) => "command in an unknown format".to_owned(),
         },
     }
 }
 
-fn snapshot_line(bytes: &[u8]) -> Result<SnapshotSummary, String> {
+fn summarize_snapshot(bytes: &[u8]) -> Result<SnapshotSummary, String> {
     let snapshot: Snapshot = decode(bytes).map_err(|error| error.to_string())?;
     let state = ConfigurationState::restore(&snapshot.state).map_err(|error| error.to_string())?;
     Ok(SnapshotSummary {
         index: snapshot.index,
         term: snapshot.term,
-        members: addresses(&snapshot.membership),
+        members: member_addresses(&snapshot.membership),
         version: state.version(),
         configuration_bytes: state.body().len() as u64,
         bytes: bytes.len() as u64,
     })
 }
 
-fn addresses(membership: &Membership) -> Vec<String> {
+fn member_addresses(membership: &Membership) -> Vec<String> {
     let text = |member: &dunelink_replication::Member| {
-        let learner = if membership.is_voter(member.id) { "" } else { " (learner)" };
-        format!("{}{learner}", member.control_address)
+        let suffix = if membership.is_voter(member.id) { "" } else { " (learner)" };
+        format!("{}{suffix}", member.control_address)
     };
     membership.all_members().map(text).collect()
 }
--- a/crates/operator/src/demo/load.rs
+++ b/crates/operator/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! Clients of the demonstration: a steady rate of requests, each on a connection of its own.
+//! Clients of the demonstration: requests at a constant rate, each on its own connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,91 +8,91 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
-use super::tally::Tally;
+use super::statistics::ClientStatistics;
 
-/// How long a client waits for its whole answer.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// Prompts in use: requests of one share their first part.
-const PROMPTS: u64 = 16;
-/// Requests in flight at most; more are counted as failed without being sent.
+/// Timeout of a complete response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Number of prompt prefixes; requests with the same prefix can share a prefix cache.
+const PROMPT_PREFIXES: u64 = 16;
+/// Maximum number of requests in flight; further ones count as failed without being sent.
 const MAX_IN_FLIGHT: usize = 1_024;
 
-/// Clients at work.
-pub(super) struct Load {
-    sending: JoinHandle<JoinSet<()>>,
+/// The running clients.
+pub(super) struct LoadGenerator {
+    sender: JoinHandle<JoinSet<()>>,
     stop: tokio::sync::oneshot::Sender<()>,
 }
 
-impl Load {
-    /// Sends `rate` requests a second, to the fronts in turn.
-    pub(super) fn start(fronts: Vec<SocketAddr>, rate: u32, tally: Tally) -> Self {
-        let (stop, stopped) = tokio::sync::oneshot::channel();
-        Self { sending: tokio::spawn(send(fronts, rate, tally, stopped)), stop }
+impl LoadGenerator {
+    /// Starts sender `rate` requests per second to the fronts in turn.
+    pub(super) fn start(fronts: Vec<SocketAddr>, rate: u32, statistics: ClientStatistics) -> Self {
+        let (stop, stop_signal) = tokio::sync::oneshot::channel();
+        Self { sender: tokio::spawn(send_requests(fronts, rate, statistics, stop_signal)), stop }
     }
 
-    /// Sends no more, and waits for the answers under way.
+    /// Stops sender and waits for the requests in flight.
     pub(super) async fn finish(self) {
-        // The sender has ended if nobody hears this.
+        // Sending fails only if the sender task has already ended.
         let _ = self.stop.send(());
-        if let Ok(mut waiting) = self.sending.await {
-            while waiting.join_next().await.is_some() {}
+        if let Ok(mut in_flight) = self.sender.await {
+            while in_flight.join_next().await.is_some() {}
         }
     }
 }
 
-async fn send(
+async fn send_requests(
     fronts: Vec<SocketAddr>,
     rate: u32,
-    tally: Tally,
-    mut stopped: tokio::sync::oneshot::Receiver<()>,
+    statistics: ClientStatistics,
+    mut stop_signal: tokio::sync::oneshot::Receiver<()>,
 ) -> JoinSet<()> {
-    let mut waiting = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     let mut ticks = interval(Duration::from_secs(1) / rate);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     for number in 0_u64.. {
         tokio::select! {
             _ = ticks.tick() => {}
-            _ = &mut stopped => break,
+            _ = &mut stop_signal => break,
         }
-        while waiting.try_join_next().is_some() {}
-        if waiting.len() >= MAX_IN_FLIGHT {
-            tally.failed("not sent: too many in flight");
+        while in_flight.try_join_next().is_some() {}
+        if in_flight.len() >= MAX_IN_FLIGHT {
+            statistics.record_failure("not sent: too many requests in flight");
             continue;
         }
         let front = fronts[number as usize % fronts.len()];
-        waiting.spawn(one(front, number, tally.clone()));
+        in_flight.spawn(send_one(front, number, statistics.clone()));
     }
-    waiting
+    in_flight
 }
 
-async fn one(front: SocketAddr, number: u64, tally: Tally) {
-    let began = Instant::now();
-    match timeout(PATIENCE, exchange(front, number, began)).await {
-        Ok(Ok(first_event)) => tally.served(first_event),
-        Ok(Err(reason)) => tally.failed(&reason),
-        Err(_) => tally.failed("no whole answer in 8 s"),
+async fn send_one(front: SocketAddr, number: u64, statistics: ClientStatistics) {
+    let started_at = Instant::now();
+    match timeout(RESPONSE_TIMEOUT, exchange(front, number, started_at)).await {
+        Ok(Ok(first_event)) => statistics.record_served(first_event),
+        Ok(Err(reason)) => statistics.record_failure(&reason),
+        Err(_) => statistics.record_failure("no complete response within 8 s"),
     }
 }
 
-/// The time to the first event of a whole answer.
-async fn exchange(front: SocketAddr, number: u64, began: Instant) -> Result<Duration, String> {
+/// Sends one request, reads the complete response and returns the time to its first event.
+async fn exchange(front: SocketAddr, number: u64, started_at: Instant) -> Result<Duration, String> {
     let client = TestClient::new(front, HOST, KEY);
-    let prompt = format!("{:x}:800,{:x}:200", 0x5c1e_0000 + number % PROMPTS, 0x91bd_0000 + number);
+    let prompt = format!("{:x}:800,{:x}:200", 0x5c1e_0000 + number % PROMPT_PREFIXES, 0x91bd_0000 + number);
     let request = client.request("POST", RESUMABLE).prompt(1_000, 64, &prompt).body(b"prompt");
     let mut connection =
-        client.connect().await.map_err(|error| format!("no connection: {}", error.kind()))?;
-    connection.send(&request).await.map_err(|error| format!("not taken: {}", error.kind()))?;
-    let mut answering = connection.head().await.map_err(|error| format!("no answer: {}", error.kind()))?;
-    let status = answering.head.status();
+        client.connect().await.map_err(|error| format!("connection failed: {}", error.kind()))?;
+    connection.send(&request).await.map_err(|error| format!("sending failed: {}", error.kind()))?;
+    let mut response = connection.head().await.map_err(|error| format!("no response: {}", error.kind()))?;
+    let status = response.head.status();
     if status != 200 {
         return Err(format!("status {status}"));
     }
     let mut first = None;
     loop {
-        match answering.event().await {
-            Ok(Some(_)) => first = first.or_else(|| Some(began.elapsed())),
-            Ok(None) => return first.ok_or_else(|| "an answer without events".to_owned()),
-            Err(error) => return Err(format!("stream cut: {}", error.kind())),
+        match response.event().await {
+            Ok(Some(_)) => first = first.or_else(|| Some(started_at.elapsed())),
+            Ok(None) => return first.ok_or_else(|| "response without events".to_owned()),
+            Err(error) => return Err(format!("stream broken: {}", error.kind())),
         }
     }
 }
--- a/crates/operator/src/demo/mod.rs
+++ b/crates/operator/src/demo/mod.rs
@@ -1,38 +1,39 @@
-//! A whole small fleet on loopback: three control machines, two fronts, model servers and clients, while the leader is
-//! killed and one server drains.
+//! A complete small fleet on loopback addresses: three control machines, two fronts, model servers and
+//! clients. During the run the leader is killed and one server drains.
 //!
-//! The fleet's programs are real processes, found beside this one. Model servers, the platform's list and the clients
-//! run in this process. All of it uses loopback addresses of its own, and a folder that is removed at the end.
+//! The programs of the fleet run as separate processes, from the folder of this program. Model servers, the
+//! platform's server list and the clients run in this process. The demonstration uses its own loopback
+//! addresses and a folder that is removed at the end.
 
+mod fleet;
 mod load;
-mod stage;
-mod tally;
+mod statistics;
 
 use std::io::Write;
 use std::time::Duration;
 
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
-pub use tally::Summary;
+pub use statistics::Summary;
 
 use crate::error::OperatorError;
-use load::Load;
-use stage::Stage;
-use tally::Tally;
+use fleet::DemoFleet;
+use load::LoadGenerator;
+use statistics::ClientStatistics;
 
-/// The shortest demonstration, in seconds: less would not show the way back.
+/// Minimum duration in seconds: a shorter demonstration would not show the recovery.
 pub const MIN_SECONDS: u64 = 8;
-/// The longest, in seconds.
+/// Maximum duration in seconds.
 pub const MAX_SECONDS: u64 = 600;
-/// The highest rate, in requests a second.
+/// Maximum rate in requests per second.
 pub const MAX_RATE: u32 = 200;
 
-/// How a demonstration is played.
+/// Options of a demonstration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// For how long clients send, in seconds; [`MIN_SECONDS`] to [`MAX_SECONDS`].
+    /// Time for which the clients send, in seconds; [`MIN_SECONDS`] to [`MAX_SECONDS`].
     pub seconds: u64,
-    /// Requests a second; 1 to [`MAX_RATE`].
+    /// Requests per second; 1 to [`MAX_RATE`].
     pub rate: u32,
 }
 
@@ -42,97 +43,108 @@
     }
 }
 
-/// Time between two looks at the control machines.
-const LOOK: Duration = Duration::from_millis(200);
-/// Looks between two lines.
-const LOOKS_A_LINE: u64 = 5;
+/// Time between two status queries to the control machines.
+const QUERY_INTERVAL: Duration = Duration::from_millis(200);
+/// Status queries per output line.
+const QUERIES_PER_LINE: u64 = 5;
 
-/// Plays a demonstration, and writes a line a second and a summary to `out`. It ends early once `stop` does.
+/// Runs a demonstration and writes one line per second and a summary to `out`. It ends early when `stop`
+/// completes.
 ///
 /// # Errors
 ///
-/// A program is missing beside this one, or the fleet does not come up.
+/// A program is missing in the folder of this program, or the fleet does not become ready.
 pub async fn run(
     options: Options,
     out: &mut impl Write,
     stop: impl Future<Output = ()>,
 ) -> Result<Summary, OperatorError> {
     let seconds = options.seconds.clamp(MIN_SECONDS, MAX_SECONDS);
-    say(out, "three control machines, two fronts and four model servers start on loopback");
-    let mut stage = Stage::start().await?;
-    let clients =
-        format!("all ready; clients send {} requests a second, each answered by a stream", options.rate);
-    say(out, &clients);
-    let tally = Tally::default();
-    let load = Load::start(stage.fronts(), options.rate.clamp(1, MAX_RATE), tally.clone());
+    write_line(
+        out,
+        "starting three control machines, two fronts and four model servers on loopback addresses",
+    );
+    let mut demo_fleet = DemoFleet::start().await?;
+    let clients = format!(
+        "fleet ready; clients send {} requests per second, each with a streaming response",
+        options.rate
+    );
+    write_line(out, &clients);
+    let statistics = ClientStatistics::default();
+    let load = LoadGenerator::start(demo_fleet.fronts(), options.rate.clamp(1, MAX_RATE), statistics.clone());
     tokio::select! {
-        () = play(&mut stage, seconds, &tally, out) => {}
-        () = stop => say(out, "stopped"),
+        () = run_steps(&mut demo_fleet, seconds, &statistics, out) => {}
+        () = stop => write_line(out, "stopped"),
     }
     load.finish().await;
-    let summary = tally.summary(stage.gap(), stage.late_requests());
-    summary.lines().iter().for_each(|line| say(out, line));
+    let summary = statistics.summary(demo_fleet.leaderless_duration(), demo_fleet.requests_after_drain());
+    summary.lines().iter().for_each(|line| write_line(out, line));
     Ok(summary)
 }
 
-/// A line; an output that is gone stops nothing.
-fn say(out: &mut impl Write, line: &str) {
+/// Writes a line and ignores write errors, such as a closed pipe.
+fn write_line(out: &mut impl Write, line: &str) {
     let _ = writeln!(out, "{line}");
     let _ = out.flush();
 }
 
-/// What happens, by the time since the clients began.
+/// A step of the demonstration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Act {
+enum Step {
     Reconfigure,
     KillLeaderAndDrain,
-    EndServer,
-    StartAgain,
+    StopServer,
+    RestartControl,
 }
 
-fn acts(seconds: u64) -> Vec<(Duration, Act)> {
-    let whole = Duration::from_secs(seconds);
-    let half = whole / 2;
+fn steps(seconds: u64) -> Vec<(Duration, Step)> {
+    let duration = Duration::from_secs(seconds);
+    let half = duration / 2;
     vec![
-        (whole / 4, Act::Reconfigure),
-        (half, Act::KillLeaderAndDrain),
-        (half + stage::DRAIN, Act::EndServer),
-        (whole * 3 / 4, Act::StartAgain),
+        (duration / 4, Step::Reconfigure),
+        (half, Step::KillLeaderAndDrain),
+        (half + fleet::DRAIN_TIME, Step::StopServer),
+        (duration * 3 / 4, Step::RestartControl),
     ]
 }
 
-async fn play(stage: &mut Stage, seconds: u64, tally: &Tally, out: &mut impl Write) {
-    let began = Instant::now();
-    let end = began + Duration::from_secs(seconds);
-    let mut acts = acts(seconds);
-    acts.sort_by_key(|(at, _)| *at);
-    let mut acts = acts.into_iter().peekable();
-    let mut looks = interval(LOOK);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut count = 0_u64;
+async fn run_steps(
+    demo_fleet: &mut DemoFleet,
+    seconds: u64,
+    statistics: &ClientStatistics,
+    out: &mut impl Write,
+) {
+    let started_at = Instant::now();
+    let end = started_at + Duration::from_secs(seconds);
+    let mut steps = steps(seconds);
+    steps.sort_by_key(|(at, _)| *at);
+    let mut steps = steps.into_iter().peekable();
+    let mut ticks = interval(QUERY_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut queries = 0_u64;
     loop {
         tokio::select! {
-            _ = looks.tick() => {}
+            _ = ticks.tick() => {}
             () = sleep_until(end) => return,
         }
-        while let Some((_, act)) = acts.next_if(|(at, _)| began.elapsed() >= *at) {
-            let told = perform(stage, act).await;
-            say(out, &format!("      {told}"));
+        while let Some((_, step)) = steps.next_if(|(at, _)| started_at.elapsed() >= *at) {
+            let message = perform(demo_fleet, step).await;
+            write_line(out, &format!("      {message}"));
         }
-        let fleet = stage.look().await;
-        count += 1;
-        if count.is_multiple_of(LOOKS_A_LINE) {
-            let second = began.elapsed().as_secs_f64().round();
-            say(out, &format!("{second:>3} s  {}  {fleet}", tally.take_line()));
+        let status_text = demo_fleet.query_status().await;
+        queries += 1;
+        if queries.is_multiple_of(QUERIES_PER_LINE) {
+            let second = started_at.elapsed().as_secs_f64().round();
+            write_line(out, &format!("{second:>3} s  {}  {status_text}", statistics.take_recent_line()));
         }
     }
 }
 
-async fn perform(stage: &mut Stage, act: Act) -> String {
-    match act {
-        Act::Reconfigure => stage.reconfigure().await,
-        Act::KillLeaderAndDrain => stage.kill_leader_and_drain(),
-        Act::EndServer => stage.end_server().await,
-        Act::StartAgain => stage.start_again(),
+async fn perform(demo_fleet: &mut DemoFleet, step: Step) -> String {
+    match step {
+        Step::Reconfigure => demo_fleet.reconfigure().await,
+        Step::KillLeaderAndDrain => demo_fleet.kill_leader_and_drain(),
+        Step::StopServer => demo_fleet.stop_server().await,
+        Step::RestartControl => demo_fleet.restart_control(),
     }
 }
--- a/crates/operator/src/difference.rs
+++ b/crates/operator/src/difference.rs
@@ -1,32 +1,32 @@
-//! What two configurations differ in.
+//! Lists the differences between two configurations.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
 use dunelink_settings::{Engine, FleetConfig, QuotaUnit, Route, RouteKind, Service, Tenant};
 
-/// What happened to a part of a configuration.
+/// How a part of a configuration differs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Only the newer one has it.
+    /// Only the newer configuration has it.
     Added,
-    /// Only the older one has it.
+    /// Only the older configuration has it.
     Removed,
-    /// Both have it, with other values.
+    /// Both configurations have it, with different values.
     Changed,
 }
 
-/// One difference.
+/// One part that differs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
-    /// What happened.
+    /// How the part differs.
     pub change: Change,
     /// `route`, `service`, `tenant` or `limits`.
     pub kind: &'static str,
     /// Host and prefix of a route, name of a service or tenant; empty for the limits.
     pub name: String,
-    /// Each value that differs, as `key: old -> new`; of a part on one side only, all its values. Keys of tenants are
-    /// only counted.
+    /// Each differing value as `key: old -> new`; all values as `key: value` if only one side has the part.
+    /// API keys of tenants are only counted.
     pub values: Vec<String>,
 }
 
@@ -45,15 +45,15 @@
     }
 }
 
-/// The values of one part by their keys.
+/// The values of one part, as text, by key.
 type Values = BTreeMap<&'static str, String>;
 
-/// All differences: routes, services, tenants, limits, each in the order of names.
+/// All differences: routes, services, tenants, limits, each sorted by name.
 pub fn differences(old: &FleetConfig, new: &FleetConfig) -> Vec<Difference> {
     let mut all = compare("route", &routes(old), &routes(new));
     all.extend(compare("service", &services(old), &services(new)));
     let mut tenants = compare("tenant", &tenants(old), &tenants(new));
-    note_keys(old, new, &mut tenants);
+    add_key_changes(old, new, &mut tenants);
     all.extend(tenants);
     all.extend(compare("limits", &limits(old), &limits(new)));
     all
@@ -69,23 +69,23 @@
     names.dedup();
     let difference = |name: &String| {
         let (change, values) = match (old.get(name), new.get(name)) {
-            (Some(old), Some(new)) => (Change::Changed, changed(old, new)),
-            (None, Some(new)) => (Change::Added, listed(new)),
-            (Some(old), None) => (Change::Removed, listed(old)),
+            (Some(old), Some(new)) => (Change::Changed, changed_values(old, new)),
+            (None, Some(new)) => (Change::Added, all_values(new)),
+            (Some(old), None) => (Change::Removed, all_values(old)),
             (None, None) => return None,
         };
-        let is_same = change == Change::Changed && values.is_empty();
-        (!is_same).then(|| Difference { change, kind, name: name.clone(), values })
+        let is_unchanged = change == Change::Changed && values.is_empty();
+        (!is_unchanged).then(|| Difference { change, kind, name: name.clone(), values })
     };
     names.into_iter().filter_map(difference).collect()
 }
 
-fn changed(old: &Values, new: &Values) -> Vec<String> {
+fn changed_values(old: &Values, new: &Values) -> Vec<String> {
     let pairs = new.iter().map(|(key, value)| (key, &old[key], value));
     pairs.filter(|(_, old, new)| old != new).map(|(key, old, new)| format!("{key}: {old} -> {new}")).collect()
 }
 
-fn listed(values: &Values) -> Vec<String> {
+fn all_values(values: &Values) -> Vec<String> {
     values.iter().map(|(key, value)| format!("{key}: {value}")).collect()
 }
 
@@ -154,7 +154,7 @@
         QuotaUnit::Requests => "requests",
         QuotaUnit::Tokens => "tokens",
     };
-    let priority = tenant.priority.map_or_else(|| "of the route".to_owned(), |rank| rank.to_string());
+    let priority = tenant.priority.map_or_else(|| "of the route".to_owned(), |priority| priority.to_string());
     Values::from([
         ("keys", tenant.api_keys.len().to_string()),
         ("priority", priority),
@@ -165,8 +165,8 @@
     ])
 }
 
-/// Says of each tenant on both sides how many keys came and went; their texts are not shown.
-fn note_keys(old: &FleetConfig, new: &FleetConfig, found: &mut Vec<Difference>) {
+/// Adds for each tenant on both sides how many API keys were added and removed, without showing them.
+fn add_key_changes(old: &FleetConfig, new: &FleetConfig, differences: &mut Vec<Difference>) {
     for tenant in &new.tenants {
         let Some(before) = old.tenants.iter().find(|before| before.name == tenant.name) else { continue };
         let added = tenant.api_keys.iter().filter(|key| !before.api_keys.contains(key)).count();
@@ -175,12 +175,12 @@
             continue;
         }
         let text = format!("keys: {added} added, {removed} removed");
-        match found.iter_mut().find(|difference| difference.name == tenant.name) {
+        match differences.iter_mut().find(|difference| difference.name == tenant.name) {
             Some(difference) => {
                 difference.values.retain(|value| !value.starts_with("keys: "));
                 difference.values.insert(0, text);
             }
-            None => found.push(Difference {
+            None => differences.push(Difference {
                 change: Change::Changed,
                 kind: "tenant",
                 name: tenant.name.clone(),
@@ -188,7 +188,7 @@
             }),
         }
     }
-    found.sort_by(|left, right| left.name.cmp(&right.name));
+    differences.sort_by(|left, right| left.name.cmp(&right.name));
 }
 
 fn limits(configuration: &FleetConfig) -> BTreeMap<String, Values> {
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not be carried out.
+//! The errors of the commands.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,91 +7,87 @@
 use dunelink_storage::StorageError;
 use thiserror::Error;
 
-/// A command that could not be carried out. Each message names the remedy.
+/// Why a command could not be executed. Each message names the remedy.
 #[derive(Debug, Error)]
 pub enum OperatorError {
-    /// A file can't be read.
-    #[error("{}: can't be read ({source}); check the path and its permissions", path.display())]
+    /// A file or folder cannot be read.
+    #[error("{}: cannot be read ({source}); check the path and its permissions", path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A settings file can't be used.
+    /// A settings file is invalid.
     #[error(transparent)]
     Settings(#[from] BootSettingsError),
-    /// A configuration can't be used.
+    /// A configuration is invalid.
     #[error("{place}: {reason}")]
     Configuration {
-        /// The file, or the machine that sent it.
+        /// Path of the file, or address of the machine that sent the configuration.
         place: String,
-        /// What is wrong.
+        /// What is invalid.
         reason: ConfigError,
     },
     /// No control address is known.
-    #[error(
-        "no control address is known; name one with --control IP:PORT or point DUNELINK_BOOT to a settings file"
-    )]
+    #[error("no control address is known; pass --control IP:PORT or set DUNELINK_BOOT to a settings file")]
     NoControlAddress,
-    /// No control machine gave a clear answer.
+    /// No control machine gave a definite response.
     #[error(
-        "no control machine gave a clear answer ({tried}); see that over half of them run and reach one another"
+        "no control machine gave a definite response ({tried}); check that a majority runs and is connected"
     )]
     NoResponse {
         /// The last failure at each address.
         tried: String,
     },
-    /// The fleet refused.
+    /// The fleet refused the request.
     #[error("refused with {status}: {reason}")]
     Refused {
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Its body.
+        /// Body of the response.
         reason: String,
     },
-    /// An answer can't be read.
-    #[error(
-        "{place}: the answer to {path} can't be read ({reason}); use the command of the release that runs there"
-    )]
+    /// A response cannot be parsed.
+    #[error("{place}: the response to {path} cannot be parsed ({reason}); use dunelink-fleet of its release")]
     InvalidResponse {
-        /// The machine.
+        /// Address of the machine, or what the JSON contains.
         place: String,
-        /// The path asked.
+        /// Path of the request.
         path: &'static str,
-        /// What the reader found.
+        /// The error of the parser.
         reason: String,
     },
     /// There is no configuration yet.
-    #[error("the fleet has no configuration yet; send one with `config put FILE --base 0`")]
+    #[error("the fleet has no configuration yet; apply one with `config put FILE --base 0`")]
     NoConfiguration,
-    /// A file still has hidden keys.
-    #[error("{}: the keys in it are hidden; read the configuration with --with-keys before editing it", path.display())]
+    /// A file contains placeholders in place of API keys.
+    #[error("{}: contains hidden keys; read the configuration with --with-keys before editing", path.display())]
     HiddenKeys {
         /// The file.
         path: PathBuf,
     },
-    /// A disk folder can't be read.
+    /// A data folder cannot be read.
     #[error("{}: {source}", path.display())]
     Storage {
         /// The folder.
         path: PathBuf,
-        /// What the store found.
+        /// The error of the store.
         source: StorageError,
     },
-    /// A data folder holds no configuration.
-    #[error("{}: holds no configuration; look into the folder of another control machine", path.display())]
+    /// A data folder contains no configuration.
+    #[error("{}: contains no configuration; try the data folder of another control machine", path.display())]
     EmptyFolder {
         /// The folder.
         path: PathBuf,
     },
-    /// A demonstration can't begin.
+    /// The demonstration cannot start.
     #[error("{0}")]
     Demo(String),
 }
 
 impl OperatorError {
-    /// For a file that can't be read.
+    /// Returns a conversion of an I/O error into [`OperatorError::File`] for `path`.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> Self {
         let path = path.to_owned();
         move |source| Self::File { path, source }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,12 +1,13 @@
-//! The operators' side of the fleet, behind the command `dunelink-fleet`.
+//! The library behind `dunelink-fleet`, the command-line tool of the operators of a fleet.
 //!
-//! - [`check`] reads a settings file or a configuration and says whether it can be used.
-//! - [`api`] calls the operator's HTTP interface of the control machines; [`status`] and [`configuration`] use it.
-//! - [`difference`] compares two configurations.
-//! - [`data_folder`] looks at the data folder of a control machine that is not running, without changing it.
-//! - [`demo`] plays a whole small fleet on loopback.
+//! - [`check`] validates a settings file or a configuration.
+//! - [`api`] calls the operator HTTP interface of the control machines; [`status`] and [`configuration`] use
+//!   it.
+//! - [`difference`] lists the differences between two configurations.
+//! - [`data_folder`] inspects the data folder of a stopped control machine without changing it.
+//! - [`demo`] runs a complete small fleet on loopback addresses.
 //!
-//! API keys are never part of what these modules give out, but for the configuration's own bytes.
+//! The output of these modules never contains API keys, except for the raw bytes of a configuration.
 
 #![forbid(unsafe_code)]
 
--- a/crates/operator/src/status/findings.rs
+++ b/crates/operator/src/status/findings.rs
@@ -1,4 +1,4 @@
-//! Who is not in touch, and why.
+//! Detects problems in the state of the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,20 +7,20 @@
 use super::FleetStatus;
 use super::page::{Group, Member, StatusPage};
 
-/// Silence after which a member counts as not in touch, in milliseconds.
-const SILENT_MS: u64 = 3_000;
-/// Entries from which a member's lag is told.
-const LAGGING_ENTRIES: u64 = 64;
-/// Age from which the list of servers is told to be old, in milliseconds.
-const OLD_ROSTER_MS: u64 = 5_000;
+/// Time without contact to the leader after which a member is reported, in milliseconds.
+const MAX_CONTACT_AGE_MS: u64 = 3_000;
+/// Lag behind the leader's log from which a member is reported, in entries.
+const REPORTED_LAG_ENTRIES: u64 = 64;
+/// Age above which the server list is reported as outdated, in milliseconds.
+const MAX_SERVER_LIST_AGE_MS: u64 = 5_000;
 
-/// Something that needs a look.
+/// A problem that needs attention.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The machine or agent; `fleet` for all.
+    /// Control address of the machine, node name of the agent, or `fleet`.
     #[serde(rename = "who")]
     pub subject: String,
-    /// What is wrong, and what to do.
+    /// The problem and its remedy.
     #[serde(rename = "why")]
     pub problem: String,
 }
@@ -29,16 +29,16 @@
     Finding { subject: subject.to_string(), problem: problem.into() }
 }
 
-/// All that needs a look; empty if everything is in touch.
+/// All problems; empty if the fleet is healthy.
 pub fn findings(fleet: &FleetStatus) -> Vec<Finding> {
-    let mut found = Vec::new();
-    found.extend(silent_machines(fleet));
-    found.extend(leadership(fleet));
-    found.extend(disks(fleet));
-    found.extend(members(fleet));
-    found.extend(agents(fleet));
-    found.extend(roster(fleet));
-    found
+    let mut findings = Vec::new();
+    findings.extend(unreachable_machines(fleet));
+    findings.extend(leadership_problems(fleet));
+    findings.extend(disk_problems(fleet));
+    findings.extend(member_problems(fleet));
+    findings.extend(agent_problems(fleet));
+    findings.extend(server_list_problems(fleet));
+    findings
 }
 
 fn pages(fleet: &FleetStatus) -> impl Iterator<Item = (String, &StatusPage)> {
@@ -46,22 +46,22 @@
     fleet.machines.iter().filter_map(move |machine| Some((page(machine), machine.page.as_ref()?)))
 }
 
-fn silent_machines(fleet: &FleetStatus) -> Vec<Finding> {
-    let why = |reason: &String| {
-        format!("does not answer ({reason}); see whether dunelink-control runs there and can be reached")
+fn unreachable_machines(fleet: &FleetStatus) -> Vec<Finding> {
+    let problem = |reason: &String| {
+        format!("does not respond ({reason}); check that dunelink-control runs there and is reachable")
     };
-    let silent =
+    let unreachable =
         fleet.machines.iter().filter_map(|machine| Some((machine.control, machine.failure.as_ref()?)));
-    silent.map(|(control, reason)| finding(control, why(reason))).collect()
+    unreachable.map(|(control, reason)| finding(control, problem(reason))).collect()
 }
 
-fn leadership(fleet: &FleetStatus) -> Vec<Finding> {
-    let holders =
+fn leadership_problems(fleet: &FleetStatus) -> Vec<Finding> {
+    let lease_holders =
         pages(fleet).filter(|(_, page)| page.group().is_some_and(|group| group.holds_lease)).count();
-    if holders == 0 {
-        let why = "no machine that answers holds the leader lease: orders wait; over half of the voters must run and \
-                   reach one another";
-        return vec![finding("fleet", why)];
+    if lease_holders == 0 {
+        let problem = "no responding machine holds the leader lease: changes wait; a majority of the voters \
+                   must run and be connected";
+        return vec![finding("fleet", problem)];
     }
     let leaders: BTreeSet<_> =
         pages(fleet).filter_map(|(_, page)| page.group()?.leader).map(|leader| leader.to_string()).collect();
@@ -71,82 +71,83 @@
     let names: Vec<String> = leaders.into_iter().collect();
     vec![finding(
         "fleet",
-        format!("machines name different leaders ({}); ask again in a second", names.join(", ")),
+        format!("machines report different leaders ({}); retry in a second", names.join(", ")),
     )]
 }
 
-fn disks(fleet: &FleetStatus) -> Vec<Finding> {
-    let why = "its disk refuses writes: free space or replace the disk; its process need not be restarted";
+fn disk_problems(fleet: &FleetStatus) -> Vec<Finding> {
+    let problem =
+        "its disk refuses writes: free space or replace the disk; a restart of its process is not needed";
     let unhealthy = |page: &StatusPage| page.groups.iter().any(|group| !group.disk_healthy);
-    pages(fleet).filter(|(_, page)| unhealthy(page)).map(|(control, _)| finding(control, why)).collect()
+    pages(fleet).filter(|(_, page)| unhealthy(page)).map(|(control, _)| finding(control, problem)).collect()
 }
 
 fn leading_group(fleet: &FleetStatus) -> Option<&Group> {
     fleet.preferred_page()?.group().filter(|group| group.holds_lease)
 }
 
-fn members(fleet: &FleetStatus) -> Vec<Finding> {
+fn member_problems(fleet: &FleetStatus) -> Vec<Finding> {
     let Some(group) = leading_group(fleet) else { return Vec::new() };
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     for member in group.members.iter().filter(|member| member.id != group.id) {
-        found.extend(member_trouble(member).map(|why| finding(member.control, why)));
+        findings.extend(member_problem(member).map(|problem| finding(member.control, problem)));
     }
-    found
+    findings
 }
 
-fn member_trouble(member: &Member) -> Option<String> {
+fn member_problem(member: &Member) -> Option<String> {
     match member.last_contact_ms {
-        None => return Some("never heard by the leader since its election; see whether it runs".to_owned()),
-        Some(age) if age > SILENT_MS => {
+        None => return Some("no contact to the leader since its election; check its process".to_owned()),
+        Some(age) if age > MAX_CONTACT_AGE_MS => {
             return Some(format!(
-                "not heard by the leader for {age} ms; see the links between core machines"
+                "no contact to the leader for {age} ms; check the network between the control machines"
             ));
         }
         Some(_) => {}
     }
     if member.disk_healthy == Some(false) {
-        return Some(
-            "tells the leader that its disk refuses writes; free space or replace the disk".to_owned(),
-        );
+        return Some("its disk refuses writes; free space or replace the disk".to_owned());
     }
-    let lag = member.lag_entries.filter(|lag| *lag >= LAGGING_ENTRIES)?;
-    Some(format!("{lag} entries behind the leader; it catches up by itself while its link and disk are well"))
+    let lag = member.lag_entries.filter(|lag| *lag >= REPORTED_LAG_ENTRIES)?;
+    Some(format!("{lag} entries behind the leader; it catches up while its network and disk are healthy"))
 }
 
-/// Agents that are connected nowhere, and those that were sent an older configuration than the newest.
-fn agents(fleet: &FleetStatus) -> Vec<Finding> {
-    let readers = || pages(fleet).flat_map(|(_, page)| &page.agents);
-    let connected: BTreeSet<&str> = readers().map(|reader| reader.node.as_str()).collect();
-    let mut left: BTreeMap<&str, u64> = BTreeMap::new();
-    for leaver in pages(fleet).flat_map(|(_, page)| &page.disconnected_agents) {
-        let since = left.entry(&leaver.node).or_insert(leaver.since_ms);
-        *since = leaver.since_ms.min(*since);
+/// Agents without a connection, and agents that were not yet sent the newest configuration.
+fn agent_problems(fleet: &FleetStatus) -> Vec<Finding> {
+    let connections = || pages(fleet).flat_map(|(_, page)| &page.agents);
+    let connected: BTreeSet<&str> = connections().map(|connection| connection.node.as_str()).collect();
+    let mut disconnected: BTreeMap<&str, u64> = BTreeMap::new();
+    for agent in pages(fleet).flat_map(|(_, page)| &page.disconnected_agents) {
+        let since = disconnected.entry(&agent.node).or_insert(agent.since_ms);
+        *since = agent.since_ms.min(*since);
     }
-    let absent = left.into_iter().filter(|(node, _)| !connected.contains(node)).map(|(node, since)| {
-        let why = format!(
-            "its agent left {since} ms ago and is connected to no machine that answers; see its process and its \
-             links to the core"
-        );
-        finding(node, why)
-    });
+    let absent =
+        disconnected.into_iter().filter(|(node, _)| !connected.contains(node)).map(|(node, since)| {
+            let problem = format!(
+                "its agent disconnected {since} ms ago and is connected to no responding machine; check its \
+             process and its network to the control machines"
+            );
+            finding(node, problem)
+        });
     let newest = fleet.newest_version();
-    let behind = readers().filter(|reader| reader.version < newest).map(|reader| {
-        let why = format!(
-            "its agent was sent version {} of {newest}; it is being sent, or its link is slow",
-            reader.version
+    let outdated = connections().filter(|connection| connection.version < newest).map(|connection| {
+        let problem = format!(
+            "its agent was sent version {} of {newest}; the newest is in transfer, or the network is slow",
+            connection.version
         );
-        finding(&reader.node, why)
+        finding(&connection.node, problem)
     });
-    absent.chain(behind).collect()
+    absent.chain(outdated).collect()
 }
 
-fn roster(fleet: &FleetStatus) -> Vec<Finding> {
+fn server_list_problems(fleet: &FleetStatus) -> Vec<Finding> {
     let Some(page) = fleet.preferred_page() else { return Vec::new() };
-    let advice = "the platform's list is not being read; see `cloudApi.address` and the leader's log";
+    let advice =
+        "the platform's server list is not being read; check `cloudApi.address` and the leader's log";
     match page.server_list.age_ms {
-        None => vec![finding("fleet", format!("the list of servers was never read: {advice}"))],
-        Some(age) if age > OLD_ROSTER_MS => {
-            vec![finding("fleet", format!("the list of servers is {age} ms old: {advice}"))]
+        None => vec![finding("fleet", format!("the server list was never read: {advice}"))],
+        Some(age) if age > MAX_SERVER_LIST_AGE_MS => {
+            vec![finding("fleet", format!("the server list is {age} ms old: {advice}"))]
         }
         Some(_) => Vec::new(),
     }
--- a/crates/operator/src/status/mod.rs
+++ b/crates/operator/src/status/mod.rs
@@ -1,4 +1,4 @@
-//! The state of the whole fleet, put together from the status pages of its control machines.
+//! The state of the fleet, collected from the status pages of its control machines.
 
 mod findings;
 mod page;
@@ -18,89 +18,89 @@
 use crate::api::{Call, send_once};
 use crate::error::OperatorError;
 
-const STATUS: &str = "/api/status";
-/// Control machines that are asked at most.
+const STATUS_PATH: &str = "/api/status";
+/// Maximum number of control machines to query.
 const MAX_MACHINES: usize = 64;
 
-/// One control machine: its page, or why there is none.
+/// One control machine: its status page, or why there is none.
 #[derive(Debug, Clone, Serialize)]
 pub struct Machine {
-    /// Its control address.
+    /// Control address.
     pub control: SocketAddr,
-    /// Its page; none if it did not answer.
+    /// Its status page; `None` if it did not respond.
     pub page: Option<StatusPage>,
-    /// Why it did not answer.
+    /// Why there is no status page; `None` if there is one.
     pub failure: Option<String>,
 }
 
-/// What the control machines tell.
+/// The status of all control machines.
 #[derive(Debug, Clone, Serialize)]
 pub struct FleetStatus {
-    /// The machines named and the members that they name, by address.
+    /// The given machines and the group members that they report, by address.
     pub machines: Vec<Machine>,
 }
 
 impl FleetStatus {
-    /// The page of the machine that holds the leader lease, else of any that answered.
+    /// The page of the machine that holds the leader lease, or else of any machine that responded.
     pub fn preferred_page(&self) -> Option<&StatusPage> {
         let pages = || self.machines.iter().filter_map(|machine| machine.page.as_ref());
-        let leads = |page: &&StatusPage| page.group().is_some_and(|group| group.holds_lease);
-        pages().find(leads).or_else(|| pages().next())
+        let holds_lease = |page: &&StatusPage| page.group().is_some_and(|group| group.holds_lease);
+        pages().find(holds_lease).or_else(|| pages().next())
     }
 
-    /// The newest version in force that any machine tells.
+    /// The newest version in force on any machine; 0 if there is none.
     pub fn newest_version(&self) -> u64 {
         let pages = self.machines.iter().filter_map(|machine| machine.page.as_ref());
         pages.map(|page| page.configuration.version).max().unwrap_or(0)
     }
 }
 
-/// Asks these machines, and the members that they name.
+/// Queries the given machines and the group members that they report.
 ///
 /// # Errors
 ///
-/// No address is given, or no machine answers.
+/// No address is given, or no machine responds.
 pub async fn collect(machines: &[SocketAddr]) -> Result<FleetStatus, OperatorError> {
     if machines.is_empty() {
         return Err(OperatorError::NoControlAddress);
     }
-    let mut asked = BTreeSet::new();
-    let mut waiting: Vec<SocketAddr> = machines.to_vec();
-    let mut found = Vec::new();
-    while let Some(control) = waiting.pop() {
-        if found.len() >= MAX_MACHINES || !asked.insert(control) {
+    let mut queried = BTreeSet::new();
+    let mut pending: Vec<SocketAddr> = machines.to_vec();
+    let mut queried_machines = Vec::new();
+    while let Some(control) = pending.pop() {
+        if queried_machines.len() >= MAX_MACHINES || !queried.insert(control) {
             continue;
         }
-        let machine = ask(control).await?;
+        let machine = query(control).await?;
         let groups = machine.page.iter().flat_map(|page| &page.groups);
-        waiting.extend(groups.flat_map(|group| &group.members).map(|member| member.control));
-        found.push(machine);
+        pending.extend(groups.flat_map(|group| &group.members).map(|member| member.control));
+        queried_machines.push(machine);
     }
-    found.sort_by_key(|machine| machine.control);
-    if found.iter().any(|machine| machine.page.is_some()) {
-        return Ok(FleetStatus { machines: found });
+    queried_machines.sort_by_key(|machine| machine.control);
+    if queried_machines.iter().any(|machine| machine.page.is_some()) {
+        return Ok(FleetStatus { machines: queried_machines });
     }
     let failure = |machine: &Machine| {
         let reason = machine.failure.as_deref().unwrap_or_default();
         format!("{}: {reason}", machine.control)
     };
-    let tried: Vec<String> = found.iter().map(failure).collect();
+    let tried: Vec<String> = queried_machines.iter().map(failure).collect();
     Err(OperatorError::NoResponse { tried: tried.join("; ") })
 }
 
-async fn ask(control: SocketAddr) -> Result<Machine, OperatorError> {
-    let reply = match send_once(control, &Call::read(STATUS)).await {
-        Ok(reply) if reply.status.is_success() => reply,
-        Ok(reply) => {
-            return Ok(Machine { control, page: None, failure: Some(reply.status.to_string()) });
+async fn query(control: SocketAddr) -> Result<Machine, OperatorError> {
+    let response = match send_once(control, &Call::read(STATUS_PATH)).await {
+        Ok(response) if response.status.is_success() => response,
+        Ok(response) => {
+            return Ok(Machine { control, page: None, failure: Some(response.status.to_string()) });
         }
         Err(reason) => return Ok(Machine { control, page: None, failure: Some(reason) }),
     };
-    match sonic_rs::from_slice(&reply.body) {
+    match sonic_rs::from_slice(&response.body) {
         Ok(page) => Ok(Machine { control, page: Some(page), failure: None }),
         Err(error) => {
             let reason = error.to_string();
-            Err(OperatorError::InvalidResponse { place: control.to_string(), path: STATUS, reason })
+            Err(OperatorError::InvalidResponse { place: control.to_string(), path: STATUS_PATH, reason })
         }
     }
 }
--- a/crates/operator/tests/data_folder.rs
+++ b/crates/operator/tests/data_folder.rs
@@ -1,4 +1,5 @@
-//! `dunelink-fleet log` and `snapshot`: what a data folder holds, what is damaged, and nothing changed.
+//! `dunelink-fleet log`, `snapshot` and `config read --from`: they show the contents and damage of a data
+//! folder without changing it.
 
 mod support;
 
@@ -9,38 +10,38 @@
 use dunelink_control::state::{Command, ConfigurationState, Digest};
 use dunelink_replication::{Entry, HardState, Member, Membership, Payload, ReplicaId, Snapshot, encode};
 use dunelink_storage::{FolderDisk, Limits, LogStore, Operation};
-use support::{Folder, fleet};
+use support::{TemporaryFolder, run_command};
 use testkit::system::scene::{KEY, first_configuration};
 
-const BODY_BYTES: usize = 2_000;
-/// Bytes between two that are changed, one at a time.
-const STEP: usize = 41;
-const ID: ReplicaId = ReplicaId(7);
+const CONFIGURATION_BYTES: usize = 2_000;
+/// Distance in bytes between the bytes that are flipped one at a time.
+const FLIP_DISTANCE_BYTES: usize = 41;
+const REPLICA_ID: ReplicaId = ReplicaId(7);
 const LIMITS: Limits = Limits { segment_bytes: 10_000, disk_bytes: 1 << 20 };
 
 fn command(base: u64, version: u64) -> Vec<u8> {
     let mut body = first_configuration().version(version).value().to_string().into_bytes();
-    body.resize(BODY_BYTES, b' ');
+    body.resize(CONFIGURATION_BYTES, b' ');
     encode(&Command::Replace { base, version, digest: Digest::of(base, &body), body })
 }
 
 fn membership() -> Membership {
-    let member = |last: u8| Member {
-        id: ReplicaId(last.into()),
-        internal_address: format!("10.0.0.{last}:7680").parse().unwrap(),
-        control_address: format!("10.0.0.{last}:8665").parse().unwrap(),
+    let member = |host: u8| Member {
+        id: ReplicaId(host.into()),
+        internal_address: format!("10.0.0.{host}:7680").parse().unwrap(),
+        control_address: format!("10.0.0.{host}:8665").parse().unwrap(),
         zone: String::new(),
     };
     Membership::of_voters(vec![member(7), member(8), member(9)])
 }
 
-/// A replica's disk with a snapshot at 4 and the entries 5 to 12.
-fn fill(path: &Path) {
+/// Writes the data folder of a replica with a snapshot at index 4 and the entries 5 to 12.
+fn write_data_folder(path: &Path) {
     let disk = FolderDisk::new(path).unwrap();
     let (mut store, _) = LogStore::open(disk, LIMITS).unwrap();
     let mut write = |operations: Vec<Operation>| store.apply(&operations).unwrap();
-    let hard_state = HardState { term: 2, voted_for: Some(ID) };
-    write(vec![Operation::Metadata(encode(&StoreMetadata { id: ID, hard_state }))]);
+    let hard_state = HardState { term: 2, voted_for: Some(REPLICA_ID) };
+    write(vec![Operation::Metadata(encode(&StoreMetadata { id: REPLICA_ID, hard_state }))]);
     let mut state = ConfigurationState::default();
     for index in 1..=12 {
         let bytes = command(index - 1, index);
@@ -55,132 +56,132 @@
     }
 }
 
-fn contents(path: &Path) -> BTreeMap<String, Vec<u8>> {
+fn read_files(path: &Path) -> BTreeMap<String, Vec<u8>> {
     let files = std::fs::read_dir(path).unwrap().map(|file| file.unwrap().path());
     files.map(|file| (file.display().to_string(), std::fs::read(&file).unwrap())).collect()
 }
 
-fn text(folder: &Folder) -> &str {
+fn path_text(folder: &TemporaryFolder) -> &str {
     folder.path().to_str().unwrap()
 }
 
-/// The files of one kind, oldest first.
-fn files(folder: &Folder, kind: &str) -> Vec<String> {
-    contents(folder.path()).into_keys().filter(|name| name.ends_with(kind)).collect()
+/// The files with this name suffix, oldest first.
+fn files_with_suffix(folder: &TemporaryFolder, suffix: &str) -> Vec<String> {
+    read_files(folder.path()).into_keys().filter(|name| name.ends_with(suffix)).collect()
 }
 
-fn flip(file: &str, at: usize) {
+fn flip_bit(file: &str, at: usize) {
     let mut bytes = std::fs::read(file).unwrap();
     bytes[at] ^= 1;
     std::fs::write(file, bytes).unwrap();
 }
 
 #[test]
-fn a_whole_folder_is_shown_and_left_as_it_is() {
-    let folder = Folder::new();
-    fill(folder.path());
-    let before = contents(folder.path());
-    let shown = fleet(&["log", "show", text(&folder)]);
-    assert_eq!(shown.code, 0, "{shown:?}");
-    assert!(shown.out.contains("replica 0000000000000007, term 2"), "{shown:?}");
-    let entries = shown.out.lines().filter(|line| line.contains("configuration")).count();
-    assert_eq!(entries, 8, "{}", shown.out);
-    assert!(shown.out.contains("configuration 12 on 11, 2000 bytes"), "{shown:?}");
-    let verified = fleet(&["log", "verify", text(&folder)]);
+fn intact_folder_is_shown_and_not_changed() {
+    let folder = TemporaryFolder::new();
+    write_data_folder(folder.path());
+    let before = read_files(folder.path());
+    let result = run_command(&["log", "show", path_text(&folder)]);
+    assert_eq!(result.code, 0, "{result:?}");
+    assert!(result.stdout.contains("replica 0000000000000007, term 2"), "{result:?}");
+    let entries = result.stdout.lines().filter(|line| line.contains("configuration")).count();
+    assert_eq!(entries, 8, "{}", result.stdout);
+    assert!(result.stdout.contains("configuration 12 based on 11, 2000 bytes"), "{result:?}");
+    let verified = run_command(&["log", "verify", path_text(&folder)]);
     assert_eq!(verified.code, 0, "{verified:?}");
     assert!(
-        verified.out.contains("entries 5 to 12") && verified.out.contains("checksums right"),
+        verified.stdout.contains("entries 5 to 12") && verified.stdout.contains("checksums valid"),
         "{verified:?}"
     );
-    for verb in ["show", "verify"] {
-        let snapshot = fleet(&["snapshot", verb, text(&folder)]);
+    for action in ["show", "verify"] {
+        let snapshot = run_command(&["snapshot", action, path_text(&folder)]);
         assert_eq!(snapshot.code, 0, "{snapshot:?}");
         for part in ["index 4, term 2", "configuration 4, 2000 bytes", "10.0.0.9:8665"] {
-            assert!(snapshot.out.contains(part), "{part} in {snapshot:?}");
+            assert!(snapshot.stdout.contains(part), "{part} in {snapshot:?}");
         }
     }
-    assert_eq!(contents(folder.path()), before);
+    assert_eq!(read_files(folder.path()), before);
 }
 
 #[test]
-fn a_changed_byte_in_the_log_is_damage_at_its_place() {
-    let folder = Folder::new();
-    fill(folder.path());
-    let segments = files(&folder, ".log");
-    assert!(segments.len() >= 2, "an older segment and the newest: {segments:?}");
+fn flipped_log_byte_is_reported_with_its_place() {
+    let folder = TemporaryFolder::new();
+    write_data_folder(folder.path());
+    let segments = files_with_suffix(&folder, ".log");
+    assert!(segments.len() >= 2, "expected at least two segments: {segments:?}");
     let damaged = &segments[segments.len() - 2];
-    flip(damaged, std::fs::metadata(damaged).unwrap().len() as usize / 2);
-    let before = contents(folder.path());
-    for verb in ["show", "verify"] {
-        let ended = fleet(&["log", verb, text(&folder)]);
-        assert_eq!(ended.code, 1, "{ended:?}");
+    flip_bit(damaged, std::fs::metadata(damaged).unwrap().len() as usize / 2);
+    let before = read_files(folder.path());
+    for action in ["show", "verify"] {
+        let result = run_command(&["log", action, path_text(&folder)]);
+        assert_eq!(result.code, 1, "{result:?}");
         let name = Path::new(damaged).file_name().unwrap().to_str().unwrap();
-        assert!(ended.out.contains(&format!("damage: {name}: damaged from byte")), "{ended:?}");
-        assert!(ended.out.contains("remedy: "), "{ended:?}");
+        assert!(result.stdout.contains(&format!("damage: {name}: damaged from byte")), "{result:?}");
+        assert!(result.stdout.contains("remedy: "), "{result:?}");
     }
-    assert_eq!(contents(folder.path()), before);
+    assert_eq!(read_files(folder.path()), before);
 }
 
 #[test]
-fn a_changed_byte_in_the_snapshot_is_damage() {
-    let folder = Folder::new();
-    fill(folder.path());
-    let snapshots = files(&folder, ".bin");
-    flip(snapshots.last().unwrap(), 100);
-    let ended = fleet(&["snapshot", "verify", text(&folder)]);
-    assert_eq!(ended.code, 1, "{ended:?}");
-    assert!(ended.out.contains("the snapshot is damaged"), "{ended:?}");
+fn flipped_snapshot_byte_is_reported() {
+    let folder = TemporaryFolder::new();
+    write_data_folder(folder.path());
+    let snapshots = files_with_suffix(&folder, ".bin");
+    flip_bit(snapshots.last().unwrap(), 100);
+    let result = run_command(&["snapshot", "verify", path_text(&folder)]);
+    assert_eq!(result.code, 1, "{result:?}");
+    assert!(result.stdout.contains("the snapshot is damaged"), "{result:?}");
 }
 
 #[test]
-fn a_last_write_that_was_cut_short_is_no_damage() {
-    let folder = Folder::new();
-    fill(folder.path());
-    let newest = files(&folder, ".log").pop().unwrap();
+fn truncated_last_write_is_not_damage() {
+    let folder = TemporaryFolder::new();
+    write_data_folder(folder.path());
+    let newest = files_with_suffix(&folder, ".log").pop().unwrap();
     let bytes = std::fs::read(&newest).unwrap();
     std::fs::write(&newest, &bytes[..bytes.len() - 5]).unwrap();
-    let ended = fleet(&["log", "verify", text(&folder)]);
-    assert_eq!(ended.code, 0, "{ended:?}");
-    assert!(ended.out.contains("cut short"), "{ended:?}");
+    let result = run_command(&["log", "verify", path_text(&folder)]);
+    assert_eq!(result.code, 0, "{result:?}");
+    assert!(result.stdout.contains("truncated"), "{result:?}");
 }
 
 #[test]
-fn an_empty_folder_holds_nothing() {
-    let folder = Folder::new();
-    let ended = fleet(&["log", "show", text(&folder)]);
-    assert_eq!(ended.code, 0, "{ended:?}");
-    assert!(ended.out.contains("the disk is empty"), "{ended:?}");
-    let ended = fleet(&["snapshot", "show", text(&folder)]);
-    assert!(ended.out.contains("no snapshot"), "{ended:?}");
+fn empty_folder_is_shown_as_empty() {
+    let folder = TemporaryFolder::new();
+    let result = run_command(&["log", "show", path_text(&folder)]);
+    assert_eq!(result.code, 0, "{result:?}");
+    assert!(result.stdout.contains("the disk is empty"), "{result:?}");
+    let result = run_command(&["snapshot", "show", path_text(&folder)]);
+    assert!(result.stdout.contains("no snapshot"), "{result:?}");
 }
 
 #[test]
-fn the_newest_configuration_is_read_from_a_folder() {
-    let folder = Folder::new();
-    fill(folder.path());
-    let before = contents(folder.path());
-    let read = fleet(&["config", "read", "--from", text(&folder), "--with-keys"]);
+fn newest_configuration_is_read_from_a_folder() {
+    let folder = TemporaryFolder::new();
+    write_data_folder(folder.path());
+    let before = read_files(folder.path());
+    let read = run_command(&["config", "read", "--from", path_text(&folder), "--with-keys"]);
     assert_eq!(read.code, 0, "{read:?}");
-    assert_eq!(read.out.trim(), first_configuration().version(12).value().to_string());
-    let hidden = fleet(&["config", "read", "--from", text(&folder)]);
-    assert!(hidden.code == 0 && !hidden.out.contains(KEY), "{hidden:?}");
-    assert_eq!(contents(folder.path()), before);
-    let empty = Folder::new();
-    assert_eq!(fleet(&["config", "read", "--from", text(&empty)]).code, 2);
+    assert_eq!(read.stdout.trim(), first_configuration().version(12).value().to_string());
+    let hidden = run_command(&["config", "read", "--from", path_text(&folder)]);
+    assert!(hidden.code == 0 && !hidden.stdout.contains(KEY), "{hidden:?}");
+    assert_eq!(read_files(folder.path()), before);
+    let empty = TemporaryFolder::new();
+    assert_eq!(run_command(&["config", "read", "--from", path_text(&empty)]).code, 2);
 }
 
 #[test]
-fn no_changed_byte_goes_unseen() {
-    let folder = Folder::new();
-    fill(folder.path());
-    let calm = dunelink_operator::data_folder::read(folder.path()).unwrap();
-    assert!(calm.damage.is_empty() && calm.notes.is_empty(), "{calm:?}");
-    for (name, bytes) in contents(folder.path()) {
-        for at in (0..bytes.len()).step_by(STEP) {
-            flip(&name, at);
-            let seen = dunelink_operator::data_folder::read(folder.path()).unwrap();
-            assert!(!seen.damage.is_empty() || !seen.notes.is_empty(), "byte {at} of {name}");
-            flip(&name, at);
+fn every_flipped_byte_is_detected() {
+    let folder = TemporaryFolder::new();
+    write_data_folder(folder.path());
+    let intact = dunelink_operator::data_folder::read(folder.path()).unwrap();
+    assert!(intact.damage.is_empty() && intact.notes.is_empty(), "{intact:?}");
+    for (name, bytes) in read_files(folder.path()) {
+        for at in (0..bytes.len()).step_by(FLIP_DISTANCE_BYTES) {
+            flip_bit(&name, at);
+            let inspected = dunelink_operator::data_folder::read(folder.path()).unwrap();
+            assert!(!inspected.damage.is_empty() || !inspected.notes.is_empty(), "byte {at} of {name}");
+            flip_bit(&name, at);
         }
     }
 }
