--- a/crates/edge/src/fault.rs
+++ b/crates/edge/src/fault.rs
@@ -1,72 +1,76 @@
-//! Why a request is turned down.
+//! The reasons for which a request is rejected.
 
 use std::fmt;
 
 use http::StatusCode;
 
-/// Why a request is turned down. Nothing of it is sent to a server.
+/// The reason for which a request is rejected. No part of a rejected request is sent to a server.
 ///
 /// ```
 /// use dunelink_edge::Fault;
 ///
-/// assert_eq!((Fault::DotSegment.status().as_u16(), Fault::UnsupportedExpectation.status().as_u16()), (400, 417));
+/// assert_eq!(
+///     (Fault::DotSegment.status().as_u16(), Fault::UnsupportedExpectation.status().as_u16()),
+///     (400, 417)
+/// );
 /// assert_eq!(Fault::DotSegment.to_string(), "the path has a dot segment");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum Fault {
-    /// It does not begin with `/`: the authority or asterisk form, or nothing at all.
+    /// The target does not begin with `/`: it is empty or in authority or asterisk form.
     NotAPath,
-    /// It has a fragment, which never belongs into a message.
+    /// The target has a fragment, which HTTP messages must not contain.
     Fragment,
-    /// It has octets outside ASCII, which have to be percent-encoded.
+    /// The target has octets outside ASCII that are not percent-encoded.
     NonAsciiOctet,
-    /// A `%` without two hexadecimal digits behind it.
+    /// The path has a `%` that is not followed by two hexadecimal digits.
     BrokenPercentEncoding,
-    /// What is percent-encoded is not UTF-8, or overlong.
+    /// The decoded path is not valid UTF-8; overlong encodings are invalid.
     InvalidUtf8,
-    /// A control octet, also an encoded one.
+    /// The path has a control octet, raw or percent-encoded.
     ControlOctet,
-    /// A part that some servers take for `.` or `..`.
+    /// The path has a segment that some servers interpret as `.` or `..`.
     DotSegment,
-    /// A backslash, or a character that some code pages turn into one or into a slash or dot.
+    /// The path has a backslash, or a character that a conversion to some code pages turns into a separator.
     SeparatorLookAlike,
-    /// It begins with an empty part.
+    /// The first segment of the path is empty, and the path is not `/`.
     EmptyFirstSegment,
-    /// The first part has octets that some servers decode, fold or cut off.
+    /// The first segment has octets that some servers decode, normalize or strip.
     AmbiguousFirstSegment,
-    /// A part has octets that some servers decode, fold or cut off, where the whole path says what class it is.
+    /// A segment has octets that some servers decode, normalize or strip, where the complete path determines
+    /// the class.
     AmbiguousSegment,
-    /// A field that may stand there once stands there more often.
+    /// A field that may occur only once is repeated.
     RepeatedField,
-    /// A field's name differs from one of the protocol's only in what some servers fold.
+    /// The name of a field differs from a known name only in characters that some servers treat as equal.
     LookAlikeField,
-    /// A field that the protocol reads is not text.
+    /// The value of a field of the protocol is not text.
     NonTextField,
-    /// No `Host`, in HTTP/1.1.
+    /// An HTTP/1.1 request without `Host`.
     MissingHost,
-    /// `Host` is not a host with an optional port.
+    /// `Host` or the authority of the target is not a host with an optional port.
     InvalidHost,
     /// `Host` and the target name different hosts.
     HostMismatch,
-    /// The target's scheme is not HTTP.
+    /// The scheme of the target is not `http` or `https`.
     UnsupportedScheme,
-    /// A field that makes some servers take another target.
+    /// A field replaces the target at some servers, and its value differs from the target.
     TargetOverride,
-    /// A field that makes some servers take another method.
+    /// A field replaces the method at some servers, and its value differs from the method.
     MethodOverride,
-    /// `Transfer-Encoding` is not `chunked`, once.
+    /// `Transfer-Encoding` is not exactly one `chunked`.
     UnsupportedTransferCoding,
-    /// `Content-Length` stands there more than once.
+    /// `Content-Length` is repeated.
     RepeatedContentLength,
-    /// Both `Content-Length` and `Transfer-Encoding`.
+    /// Both `Content-Length` and `Transfer-Encoding` are present.
     ConflictingFraming,
-    /// An expectation other than `100-continue`.
+    /// `Expect` is not `100-continue`.
     UnsupportedExpectation,
 }
 
 impl Fault {
-    /// All of them, for tables and tests.
+    /// All variants, for metric tables and tests.
     pub const ALL: [Fault; 24] = [
         Fault::NotAPath,
         Fault::Fragment,
@@ -94,7 +98,7 @@
         Fault::UnsupportedExpectation,
     ];
 
-    /// 417 for an expectation (RFC 9110, 10.1.1), 400 for all else.
+    /// The response status: 417 for an unsupported expectation (RFC 9110, 10.1.1), otherwise 400.
     pub const fn status(self) -> StatusCode {
         match self {
             Fault::UnsupportedExpectation => StatusCode::EXPECTATION_FAILED,
@@ -102,7 +106,7 @@
         }
     }
 
-    /// What is wrong, in words for the sender.
+    /// The reason as text for the client.
     pub const fn reason(self) -> &'static str {
         match self {
             Fault::NotAPath => "the target is not a path",
--- a/crates/edge/src/fields.rs
+++ b/crates/edge/src/fields.rs
@@ -1,27 +1,27 @@
-//! The fields of the protocol, and those of one hop.
+//! The header fields of the protocol, and the hop-by-hop fields.
 
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// Names a request; no other open one has the same.
+/// Request id, unique among the requests in flight.
 pub const ID: HeaderName = HeaderName::from_static("req-id");
-/// Makes repeats of a keyed request harmless.
+/// Idempotency key: makes it safe to send a keyed request more than once.
 pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// For how long the sender waits: seconds, with decimals.
+/// Time for which the client waits for the response, in seconds, with decimals.
 pub const DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
-/// The tenant's name.
+/// Name of the tenant.
 pub const OWNER: HeaderName = HeaderName::from_static("req-owner");
-/// A guess at the work, in microseconds.
+/// Estimated processing time, in microseconds.
 pub const COST: HeaderName = HeaderName::from_static("req-cost");
-/// Marks a client's retry.
+/// Marks a request as a retry by the client.
 pub const RETRY: HeaderName = HeaderName::from_static("req-retry");
-/// Further figures about a request.
+/// Additional numeric properties of a request.
 pub const EXTRA: HeaderName = HeaderName::from_static("req-extra");
-/// A server's word that it has not run the request.
+/// Response field with which a server states that it has not executed the request.
 pub const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 
-/// Fields of one hop, whether or not `Connection` names them (RFC 9110, 7.6.1), and those that frame a message:
-/// each hop has its own.
-const HOP: [HeaderName; 10] = [
+/// Hop-by-hop fields, whether or not `Connection` names them (RFC 9110, 7.6.1), and the fields that frame a
+/// message, because each hop frames it separately.
+const HOP_BY_HOP_FIELDS: [HeaderName; 10] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -34,7 +34,7 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// The value of a field that is there once and is text.
+/// The value of a field that occurs exactly once and is text.
 ///
 /// ```
 /// use dunelink_edge::fields::{KEY, single_text_value};
@@ -51,9 +51,9 @@
     values.next().filter(|_| values.next().is_none())?.to_str().ok()
 }
 
-/// Whether a message holds this field for its last recipient, so that `Connection` must not name it (RFC 9110,
-/// 7.6.1). One that does all the same is not heeded there: without its key a keyed request would run twice,
-/// without its credentials it would run as someone else's.
+/// Whether this field is meant for the final recipient, so that `Connection` must not name it (RFC 9110,
+/// 7.6.1). If `Connection` names it nevertheless, the field is kept: without its key a keyed request could be
+/// executed twice, and without its credentials a request could be executed for another user.
 ///
 /// ```
 /// use dunelink_edge::fields::is_end_to_end;
@@ -63,9 +63,9 @@
 /// assert!(!is_end_to_end(&header::UPGRADE) && !is_end_to_end(&"x-hop".parse().unwrap()));
 /// ```
 pub fn is_end_to_end(name: &HeaderName) -> bool {
-    const PREFIXES: [&str; 8] =
+    const END_TO_END_PREFIXES: [&str; 8] =
         ["accept", "content-", "if-", "req-", "srv-", "set-cookie", "access-control-", "x-forwarded-"];
-    const NAMES: [HeaderName; 19] = [
+    const END_TO_END_NAMES: [HeaderName; 19] = [
         KEY,
         header::AGE,
         header::ALLOW,
@@ -86,12 +86,13 @@
         header::VIA,
         header::WWW_AUTHENTICATE,
     ];
-    // A length frames the message of one hop.
+    // `Content-Length` frames the message on one hop.
     *name != header::CONTENT_LENGTH
-        && (NAMES.contains(name) || PREFIXES.iter().any(|prefix| name.as_str().starts_with(prefix)))
+        && (END_TO_END_NAMES.contains(name)
+            || END_TO_END_PREFIXES.iter().any(|prefix| name.as_str().starts_with(prefix)))
 }
 
-/// Removes what is about one connection and not about the message.
+/// Removes the hop-by-hop fields: those that concern one connection and not the message.
 ///
 /// ```
 /// use dunelink_edge::fields::drop_hop_fields;
@@ -104,12 +105,12 @@
 /// assert_eq!(headers.keys().map(|name| name.as_str()).collect::<Vec<_>>(), ["authorization"]);
 /// ```
 pub fn drop_hop_fields(headers: &mut HeaderMap) {
-    // Most messages name nothing beyond how their connection ends.
-    let usual = |value: &HeaderValue| {
+    // Fast path: most messages name no fields in `Connection`.
+    let names_no_field = |value: &HeaderValue| {
         value.as_bytes().eq_ignore_ascii_case(b"keep-alive")
             || value.as_bytes().eq_ignore_ascii_case(b"close")
     };
-    if !headers.get_all(header::CONNECTION).iter().all(usual) {
+    if !headers.get_all(header::CONNECTION).iter().all(names_no_field) {
         let named: Vec<HeaderName> = headers
             .get_all(header::CONNECTION)
             .iter()
@@ -121,15 +122,15 @@
             headers.remove(name);
         });
     }
-    HOP.iter().for_each(|name| {
+    HOP_BY_HOP_FIELDS.iter().for_each(|name| {
         headers.remove(name);
     });
 }
 
-/// Whether some servers take a field's name for that of another: gateways to programs turn every octet that is
-/// no letter or digit into `_` (RFC 3875, 4.1.18), so that `Req_Id` and `Req-Id` are one there.
+/// Whether some servers mistake this field name for a known one: CGI gateways turn every octet that is
+/// not a letter or digit into `_` (RFC 3875, 4.1.18), so that `Req_Id` and `Req-Id` become equal.
 pub(crate) fn is_look_alike(name: &str) -> bool {
-    // Of the octets that a name may hold, these are usual.
+    // Fast path: names of only these octets are unchanged by the folding.
     if name.bytes().all(|octet| octet.is_ascii_lowercase() || octet == b'-' || octet.is_ascii_digit()) {
         return false;
     }
@@ -137,27 +138,28 @@
         .bytes()
         .map(|octet| if octet.is_ascii_alphanumeric() { octet.to_ascii_lowercase() as char } else { '-' })
         .collect();
-    HeaderName::from_bytes(folded.as_bytes())
-        .is_ok_and(|folded| is_end_to_end(&folded) || HOP.contains(&folded) || is_override(&folded))
+    HeaderName::from_bytes(folded.as_bytes()).is_ok_and(|folded| {
+        is_end_to_end(&folded) || HOP_BY_HOP_FIELDS.contains(&folded) || is_override_field(&folded)
+    })
 }
 
-/// Fields by which some frameworks replace a request's target.
-const TARGETS: [&str; 2] = ["x-original-url", "x-rewrite-url"];
-/// Fields by which some frameworks replace a request's method.
-const METHODS: [&str; 3] = ["x-http-method-override", "x-http-method", "x-method-override"];
+/// Fields with which some frameworks replace the target of a request.
+const TARGET_OVERRIDE_FIELDS: [&str; 2] = ["x-original-url", "x-rewrite-url"];
+/// Fields with which some frameworks replace the method of a request.
+const METHOD_OVERRIDE_FIELDS: [&str; 3] = ["x-http-method-override", "x-http-method", "x-method-override"];
 
-/// Whether some frameworks replace the request's target by this field's value.
-pub(crate) fn names_target(name: &HeaderName) -> bool {
-    TARGETS.contains(&name.as_str())
+/// Whether some frameworks replace the request's target with the value of this field.
+pub(crate) fn overrides_target(name: &HeaderName) -> bool {
+    TARGET_OVERRIDE_FIELDS.contains(&name.as_str())
 }
 
-/// Whether some frameworks replace the request's method by this field's value.
-pub(crate) fn names_method(name: &HeaderName) -> bool {
-    METHODS.contains(&name.as_str())
+/// Whether some frameworks replace the request's method with the value of this field.
+pub(crate) fn overrides_method(name: &HeaderName) -> bool {
+    METHOD_OVERRIDE_FIELDS.contains(&name.as_str())
 }
 
-fn is_override(name: &HeaderName) -> bool {
-    names_target(name) || names_method(name)
+fn is_override_field(name: &HeaderName) -> bool {
+    overrides_target(name) || overrides_method(name)
 }
 
 #[cfg(test)]
@@ -165,7 +167,7 @@
     use super::*;
 
     #[test]
-    fn names_that_programs_fold_into_ours_are_found() {
+    fn look_alike_names_are_detected() {
         for name in
             ["req_id", "Req.Id", "idempotency_key", "content_length", "transfer_encoding", "x_http_method"]
         {
@@ -177,7 +179,7 @@
     }
 
     #[test]
-    fn options_of_a_connection_are_read_through_odd_octets() {
+    fn connection_options_with_invalid_octets_are_parsed() {
         let mut headers = HeaderMap::new();
         headers.append(header::CONNECTION, HeaderValue::from_bytes(b"x-hop, \xff, ,Keep-Alive").unwrap());
         headers.append(header::CONNECTION, HeaderValue::from_static("Req-Id,COOKIE,x-two"));
@@ -185,8 +187,8 @@
             headers.insert(HeaderName::from_static(name), HeaderValue::from_static("1"));
         }
         drop_hop_fields(&mut headers);
-        let mut left: Vec<&str> = headers.keys().map(HeaderName::as_str).collect();
-        left.sort_unstable();
-        assert_eq!(left, ["cookie", "req-id"]);
+        let mut remaining: Vec<&str> = headers.keys().map(HeaderName::as_str).collect();
+        remaining.sort_unstable();
+        assert_eq!(remaining, ["cookie", "req-id"]);
     }
 }
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -1,4 +1,4 @@
-//! The one reading of a request's head.
+//! Validation of request heads, and their preparation for forwarding.
 
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use http::request::Parts;
@@ -7,13 +7,14 @@
 
 use crate::fault::Fault;
 use crate::fields::{
-    COST, DEADLINE, EXTRA, ID, KEY, OWNER, RETRY, drop_hop_fields, is_look_alike, names_method, names_target,
-    single_text_value,
+    COST, DEADLINE, EXTRA, ID, KEY, OWNER, RETRY, drop_hop_fields, is_look_alike, overrides_method,
+    overrides_target, single_text_value,
 };
 use crate::target::Target;
 
-/// Fields of which a recipient heeds one: of two, one server goes by the first and another by the last.
-const SINGLE: [HeaderName; 11] = [
+/// Fields of which recipients use one value: if there are http2, some servers use the first and others the
+/// last.
+const SINGLETON_FIELDS: [HeaderName; 11] = [
     ID,
     KEY,
     OWNER,
@@ -27,18 +28,19 @@
     header::CONTENT_LENGTH,
 ];
 
-/// Whether a request without `Host` can be taken.
+/// Whether an HTTP/1.1 request must have a `Host` field.
 ///
-/// RFC 9112, 3.2 has it turned down; but a call from within a program has no connection that it came by.
+/// RFC 9112, 3.2 requires it, but a request created within the process did not arrive over a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostRequirement {
-    /// It came over a connection: HTTP/1.1 has to have `Host`.
+    /// The request arrived over a connection: HTTP/1.1 requires `Host`.
     Required,
-    /// It was made by a program, or a framework has looked at it already.
+    /// The request was created within the process, or a framework has already validated it.
     Optional,
 }
 
-/// Reads a request's head: its target, and the fields that could give it another meaning.
+/// Validates a request head: its target, and the fields that could change its interpretation. Returns the
+/// parsed target.
 ///
 /// ```
 /// use dunelink_edge::Fault;
@@ -54,8 +56,8 @@
 ///
 /// # Errors
 ///
-/// There are servers that could read it otherwise, or it is not one that HTTP allows.
-pub fn validate_head(head: &Parts, hosting: HostRequirement) -> Result<Target<'_>, Fault> {
+/// Some servers could interpret the head differently, or HTTP does not allow it.
+pub fn validate_head(head: &Parts, host_requirement: HostRequirement) -> Result<Target<'_>, Fault> {
     if head.uri.query().is_some_and(|query| !query.is_ascii()) {
         return Err(Fault::NonAsciiOctet);
     }
@@ -70,58 +72,60 @@
         }
     }
     if headers.keys_len() != headers.len()
-        && SINGLE.iter().any(|name| headers.get_all(name).iter().nth(1).is_some())
+        && SINGLETON_FIELDS.iter().any(|name| headers.get_all(name).iter().nth(1).is_some())
     {
         return Err(Fault::RepeatedField);
     }
     if headers.get(OWNER).is_some_and(|value| value.to_str().is_err()) {
         return Err(Fault::NonTextField);
     }
-    check_host(head, hosting)?;
+    check_host(head, host_requirement)?;
     check_framing(headers)?;
-    // A client of HTTP/1.0 can't mean it (RFC 9110, 10.1.1).
-    let expected = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"100-continue");
-    if head.version > Version::HTTP_10 && !headers.get_all(header::EXPECT).iter().all(expected) {
+    // `Expect` in HTTP/1.0 is ignored (RFC 9110, 10.1.1).
+    let is_supported = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"100-continue");
+    if head.version > Version::HTTP_10 && !headers.get_all(header::EXPECT).iter().all(is_supported) {
         return Err(Fault::UnsupportedExpectation);
     }
     Ok(target)
 }
 
-/// A field by which a framework may take another target or method must name the request's own.
+/// A field with which a framework may replace target or method must have the request's own target or method
+/// as value.
 fn check_overrides(head: &Parts, name: &HeaderName) -> Result<(), Fault> {
-    let all = |own: &str| head.headers.get_all(name).iter().all(|value| value.as_bytes() == own.as_bytes());
-    if names_target(name) && !all(head.uri.path_and_query().map_or("", |own| own.as_str())) {
+    let all_equal =
+        |own: &str| head.headers.get_all(name).iter().all(|value| value.as_bytes() == own.as_bytes());
+    if overrides_target(name) && !all_equal(head.uri.path_and_query().map_or("", |own| own.as_str())) {
         return Err(Fault::TargetOverride);
     }
-    if names_method(name) && !all(head.method.as_str()) {
+    if overrides_method(name) && !all_equal(head.method.as_str()) {
         return Err(Fault::MethodOverride);
     }
     Ok(())
 }
 
-/// RFC 9112, 3.2 and 3.2.2; RFC 9113, 8.3.1. A target that names another host than `Host` does is turned down,
-/// though the one or the other could be passed over.
-fn check_host(head: &Parts, hosting: HostRequirement) -> Result<(), Fault> {
+/// Checks `Host` and the authority of the target (RFC 9112, 3.2 and 3.2.2; RFC 9113, 8.3.1). A request with
+/// two different hosts is rejected, although the RFCs allow a recipient to ignore one of them.
+fn check_host(head: &Parts, host_requirement: HostRequirement) -> Result<(), Fault> {
     if !matches!(head.uri.scheme_str(), None | Some("http" | "https")) {
         return Err(Fault::UnsupportedScheme);
     }
-    let named = head.uri.authority();
-    if named.is_some_and(|authority| authority.as_str().contains('@')) {
+    let authority = head.uri.authority();
+    if authority.is_some_and(|authority| authority.as_str().contains('@')) {
         return Err(Fault::InvalidHost);
     }
-    match (head.headers.get(header::HOST), named) {
-        // In HTTP/1.1 an authority in the target does not stand in for it.
-        (None, _) if hosting == HostRequirement::Required && head.version == Version::HTTP_11 => {
+    match (head.headers.get(header::HOST), authority) {
+        // In HTTP/1.1 an authority in the target does not replace `Host`.
+        (None, _) if host_requirement == HostRequirement::Required && head.version == Version::HTTP_11 => {
             Err(Fault::MissingHost)
         }
         (None, _) => Ok(()),
-        (Some(host), named) => {
+        (Some(host), authority) => {
             let host = host.as_bytes();
-            let usual = |octet: &u8| {
+            let is_plain = |octet: &u8| {
                 octet.is_ascii_lowercase() || octet.is_ascii_digit() || matches!(octet, b'.' | b'-')
             };
-            // The target may leave it out, so may the field (RFC 9112, 3.2); a plain name needs no parser.
-            if named.is_none() && host.iter().all(usual) {
+            // `Host` may be empty (RFC 9112, 3.2); a plain host name needs no parsing.
+            if authority.is_none() && host.iter().all(is_plain) {
                 return Ok(());
             }
             let host = Authority::try_from(host).map_err(|_| Fault::InvalidHost)?;
@@ -131,12 +135,12 @@
             {
                 return Err(Fault::InvalidHost);
             }
-            let plain = |authority: &Authority| {
+            let normalize = |authority: &Authority| {
                 let port = authority.port_u16().filter(|port| Some(*port) != default_port(&head.uri));
                 (authority.host().to_ascii_lowercase(), port)
             };
-            match named {
-                Some(named) if plain(named) != plain(&host) => Err(Fault::HostMismatch),
+            match authority {
+                Some(authority) if normalize(authority) != normalize(&host) => Err(Fault::HostMismatch),
                 _ => Ok(()),
             }
         }
@@ -151,11 +155,11 @@
     }
 }
 
-/// RFC 9112, 6.1 and 6.3.
+/// Checks that the head states the end of the body in one way (RFC 9112, 6.1 and 6.3).
 fn check_framing(headers: &HeaderMap) -> Result<(), Fault> {
-    let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
-    let Some(first) = codings.next() else { return Ok(()) };
-    if !first.as_bytes().eq_ignore_ascii_case(b"chunked") || codings.next().is_some() {
+    let mut transfer_codings = headers.get_all(header::TRANSFER_ENCODING).iter();
+    let Some(first) = transfer_codings.next() else { return Ok(()) };
+    if !first.as_bytes().eq_ignore_ascii_case(b"chunked") || transfer_codings.next().is_some() {
         return Err(Fault::UnsupportedTransferCoding);
     }
     if headers.contains_key(header::CONTENT_LENGTH) {
@@ -164,8 +168,9 @@
     Ok(())
 }
 
-/// The fields that go on to a server, of a request that was [`validate_head`]: all but those of one hop, with `Host` if
-/// there was none, one `Cookie` (RFC 9113, 8.2.3), and `Via`. The sender of the next hop frames it.
+/// Prepares a head that [`validate_head`] accepted for forwarding to a server: removes the hop-by-hop fields,
+/// adds `Host` if it is missing, joins `Cookie` fields into one (RFC 9113, 8.2.3) and adds `Via`. The client
+/// of the next hop adds the framing.
 ///
 /// ```
 /// use dunelink_edge::request::prepare_for_forwarding;
@@ -180,13 +185,13 @@
 pub fn prepare_for_forwarding(head: &mut Parts, host: &'static str) {
     drop_hop_fields(&mut head.headers);
     if !head.headers.contains_key(header::HOST) {
-        let named = head.uri.authority().and_then(|a| HeaderValue::from_str(a.as_str()).ok());
-        head.headers.insert(header::HOST, named.unwrap_or(HeaderValue::from_static(host)));
+        let authority = head.uri.authority().and_then(|a| HeaderValue::from_str(a.as_str()).ok());
+        head.headers.insert(header::HOST, authority.unwrap_or(HeaderValue::from_static(host)));
     }
     if head.version >= Version::HTTP_2 {
         join_cookies(&mut head.headers);
     }
-    // The node goes by a pseudonym, as its name is nobody's concern (RFC 9110, 7.6.3).
+    // A pseudonym, so that the node's name is not disclosed (RFC 9110, 7.6.3).
     let via = match head.version {
         Version::HTTP_10 => "1.0 dunelink",
         Version::HTTP_2 => "2 dunelink",
@@ -196,7 +201,7 @@
     head.headers.append(header::VIA, HeaderValue::from_static(via));
 }
 
-/// HTTP/2 lets a client split its cookies over fields; HTTP/1.1 has one.
+/// HTTP/2 clients may split cookies over several fields; HTTP/1.1 allows one.
 fn join_cookies(headers: &mut HeaderMap) {
     let cookies: Vec<&[u8]> = headers.get_all(header::COOKIE).iter().map(HeaderValue::as_bytes).collect();
     if cookies.len() > 1
@@ -206,7 +211,7 @@
     }
 }
 
-/// The key of a keyed request, if it is there once, is text and not empty.
+/// The idempotency key; `None` if the field is missing, repeated, empty or not text.
 pub fn key(headers: &HeaderMap) -> Option<&str> {
     single_text_value(headers, &KEY).filter(|key| !key.is_empty())
 }
@@ -228,39 +233,39 @@
     }
 
     #[test]
-    fn a_host_is_named_once_and_alike() {
-        let (one, two) = (Version::HTTP_11, Version::HTTP_2);
-        for (uri, version, host, wrong) in [
-            ("/view/1", one, Some("origin.svc"), None),
-            ("/view/1", one, Some("origin.svc:8443"), None),
-            ("/view/1", one, Some("[::1]:80"), None),
-            ("/view/1", one, Some(""), None),
-            ("/view/1", one, None, Some(Fault::MissingHost)),
+    fn host_must_be_valid_and_match_the_target() {
+        let (http1, http2) = (Version::HTTP_11, Version::HTTP_2);
+        for (uri, version, host, expected) in [
+            ("/view/1", http1, Some("origin.svc"), None),
+            ("/view/1", http1, Some("origin.svc:8443"), None),
+            ("/view/1", http1, Some("[::1]:80"), None),
+            ("/view/1", http1, Some(""), None),
+            ("/view/1", http1, None, Some(Fault::MissingHost)),
             ("/view/1", Version::HTTP_10, None, None),
-            ("/view/1", one, Some("a b"), Some(Fault::InvalidHost)),
-            ("/view/1", one, Some("user@origin.svc"), Some(Fault::InvalidHost)),
-            ("/view/1", one, Some("origin.svc:eighty"), Some(Fault::InvalidHost)),
-            ("/view/1", one, Some("origin.svc/order"), Some(Fault::InvalidHost)),
-            ("http://origin.svc/view/1", one, Some("ORIGIN.svc:80"), None),
-            ("http://origin.svc/view/1", one, Some("other.svc"), Some(Fault::HostMismatch)),
-            ("http://origin.svc/view/1", one, None, Some(Fault::MissingHost)),
-            ("http://user@origin.svc/view/1", one, Some("origin.svc"), Some(Fault::InvalidHost)),
-            ("ftp://origin.svc/view/1", one, Some("origin.svc"), Some(Fault::UnsupportedScheme)),
-            ("https://origin.svc/view/1", two, None, None),
-            ("https://origin.svc/view/1", two, Some("origin.svc:443"), None),
-            ("https://origin.svc/view/1", two, Some("origin.svc:80"), Some(Fault::HostMismatch)),
+            ("/view/1", http1, Some("a b"), Some(Fault::InvalidHost)),
+            ("/view/1", http1, Some("user@origin.svc"), Some(Fault::InvalidHost)),
+            ("/view/1", http1, Some("origin.svc:eighty"), Some(Fault::InvalidHost)),
+            ("/view/1", http1, Some("origin.svc/order"), Some(Fault::InvalidHost)),
+            ("http://origin.svc/view/1", http1, Some("ORIGIN.svc:80"), None),
+            ("http://origin.svc/view/1", http1, Some("other.svc"), Some(Fault::HostMismatch)),
+            ("http://origin.svc/view/1", http1, None, Some(Fault::MissingHost)),
+            ("http://user@origin.svc/view/1", http1, Some("origin.svc"), Some(Fault::InvalidHost)),
+            ("ftp://origin.svc/view/1", http1, Some("origin.svc"), Some(Fault::UnsupportedScheme)),
+            ("https://origin.svc/view/1", http2, None, None),
+            ("https://origin.svc/view/1", http2, Some("origin.svc:443"), None),
+            ("https://origin.svc/view/1", http2, Some("origin.svc:80"), Some(Fault::HostMismatch)),
         ] {
             let fields: Vec<(&'static str, &[u8])> =
                 host.iter().map(|host| ("host", host.as_bytes())).collect();
-            assert_eq!(fault(uri, version, &fields), wrong, "{uri} {host:?}");
+            assert_eq!(fault(uri, version, &fields), expected, "{uri} {host:?}");
         }
-        assert!(validate_head(&head("/view/1", one, &[]), HostRequirement::Optional).is_ok());
+        assert!(validate_head(&head("/view/1", http1, &[]), HostRequirement::Optional).is_ok());
     }
 
     #[test]
-    fn fields_that_give_a_request_another_meaning_are_found() {
-        let one = Version::HTTP_11;
-        for (fields, wrong) in [
+    fn ambiguous_fields_are_rejected() {
+        let http1 = Version::HTTP_11;
+        for (fields, expected) in [
             (&[("req-owner", &b"acme"[..]), ("x-original-url", b"/view/1")][..], None),
             (&[("x-original-url", b"/order/1")], Some(Fault::TargetOverride)),
             (&[("x-rewrite-url", b"/order/1")], Some(Fault::TargetOverride)),
@@ -286,14 +291,14 @@
         ] {
             let mut all = vec![("host", &b"origin.svc"[..])];
             all.extend(fields);
-            assert_eq!(fault("/view/1", one, &all), wrong, "{fields:?}");
+            assert_eq!(fault("/view/1", http1, &all), expected, "{fields:?}");
         }
         assert_eq!(fault("/view/1", Version::HTTP_10, &[("expect", b"a-miracle")]), None);
-        assert_eq!(fault("/view/1?q=\u{e9}", one, &[("host", b"a")]), Some(Fault::NonAsciiOctet));
+        assert_eq!(fault("/view/1?q=\u{e9}", http1, &[("host", b"a")]), Some(Fault::NonAsciiOctet));
     }
 
     #[test]
-    fn what_goes_on_has_one_host_and_one_cookie() {
+    fn forwarded_head_has_one_host_and_one_cookie() {
         let mut head =
             head("https://origin.svc/view/1", Version::HTTP_2, &[("cookie", b"a=1"), ("cookie", b"b=2")]);
         prepare_for_forwarding(&mut head, "other");
--- a/crates/edge/src/response.rs
+++ b/crates/edge/src/response.rs
@@ -1,4 +1,4 @@
-//! The one reading of a server's answer.
+//! Interpretation of server responses, and their preparation for forwarding.
 
 use http::header::{self, HeaderMap};
 use http::response::Parts;
@@ -6,7 +6,7 @@
 
 use crate::fields::{DECLINED, drop_hop_fields, single_text_value};
 
-/// What an answer says of the request.
+/// What a response states about the execution of the request.
 ///
 /// ```
 /// use dunelink_edge::response::RequestOutcome;
@@ -17,21 +17,21 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It ran, and this is its result.
+    /// The request was executed: status 200.
     Served,
-    /// It has not run: the server's word, said once and clearly.
+    /// The request was not executed: status 503 or 504 with exactly one `srv-declined: 1`.
     Declined,
-    /// A 2xx other than 200: it ran too, where servers go by HTTP alone.
+    /// A 2xx status other than 200: the request was executed, if the server follows plain HTTP semantics.
     ServedNonOk,
-    /// A 4xx about the request, which any other server would answer alike: all but 408, 421, 425 and 429, which are
-    /// about the server or its connection.
+    /// A 4xx status about the request, which any other server would return too: all except 408, 421, 425 and
+    /// 429, which are about the server or the connection.
     ClientError,
-    /// It may have run.
+    /// Any other status: the request may have been executed.
     Error,
 }
 
 impl RequestOutcome {
-    /// What a head says.
+    /// Determines the outcome from a response head.
     pub fn of(head: &Parts) -> RequestOutcome {
         match head.status {
             StatusCode::OK => RequestOutcome::Served,
@@ -51,9 +51,9 @@
     }
 }
 
-/// Whether an answer says where it ends, in one way: one that ends with its connection may be half of one, and
-/// with two ends the rest would pass for the next answer (RFC 9112, 6.3). A server of HTTP/1.0 has no encodings
-/// (6.1).
+/// Whether a response states its end in exactly one way. A response delimited by the end of its connection
+/// may be truncated, and with two conflicting ends the rest would be taken for the next response (RFC 9112,
+/// 6.3). HTTP/1.0 has no transfer transfer_codings (6.1).
 ///
 /// ```
 /// use dunelink_edge::response::is_self_delimited;
@@ -67,19 +67,21 @@
 /// assert!(!is_self_delimited(&headers, Version::HTTP_11));
 /// ```
 pub fn is_self_delimited(headers: &HeaderMap, version: Version) -> bool {
-    let length = headers.contains_key(header::CONTENT_LENGTH);
-    let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
-    match codings.next() {
-        None => length,
+    let has_length = headers.contains_key(header::CONTENT_LENGTH);
+    let mut transfer_codings = headers.get_all(header::TRANSFER_ENCODING).iter();
+    match transfer_codings.next() {
+        None => has_length,
         Some(coding) => {
-            let chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked") && codings.next().is_none();
-            chunked && !length && version == Version::HTTP_11
+            let is_chunked =
+                coding.as_bytes().eq_ignore_ascii_case(b"chunked") && transfer_codings.next().is_none();
+            is_chunked && !has_length && version == Version::HTTP_11
         }
     }
 }
 
-/// Whether an answer ends with its connection and says so: it has no framing, and its server closes (RFC 9112, 6.3 and
-/// 9.6). Its end is then one that was meant, if the connection was not reset.
+/// Whether a response is delimited by the end of its connection and announces that: it has no framing, and
+/// the server closes the connection (RFC 9112, 6.3 and 9.6). The end is then intended, unless the connection
+/// was reset.
 ///
 /// ```
 /// use dunelink_edge::response::ends_with_connection;
@@ -93,14 +95,14 @@
 /// assert!(!ends_with_connection(&headers, Version::HTTP_11));
 /// ```
 pub fn ends_with_connection(headers: &HeaderMap, version: Version) -> bool {
-    let says = |word: &str| {
+    let has_option = |name: &str| {
         let values = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
-        values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case(word))
+        values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case(name))
     };
-    is_unframed(headers) && (says("close") || version == Version::HTTP_10 && !says("keep-alive"))
+    is_unframed(headers) && (has_option("close") || version == Version::HTTP_10 && !has_option("keep-alive"))
 }
 
-/// Whether an answer has no framing at all, so that the end of its connection is its end (RFC 9112, 6.3).
+/// Whether a response has no framing, so that it is delimited by the end of its connection (RFC 9112, 6.3).
 ///
 /// ```
 /// use dunelink_edge::response::is_unframed;
@@ -115,7 +117,7 @@
     !headers.contains_key(header::CONTENT_LENGTH) && !headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Whether an answer of this status has no body, whatever its fields say (RFC 9112, 6.3).
+/// Whether a response with this status never has a body, regardless of its fields (RFC 9112, 6.3).
 ///
 /// ```
 /// assert!(dunelink_edge::response::has_no_body(http::StatusCode::NO_CONTENT));
@@ -124,12 +126,12 @@
     matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
 }
 
-/// Makes a server's head one that can be passed on: without the fields of its hop and its framing, in the
-/// node's own version (RFC 9110, 6.2).
+/// Prepares a response head for forwarding: removes hop-by-hop fields and framing, and sets the HTTP
+/// version of this node (RFC 9110, 6.2).
 ///
 /// ```
-/// let answer = http::Response::builder().version(http::Version::HTTP_10).header("connection", "close");
-/// let (mut head, ()) = answer.header("x-note", "1").body(())?.into_parts();
+/// let response = http::Response::builder().version(http::Version::HTTP_10).header("connection", "close");
+/// let (mut head, ()) = response.header("x-note", "1").body(())?.into_parts();
 /// dunelink_edge::response::prepare_for_forwarding(&mut head);
 /// assert_eq!((head.version, head.headers.len()), (http::Version::HTTP_11, 1));
 /// # Ok::<(), http::Error>(())
--- a/crates/edge/src/target.rs
+++ b/crates/edge/src/target.rs
@@ -1,15 +1,16 @@
-//! The one reading of a path.
+//! Validation of the path of a request.
 //!
-//! A server may resolve dot segments (RFC 3986, 5.2.4), decode percent-encodings once or more often, before
-//! or after it splits the path, take `\` for `/`, cut off parameters behind `;`, what stands behind an encoded
-//! `?`, `#` or NUL, or blanks and dots at a part's end, merge slashes, fold case, or squeeze characters into an
-//! older code page (there, the yen sign is a backslash). Of all those only a dot segment, in whatever
-//! disguise, can lead out of the first part once that part itself is plain. So the first part has to be
-//! plain, and what any of them could take for a dot segment is turned down; all else goes on as it is.
+//! Servers may resolve dot segments (RFC 3986, 5.2.4), decode percent-encodings once or repeatedly, before or
+//! after splitting the path, treat `\` as `/`, strip parameters after `;`, strip everything after an encoded
+//! `?`, `#` or NUL, strip trailing blanks and dots of a segment, merge slashes, ignore case, or convert
+//! characters to an older code page (in which the yen sign is a backslash). If the first segment is plain,
+//! only a dot segment in one of these forms can change it. Therefore the first segment must be plain, and
+//! everything that a server could interpret as a dot segment is rejected; all other paths are accepted
+//! unchanged.
 
 use crate::fault::Fault;
 
-/// A path that every considered server reads alike.
+/// A path whose first segment all considered servers interpret in the same way.
 ///
 /// ```
 /// use dunelink_edge::{Fault, target::Target};
@@ -27,75 +28,76 @@
     class: &'a str,
 }
 
-/// What an octet of a path may mean beyond itself.
+/// Octet kind: has no special meaning.
 const PLAIN: u8 = 0;
-/// It needs a closer look: `%`, `\`, a control octet or one outside ASCII.
-const ODD: u8 = 1;
-/// It begins a part.
+/// Octet kind: requires the full check: `%`, `\`, a control octet or an octet outside ASCII.
+const SUSPICIOUS: u8 = 1;
+/// Octet kind: begins a segment.
 const SLASH: u8 = 2;
-/// Only behind a slash does it need a closer look: what a disguised dot segment can begin with.
-const LEADING: u8 = 3;
+/// Octet kind: requires the full check only after a slash, because a disguised dot segment can begin with it.
+const SUSPICIOUS_AFTER_SLASH: u8 = 3;
 
-const KINDS: [u8; 256] = {
-    let mut kinds = [ODD; 256];
+const OCTET_KINDS: [u8; 256] = {
+    let mut kinds = [SUSPICIOUS; 256];
     let mut octet = 0x21;
     while octet < 0x7f {
         kinds[octet] = PLAIN;
         octet += 1;
     }
-    kinds[b'%' as usize] = ODD;
-    kinds[b'\\' as usize] = ODD;
+    kinds[b'%' as usize] = SUSPICIOUS;
+    kinds[b'\\' as usize] = SUSPICIOUS;
     kinds[b'/' as usize] = SLASH;
-    kinds[b'.' as usize] = LEADING;
-    kinds[b'+' as usize] = LEADING;
+    kinds[b'.' as usize] = SUSPICIOUS_AFTER_SLASH;
+    kinds[b'+' as usize] = SUSPICIOUS_AFTER_SLASH;
     kinds
 };
 
 impl<'a> Target<'a> {
-    /// Reads a path, without its query.
+    /// Validates a path without its query.
     ///
     /// # Errors
     ///
-    /// It is not a path, or there are servers that could read another class in it.
+    /// It is not a path, or some servers could derive another class from it.
     pub fn parse(path: &'a str) -> Result<Target<'a>, Fault> {
         let octets = path.as_bytes();
         if octets.first() != Some(&b'/') {
             return Err(Fault::NotAPath);
         }
-        // Nearly all paths have nothing to look into.
-        let mut before = PLAIN;
-        let mut odd = false;
+        // Fast path: most paths have no octets that require the full check.
+        let mut previous = PLAIN;
+        let mut is_suspicious = false;
         for octet in octets {
-            let kind = KINDS[usize::from(*octet)];
-            odd |= kind == ODD || (kind == LEADING && before == SLASH);
-            before = kind;
+            let kind = OCTET_KINDS[usize::from(*octet)];
+            is_suspicious |= kind == SUSPICIOUS || (kind == SUSPICIOUS_AFTER_SLASH && previous == SLASH);
+            previous = kind;
         }
-        if odd {
-            examine(octets)?;
+        if is_suspicious {
+            check_suspicious_path(octets)?;
         }
         let class = path[1..].split('/').next().unwrap_or_default();
         if class.is_empty() && path.len() > 1 {
             return Err(Fault::EmptyFirstSegment);
         }
-        if !class.bytes().all(in_class) {
+        if !class.bytes().all(is_class_octet) {
             return Err(Fault::AmbiguousFirstSegment);
         }
         Ok(Target { path, class })
     }
 
-    /// The first part; empty if the path is `/` alone.
+    /// The first segment, which is the request class; empty if the path is `/`.
     pub fn class(&self) -> &'a str {
         self.class
     }
 
-    /// The last part, if it is another than the first and not empty.
+    /// The last segment; `None` if it is empty or also the first.
     pub fn last_segment(&self) -> Option<&'a str> {
         let (before, last) = self.path.rsplit_once('/')?;
         Some(last).filter(|last| !before.is_empty() && !last.is_empty())
     }
 
-    /// Whether *every* part is read alike: none is empty but the last, none is encoded where it need not be,
-    /// none has an encoded slash or parameters. For hosts that find a request's class in the whole path.
+    /// Checks that all servers interpret *every* segment in the same way: only the last may be empty, and
+    /// none has an unnecessary percent-encoding, an encoded slash or parameters. For hosts whose request
+    /// classes depend on the complete path.
     ///
     /// ```
     /// use dunelink_edge::{Fault, target::Target};
@@ -109,19 +111,19 @@
     ///
     /// # Errors
     ///
-    /// There are servers that could read another part somewhere.
+    /// Some servers could interpret a segment differently.
     pub fn check_every_segment(&self) -> Result<(), Fault> {
         let path = self.path.as_bytes();
-        let impure = path.windows(2).any(|two| two == b"//")
+        let is_ambiguous = path.windows(2).any(|two| two == b"//")
             || path.contains(&b';')
-            || path.split(|octet| *octet == b'%').skip(1).any(needless);
-        if impure { Err(Fault::AmbiguousSegment) } else { Ok(()) }
+            || path.split(|octet| *octet == b'%').skip(1).any(is_ambiguous_encoding);
+        if is_ambiguous { Err(Fault::AmbiguousSegment) } else { Ok(()) }
     }
 }
 
-/// What a class's name may hold: unreserved octets (RFC 3986, 2.3) and those delimiters that no server is
-/// known to cut at.
-const fn in_class(octet: u8) -> bool {
+/// Whether a class name may contain this octet: unreserved octets (RFC 3986, 2.3) and the delimiters at which
+/// no known server splits or truncates.
+const fn is_class_octet(octet: u8) -> bool {
     octet.is_ascii_alphanumeric()
         || matches!(
             octet,
@@ -142,7 +144,7 @@
         )
 }
 
-/// Whether a class of this name can be named by a path, and is read alike by all.
+/// Whether a path can name a class with this name and all servers interpret it in the same way.
 ///
 /// ```
 /// use dunelink_edge::target::is_class_name;
@@ -150,11 +152,11 @@
 /// assert!(is_class_name("payslip-view") && !is_class_name("..") && !is_class_name("a;b") && !is_class_name(""));
 /// ```
 pub fn is_class_name(name: &str) -> bool {
-    // Some file systems cut off a dot at the end.
-    !name.is_empty() && name.bytes().all(in_class) && !name.ends_with('.')
+    // Some file systems strip a trailing dot.
+    !name.is_empty() && name.bytes().all(is_class_octet) && !name.ends_with('.')
 }
 
-const fn hex(digit: u8) -> Option<u8> {
+const fn hex_digit(digit: u8) -> Option<u8> {
     match digit {
         b'0'..=b'9' => Some(digit - b'0'),
         b'a'..=b'f' => Some(digit - b'a' + 10),
@@ -163,35 +165,35 @@
     }
 }
 
-/// The octet that two digits stand for.
-fn octet(high: u8, low: u8) -> Option<u8> {
-    Some(hex(high)? << 4 | hex(low)?)
+/// The octet with these two hexadecimal digits; `None` if one is not a digit.
+fn decode_octet(high: u8, low: u8) -> Option<u8> {
+    Some(hex_digit(high)? << 4 | hex_digit(low)?)
 }
 
-/// Whether what stands behind a `%` encodes what need not be encoded (RFC 3986, 6.2.2.2) or a separator, or
-/// hides a further encoding.
-fn needless(behind: &[u8]) -> bool {
-    let [high, low, rest @ ..] = behind else { return true };
-    match octet(*high, *low) {
-        Some(b'%') => matches!(rest, [a, b, ..] if octet(*a, *b).is_some()),
+/// Whether the text after a `%` encodes an octet that needs no encoding (RFC 3986, 6.2.2.2), a separator, or
+/// the `%` of a nested encoding.
+fn is_ambiguous_encoding(after_percent: &[u8]) -> bool {
+    let [high, low, rest @ ..] = after_percent else { return true };
+    match decode_octet(*high, *low) {
+        Some(b'%') => matches!(rest, [a, b, ..] if decode_octet(*a, *b).is_some()),
         Some(b'-' | b'.' | b'_' | b'~' | b'/' | b';' | b'?' | b'#') | None => true,
         Some(octet) => octet.is_ascii_alphanumeric(),
     }
 }
 
-/// Looks closely at a path that has something odd.
-fn examine(path: &[u8]) -> Result<(), Fault> {
+/// Performs the full check of a path with suspicious octets.
+fn check_suspicious_path(path: &[u8]) -> Result<(), Fault> {
     if !path.is_ascii() {
         return Err(Fault::NonAsciiOctet);
     }
     let mut at = 0;
     while let Some(next) = path[at..].iter().position(|octet| *octet == b'%') {
         at += next + 1;
-        if path.get(at..at + 2).is_none_or(|two| octet(two[0], two[1]).is_none()) {
+        if path.get(at..at + 2).is_none_or(|two| decode_octet(two[0], two[1]).is_none()) {
             return Err(Fault::BrokenPercentEncoding);
         }
     }
-    let decoded = decode_wholly(path);
+    let decoded = decode_fully(path);
     let text = std::str::from_utf8(&decoded).map_err(|_| Fault::InvalidUtf8)?;
     if text.bytes().any(|octet| octet.is_ascii_control()) {
         return Err(Fault::ControlOctet);
@@ -199,21 +201,21 @@
     if text.chars().any(becomes_separator) {
         return Err(Fault::SeparatorLookAlike);
     }
-    if text.split('/').any(is_dots) {
+    if text.split('/').any(is_dot_segment) {
         return Err(Fault::DotSegment);
     }
     Ok(())
 }
 
-/// Decodes until nothing is left to decode: what one pass brings to light, and any further one. A slash or
-/// dot that some number of passes brings out is there in the end too, as no pass takes one away.
-fn decode_wholly(path: &[u8]) -> Vec<u8> {
+/// Decodes repeatedly, in one pass over the input, until no percent-encoding is left. A slash or dot that
+/// appears after some number of decoding passes is also in the final result, because no pass removes one.
+fn decode_fully(path: &[u8]) -> Vec<u8> {
     let mut out: Vec<u8> = Vec::with_capacity(path.len());
     for next in path {
         out.push(*next);
-        // What was decoded may be the end of a further encoding.
+        // The decoded octet may complete another percent-encoding.
         while let [.., b'%', high, low] = out[..]
-            && let Some(decoded) = octet(high, low)
+            && let Some(decoded) = decode_octet(high, low)
         {
             out.truncate(out.len() - 3);
             out.push(decoded);
@@ -222,8 +224,8 @@
     out
 }
 
-/// Characters that compatibility normalisation (NFKC) or a best fit into an older code page turns into `\`,
-/// `/`, `.`, `%` or `;`, and the backslash itself.
+/// Whether this is a backslash, or a character that compatibility normalization (NFKC) or a best-fit
+/// conversion to an older code page turns into `\`, `/`, `.`, `%` or `;`.
 fn becomes_separator(c: char) -> bool {
     matches!(
         c,
@@ -236,10 +238,10 @@
     )
 }
 
-/// Whether some server could take this part for `.` or `..`: parameters, an inner query or fragment and blanks
-/// are cut off by some; three dots and more have been read as several steps up.
-fn is_dots(part: &str) -> bool {
-    let name = part.split([';', '?', '#']).next().unwrap_or_default();
+/// Whether some servers could interpret this segment as `.` or `..`: some strip parameters, an encoded query
+/// or fragment, and blanks; some interpret three or more dots as several parent segments.
+fn is_dot_segment(segment: &str) -> bool {
+    let name = segment.split([';', '?', '#']).next().unwrap_or_default();
     let mut dots = name.chars().filter(|c| !c.is_whitespace() && *c != '+').peekable();
     dots.peek().is_some() && dots.all(|c| c == '.')
 }
@@ -249,7 +251,7 @@
     use super::*;
 
     #[test]
-    fn what_all_servers_read_alike_goes_on() {
+    fn unambiguous_paths_are_accepted() {
         for (path, class, key) in [
             ("/", "", None),
             ("/view", "view", None),
@@ -272,7 +274,7 @@
     }
 
     #[test]
-    fn what_some_server_could_read_otherwise_is_turned_down() {
+    fn ambiguous_paths_are_rejected() {
         use Fault::*;
         for (path, fault) in [
             ("", NotAPath),
@@ -336,15 +338,15 @@
     }
 
     #[test]
-    fn an_encoding_within_encodings_is_undone_in_one_pass() {
+    fn nested_encodings_are_decoded_in_one_pass() {
         let nested = format!("/view/%{}2e%2e", "25".repeat(10_000));
         assert_eq!(Target::parse(&nested), Err(Fault::DotSegment));
-        assert_eq!(decode_wholly(nested.as_bytes()), b"/view/..");
-        assert_eq!(decode_wholly(b"/%%32%65"), b"/.");
+        assert_eq!(decode_fully(nested.as_bytes()), b"/view/..");
+        assert_eq!(decode_fully(b"/%%32%65"), b"/.");
     }
 
     #[test]
-    fn a_class_has_a_name_that_a_path_can_hold() {
+    fn class_names_are_validated() {
         for name in ["view", "payslip-view", "a.b", "~x", "v1:view"] {
             assert!(is_class_name(name), "{name}");
         }
--- a/crates/edge/src/wire.rs
+++ b/crates/edge/src/wire.rs
@@ -1,32 +1,34 @@
-//! What stands on a client's connection, for what HTTP libraries drop before they hand a request on: a
-//! fragment, a second `Content-Length`, a `Content-Length` beside `Transfer-Encoding`.
+//! A scanner for the raw bytes of a client connection. It detects what HTTP libraries drop before they pass
+//! on a request: a fragment, a second `Content-Length`, and a `Content-Length` together with
+//! `Transfer-Encoding`.
 
 use std::collections::VecDeque;
 
 use crate::fault::Fault;
 
-/// The longest line that is looked at. Libraries give up long before.
-const LINE_MOST: usize = 64 * 1024;
-/// The most heads that wait to be asked for: as many as fit into what a library reads ahead.
-const HEADS_MOST: usize = 8 * 1024;
+/// Maximum length of a line. HTTP libraries have lower limits.
+const MAX_LINE_BYTES: usize = 64 * 1024;
+/// Maximum number of heads waiting for [`Scanner::next_head`]: as many as fit into the read-ahead of an HTTP
+/// library.
+const MAX_PENDING_HEADS: usize = 8 * 1024;
 
-/// What a request's head holds on the wire.
+/// Properties of the raw head of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RawHead {
-    /// Whether the target has a `#`.
+    /// Whether the target contains a `#`.
     pub has_fragment: bool,
-    /// How many lines state a length.
+    /// Number of `Content-Length` lines.
     pub content_lengths: usize,
-    /// How many lines state a transfer coding.
+    /// Number of `Transfer-Encoding` lines.
     pub transfer_codings: usize,
 }
 
 impl RawHead {
-    /// What could be read otherwise.
+    /// Checks that the head is unambiguous.
     ///
     /// # Errors
     ///
-    /// There are servers that could read it otherwise.
+    /// Some servers could interpret the head differently.
     pub fn check(&self) -> Result<(), Fault> {
         match self {
             RawHead { has_fragment: true, .. } => Err(Fault::Fragment),
@@ -37,18 +39,19 @@
     }
 }
 
-/// Where among the bytes the scanner is.
+/// Position of the scanner within the messages of the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum At {
+enum ScanState {
+    /// In a head, or before one.
     Head,
-    /// So many bytes of a body are still to come.
+    /// In a body, with this number of bytes remaining.
     Body(u64),
-    /// Where the next head begins is not known. It is never asked for: a request in chunks ends its
-    /// connection, and so does what is no request.
-    Lost,
+    /// The beginning of the next head is unknown. It is never needed: a chunked request ends its
+    /// connection, and so does an invalid request.
+    Untracked,
 }
 
-/// Follows the requests on a connection, byte by byte, and tells of each head.
+/// Tracks the requests on a connection and records the properties of each head.
 ///
 /// ```
 /// use dunelink_edge::{Fault, wire::Scanner};
@@ -62,88 +65,93 @@
 /// ```
 #[derive(Debug)]
 pub struct Scanner {
-    at: At,
-    /// What has come of a line that is not whole.
-    line: Vec<u8>,
-    /// Whether the head's first line is there: empty lines before it are skipped (RFC 9112, 2.2).
-    begun: bool,
+    state: ScanState,
+    /// The received part of an incomplete line.
+    partial_line: Vec<u8>,
+    /// Whether the first line of the current head was received: empty lines before it are skipped (RFC 9112,
+    /// 2.2).
+    in_head: bool,
+    /// The current head.
     head: RawHead,
-    length: u64,
-    heads: VecDeque<RawHead>,
-    /// How many requests have come whole.
-    whole: u64,
+    /// `Content-Length` of the current head; 0 without one.
+    body_length: u64,
+    /// Complete heads that were not yet taken by [`Scanner::next_head`].
+    pending_heads: VecDeque<RawHead>,
+    /// Number of requests received completely.
+    completed_requests: u64,
 }
 
 impl Default for Scanner {
     fn default() -> Scanner {
         Scanner {
-            at: At::Head,
-            line: Vec::new(),
-            begun: false,
+            state: ScanState::Head,
+            partial_line: Vec::new(),
+            in_head: false,
             head: RawHead::default(),
-            length: 0,
-            heads: VecDeque::new(),
-            whole: 0,
+            body_length: 0,
+            pending_heads: VecDeque::new(),
+            completed_requests: 0,
         }
     }
 }
 
 impl Scanner {
-    /// Takes in what has come.
+    /// Processes received bytes.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match self.at {
-                At::Lost => return,
-                At::Body(left) => {
-                    let taken = usize::try_from(left).map_or(bytes.len(), |left| left.min(bytes.len()));
-                    bytes = &bytes[taken..];
-                    let left = left - taken as u64;
-                    self.at = if left == 0 { At::Head } else { At::Body(left) };
-                    self.whole += u64::from(left == 0);
+            match self.state {
+                ScanState::Untracked => return,
+                ScanState::Body(remaining) => {
+                    let consumed = usize::try_from(remaining)
+                        .map_or(bytes.len(), |remaining| remaining.min(bytes.len()));
+                    bytes = &bytes[consumed..];
+                    let remaining = remaining - consumed as u64;
+                    self.state = if remaining == 0 { ScanState::Head } else { ScanState::Body(remaining) };
+                    self.completed_requests += u64::from(remaining == 0);
                 }
-                At::Head => {
+                ScanState::Head => {
                     let Some(end) = bytes.iter().position(|octet| *octet == b'\n') else {
-                        self.line.extend_from_slice(bytes);
-                        if self.line.len() > LINE_MOST {
-                            self.lose();
+                        self.partial_line.extend_from_slice(bytes);
+                        if self.partial_line.len() > MAX_LINE_BYTES {
+                            self.stop_tracking();
                         }
                         return;
                     };
                     let (line, rest) = bytes.split_at(end);
                     bytes = &rest[1..];
-                    if self.line.is_empty() {
-                        self.take_line(line);
+                    if self.partial_line.is_empty() {
+                        self.process_line(line);
                     } else {
-                        let mut whole = std::mem::take(&mut self.line);
-                        whole.extend_from_slice(line);
-                        self.take_line(&whole);
+                        let mut line_bytes = std::mem::take(&mut self.partial_line);
+                        line_bytes.extend_from_slice(line);
+                        self.process_line(&line_bytes);
                     }
                 }
             }
         }
     }
 
-    fn lose(&mut self) {
-        (self.at, self.line) = (At::Lost, Vec::new());
+    fn stop_tracking(&mut self) {
+        (self.state, self.partial_line) = (ScanState::Untracked, Vec::new());
     }
 
-    /// A whole line, without its end.
-    fn take_line(&mut self, line: &[u8]) {
+    /// Processes a complete line without its line feed.
+    fn process_line(&mut self, line: &[u8]) {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        match (line.is_empty(), self.begun) {
+        match (line.is_empty(), self.in_head) {
             (true, false) => {}
-            (true, true) => self.end_head(),
+            (true, true) => self.finish_head(),
             (false, false) => {
-                self.begun = true;
+                self.in_head = true;
                 let target = line.split(|octet| *octet == b' ').nth(1);
                 self.head.has_fragment = target.is_some_and(|target| target.contains(&b'#'));
             }
-            (false, true) => self.take_field(line),
+            (false, true) => self.process_field(line),
         }
     }
 
-    fn take_field(&mut self, line: &[u8]) {
-        let Some(colon) = line.iter().position(|octet| *octet == b':') else { return self.lose() };
+    fn process_field(&mut self, line: &[u8]) {
+        let Some(colon) = line.iter().position(|octet| *octet == b':') else { return self.stop_tracking() };
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.head.transfer_codings += 1;
@@ -151,49 +159,49 @@
             self.head.content_lengths += 1;
             let digits = std::str::from_utf8(value).ok().filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
             match digits.and_then(|digits| digits.parse().ok()) {
-                Some(length) => self.length = length,
-                None => self.lose(),
+                Some(length) => self.body_length = length,
+                None => self.stop_tracking(),
             }
         }
     }
 
-    fn end_head(&mut self) {
+    fn finish_head(&mut self) {
         let head = std::mem::take(&mut self.head);
-        self.at = match head.transfer_codings {
-            0 if self.length > 0 => At::Body(self.length),
-            0 => At::Head,
-            _ => At::Lost,
+        self.state = match head.transfer_codings {
+            0 if self.body_length > 0 => ScanState::Body(self.body_length),
+            0 => ScanState::Head,
+            _ => ScanState::Untracked,
         };
-        (self.begun, self.length) = (false, 0);
-        if self.heads.len() >= HEADS_MOST {
-            return self.lose();
+        (self.in_head, self.body_length) = (false, 0);
+        if self.pending_heads.len() >= MAX_PENDING_HEADS {
+            return self.stop_tracking();
         }
-        self.whole += u64::from(self.at == At::Head);
-        self.heads.push_back(head);
+        self.completed_requests += u64::from(self.state == ScanState::Head);
+        self.pending_heads.push_back(head);
     }
 
-    /// How many requests have come to their last byte, as far as they could be followed.
+    /// Number of requests received completely, as far as the scanner could track them.
     pub fn completed_requests(&self) -> u64 {
-        self.whole
+        self.completed_requests
     }
 
-    /// Whether there is more than the heads that were asked for: another one, or a part of a request.
+    /// Whether there is input beyond the heads that were taken: another head, or a part of a request.
     pub fn has_pending_input(&self) -> bool {
-        !self.heads.is_empty() || self.is_mid_request()
+        !self.pending_heads.is_empty() || self.is_mid_request()
     }
 
-    /// The head of the next request, in the order in which they came; nothing if there is none, or it could not
-    /// be followed.
+    /// Takes the head of the next request, in the order of arrival; `None` if there is none, or it could not
+    /// be tracked.
     pub fn next_head(&mut self) -> Option<RawHead> {
-        self.heads.pop_front()
+        self.pending_heads.pop_front()
     }
 
-    /// Whether some of a request has come and some has not.
+    /// Whether a request was received partially.
     pub fn is_mid_request(&self) -> bool {
-        match self.at {
-            At::Head => self.begun || !self.line.is_empty(),
-            At::Body(_) => true,
-            At::Lost => false,
+        match self.state {
+            ScanState::Head => self.in_head || !self.partial_line.is_empty(),
+            ScanState::Body(_) => true,
+            ScanState::Untracked => false,
         }
     }
 }
--- a/crates/edge/src/wire_tests.rs
+++ b/crates/edge/src/wire_tests.rs
@@ -1,4 +1,4 @@
-//! The scanner against what stands on the wire.
+//! Tests of the scanner with raw messages, split at every possible size.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     POST /order/2 HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyen\r\n0\r\n\r\nGET /";
 
 #[test]
-fn heads_are_told_however_the_bytes_come() {
+fn heads_do_not_depend_on_chunk_size() {
     let heads = [(false, 1, 0), (false, 0, 0), (true, 2, 0), (false, 1, 1)];
     for size in 1..MESSAGES.len() {
         let mut scanner = Scanner::default();
@@ -16,7 +16,7 @@
             assert_eq!(
                 scanner.next_head(),
                 Some(RawHead { has_fragment, content_lengths, transfer_codings }),
-                "by {size}"
+                "chunk size {size}"
             );
         }
         assert_eq!(scanner.next_head(), None);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_request_has_begun_until_it_is_whole() {
+fn partial_request_is_mid_request() {
     let mut scanner = Scanner::default();
     assert!(!scanner.is_mid_request());
     scanner.feed(b"\r\n");
@@ -38,17 +38,21 @@
 }
 
 #[test]
-fn what_has_come_whole_is_counted_however_the_bytes_come() {
+fn completed_requests_do_not_depend_on_chunk_size() {
     for size in 1..MESSAGES.len() {
         let mut scanner = Scanner::default();
         MESSAGES.chunks(size).for_each(|bytes| scanner.feed(bytes));
-        // The one in chunks is not followed to its end.
-        assert_eq!((scanner.completed_requests(), scanner.has_pending_input()), (3, true), "by {size}");
+        // The scanner does not track the end of the chunked request.
+        assert_eq!(
+            (scanner.completed_requests(), scanner.has_pending_input()),
+            (3, true),
+            "chunk size {size}"
+        );
     }
 }
 
 #[test]
-fn what_is_no_head_is_not_followed() {
+fn invalid_head_is_not_tracked() {
     for bytes in
         [&b"GET / HTTP/1.1\r\nno colon\r\n\r\n"[..], b"GET / HTTP/1.1\r\nContent-Length: 3, 3\r\n\r\n"]
     {
@@ -57,7 +61,7 @@
         assert_eq!(scanner.next_head(), None);
     }
     let mut scanner = Scanner::default();
-    scanner.feed(&vec![b'a'; 2 * LINE_MOST]);
+    scanner.feed(&vec![b'a'; 2 * MAX_LINE_BYTES]);
     scanner.feed(b"\r\n\r\n");
-    assert!(scanner.next_head().is_none() && !scanner.is_mid_request() && scanner.line.is_empty());
+    assert!(scanner.next_head().is_none() && !scanner.is_mid_request() && scanner.partial_line.is_empty());
 }
--- a/crates/edge/tests/differential/mod.rs
+++ b/crates/edge/tests/differential/mod.rs
@@ -1,18 +1,18 @@
-//! The crate's readings against those of two other parsers: `url` (the WHATWG's reading of a path, which resolves
-//! dots and takes backslashes for slashes) and `httparse` (where heads and bodies end). Fuzz targets and the replay of
-//! their corpora share it.
+//! Compares the crate with two other parsers: `url` (WHATWG URLs, which resolve dot segments and treat
+//! backslashes as slashes) and `httparse` (the ends of heads and bodies). Shared by the fuzz targets and the
+//! replay of their corpora.
 
 use dunelink_edge::request::{HostRequirement, prepare_for_forwarding, validate_head};
 use dunelink_edge::target::Target;
 use dunelink_edge::wire::{RawHead, Scanner};
 
-/// A path that is not turned down has the first part that a browser sees, and the last.
+/// Checks that the first and last segments of an accepted path equal those that a browser derives from it.
 pub(crate) fn check_target(path: &str) {
     let Ok(target) = Target::parse(path) else { return };
     let Ok(url) = url::Url::parse(&format!("http://origin.svc{path}")) else { return };
     assert_eq!(url.host_str(), Some("origin.svc"));
     let mut parts = url.path_segments().unwrap();
-    // What a browser encodes stands in no class; `?` and `#` end a path before it is read.
+    // A class contains no octets that browsers encode; `?` and `#` end a path before it is parsed.
     if !path.contains(['?', '#']) && !target.class().is_empty() {
         assert_eq!(parts.next(), Some(target.class()), "{path}");
         let last = path.rsplit('/').next().unwrap();
@@ -25,7 +25,7 @@
     }
 }
 
-/// What `httparse` finds in these bytes: heads, and the requests that they make.
+/// The heads that `httparse` finds in these bytes, with the corresponding requests.
 pub(crate) fn heads(mut bytes: &[u8]) -> Vec<(RawHead, http::Request<()>)> {
     let mut found = Vec::new();
     loop {
@@ -33,13 +33,14 @@
         let mut request = httparse::Request::new(&mut fields);
         let Ok(httparse::Status::Complete(size)) = request.parse(bytes) else { return found };
         bytes = &bytes[size..];
-        let of = |name: &str| request.headers.iter().filter(|f| f.name.eq_ignore_ascii_case(name)).count();
+        let count_fields =
+            |name: &str| request.headers.iter().filter(|f| f.name.eq_ignore_ascii_case(name)).count();
         let head = RawHead {
             has_fragment: request.path.unwrap().contains('#'),
-            content_lengths: of("content-length"),
-            transfer_codings: of("transfer-encoding"),
+            content_lengths: count_fields("content-length"),
+            transfer_codings: count_fields("transfer-encoding"),
         };
-        let mut made = http::Request::builder().method(request.method.unwrap()).uri(request.path.unwrap());
+        let mut builder = http::Request::builder().method(request.method.unwrap()).uri(request.path.unwrap());
         let mut length = Some(0_u64);
         for field in &*request.headers {
             if field.name.eq_ignore_ascii_case("content-length") {
@@ -47,11 +48,11 @@
                     std::str::from_utf8(field.value).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
                 length = length.and(text.and_then(|text| text.parse().ok()));
             }
-            made = made.header(field.name, field.value);
+            builder = builder.header(field.name, field.value);
         }
-        // Neither reads on behind a length that is none.
+        // Neither parser continues after an invalid length.
         let Some(length) = length else { return found };
-        match made.body(()) {
+        match builder.body(()) {
             Ok(request) => found.push((head, request)),
             Err(_) => found.push((head, http::Request::new(()))),
         }
@@ -62,15 +63,15 @@
     }
 }
 
-/// Heads end where another parser says so, however the bytes come; and what is not turned down goes on with one
-/// host and no field of its hop.
+/// Checks that heads end where `httparse` finds their ends, however the bytes are split, and that an accepted
+/// request is forwarded with one host and without hop-by-hop fields.
 pub(crate) fn check_message(bytes: &[u8]) {
-    let cut = bytes.first().map_or(1, |first| usize::from(*first % 32) + 1);
-    let (mut whole, mut pieces) = (Scanner::default(), Scanner::default());
+    let chunk_size = bytes.first().map_or(1, |first| usize::from(*first % 32) + 1);
+    let (mut whole, mut chunked) = (Scanner::default(), Scanner::default());
     whole.feed(bytes);
-    bytes.chunks(cut).for_each(|piece| pieces.feed(piece));
+    bytes.chunks(chunk_size).for_each(|chunk| chunked.feed(chunk));
     for (head, request) in heads(bytes) {
-        assert_eq!((whole.next_head(), pieces.next_head()), (Some(head), Some(head)));
+        assert_eq!((whole.next_head(), chunked.next_head()), (Some(head), Some(head)));
         let (mut parts, ()) = request.into_parts();
         let Ok(target) = validate_head(&parts, HostRequirement::Required) else { continue };
         assert!(parts.uri.path().starts_with('/') && !target.class().contains(['%', ';', '\\']));
--- a/crates/operator/src/check.rs
+++ b/crates/operator/src/check.rs
@@ -17,7 +17,8 @@
     pub faults: Vec<String>,
 }
 
-/// Reads and checks a file. A file that begins with `{` or is named `*.json` is a configuration; any other is a settings file.
+/// Reads and checks a file. A file that begins with `{` or is named `*.json` is a configuration; any other is
+/// a settings file.
 ///
 /// # Errors
 ///
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -62,7 +62,7 @@
     #[error("the fleet has no configuration yet; apply one with `config put FILE --base 0`")]
     NoConfiguration,
     /// A file contains placeholders in place of API keys.
-    #[error("{}: contains hidden keys; read the configuration with --with-keys before editing", path.display())]
+    #[error("{}: keys are hidden; read the configuration with --with-keys before editing it", path.display())]
     HiddenKeys {
         /// The file.
         path: PathBuf,
