--- a/crates/dunelink/src/attempt.rs
+++ b/crates/dunelink/src/attempt.rs
@@ -21,7 +21,7 @@
 
 use crate::answer_body::{AnswerBody, ReaderState};
 use crate::body_buffer::BodyBuffer;
-use crate::config::Answers;
+use crate::config::FinalAnswers;
 use crate::counted_socket::CountedSocket;
 use crate::payload::OutgoingBody;
 use crate::servers::{Connection, ReusableConnection, Servers};
@@ -252,7 +252,7 @@
         };
         let outcome = match RequestOutcome::of(&parts) {
             _ if matches!(read, BodyRead::Broken) => Outcome::Reset,
-            RequestOutcome::ServedNonOk | RequestOutcome::ClientError if self.answers == Answers::Ok => {
+            RequestOutcome::ServedNonOk | RequestOutcome::ClientError if self.answers == FinalAnswers::Ok => {
                 Outcome::Error
             }
             RequestOutcome::Served | RequestOutcome::ServedNonOk | RequestOutcome::ClientError => {
--- a/crates/dunelink/src/fleet/events.rs
+++ b/crates/dunelink/src/fleet/events.rs
@@ -1,20 +1,20 @@
-//! Events of the fleet, one for each change of view, side, lease and stance, with its epoch and cause: the logs of all
-//! processes can be merged and read as one story.
+//! Log events of the fleet, one for each change of view, side, lease and condition, each with its epoch and
+//! cause. The logs of all processes can be merged into one sequence.
 
 use dunelink_gossip::{Gossip, LogEvent, MemberId};
 use dunelink_reach::Condition;
 use dunelink_view::{Change, Evictions, LeaseKind, Micros, Name, PartitionSide, View, ViewDelta};
 use tracing::{info, warn};
 
-use super::view::{epoch_of, side_name};
+use super::view::{format_epoch, side_name};
 
-/// Who tells: this node's name, and the names of others.
-pub(super) struct Teller<'a> {
+/// Writes the events: knows this node's name and resolves the names of others.
+pub(super) struct EventLog<'a> {
     pub(super) node: &'a str,
     pub(super) gossip: &'a Gossip,
 }
 
-impl Teller<'_> {
+impl EventLog<'_> {
     fn name(&self, name: Name) -> String {
         self.gossip.name(MemberId(name))
     }
@@ -24,40 +24,43 @@
     }
 
     fn step(&self, step: &ViewDelta, view: &View) -> String {
-        // Facts bear the number of the name that they are about.
-        let about = |key: &str| {
+        // The key of a fact contains the numeric id of the node that it concerns.
+        let subject = |key: &str| {
             let name = key.split(' ').nth(1).and_then(|hex| Name::from_str_radix(hex, 16).ok());
             name.map(|name| self.name(name)).unwrap_or_default()
         };
         match step {
-            ViewDelta::Founded => "it is the first that is known here, or of a new founding".into(),
+            ViewDelta::Founded => "the first view known to this node, or a new founding".into(),
             ViewDelta::Joined(process) => format!("{} came in", self.name(process.name)),
             ViewDelta::Left(process) => format!("{} went out", self.name(process.name)),
             ViewDelta::Set(key) => {
-                match Evictions::evicted(view).find(|(name, ..)| self.name(*name) == about(key)) {
+                match Evictions::evicted(view).find(|(name, ..)| self.name(*name) == subject(key)) {
                     Some((name, seconds, reason)) => {
-                        format!("{} is put out for {seconds} s: {reason}", self.name(name))
+                        format!("{} is evicted for {seconds} s: {reason}", self.name(name))
                     }
                     None => format!("{key} is set"),
                 }
             }
-            ViewDelta::Cleared(key) => format!("{} may come back in", about(key)),
+            ViewDelta::Cleared(key) => format!("{} is restored", subject(key)),
         }
     }
 
     pub(super) fn decided(&self, view: &View, before: Option<&View>) {
-        let epoch = epoch_of(Some(view));
+        let epoch = format_epoch(Some(view));
         let cause: Vec<String> =
             view.changes_since(before).iter().map(|step| self.step(step, view)).collect();
         let (members, electors) =
             (self.names(view.members.keys().copied()), self.names(view.electors.keys().copied()));
-        info!(target: "fleet", node = self.node, epoch, members, electors, cause = cause.join("; "), "view decided");
+        info!(
+            target: "fleet", node = self.node, epoch, members, electors, cause = cause.join("; "),
+            "view decided"
+        );
     }
 
-    pub(super) fn side(&self, side: PartitionSide, unheard: &[Name], epoch: &str) {
-        let cause = match unheard {
+    pub(super) fn side(&self, side: PartitionSide, unreachable: &[Name], epoch: &str) {
+        let cause = match unreachable {
             [] => "all electors are heard".into(),
-            some => format!("not heard: {}", self.names(some.iter().copied())),
+            names => format!("not heard: {}", self.names(names.iter().copied())),
         };
         info!(target: "fleet", node = self.node, epoch, side = side_name(side), cause, "side");
     }
@@ -70,42 +73,42 @@
         };
         let cause = match (held, ago) {
             (true, _) => "granted by a majority",
-            (false, 0) => "given back, or over at this moment",
-            (false, _) => "over while nobody looked",
+            (false, 0) => "released, or expired just now",
+            (false, _) => "expired while this process did not check",
         };
         info!(target: "fleet", node = self.node, epoch, of, held, ago_ms = ago / 1000, cause, "lease");
     }
 
-    pub(super) fn dropped(&self, change: &Change) {
-        warn!(target: "fleet", node = self.node, change = ?change, "what was wanted can't be decided");
+    pub(super) fn rejected(&self, change: &Change) {
+        warn!(target: "fleet", node = self.node, change = ?change, "a requested change can't be decided");
     }
 
-    pub(super) fn part(&self, part: f64, epoch: &str) {
-        info!(target: "fleet", node = self.node, epoch, part = format!("{part:.3}"), "part");
+    pub(super) fn share(&self, share: f64, epoch: &str) {
+        info!(target: "fleet", node = self.node, epoch, part = format!("{share:.3}"), "part");
     }
 
-    pub(super) fn stance(&self, stance: &Condition, before: &Condition, epoch: &str) {
-        let (stance, before) = (stance.to_string(), before.to_string());
+    pub(super) fn condition(&self, condition: &Condition, before: &Condition, epoch: &str) {
+        let (stance, before) = (condition.to_string(), before.to_string());
         info!(target: "fleet", node = self.node, epoch, stance, before, "stance");
     }
 
-    pub(super) fn ready(&self, ready: bool, stance: &Condition, epoch: &str) {
-        info!(target: "fleet", node = self.node, epoch, ready, cause = stance.to_string(), "ready");
+    pub(super) fn ready(&self, ready: bool, condition: &Condition, epoch: &str) {
+        info!(target: "fleet", node = self.node, epoch, ready, cause = condition.to_string(), "ready");
     }
 
-    pub(super) fn note(&self, note: &LogEvent) {
+    pub(super) fn event(&self, event: &LogEvent) {
         let node = self.node;
-        match note {
-            LogEvent::MemberUp(member) => info!(target: "gossip", node, member, "it is there"),
+        match event {
+            LogEvent::MemberUp(member) => info!(target: "gossip", node, member, "member is up"),
             LogEvent::MemberDown(member) => {
-                info!(target: "gossip", node, member, "it does not answer any more")
+                info!(target: "gossip", node, member, "member is down")
             }
             LogEvent::DuplicateName => warn!(target: "gossip", node, "another process goes by this name"),
             LogEvent::InvalidAges(member) => {
-                warn!(target: "gossip", node, member, "it tells ages that can't be; its word on servers is not heard");
+                warn!(target: "gossip", node, member, "impossible ages: its server reports are ignored");
             }
             LogEvent::ProcessPaused(span) => {
-                warn!(target: "gossip", node, ms = span / 1000, "this process stood still");
+                warn!(target: "gossip", node, ms = span / 1000, "this process was paused");
             }
         }
     }
--- a/crates/dunelink/src/node/mod.rs
+++ b/crates/dunelink/src/node/mod.rs
@@ -130,10 +130,10 @@
                 tokio::task::spawn_local(shard.run());
                 Ok(node)
             }
-            _ => {
-                Err(ConfigError::whole("fleet.shards: expected 1, because a local node runs a single shard")
-                    .into())
-            }
+            _ => Err(ConfigError::without_key(
+                "fleet.shards: expected 1, because a local node runs a single shard",
+            )
+            .into()),
         }
     }
 }
--- a/crates/dunelink/src/servers.rs
+++ b/crates/dunelink/src/servers.rs
@@ -19,12 +19,12 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::answer_body::ReaderState;
-use crate::config::{Answers, Config};
+use crate::config::{Config, FinalAnswers};
 use crate::counted_socket::{ConnectionSlot, CountedSocket, HyperSocket};
 use crate::counts::RequestCounters;
 use crate::idle_order::IdleOrder;
 use crate::payload::OutgoingBody;
-use crate::roster::Ready;
+use crate::roster::ReadyServers;
 use crate::server_list::Server;
 use crate::types::Outgoing;
 
@@ -108,12 +108,12 @@
     /// take permits from requests and are bounded by their connections.
     transfers: Arc<Semaphore>,
     /// Which responses of servers count as answers for the client.
-    pub(crate) answers: Answers,
+    pub(crate) answers: FinalAnswers,
     connect_timeout: Duration,
     idle_timeout: Duration,
     /// The ready servers as another thread that reads the list knows them, if there is one: it learns of
     /// drains first.
-    ready_servers: OnceCell<Arc<Ready>>,
+    ready_servers: OnceCell<Arc<ReadyServers>>,
     /// Until when idle connections are likely to break at their next request; `None` if none broke.
     distrust_idle_until: Cell<Option<Instant>>,
     /// The number of streamed answers in progress, and a notification whenever one ends.
@@ -137,7 +137,7 @@
             any_ready,
             idle_order: RefCell::default(),
             open_connections: Rc::default(),
-            max_connections: config.limits.to_servers(),
+            max_connections: config.limits.max_server_connections(),
             max_body_bytes: config.limits.body,
             max_stream_bytes: config.limits.stream,
             active_transfers: Cell::new(0),
@@ -256,11 +256,11 @@
     /// The server's address and start time, if it is ready.
     pub(crate) fn ready_endpoint(&self, server: ServerId) -> Option<(SocketAddr, Micros)> {
         let target = self.known.borrow().get(&server).map(|s| (s.endpoint, s.started_at))?;
-        self.ready_servers.get().is_none_or(|ready| ready.has(server, target.0)).then_some(target)
+        self.ready_servers.get().is_none_or(|ready| ready.contains(server, target.0)).then_some(target)
     }
 
     /// From here on, requests go only to servers that are in this set too.
-    pub(crate) fn set_ready_servers(&self, ready: Arc<Ready>) {
+    pub(crate) fn set_ready_servers(&self, ready: Arc<ReadyServers>) {
         // A shard has the same list reader throughout its life, so this is set once.
         let _ = self.ready_servers.set(ready);
     }
--- a/crates/graphql/src/error.rs
+++ b/crates/graphql/src/error.rs
@@ -1,128 +1,128 @@
-//! Why a request is not passed on, and how a client is told.
+//! Why a request is rejected, and the response that says so.
 
 use std::borrow::Cow;
 
 use http::StatusCode;
 
-use crate::media::Media;
+use crate::media::ResponseMediaType;
 
-/// Why a request is not passed on. Nothing of it was sent.
+/// Why a request is rejected. No part of it was sent to a server.
 ///
 /// ```
-/// use dunelink_graphql::{Code, Media, Rejection};
+/// use dunelink_graphql::{ErrorCode, Rejection, ResponseMediaType};
 ///
-/// let wrong = Rejection::new(Code::Syntax, "expected a name");
-/// assert_eq!(wrong.status(Media::Response), 400);
-/// // To a client that only reads `application/json` an intermediary's 4xx and a server's look alike.
-/// assert_eq!(wrong.status(Media::Json), 200);
+/// let rejection = Rejection::new(ErrorCode::Syntax, "expected a name");
+/// assert_eq!(rejection.status(ResponseMediaType::GraphqlResponse), 400);
+/// // A client that accepts only `application/json` can't tell an intermediary's 4xx from a server's.
+/// assert_eq!(rejection.status(ResponseMediaType::Json), 200);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct Rejection {
-    /// What kind of thing is wrong.
-    pub code: Code,
-    /// What is wrong, in words.
+    /// The category of the error.
+    pub code: ErrorCode,
+    /// A description for the client.
     pub message: Cow<'static, str>,
 }
 
 impl Rejection {
-    /// What is wrong, by kind and in words.
-    pub fn new(code: Code, message: impl Into<Cow<'static, str>>) -> Rejection {
+    /// Creates a rejection.
+    pub fn new(code: ErrorCode, message: impl Into<Cow<'static, str>>) -> Rejection {
         Rejection { code, message: message.into() }
     }
 
-    /// The status that says so in this media type.
-    pub fn status(&self, media: Media) -> StatusCode {
+    /// The HTTP status of the response in this media type.
+    pub fn status(&self, media: ResponseMediaType) -> StatusCode {
         self.code.status(media)
     }
 }
 
-/// What kind of thing is wrong with a request; `extensions.code` of its error.
+/// The category of an error, sent as `extensions.code`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
-pub enum Code {
-    /// The client reads no media type that GraphQL answers come in.
+pub enum ErrorCode {
+    /// The client accepts no media type of GraphQL responses.
     NotAcceptable,
     /// The body is not `application/json` in UTF-8.
     UnsupportedMediaType,
-    /// Neither GET nor POST, or a mutation by GET.
+    /// The method is neither GET nor POST, or it is GET for a mutation.
     MethodNotAllowed,
-    /// It is no well-formed GraphQL-over-HTTP request.
+    /// The request is not well-formed GraphQL over HTTP.
     BadRequest,
-    /// It could be read in two ways, and a server might take the other one.
+    /// Different parsers could read the request differently, and a server's might not agree with this one.
     Ambiguous,
-    /// A batch where none is taken, an empty one, or one within another.
+    /// A batch where batches are disabled, an empty batch, or a batch within another.
     Batch,
     /// The document does not follow the grammar.
     Syntax,
-    /// The document follows the grammar, but no server could run it.
+    /// The document follows the grammar, but can't be valid for any schema.
     Validation,
-    /// Which operation is meant can't be told.
+    /// The requested operation can't be determined.
     Operation,
-    /// Over one of the operator's limits.
+    /// The request exceeds one of the operator's limits.
     Limit(Limit),
-    /// Subscriptions are not passed on.
+    /// Subscriptions are not supported.
     Subscription,
-    /// `@defer` and `@stream` are not passed on.
+    /// `@defer` and `@stream` are not supported.
     Incremental,
 }
 
-impl Code {
-    /// As clients see it.
+impl ErrorCode {
+    /// The value of `extensions.code`.
     pub fn name(self) -> &'static str {
         match self {
-            Code::NotAcceptable => "NOT_ACCEPTABLE",
-            Code::UnsupportedMediaType => "UNSUPPORTED_MEDIA_TYPE",
-            Code::MethodNotAllowed => "METHOD_NOT_ALLOWED",
-            Code::BadRequest => "BAD_REQUEST",
-            Code::Ambiguous => "AMBIGUOUS_REQUEST",
-            Code::Batch => "BATCH_NOT_TAKEN",
-            Code::Syntax => "GRAPHQL_PARSE_FAILED",
-            Code::Validation => "GRAPHQL_VALIDATION_FAILED",
-            Code::Operation => "OPERATION_RESOLUTION_FAILURE",
-            Code::Limit(_) => "LIMIT_EXCEEDED",
-            Code::Subscription => "SUBSCRIPTION_NOT_SUPPORTED",
-            Code::Incremental => "INCREMENTAL_DELIVERY_NOT_SUPPORTED",
+            ErrorCode::NotAcceptable => "NOT_ACCEPTABLE",
+            ErrorCode::UnsupportedMediaType => "UNSUPPORTED_MEDIA_TYPE",
+            ErrorCode::MethodNotAllowed => "METHOD_NOT_ALLOWED",
+            ErrorCode::BadRequest => "BAD_REQUEST",
+            ErrorCode::Ambiguous => "AMBIGUOUS_REQUEST",
+            ErrorCode::Batch => "BATCH_NOT_TAKEN",
+            ErrorCode::Syntax => "GRAPHQL_PARSE_FAILED",
+            ErrorCode::Validation => "GRAPHQL_VALIDATION_FAILED",
+            ErrorCode::Operation => "OPERATION_RESOLUTION_FAILURE",
+            ErrorCode::Limit(_) => "LIMIT_EXCEEDED",
+            ErrorCode::Subscription => "SUBSCRIPTION_NOT_SUPPORTED",
+            ErrorCode::Incremental => "INCREMENTAL_DELIVERY_NOT_SUPPORTED",
         }
     }
 
-    /// The status for it. A request that is well-formed, with a document that can't be run, is told so with 200
-    /// where the answer is `application/json` (GraphQL over HTTP, 6.4.1), and with 400 otherwise (6.4.2).
-    pub fn status(self, media: Media) -> StatusCode {
+    /// The HTTP status for the error. A well-formed request with a document that can't be executed gets 200
+    /// if the response is `application/json` (GraphQL over HTTP, 6.4.1), and 400 otherwise (6.4.2).
+    pub fn status(self, media: ResponseMediaType) -> StatusCode {
         match self {
-            Code::NotAcceptable => StatusCode::NOT_ACCEPTABLE,
-            Code::UnsupportedMediaType => StatusCode::UNSUPPORTED_MEDIA_TYPE,
-            Code::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
-            Code::BadRequest | Code::Ambiguous | Code::Batch => StatusCode::BAD_REQUEST,
-            _ if media == Media::Json => StatusCode::OK,
+            ErrorCode::NotAcceptable => StatusCode::NOT_ACCEPTABLE,
+            ErrorCode::UnsupportedMediaType => StatusCode::UNSUPPORTED_MEDIA_TYPE,
+            ErrorCode::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            ErrorCode::BadRequest | ErrorCode::Ambiguous | ErrorCode::Batch => StatusCode::BAD_REQUEST,
+            _ if media == ResponseMediaType::Json => StatusCode::OK,
             _ => StatusCode::BAD_REQUEST,
         }
     }
 }
 
-/// Which of the operator's limits a request is over.
+/// A limit set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Limit {
-    /// Bytes of a document.
+    /// The length of a document in bytes.
     Bytes,
-    /// Tokens of a document.
+    /// The number of tokens of a document.
     Tokens,
-    /// Levels of fields within fields, fragments spread out, or of values within values.
+    /// Levels of nested fields, with fragments expanded, or of nested values.
     Depth,
-    /// Aliases, fragments spread out.
+    /// The number of aliases, with fragments expanded.
     Aliases,
-    /// Directives, fragments spread out.
+    /// The number of directives, with fragments expanded.
     Directives,
-    /// Fields, fragments spread out.
+    /// The number of fields, with fragments expanded.
     Fields,
-    /// The work that a request is expected to be.
+    /// The estimated execution time of a request.
     Work,
-    /// Requests in a batch.
+    /// The number of requests in a batch.
     Batch,
 }
 
 impl Limit {
-    /// The name of its setting.
+    /// The name of the setting.
     pub fn name(self) -> &'static str {
         match self {
             Limit::Bytes => "bytes",
@@ -136,8 +136,8 @@
         }
     }
 
-    /// A request is over it.
+    /// The rejection of a request that exceeds this limit.
     pub(crate) fn exceeded(self) -> Rejection {
-        Rejection::new(Code::Limit(self), format!("over the limit on {}", self.name()))
+        Rejection::new(ErrorCode::Limit(self), format!("over the limit on {}", self.name()))
     }
 }
