--- a/crates/edge/src/fault.rs
+++ b/crates/edge/src/fault.rs
@@ -1,134 +1,138 @@
-//! Why a request is turned down.
+//! The reasons for which a request is rejected.
 
 use std::fmt;
 
 use http::StatusCode;
 
-/// Why a request is turned down. Nothing of it is sent to a server.
+/// The reason for which a request is rejected. No part of a rejected request is sent to a server.
 ///
 /// ```
 /// use dunelink_edge::Fault;
 ///
-/// assert_eq!((Fault::DotSegment.status().as_u16(), Fault::Expectation.status().as_u16()), (400, 417));
+/// assert_eq!(
+///     (Fault::DotSegment.status().as_u16(), Fault::UnsupportedExpectation.status().as_u16()),
+///     (400, 417)
+/// );
 /// assert_eq!(Fault::DotSegment.to_string(), "the path has a dot segment");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum Fault {
-    /// It does not begin with `/`: the authority or asterisk form, or nothing at all.
-    Form,
-    /// It has a fragment, which never belongs into a message.
+    /// The target does not begin with `/`: it is empty or in authority or asterisk form.
+    NotAPath,
+    /// The target has a fragment, which HTTP messages must not contain.
     Fragment,
-    /// It has octets outside ASCII, which have to be percent-encoded.
-    RawOctet,
-    /// A `%` without two hexadecimal digits behind it.
-    Encoding,
-    /// What is percent-encoded is not UTF-8, or overlong.
-    Utf8,
-    /// A control octet, also an encoded one.
-    Control,
-    /// A part that some servers take for `.` or `..`.
+    /// The target has octets outside ASCII that are not percent-encoded.
+    NonAsciiOctet,
+    /// The path has a `%` that is not followed by two hexadecimal digits.
+    BrokenPercentEncoding,
+    /// The decoded path is not valid UTF-8; overlong encodings are invalid.
+    InvalidUtf8,
+    /// The path has a control octet, raw or percent-encoded.
+    ControlOctet,
+    /// The path has a segment that some servers interpret as `.` or `..`.
     DotSegment,
-    /// A backslash, or a character that some code pages turn into one or into a slash or dot.
-    Backslash,
-    /// It begins with an empty part.
-    EmptyClass,
-    /// The first part has octets that some servers decode, fold or cut off.
-    ImpureClass,
-    /// A part has octets that some servers decode, fold or cut off, where the whole path says what class it is.
-    ImpurePath,
-    /// A field that may stand there once stands there more often.
-    Repeated,
-    /// A field's name differs from one of the protocol's only in what some servers fold.
-    LookAlike,
-    /// A field that the protocol reads is not text.
-    Unreadable,
-    /// No `Host`, in HTTP/1.1.
-    NoHost,
-    /// `Host` is not a host with an optional port.
-    BadHost,
+    /// The path has a backslash, or a character that a conversion to some code pages turns into a separator.
+    SeparatorLookAlike,
+    /// The first segment of the path is empty, and the path is not `/`.
+    EmptyFirstSegment,
+    /// The first segment has octets that some servers decode, normalize or strip.
+    AmbiguousFirstSegment,
+    /// A segment has octets that some servers decode, normalize or strip, where the complete path determines
+    /// the class.
+    AmbiguousSegment,
+    /// A field that may occur only once is repeated.
+    RepeatedField,
+    /// The name of a field differs from a known name only in characters that some servers treat as equal.
+    LookAlikeField,
+    /// The value of a field of the protocol is not text.
+    NonTextField,
+    /// An HTTP/1.1 request without `Host`.
+    MissingHost,
+    /// `Host` or the authority of the target is not a host with an optional port.
+    InvalidHost,
     /// `Host` and the target name different hosts.
-    OtherHost,
-    /// The target's scheme is not HTTP.
-    Scheme,
-    /// A field that makes some servers take another target.
-    OtherTarget,
-    /// A field that makes some servers take another method.
-    OtherMethod,
-    /// `Transfer-Encoding` is not `chunked`, once.
-    Coding,
-    /// `Content-Length` stands there more than once.
-    Lengths,
-    /// Both `Content-Length` and `Transfer-Encoding`.
-    TwoFramings,
-    /// An expectation other than `100-continue`.
-    Expectation,
+    HostMismatch,
+    /// The scheme of the target is not `http` or `https`.
+    UnsupportedScheme,
+    /// A field replaces the target at some servers, and its value differs from the target.
+    TargetOverride,
+    /// A field replaces the method at some servers, and its value differs from the method.
+    MethodOverride,
+    /// `Transfer-Encoding` is not exactly one `chunked`.
+    UnsupportedTransferCoding,
+    /// `Content-Length` is repeated.
+    RepeatedContentLength,
+    /// Both `Content-Length` and `Transfer-Encoding` are present.
+    ConflictingFraming,
+    /// `Expect` is not `100-continue`.
+    UnsupportedExpectation,
 }
 
 impl Fault {
-    /// All of them, for tables and tests.
+    /// All variants, for metric tables and tests.
     pub const ALL: [Fault; 24] = [
-        Fault::Form,
+        Fault::NotAPath,
         Fault::Fragment,
-        Fault::RawOctet,
-        Fault::Encoding,
-        Fault::Utf8,
-        Fault::Control,
+        Fault::NonAsciiOctet,
+        Fault::BrokenPercentEncoding,
+        Fault::InvalidUtf8,
+        Fault::ControlOctet,
         Fault::DotSegment,
-        Fault::Backslash,
-        Fault::EmptyClass,
-        Fault::ImpureClass,
-        Fault::ImpurePath,
-        Fault::Repeated,
-        Fault::LookAlike,
-        Fault::Unreadable,
-        Fault::NoHost,
-        Fault::BadHost,
-        Fault::OtherHost,
-        Fault::Scheme,
-        Fault::OtherTarget,
-        Fault::OtherMethod,
-        Fault::Coding,
-        Fault::Lengths,
-        Fault::TwoFramings,
-        Fault::Expectation,
+        Fault::SeparatorLookAlike,
+        Fault::EmptyFirstSegment,
+        Fault::AmbiguousFirstSegment,
+        Fault::AmbiguousSegment,
+        Fault::RepeatedField,
+        Fault::LookAlikeField,
+        Fault::NonTextField,
+        Fault::MissingHost,
+        Fault::InvalidHost,
+        Fault::HostMismatch,
+        Fault::UnsupportedScheme,
+        Fault::TargetOverride,
+        Fault::MethodOverride,
+        Fault::UnsupportedTransferCoding,
+        Fault::RepeatedContentLength,
+        Fault::ConflictingFraming,
+        Fault::UnsupportedExpectation,
     ];
 
-    /// 417 for an expectation (RFC 9110, 10.1.1), 400 for all else.
+    /// The response status: 417 for an unsupported expectation (RFC 9110, 10.1.1), otherwise 400.
     pub const fn status(self) -> StatusCode {
         match self {
-            Fault::Expectation => StatusCode::EXPECTATION_FAILED,
+            Fault::UnsupportedExpectation => StatusCode::EXPECTATION_FAILED,
             _ => StatusCode::BAD_REQUEST,
         }
     }
 
-    /// What is wrong, in words for the sender.
+    /// The reason as text for the client.
     pub const fn reason(self) -> &'static str {
         match self {
-            Fault::Form => "the target is not a path",
+            Fault::NotAPath => "the target is not a path",
             Fault::Fragment => "the target has a fragment",
-            Fault::RawOctet => "the target has octets that must be percent-encoded",
-            Fault::Encoding => "the path has a broken percent-encoding",
-            Fault::Utf8 => "the path is not UTF-8",
-            Fault::Control => "the path has a control octet",
+            Fault::NonAsciiOctet => "the target has octets that must be percent-encoded",
+            Fault::BrokenPercentEncoding => "the path has a broken percent-encoding",
+            Fault::InvalidUtf8 => "the path is not UTF-8",
+            Fault::ControlOctet => "the path has a control octet",
             Fault::DotSegment => "the path has a dot segment",
-            Fault::Backslash => "the path has a backslash, or what may become a separator",
-            Fault::EmptyClass => "the path begins with an empty part",
-            Fault::ImpureClass => "the path's first part is encoded or has parameters",
-            Fault::ImpurePath => "a part of the path is empty, encoded or has parameters",
-            Fault::Repeated => "a field that may stand there once is repeated",
-            Fault::LookAlike => "a field's name can be taken for another",
-            Fault::Unreadable => "a field that is read on the way is not text",
-            Fault::NoHost => "Host is missing",
-            Fault::BadHost => "Host is not a host",
-            Fault::OtherHost => "Host and the target name different hosts",
-            Fault::Scheme => "the target's scheme is not http or https",
-            Fault::OtherTarget => "a field names another target",
-            Fault::OtherMethod => "a field names another method",
-            Fault::Coding => "Transfer-Encoding is not chunked, once",
-            Fault::Lengths => "Content-Length stands there more than once",
-            Fault::TwoFramings => "both Content-Length and Transfer-Encoding",
-            Fault::Expectation => "only 100-continue can be expected",
+            Fault::SeparatorLookAlike => "the path has a backslash, or what may become a separator",
+            Fault::EmptyFirstSegment => "the path begins with an empty part",
+            Fault::AmbiguousFirstSegment => "the path's first part is encoded or has parameters",
+            Fault::AmbiguousSegment => "a part of the path is empty, encoded or has parameters",
+            Fault::RepeatedField => "a field that may stand there once is repeated",
+            Fault::LookAlikeField => "a field's name can be taken for another",
+            Fault::NonTextField => "a field that is read on the way is not text",
+            Fault::MissingHost => "Host is missing",
+            Fault::InvalidHost => "Host is not a host",
+            Fault::HostMismatch => "Host and the target name different hosts",
+            Fault::UnsupportedScheme => "the target's scheme is not http or https",
+            Fault::TargetOverride => "a field names another target",
+            Fault::MethodOverride => "a field names another method",
+            Fault::UnsupportedTransferCoding => "Transfer-Encoding is not chunked, once",
+            Fault::RepeatedContentLength => "Content-Length stands there more than once",
+            Fault::ConflictingFraming => "both Content-Length and Transfer-Encoding",
+            Fault::UnsupportedExpectation => "only 100-continue can be expected",
         }
     }
 }
