--- a/crates/dunelink/src/node/handle.rs
+++ b/crates/dunelink/src/node/handle.rs
@@ -21,7 +21,7 @@
 use crate::counts::{ClassCounts, Counts};
 use crate::engine::EngineMessage;
 use crate::error::{BodyError, BoxError, CallError, Closed, InvalidRequest};
-use crate::fleet::{Ask, Asks, GossipView, ask};
+use crate::fleet::{GossipRequest, GossipRequestSender, GossipView, request};
 use crate::http::Rendering;
 use crate::intake::{Head, Intake, ext};
 use crate::payload::{Payload, StreamingPayload};
@@ -57,7 +57,7 @@
     pub(super) engines: Vec<Arc<EngineHandle>>,
     pub(super) intake: Arc<Intake>,
     /// The channel to the node's gossip, if it has any.
-    pub(super) gossip: Option<Asks>,
+    pub(super) gossip: Option<GossipRequestSender>,
     pub(super) class_names: Vec<String>,
     pub(super) graphql: Option<Endpoint>,
     pub(super) max_body_bytes: usize,
@@ -338,7 +338,7 @@
 
     /// The state of gossip with other nodes; `None` if the node does not gossip.
     pub async fn gossip(&self) -> Option<GossipView> {
-        ask(self.shared.gossip.as_ref(), Ask::Look).await
+        request(self.shared.gossip.as_ref(), GossipRequest::Status).await
     }
 
     /// Asks the fleet to evict a node for a number of seconds (at most a week) and a reason (at most 40
@@ -349,8 +349,8 @@
     ///
     /// The node does not gossip, or the change can't be decided; the text says why.
     pub async fn evict_or_restore(&self, name: &str, eviction: Option<(u64, String)>) -> Result<(), String> {
-        let request = |reply| Ask::Put(name.to_owned(), eviction, reply);
-        let reply = ask(self.shared.gossip.as_ref(), request).await;
+        let build_request = |reply| GossipRequest::SetEviction(name.to_owned(), eviction, reply);
+        let reply = request(self.shared.gossip.as_ref(), build_request).await;
         reply.unwrap_or_else(|| Err("this node does not gossip".into()))
     }
 
@@ -361,12 +361,12 @@
     ///
     /// The files can't be used; the old keys stay in use.
     pub async fn reload_gossip_keys(&self) -> Option<Result<usize, ConfigError>> {
-        ask(self.shared.gossip.as_ref(), Ask::Keys).await
+        request(self.shared.gossip.as_ref(), GossipRequest::ReloadKeys).await
     }
 
     /// Tells other nodes that this one leaves; its part of the fleet stays reserved for a minute.
     pub async fn leave_gossip(&self) {
-        ask(self.shared.gossip.as_ref(), Ask::Leave).await;
+        request(self.shared.gossip.as_ref(), GossipRequest::Leave).await;
     }
 
     /// Closes the longest-idle connection to a server, for a process that has run out of file descriptors.
--- a/crates/dunelink/src/node/shards.rs
+++ b/crates/dunelink/src/node/shards.rs
@@ -20,7 +20,7 @@
 use crate::engine::Mailbox;
 use crate::fleet::Gossiper;
 use crate::intake::Intake;
-use crate::roster::{Feed, Hub, Roster, RosterFuture};
+use crate::roster::{Feed, Roster, RosterFanout, RosterFuture};
 
 /// The difference between the seeds of consecutive shards (the golden ratio in 64 bits).
 const SHARD_SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -96,7 +96,7 @@
     roster: Box<dyn Roster>,
     config: Config,
     seed: u64,
-    hub: Hub,
+    hub: RosterFanout,
     ended: Vec<CancellationToken>,
 }
 
@@ -133,11 +133,11 @@
     let count = config.fleet.shards;
     let intake = Arc::new(Intake::new(&config));
     let graphql = Endpoint::new(&config)?;
-    let hub = (count > 1).then(|| Hub::new(count as usize));
+    let hub = (count > 1).then(|| RosterFanout::new(count as usize));
     if let Some(hub) = &hub {
         // Another thread may read the list before the shards have started.
         config.known = roster.known().unwrap_or(config.known);
-        hub.begin(&config.known);
+        hub.set_initial_list(&config.known);
     }
     let transfers = Arc::new(Semaphore::new(config.limits.transfers));
     let mut roster = Some(roster);
@@ -145,7 +145,7 @@
     for index in 0..count {
         let config = config.shard(index);
         let seed = seed.wrapping_add(SHARD_SEED_STEP.wrapping_mul(u64::from(index)));
-        let balancer = Balancer::new(config.settings(), seed).map_err(|e| ConfigError::whole(e.0))?;
+        let balancer = Balancer::new(config.settings(), seed).map_err(|e| ConfigError::without_key(e.0))?;
         let (mailbox, inbox) = Mailbox::new(seed);
         let engine = EngineHandle {
             mailbox: mailbox.clone(),
@@ -155,8 +155,8 @@
             ended: CancellationToken::new(),
         };
         let roster: Box<dyn Roster> = match (&hub, &mut roster) {
-            (Some(hub), _) => Box::new(hub.branch(index as usize)),
-            (None, roster) => roster.take().ok_or_else(|| ConfigError::whole("no roster"))?,
+            (Some(hub), _) => Box::new(hub.shard_roster(index as usize)),
+            (None, roster) => roster.take().ok_or_else(|| ConfigError::without_key("no roster"))?,
         };
         setups.push(EngineSetup {
             seed,
--- a/crates/dunelinkd/src/client_socket.rs
+++ b/crates/dunelinkd/src/client_socket.rs
@@ -91,14 +91,15 @@
 
     /// Whether a request has been received in part.
     pub(crate) fn has_begun(&self) -> bool {
-        self.scanner.borrow().has_begun()
+        self.scanner.borrow().is_mid_request()
     }
 
     /// Whether more was received than the requests that were handed over: another request, a part of one, or
     /// bytes that are not read yet.
     pub(crate) fn has_more(&self) -> bool {
         let unread = |mut byte: [MaybeUninit<u8>; 1]| SockRef::from(&*self.stream.borrow()).peek(&mut byte);
-        self.scanner.borrow().has_more() || unread([MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
+        self.scanner.borrow().has_pending_input()
+            || unread([MaybeUninit::uninit()]).is_ok_and(|bytes| bytes > 0)
     }
 
     /// Whether received data was discarded, so that the current answer is the last one on the connection.
@@ -108,7 +109,7 @@
 
     /// The head, as it was on the wire, of the request that was just handed over, and when the last byte of
     /// the request was received, if it was. `None` if the stream could not be parsed up to there.
-    pub(crate) fn next_head(&self) -> Option<(wire::Head, Option<Instant>)> {
+    pub(crate) fn next_head(&self) -> Option<(wire::RawHead, Option<Instant>)> {
         let head = self.scanner.borrow_mut().next_head()?;
         self.handed_over.set(self.handed_over.get() + 1);
         Some((head, self.received_at.borrow_mut().pop_front()))
@@ -137,9 +138,9 @@
         let before = buf.filled().len();
         ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf))?;
         let mut scanner = self.scanner.borrow_mut();
-        scanner.take(&buf.filled()[before..]);
+        scanner.feed(&buf.filled()[before..]);
         let mut received_at = self.received_at.borrow_mut();
-        let pending = scanner.whole().saturating_sub(self.handed_over.get());
+        let pending = scanner.completed_requests().saturating_sub(self.handed_over.get());
         received_at.resize(usize::try_from(pending).unwrap_or(usize::MAX), Instant::now());
         Poll::Ready(Ok(()))
     }
@@ -155,7 +156,7 @@
     pub(crate) fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         while !self.hyper_waits.get() {
             let read_ahead = self.read_ahead.borrow().len();
-            let body_incomplete = self.scanner.borrow().whole() < self.handed_over.get();
+            let body_incomplete = self.scanner.borrow().completed_requests() < self.handed_over.get();
             if body_incomplete && read_ahead >= MAX_BODY_READ_AHEAD_BYTES
                 || self.total_read_ahead.get() >= MAX_TOTAL_READ_AHEAD_BYTES
             {
--- a/crates/dunelinkd/src/clients.rs
+++ b/crates/dunelinkd/src/clients.rs
@@ -14,7 +14,7 @@
 use dunelink::http::plain;
 use dunelink::{AnswerBody, CallError, Completion, Config, Handle};
 use dunelink_edge::Fault;
-use dunelink_edge::request::{self, Hosting};
+use dunelink_edge::request::{self, HostRequirement};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
@@ -138,7 +138,7 @@
             total_limit: config.limits.connections(),
             client_limit: Clients::client_limit(config),
             read_ahead: Rc::default(),
-            longest_wait: config.longest(),
+            longest_wait: config.max_deadline(),
             phase: Cell::new(Phase::Serving),
             was_ready: Cell::new(false),
             next_id: Cell::new(0),
@@ -151,7 +151,7 @@
 
     /// Maximum number of connections of clients.
     pub(crate) fn client_limit(config: &Config) -> usize {
-        config.limits.connections().saturating_sub(config.limits.to_servers()).max(1)
+        config.limits.connections().saturating_sub(config.limits.max_server_connections()).max(1)
     }
 
     /// Makes these the clients of one shard, which gets its connections from this queue.
@@ -399,15 +399,16 @@
         request_deadline: Instant,
     ) -> Result<AnsweredRequest, Rejection> {
         // hyper decides where the next request begins in the stream, and drops headers that contradict that.
-        let (wire_head, received_at) = socket_state.next_head().ok_or(Fault::TwoFramings).map_err(reject)?;
+        let (wire_head, received_at) =
+            socket_state.next_head().ok_or(Fault::ConflictingFraming).map_err(reject)?;
         wire_head.check().map_err(reject)?;
-        let chunked = wire_head.codings > 0;
+        let chunked = wire_head.transfer_codings > 0;
         if request.uri().path() == "/_health" {
             if !request.body().is_end_stream() {
                 return Err(plain(StatusCode::BAD_REQUEST, "a GET has no body"));
             }
             let (head, _) = request.into_parts();
-            request::read(&head, Hosting::Wire).map_err(reject)?;
+            request::validate_head(&head, HostRequirement::Required).map_err(reject)?;
             return Ok((self.health(&head.method), chunked));
         }
         let (mut head, body) = request.into_parts();
