--- a/bench/src/bodies.rs
+++ b/bench/src/bodies.rs
@@ -1,4 +1,4 @@
-//! The daemon's memory while long bodies pass through slow peers.
+//! Peak memory of the daemon while it streams long bodies to slow clients or servers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,49 +13,49 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::children::{config, daemon};
-use crate::memory::resident;
+use crate::children::{node_config, start_daemon};
+use crate::memory::resident_bytes;
 
-/// What is measured.
+/// Options of `bodies`.
 #[derive(clap::Args)]
 pub(crate) struct Options {
-    /// Bytes of a body.
+    /// Size of a body, in bytes.
     #[arg(long, default_value_t = 32_000_000)]
     bytes: usize,
-    /// How long its client, or the server of a request, takes.
+    /// Seconds that the slow reader takes for a body: the client of a response, or the server of a request.
     #[arg(long, default_value_t = 6)]
     seconds: u32,
-    /// The daemon's program.
+    /// Path of the daemon's program.
     #[arg(long, default_value = "target/release/dunelink")]
     daemon: PathBuf,
 }
 
-/// Steps in which a slow peer reads.
-const STEPS: usize = 100;
+/// Number of reads in which a slow reader takes a body.
+const READ_STEPS: usize = 100;
 
-/// Reads so many bytes in steps over a time.
+/// Reads `bytes` in `READ_STEPS` equal reads, spread over `seconds`.
 async fn read_slowly(from: &mut TcpStream, bytes: usize, seconds: u32) -> anyhow::Result<()> {
-    let mut piece = vec![0; bytes / STEPS];
-    for _ in 0..STEPS {
-        from.read_exact(&mut piece).await?;
-        sleep(Duration::from_secs(seconds.into()) / STEPS as u32).await;
+    let mut chunk = vec![0; bytes / READ_STEPS];
+    for _ in 0..READ_STEPS {
+        from.read_exact(&mut chunk).await?;
+        sleep(Duration::from_secs(seconds.into()) / READ_STEPS as u32).await;
     }
     Ok(())
 }
 
-/// Writes so many bytes as fast as they are taken.
+/// Writes `bytes` as fast as the receiver accepts them.
 async fn write_all(to: &mut TcpStream, mut bytes: usize) -> anyhow::Result<()> {
-    static PIECE: [u8; 1 << 16] = [7; 1 << 16];
+    static CHUNK: [u8; 1 << 16] = [7; 1 << 16];
     while bytes > 0 {
-        let piece = &PIECE[..bytes.min(PIECE.len())];
-        to.write_all(piece).await?;
-        bytes -= piece.len();
+        let chunk = &CHUNK[..bytes.min(CHUNK.len())];
+        to.write_all(chunk).await?;
+        bytes -= chunk.len();
     }
     Ok(())
 }
 
-/// Reads a head to its end.
-async fn head(from: &mut TcpStream) -> anyhow::Result<String> {
+/// Reads the head of a message, up to and including its empty line.
+async fn read_head(from: &mut TcpStream) -> anyhow::Result<String> {
     let (mut text, mut reader) = (Vec::new(), BufReader::with_capacity(1, from));
     while !text.ends_with(b"\r\n\r\n") {
         text.push(reader.read_u8().await?);
@@ -63,10 +63,10 @@
     Ok(String::from_utf8(text)?)
 }
 
-/// A server that gives long answers to GETs, and reads POSTs slowly.
+/// Serves one connection: sends a long response to each GET, and reads the body of each POST slowly.
 async fn serve(mut stream: TcpStream, bytes: usize, seconds: u32) -> anyhow::Result<()> {
     loop {
-        if head(&mut stream).await?.starts_with("GET") {
+        if read_head(&mut stream).await?.starts_with("GET") {
             stream
                 .write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {bytes}\r\n\r\n").as_bytes())
                 .await?;
@@ -78,29 +78,30 @@
     }
 }
 
-/// A client that reads a long answer slowly, or sends a long request.
-async fn ask(to: SocketAddr, get: bool, options: (usize, u32)) -> anyhow::Result<()> {
+/// Sends one request as a client: a GET whose long response it reads slowly, or a POST with a long body.
+/// `bytes_and_seconds` is the size of the body and the duration of a slow read.
+async fn send_request(to: SocketAddr, is_get: bool, bytes_and_seconds: (usize, u32)) -> anyhow::Result<()> {
     let mut stream = TcpStream::connect(to).await?;
-    let (line, length) = if get { ("GET /view", 0) } else { ("POST /order", options.0) };
-    let fields = if get { String::new() } else { format!("Content-Length: {length}\r\n") };
-    stream.write_all(format!("{line}/1 HTTP/1.1\r\nHost: n\r\n{fields}\r\n").as_bytes()).await?;
+    let (request_line, length) = if is_get { ("GET /view", 0) } else { ("POST /order", bytes_and_seconds.0) };
+    let headers = if is_get { String::new() } else { format!("Content-Length: {length}\r\n") };
+    stream.write_all(format!("{request_line}/1 HTTP/1.1\r\nHost: n\r\n{headers}\r\n").as_bytes()).await?;
     write_all(&mut stream, length).await?;
-    let answer = head(&mut stream).await?;
-    anyhow::ensure!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    if get { read_slowly(&mut stream, options.0, options.1).await } else { Ok(()) }
+    let response_head = read_head(&mut stream).await?;
+    anyhow::ensure!(response_head.starts_with("HTTP/1.1 200"), "{response_head}");
+    if is_get { read_slowly(&mut stream, bytes_and_seconds.0, bytes_and_seconds.1).await } else { Ok(()) }
 }
 
 pub(crate) fn run(options: &Options) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let (bytes, seconds) = (options.bytes / STEPS * STEPS, options.seconds);
+    let (bytes, seconds) = (options.bytes / READ_STEPS * READ_STEPS, options.seconds);
     runtime.block_on(async {
         println!("{bytes} bytes in {seconds} s, by 100 steps\n");
         println!("| bodies at once | answers, peak memory | requests, peak memory |\n| --- | --- | --- |");
         for count in [1, 10, 100] {
-            let mut peaks = Vec::new();
-            for get in [true, false] {
+            let mut peak_texts = Vec::new();
+            for is_get in [true, false] {
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
-                let mut config = config("bodies", vec![Server::new("s", listener.local_addr()?)]);
+                let mut config = node_config("bodies", vec![Server::new("s", listener.local_addr()?)]);
                 config.classes.push(Class::new("order", Effect::Unsafe, Duration::from_secs(20)));
                 config.limits = Limits { sockets: 2000, server_connections: Some(600), ..Limits::default() };
                 let servers = tokio::spawn(async move {
@@ -108,22 +109,22 @@
                         tokio::spawn(serve(stream, bytes, seconds));
                     }
                 });
-                let (child, address) = daemon(Command::new(&options.daemon), &config).await?;
-                let process = child.id().context("the daemon has ended")?;
+                let (child, address) = start_daemon(Command::new(&options.daemon), &config).await?;
+                let pid = child.id().context("the daemon has ended")?;
                 let mut clients: JoinSet<anyhow::Result<()>> = JoinSet::new();
-                (0..count).for_each(|_| drop(clients.spawn(ask(address, get, (bytes, seconds)))));
-                let mut peak: f64 = 0.0;
+                (0..count).for_each(|_| drop(clients.spawn(send_request(address, is_get, (bytes, seconds)))));
+                let mut peak_bytes: f64 = 0.0;
                 while !clients.is_empty() {
-                    peak = peak.max(resident(process)?);
+                    peak_bytes = peak_bytes.max(resident_bytes(pid)?);
                     tokio::select! {
-                        done = clients.join_next() => done.context("a client")???,
+                        result = clients.join_next() => result.context("no client is left")???,
                         () = sleep(Duration::from_millis(50)) => {}
                     }
                 }
-                peaks.push(format!("{:.1} MB", peak / 1e6));
+                peak_texts.push(format!("{:.1} MB", peak_bytes / 1e6));
                 servers.abort();
             }
-            println!("| {count} | {} | {} |", peaks[0], peaks[1]);
+            println!("| {count} | {} | {} |", peak_texts[0], peak_texts[1]);
         }
         Ok(())
     })
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -1,5 +1,6 @@
-//! Time lines of faults on real processes, at length: what clients got, whether a rule broke, how soon all agreed, and
-//! what part of its limits the fleet took meanwhile.
+//! Random fault schedules (time lines) on real processes under load: the outcomes of requests, violated
+//! rules, the time until all nodes agree again, and the sum of the nodes' shares of the fleet's limits over
+//! time.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,55 +18,63 @@
 use testkit::rig::{Plan, Rig, ask, classes, listed};
 
 const SERVERS: usize = 8;
+/// Deadline of every request.
 const DEADLINE: Duration = Duration::from_millis(1500);
-const SLACK: Duration = Duration::from_millis(700);
-/// How often nodes are asked for their parts.
-const LOOK: Duration = Duration::from_millis(100);
-const SIZE: (u32, u32) = (1000, 320);
+/// How far past its deadline an answer may still arrive without violating a rule.
+const DEADLINE_SLACK: Duration = Duration::from_millis(700);
+/// Interval at which the nodes are asked for their shares of the limits.
+const SHARE_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Width and height of the plot, in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (1000, 320);
 
-/// What `fleet` is told.
+/// Options of `fleet`.
 #[derive(Args)]
 pub(crate) struct Options {
-    /// The program; by default the one beside this.
+    /// Path of the daemon's program; by default `dunelink` in the folder of this program.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// How many nodes.
+    /// Number of nodes.
     #[arg(long, default_value_t = 5)]
     nodes: usize,
-    /// How many of them decide for the fleet; 0 for none.
+    /// Number of nodes that are electors, which vote on the fleet's views; 0 for none.
     #[arg(long, default_value_t = 5)]
     electors: usize,
-    /// How many time lines, one for each seed from the first on.
+    /// Number of time lines; their seeds count up from the first.
     #[arg(long, default_value_t = 10)]
     lines: u64,
     /// The first seed.
     #[arg(long, default_value_t = 100)]
     seed: u64,
-    /// Seconds of each.
+    /// Length of each time line, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Where the plot goes.
+    /// Path of the plot; without it none is drawn.
     #[arg(long, value_name = "FILE")]
     svg: Option<PathBuf>,
 }
 
-struct Played {
+/// The outcome of one time line.
+struct TimeLineOutcome {
     seed: u64,
     faults: usize,
     sum: Sum,
     breaches: Vec<String>,
-    agreed: Option<f64>,
-    /// Until the parts of all were a whole again; it is not asked where nobody decides.
-    whole: Option<f64>,
-    /// What all nodes together took, by time in seconds.
-    parts: Vec<(f64, f64)>,
+    /// Seconds from the end of all faults until all nodes agreed on the membership; `None` if they did not in
+    /// time.
+    agreed_s: Option<f64>,
+    /// Seconds from the end of all faults until the shares added up to the whole limits again; `None` if they
+    /// did not in time. Without electors the sum is not checked.
+    shares_restored_s: Option<f64>,
+    /// Samples of the sum of all shares: seconds since the start, and the sum.
+    share_samples: Vec<(f64, f64)>,
 }
 
-fn plan(options: &Options) -> anyhow::Result<Plan> {
-    let beside = || Ok::<_, std::io::Error>(std::env::current_exe()?.with_file_name("dunelink"));
-    let program = options.program.clone().map_or_else(beside, Ok)?;
+/// The settings of the fleet under test.
+fn rig_plan(options: &Options) -> anyhow::Result<Plan> {
+    let default_program = || Ok::<_, std::io::Error>(std::env::current_exe()?.with_file_name("dunelink"));
+    let program = options.program.clone().map_or_else(default_program, Ok)?;
     if !program.exists() {
-        bail!("{}: expected the program; build it first", program.display());
+        bail!("{}: the program does not exist; build it first", program.display());
     }
     let electors: Vec<String> = (0..options.electors).map(|node| format!("\"n{node}\"")).collect();
     Ok(Plan {
@@ -83,61 +92,71 @@
     })
 }
 
-/// What a node takes of the fleet's limits, by what it says.
-fn part(door: &SocketAddr) -> Option<f64> {
-    let told = ask(*door, "fleet")?;
-    told.split("part=").nth(1)?.split_whitespace().next()?.parse().ok()
+/// A node's share of the fleet's limits, read from its `fleet` report; `None` if it does not answer.
+fn limit_share(address: &SocketAddr) -> Option<f64> {
+    let report = ask(*address, "fleet")?;
+    report.split("part=").nth(1)?.split_whitespace().next()?.parse().ok()
 }
 
-/// The parts of all nodes that answer, added up, until told to stop.
-fn watch(doors: Vec<SocketAddr>, over: Arc<AtomicBool>) -> thread::JoinHandle<Vec<(f64, f64)>> {
+/// Samples the sum of the shares of all nodes that answer, until `stop` is set.
+fn sample_shares(addresses: Vec<SocketAddr>, stop: Arc<AtomicBool>) -> thread::JoinHandle<Vec<(f64, f64)>> {
     thread::spawn(move || {
-        let (began, mut seen) = (Instant::now(), Vec::new());
-        while !over.load(Ordering::SeqCst) {
-            let at = began.elapsed().as_secs_f64();
-            seen.push((at, doors.iter().filter_map(part).sum::<f64>()));
-            thread::sleep(LOOK);
+        let (started, mut samples) = (Instant::now(), Vec::new());
+        while !stop.load(Ordering::SeqCst) {
+            let at = started.elapsed().as_secs_f64();
+            samples.push((at, addresses.iter().filter_map(limit_share).sum::<f64>()));
+            thread::sleep(SHARE_SAMPLE_INTERVAL);
         }
-        seen
+        samples
     })
 }
 
-fn play(options: &Options, seed: u64) -> anyhow::Result<Played> {
-    let mut rig = Rig::new(plan(options)?);
+/// Plays the time line of one seed against a new fleet.
+fn run_time_line(options: &Options, seed: u64) -> anyhow::Result<TimeLineOutcome> {
+    let mut rig = Rig::new(rig_plan(options)?);
     rig.found();
     let span = Duration::from_secs(options.seconds);
-    let line = TimeLine::drawn(seed, options.nodes, SERVERS, span);
-    let over = Arc::new(AtomicBool::new(false));
-    let doors: Vec<SocketAddr> = (0..options.nodes).map(|node| rig.door(node)).collect();
-    let watched = watch(doors.clone(), over.clone());
+    let time_line = TimeLine::drawn(seed, options.nodes, SERVERS, span);
+    let stop = Arc::new(AtomicBool::new(false));
+    let addresses: Vec<SocketAddr> = (0..options.nodes).map(|node| rig.door(node)).collect();
+    let sampler = sample_shares(addresses.clone(), stop.clone());
     let classes = vec![Class::View, Class::Submit, Class::Order];
     rig.load(&Load { clients: 4, pause: Duration::from_millis(20), classes, deadline: DEADLINE });
-    rig.play(&line);
-    let healed = Instant::now();
-    while !rig.agree() && healed.elapsed() < span {
+    rig.play(&time_line);
+    let healed_at = Instant::now();
+    while !rig.agree() && healed_at.elapsed() < span {
         thread::sleep(Duration::from_millis(10));
     }
-    let agreed = rig.agree().then(|| healed.elapsed().as_secs_f64());
-    let is_whole = || doors.iter().filter_map(part).sum::<f64>() > 0.99;
-    while options.electors > 0 && !is_whole() && healed.elapsed() < span {
+    let agreed_s = rig.agree().then(|| healed_at.elapsed().as_secs_f64());
+    let shares_are_whole = || addresses.iter().filter_map(limit_share).sum::<f64>() > 0.99;
+    while options.electors > 0 && !shares_are_whole() && healed_at.elapsed() < span {
         thread::sleep(Duration::from_millis(10));
     }
-    let whole = (options.electors == 0 || is_whole()).then(|| healed.elapsed().as_secs_f64());
+    let shares_restored_s =
+        (options.electors == 0 || shares_are_whole()).then(|| healed_at.elapsed().as_secs_f64());
     rig.rest();
-    over.store(true, Ordering::SeqCst);
-    let parts = watched.join().map_err(|_| anyhow!("the watch ended early"))?;
+    stop.store(true, Ordering::SeqCst);
+    let share_samples = sampler.join().map_err(|_| anyhow!("the thread that samples the shares panicked"))?;
     let rules = Rules {
         deadline: DEADLINE,
-        slack: SLACK,
+        slack: DEADLINE_SLACK,
         window: Duration::from_secs(10),
         cell: |s| s % 2,
         cold: None,
     };
     let (sum, breaches) = check(&rig.record.entries(), &rules);
-    if !breaches.is_empty() || agreed.is_none() || whole.is_none() {
-        eprintln!("{line}{}\n{}", breaches.join("\n"), rig.story());
+    if !breaches.is_empty() || agreed_s.is_none() || shares_restored_s.is_none() {
+        eprintln!("{time_line}{}\n{}", breaches.join("\n"), rig.story());
     }
-    Ok(Played { seed, faults: line.faults.len(), sum, breaches, agreed, whole, parts })
+    Ok(TimeLineOutcome {
+        seed,
+        faults: time_line.faults.len(),
+        sum,
+        breaches,
+        agreed_s,
+        shares_restored_s,
+        share_samples,
+    })
 }
 
 pub(crate) fn run(options: &Options) -> anyhow::Result<()> {
@@ -145,34 +164,42 @@
         "| seed | faults | asked | served, refused, failed, lost with a node | rules broken | all see all after, s | parts whole after, s | parts together, at most |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    let mut played = Vec::new();
+    let mut outcomes = Vec::new();
     for seed in options.seed..options.seed + options.lines {
-        let one = play(options, seed).with_context(|| format!("seed {seed}"))?;
-        let Sum { asked, served, refused, failed, lost } = one.sum;
-        let most = one.parts.iter().map(|part| part.1).fold(0.0, f64::max);
-        let told = |seconds: Option<f64>| seconds.map_or("-".into(), |seconds| format!("{seconds:.1}"));
-        let (agreed, whole) = (told(one.agreed), told(one.whole));
+        let outcome = run_time_line(options, seed).with_context(|| format!("seed {seed}"))?;
+        let Sum { asked, served, refused, failed, lost } = outcome.sum;
+        let max_total = outcome.share_samples.iter().map(|sample| sample.1).fold(0.0, f64::max);
+        let format_seconds =
+            |seconds: Option<f64>| seconds.map_or("-".into(), |seconds| format!("{seconds:.1}"));
+        let (agreed, restored) =
+            (format_seconds(outcome.agreed_s), format_seconds(outcome.shares_restored_s));
         println!(
-            "| {} | {} | {asked} | {served}, {refused}, {failed}, {lost} | {} | {agreed} | {whole} | {most:.2} |",
-            one.seed,
-            one.faults,
-            one.breaches.len()
+            "| {} | {} | {asked} | {served}, {refused}, {failed}, {lost} | {} | {agreed} | {restored} | {max_total:.2} |",
+            outcome.seed,
+            outcome.faults,
+            outcome.breaches.len()
         );
-        played.push(one);
+        outcomes.push(outcome);
     }
     if let Some(path) = &options.svg {
-        draw(path, &played).map_err(|error| anyhow!("{}: {error}", path.display()))?;
+        draw(path, &outcomes).map_err(|error| anyhow!("{}: {error}", path.display()))?;
     }
-    match played.iter().all(|one| one.breaches.is_empty() && one.agreed.is_some() && one.whole.is_some()) {
+    match outcomes.iter().all(|outcome| {
+        outcome.breaches.is_empty() && outcome.agreed_s.is_some() && outcome.shares_restored_s.is_some()
+    }) {
         true => Ok(()),
         false => bail!("a rule broke, or not all agreed, or parts stayed small"),
     }
 }
 
-/// What the fleet took of its limits by time, a line for each time line, and the bound.
-fn draw(path: &Path, played: &[Played]) -> Result<(), Box<dyn std::error::Error>> {
-    let end = played.iter().flat_map(|one| one.parts.last()).map(|part| part.0).fold(1.0, f64::max);
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+/// Draws the sum of the shares over time, one line for each time line, and the upper bound of 1.1.
+fn draw(path: &Path, outcomes: &[TimeLineOutcome]) -> Result<(), Box<dyn std::error::Error>> {
+    let end = outcomes
+        .iter()
+        .flat_map(|outcome| outcome.share_samples.last())
+        .map(|sample| sample.0)
+        .fold(1.0, f64::max);
+    let area = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption("parts of all nodes together, by seconds; the line above is the bound", ("sans-serif", 16))
@@ -181,8 +208,11 @@
         .y_label_area_size(40)
         .build_cartesian_2d(0.0..end, 0.0..1.3)?;
     chart.configure_mesh().light_line_style(WHITE).draw()?;
-    for one in played {
-        chart.draw_series(LineSeries::new(one.parts.iter().copied(), RGBColor(0, 114, 178).mix(0.5)))?;
+    for outcome in outcomes {
+        chart.draw_series(LineSeries::new(
+            outcome.share_samples.iter().copied(),
+            RGBColor(0, 114, 178).mix(0.5),
+        ))?;
     }
     chart.draw_series(LineSeries::new([(0.0, 1.1), (end, 1.1)], RGBColor(213, 94, 0).stroke_width(2)))?;
     area.present()?;
--- a/bench/src/load/mod.rs
+++ b/bench/src/load/mod.rs
@@ -1,6 +1,6 @@
-//! Throughput and latency under full load, side by side with other proxies, by the size of the fleet, by shards and
-//! by connections. Every case starts its proxy anew; rounds take turns through all cases, so that they meet the same
-//! machine, and medians over them are told.
+//! Throughput and latency under full load, compared with other proxies, by number of servers, of shards and
+//! of connections. Every case starts a new proxy. Each round runs all cases in turn, so that all are exposed
+//! to the same state of the machine; the report shows the medians over the rounds.
 
 mod generate;
 mod peers;
@@ -17,99 +17,104 @@
 use dunelink::{Config, Server};
 use tokio::process::Command;
 
-use crate::children::{addresses, config, daemon};
+use crate::children::{node_config, read_addresses, start_daemon};
 
 pub(crate) use generate::{Figures, Generate, run as generate};
 pub(crate) use peers::{Peer, run as peer};
 pub(crate) use stand::run as stand;
 
-/// What is measured.
+/// Options of `load`.
 #[derive(clap::Args)]
 pub(crate) struct Options {
-    /// Seconds of each case in each round, after half a second to warm up.
+    /// Measured seconds of each case in each round, after a warm-up of half a second.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
-    /// Rounds.
+    /// Number of rounds.
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// Sizes of the fleet.
+    /// Numbers of servers.
     #[arg(long, value_delimiter = ',', default_values_t = [8, 100, 1000, 5000, 10_000])]
     fleets: Vec<usize>,
-    /// Numbers of shards; each has a core of its own.
+    /// Numbers of shards; each shard has a core of its own.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 2])]
     shards: Vec<u32>,
-    /// Numbers of connections of clients.
+    /// Numbers of client connections.
     #[arg(long, value_delimiter = ',', default_values_t = [16, 64, 256])]
     connections: Vec<usize>,
     /// Only cases whose name contains this.
     #[arg(long, default_value = "")]
     only: String,
-    /// The daemon's program.
+    /// Path of the daemon's program.
     #[arg(long, default_value = "target/release/dunelink")]
     daemon: PathBuf,
-    /// Descriptors that a node may hold.
+    /// Limit on the sockets that a node may have open.
     #[arg(long, default_value_t = 8192)]
     sockets: usize,
-    /// Where the plot goes.
+    /// Path of the plot; without it none is drawn.
     #[arg(long)]
     svg: Option<PathBuf>,
 }
 
-/// Who stands between clients and servers.
+/// The proxy between clients and servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Way {
-    /// Nobody.
+enum Proxy {
+    /// No proxy.
     Direct,
-    /// A bare pass-through made with hyper, in turn.
+    /// A minimal round-robin proxy made with hyper.
     Hyper,
-    /// The same with tower's power of two choices over requests in flight.
+    /// The same with tower's balancer: power of two choices by requests in flight.
     P2c,
+    /// The daemon.
     Dunelink,
 }
 
-impl Way {
-    const ALL: [Way; 4] = [Way::Direct, Way::Hyper, Way::P2c, Way::Dunelink];
+impl Proxy {
+    const ALL: [Proxy; 4] = [Proxy::Direct, Proxy::Hyper, Proxy::P2c, Proxy::Dunelink];
 
     fn name(self) -> &'static str {
         match self {
-            Way::Direct => "no proxy",
-            Way::Hyper => "hyper pass-through",
-            Way::P2c => "tower p2c",
-            Way::Dunelink => "dunelink",
+            Proxy::Direct => "no proxy",
+            Proxy::Hyper => "hyper pass-through",
+            Proxy::P2c => "tower p2c",
+            Proxy::Dunelink => "dunelink",
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+/// One combination that is measured.
 struct Case {
-    way: Way,
-    fleet: usize,
+    proxy: Proxy,
+    /// Number of servers.
+    server_count: usize,
+    /// Number of the daemon's shards; 1 for all others.
     shards: u32,
+    /// Number of client connections.
     connections: usize,
 }
 
 impl Case {
     fn name(&self) -> String {
-        let Case { way, fleet, shards, connections } = self;
-        format!("{}, {fleet} servers, {shards} shards, {connections} connections", way.name())
+        let Case { proxy, server_count, shards, connections } = self;
+        format!("{}, {server_count} servers, {shards} shards, {connections} connections", proxy.name())
     }
 }
 
-/// The cases: every way as a base, then each dimension by itself.
+/// All cases: every proxy with the base values, then each dimension varied by itself.
 fn cases(options: &Options) -> Vec<Case> {
-    let base = |way| Case { way, fleet: 8, shards: 1, connections: 64 };
-    let mut all: Vec<Case> = Way::ALL.map(base).to_vec();
-    let proxies = [Way::Hyper, Way::P2c, Way::Dunelink];
-    for fleet in &options.fleets {
-        all.extend(proxies.map(|way| Case { fleet: *fleet, ..base(way) }));
+    let base = |proxy| Case { proxy, server_count: 8, shards: 1, connections: 64 };
+    let mut all: Vec<Case> = Proxy::ALL.map(base).to_vec();
+    let proxies = [Proxy::Hyper, Proxy::P2c, Proxy::Dunelink];
+    for server_count in &options.fleets {
+        all.extend(proxies.map(|proxy| Case { server_count: *server_count, ..base(proxy) }));
     }
     for connections in &options.connections {
-        all.extend(Way::ALL.map(|way| Case { connections: *connections, ..base(way) }));
+        all.extend(Proxy::ALL.map(|proxy| Case { connections: *connections, ..base(proxy) }));
     }
     for shards in &options.shards {
-        // As many clients for each shard.
+        // The same number of clients for each shard.
         let connections = 64 * *shards as usize;
-        all.push(Case { shards: *shards, connections, ..base(Way::Dunelink) });
+        all.push(Case { shards: *shards, connections, ..base(Proxy::Dunelink) });
     }
     all.sort_unstable();
     all.dedup();
@@ -117,10 +122,10 @@
     all
 }
 
-/// A command on these cores alone, where there are enough and `taskset` is at hand.
+/// A command whose process is pinned to these cores, if the machine has them and `/usr/bin/taskset` exists.
 fn on_cores(program: &std::path::Path, cores: std::ops::Range<usize>) -> Command {
-    let most = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let pinned = cores.end <= most && std::path::Path::new("/usr/bin/taskset").exists();
+    let core_count = std::thread::available_parallelism().map_or(1, |n| n.get());
+    let pinned = cores.end <= core_count && std::path::Path::new("/usr/bin/taskset").exists();
     let mut command = match pinned {
         true => {
             let mut command = Command::new("/usr/bin/taskset");
@@ -133,45 +138,46 @@
     command
 }
 
-fn node(case: &Case, options: &Options, servers: &[SocketAddr]) -> Config {
-    // Servers are told apart by their names; many share an address.
+/// The daemon's settings for a case.
+fn case_config(case: &Case, options: &Options, servers: &[SocketAddr]) -> Config {
+    // Servers are distinguished by name; many share an address.
     let server = |number: usize| Server::new(format!("s-{number}"), servers[number % servers.len()]);
     Config {
         limits: Limits { sockets: options.sockets, ..Limits::default() },
         fleet: Fleet { shards: case.shards, ..Fleet::default() },
-        ..config("load", (0..case.fleet).map(server).collect())
+        ..node_config("load", (0..case.server_count).map(server).collect())
     }
 }
 
-/// One case, once.
-async fn play(case: &Case, options: &Options, servers: &[SocketAddr]) -> anyhow::Result<Figures> {
-    let own = std::env::current_exe()?;
+/// Runs one case once.
+async fn run_case(case: &Case, options: &Options, servers: &[SocketAddr]) -> anyhow::Result<Figures> {
+    let this_program = std::env::current_exe()?;
     let cores = 0..case.shards as usize;
-    let mut kept = None;
-    let targets: Vec<SocketAddr> = match case.way {
-        Way::Direct => servers.to_vec(),
-        Way::Hyper | Way::P2c => {
-            let kind = if case.way == Way::Hyper { "hyper" } else { "p2c" };
-            let mut command = on_cores(&own, cores);
-            command.args(["peer", kind, "--fleet", &case.fleet.to_string()]);
+    let mut proxy_process = None;
+    let targets: Vec<SocketAddr> = match case.proxy {
+        Proxy::Direct => servers.to_vec(),
+        Proxy::Hyper | Proxy::P2c => {
+            let kind = if case.proxy == Proxy::Hyper { "hyper" } else { "p2c" };
+            let mut command = on_cores(&this_program, cores);
+            command.args(["peer", kind, "--fleet", &case.server_count.to_string()]);
             let mut child = command.args(servers.iter().map(SocketAddr::to_string)).spawn()?;
-            let there = addresses(&mut child).await?;
-            kept = Some(child);
-            there
+            let addresses = read_addresses(&mut child).await?;
+            proxy_process = Some(child);
+            addresses
         }
-        Way::Dunelink => {
+        Proxy::Dunelink => {
             let command = on_cores(&options.daemon, cores);
-            let (child, there) = daemon(command, &node(case, options, servers)).await?;
-            kept = Some(child);
-            vec![there]
+            let (child, address) = start_daemon(command, &case_config(case, options, servers)).await?;
+            proxy_process = Some(child);
+            vec![address]
         }
     };
-    let last = std::thread::available_parallelism().map_or(1, |n| n.get()) - 1;
-    let mut command = on_cores(&own, last..last + 1);
+    let last_core = std::thread::available_parallelism().map_or(1, |n| n.get()) - 1;
+    let mut command = on_cores(&this_program, last_core..last_core + 1);
     command.args(["generate", "--connections", &case.connections.to_string()]);
     command.args(["--seconds", &options.seconds.to_string()]);
     let output = command.args(targets.iter().map(SocketAddr::to_string)).output().await?;
-    if let Some(mut child) = kept {
+    if let Some(mut child) = proxy_process {
         child.kill().await?;
     }
     if !output.status.success() {
@@ -185,19 +191,20 @@
     runtime.block_on(measure(options))
 }
 
+/// Runs all rounds, and writes the table and the plot.
 async fn measure(options: &Options) -> anyhow::Result<()> {
     let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
     let mut servers = {
-        let at = cores.saturating_sub(2);
-        let mut command = on_cores(&std::env::current_exe()?, at..at + 1);
+        let core = cores.saturating_sub(2);
+        let mut command = on_cores(&std::env::current_exe()?, core..core + 1);
         command.arg("stand").spawn()?
     };
-    let there = addresses(&mut servers).await?;
+    let addresses = read_addresses(&mut servers).await?;
     let cases = cases(options);
     let mut rounds: BTreeMap<Case, Vec<Figures>> = BTreeMap::new();
     for round in 0..options.rounds {
         for case in &cases {
-            let figures = play(case, options, &there).await?;
+            let figures = run_case(case, options, &addresses).await?;
             eprintln!("round {round}: {}: {:.0} a second", case.name(), figures.per_second);
             rounds.entry(*case).or_default().push(figures);
         }
@@ -211,6 +218,7 @@
     Ok(())
 }
 
+/// Prints the table of medians.
 fn report(options: &Options, cores: usize, medians: &BTreeMap<Case, Figures>) {
     println!(
         "{} rounds of {} s a case, taking turns, {cores} cores: one for each shard or peer, one for the servers, one \
@@ -223,13 +231,13 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (case, figures) in medians {
-        let peer = Case { way: Way::Hyper, shards: 1, ..*case };
+        let peer = Case { proxy: Proxy::Hyper, shards: 1, ..*case };
         let ratio =
             medians.get(&peer).map_or("".into(), |p| format!("{:.2}", figures.per_second / p.per_second));
         println!(
             "| {} | {} | {} | {} | {:.0} | {ratio} | {:.2} ms | {:.2} ms | {} |",
-            case.way.name(),
-            case.fleet,
+            case.proxy.name(),
+            case.server_count,
             case.shards,
             case.connections,
             figures.per_second,
--- a/bench/src/load/peers.rs
+++ b/bench/src/load/peers.rs
@@ -1,4 +1,4 @@
-//! Other proxies, to stand beside: one that only passes on, and tower's balancer.
+//! Proxies to compare with: a minimal round-robin proxy, and tower's balancer.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -22,11 +22,11 @@
 use tower::load::{CompleteOnResponse, PendingRequestsDiscover};
 use tower::{Service, ServiceExt};
 
-/// Which proxy, and its servers.
+/// Options of `peer`: the kind of proxy, and its servers.
 #[derive(clap::Args)]
 pub(crate) struct Peer {
     kind: Kind,
-    /// How many servers there are; they share the addresses.
+    /// Number of servers; they share the addresses.
     #[arg(long)]
     fleet: usize,
     servers: Vec<SocketAddr>,
@@ -34,35 +34,36 @@
 
 #[derive(Clone, Copy, clap::ValueEnum)]
 enum Kind {
-    /// In turn, with kept connections, and nothing else.
+    /// Round robin over pooled connections, and nothing else.
     Hyper,
-    /// Tower's power of two choices by requests in flight.
+    /// Tower's balancer: power of two choices by requests in flight.
     P2c,
 }
 
-/// One server's kept connections.
+/// A server and its idle connections.
 #[derive(Clone)]
 struct Server {
     address: SocketAddr,
     idle: Rc<RefCell<Vec<SendRequest<Incoming>>>>,
 }
 
-type Answering = Pin<Box<dyn Future<Output = Result<Response<Incoming>, tower::BoxError>>>>;
+/// The response to a request, once it has arrived.
+type ResponseFuture = Pin<Box<dyn Future<Output = Result<Response<Incoming>, tower::BoxError>>>>;
 
 impl Service<Request<Incoming>> for Server {
     type Response = Response<Incoming>;
     type Error = tower::BoxError;
-    type Future = Answering;
+    type Future = ResponseFuture;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), tower::BoxError>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, request: Request<Incoming>) -> Answering {
+    fn call(&mut self, request: Request<Incoming>) -> ResponseFuture {
         let Server { address, idle } = self.clone();
         Box::pin(async move {
-            let kept = idle.borrow_mut().pop().filter(|sender| !sender.is_closed());
-            let mut sender = match kept {
+            let idle_sender = idle.borrow_mut().pop().filter(|sender| !sender.is_closed());
+            let mut sender = match idle_sender {
                 Some(sender) => sender,
                 None => {
                     let stream = TcpStream::connect(address).await?;
@@ -81,7 +82,7 @@
     }
 }
 
-/// Serves until it is killed.
+/// Prints the proxy's address and serves until the process is killed.
 pub(crate) fn run(peer: &Peer) -> anyhow::Result<()> {
     let server =
         |number: usize| Server { address: peer.servers[number % peer.servers.len()], idle: Rc::default() };
@@ -91,7 +92,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         println!("{}", listener.local_addr()?);
         std::io::stdout().flush()?;
-        let turn = Rc::new(Cell::new(0));
+        let last_used = Rc::new(Cell::new(0));
         let list = ServiceList::new(servers.to_vec());
         let balance = Rc::new(Mutex::new(Balance::new(PendingRequestsDiscover::new(
             list,
@@ -100,21 +101,22 @@
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
-            let (servers, turn, balance, kind) = (servers.clone(), turn.clone(), balance.clone(), peer.kind);
+            let (servers, last_used, balance, kind) =
+                (servers.clone(), last_used.clone(), balance.clone(), peer.kind);
             let service = service_fn(move |request: Request<Incoming>| {
-                let (servers, turn, balance) = (servers.clone(), turn.clone(), balance.clone());
+                let (servers, last_used, balance) = (servers.clone(), last_used.clone(), balance.clone());
                 async move {
                     match kind {
                         Kind::Hyper => {
-                            turn.set((turn.get() + 1) % servers.len());
-                            servers[turn.get()].clone().call(request).await
+                            last_used.set((last_used.get() + 1) % servers.len());
+                            servers[last_used.get()].clone().call(request).await
                         }
                         Kind::P2c => {
-                            let answering = {
+                            let response = {
                                 let mut balance = balance.lock().await;
                                 balance.ready().await?.call(request)
                             };
-                            answering.await
+                            response.await
                         }
                     }
                 }
--- a/bench/src/load/plot.rs
+++ b/bench/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! The plot: throughput and p99 by the size of the fleet, by shards and by connections.
+//! The plot: throughput and p99 latency by number of servers, of shards and of connections.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,50 +6,56 @@
 use anyhow::anyhow;
 use plotters::prelude::*;
 
-use super::{Case, Figures, Way};
+use super::{Case, Figures, Proxy};
 
-const SIZE: (u32, u32) = (1200, 720);
-/// Colours that are told apart by those who see few.
+/// Width and height of the plot, in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (1200, 720);
+/// One colour for each proxy; people with colour blindness can distinguish them.
 const COLOURS: [RGBColor; 4] =
     [RGBColor(120, 120, 120), RGBColor(0, 114, 178), RGBColor(230, 159, 0), RGBColor(0, 158, 115)];
 
-/// Draws to this file.
+/// Draws the plot to the file at `path`, and creates its folder if needed.
 pub(super) fn draw(path: &Path, medians: &BTreeMap<Case, Figures>) -> anyhow::Result<()> {
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder)?;
     }
-    panels(path, medians).map_err(|error| anyhow!("{}: {error}", path.display()))
+    draw_panels(path, medians).map_err(|error| anyhow!("{}: {error}", path.display()))
 }
 
-/// A dimension: its title, and a case's place on it if it lies there.
+/// A dimension: its title, and the coordinate of a case on its axis; `None` if the case does not belong to
+/// it.
 type Dimension = (&'static str, fn(&Case) -> Option<f64>);
-/// A figure: its title, and its value.
-type Figure = (&'static str, fn(&Figures) -> f64);
+/// A quantity: its title, and its value.
+type Quantity = (&'static str, fn(&Figures) -> f64);
 
-fn panels(path: &Path, medians: &BTreeMap<Case, Figures>) -> Result<(), Box<dyn std::error::Error>> {
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+/// Draws a row of panels for each quantity, with one panel for each dimension.
+fn draw_panels(path: &Path, medians: &BTreeMap<Case, Figures>) -> Result<(), Box<dyn std::error::Error>> {
+    let area = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let dimensions: [Dimension; 3] = [
-        ("servers", |c| (c.shards == 1 && c.connections == 64).then_some(c.fleet as f64)),
+        ("servers", |c| (c.shards == 1 && c.connections == 64).then_some(c.server_count as f64)),
         ("shards (64 connections each)", |c| {
-            (c.fleet == 8 && c.connections == 64 * c.shards as usize).then_some(f64::from(c.shards))
+            (c.server_count == 8 && c.connections == 64 * c.shards as usize).then_some(f64::from(c.shards))
         }),
-        ("connections", |c| (c.fleet == 8 && c.shards == 1).then_some(c.connections as f64)),
+        ("connections", |c| (c.server_count == 8 && c.shards == 1).then_some(c.connections as f64)),
     ];
-    let figures: [Figure; 2] = [("requests a second", |f| f.per_second), ("p99, ms", |f| f.p99_ms)];
+    let figures: [Quantity; 2] = [("requests a second", |f| f.per_second), ("p99, ms", |f| f.p99_ms)];
     for (at, panel) in area.split_evenly((2, 3)).iter().enumerate() {
-        let ((figure, value), (dimension, place)) = (figures[at / 3], dimensions[at % 3]);
-        let lines: Vec<(Way, Vec<(f64, f64)>)> = Way::ALL
+        let ((figure, value), (dimension, coordinate)) = (figures[at / 3], dimensions[at % 3]);
+        let lines: Vec<(Proxy, Vec<(f64, f64)>)> = Proxy::ALL
             .iter()
-            .map(|way| {
-                let own = medians.iter().filter(|(case, _)| case.way == *way);
-                (*way, own.filter_map(|(case, figures)| Some((place(case)?, value(figures)))).collect())
+            .map(|proxy| {
+                let cases = medians.iter().filter(|(case, _)| case.proxy == *proxy);
+                (
+                    *proxy,
+                    cases.filter_map(|(case, figures)| Some((coordinate(case)?, value(figures)))).collect(),
+                )
             })
             .collect();
         let points = || lines.iter().flat_map(|(_, points)| points);
-        let (least, most) = points().fold((f64::MAX, 1.0_f64), |(l, m), (x, _)| (l.min(*x), m.max(*x)));
-        let top = points().fold(0.0_f64, |top, (_, y)| top.max(*y)) * 1.1;
-        if top <= 0.0 {
+        let (x_min, x_max) = points().fold((f64::MAX, 1.0_f64), |(l, m), (x, _)| (l.min(*x), m.max(*x)));
+        let y_max = points().fold(0.0_f64, |y_max, (_, y)| y_max.max(*y)) * 1.1;
+        if y_max <= 0.0 {
             continue;
         }
         let mut chart = ChartBuilder::on(panel)
@@ -57,13 +63,14 @@
             .margin(10)
             .x_label_area_size(28)
             .y_label_area_size(60)
-            .build_cartesian_2d((least * 0.9..most * 1.1).log_scale(), 0.0..top)?;
+            .build_cartesian_2d((x_min * 0.9..x_max * 1.1).log_scale(), 0.0..y_max)?;
         chart.configure_mesh().x_labels(6).y_labels(6).light_line_style(WHITE).draw()?;
-        for ((way, points), colour) in lines.iter().zip(COLOURS).filter(|((_, points), _)| !points.is_empty())
+        for ((proxy, points), colour) in
+            lines.iter().zip(COLOURS).filter(|((_, points), _)| !points.is_empty())
         {
             chart
                 .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))?
-                .label(way.name())
+                .label(proxy.name())
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
             chart.draw_series(points.iter().map(|point| Circle::new(*point, 3, colour.filled())))?;
         }
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,5 +1,6 @@
-//! Measures what the node adds to a request: none at all, the daemon in between, the library in the caller's
-//! process. One command prints the table; the modes take turns within the run, so that they meet the same machine.
+//! Benchmarks of the node: added latency and CPU for each request, throughput, memory, and behaviour under
+//! faults. Each command prints a table. The variants that `cost` and `load` compare are interleaved within
+//! one run, so that all of them are exposed to the same state of the machine.
 //!
 //!     cargo build --release --workspace && target/release/dunelink-bench cost
 //!     target/release/dunelink-bench load --svg docs/load.svg
@@ -21,7 +22,7 @@
 
 #[derive(Parser)]
 #[command(name = "dunelink-bench", version, about)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -32,40 +33,42 @@
     Cost(cost::Options),
     /// Requests a second and latency under full load, side by side with other proxies; a table and a plot.
     Load(load::Options),
-    /// What a connection, a server and a tenant cost in memory.
+    /// The daemon's memory for each connection, server and tenant.
     Memory(memory::Options),
-    /// The daemon's peak memory with 1, 10 and 100 long bodies that pass through slow peers.
+    /// The daemon's peak memory with 1, 10 and 100 long bodies streamed to slow clients or servers.
     Bodies(bodies::Options),
-    /// Gossip among up to a thousand nodes in memory: how long until all know, how often wrongly, at what cost.
+    /// Gossip among up to a thousand simulated nodes: detection times, false detections and traffic.
     Gossip(gossip::Options),
-    /// Time lines of faults on real processes, under load: rules, agreement, parts; a table and a plot.
+    /// Random fault schedules on real processes under load: rules, agreement, limit shares; a table and a
+    /// plot.
     Fleet(fleet::Options),
-    /// Time lines of faults on gossip and councils in memory: promises held at every step; a table.
+    /// Random fault schedules on simulated gossip and coordinators: invariants checked at every step; a
+    /// table.
     Lines(lines::Options),
-    /// A proxy to stand beside; it prints its address.
+    /// A proxy to compare with; it prints its address.
     #[command(hide = true)]
     Peer(load::Peer),
-    /// The clients of a case; they print what they saw.
+    /// The clients of a case of `load`; they print their figures as JSON.
     #[command(hide = true)]
     Generate(load::Generate),
     /// Stand-in servers for `load`; they print their addresses and serve until their input ends.
     #[command(hide = true)]
     Stand,
-    /// Stand-in servers; told their number, they print their addresses and serve until their input ends.
+    /// Stand-in servers for `cost`; they print their addresses and serve until their input ends.
     #[command(hide = true)]
     Servers {
-        /// How many.
+        /// Number of servers.
         count: usize,
     },
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().command {
+    let result = match Arguments::parse().command {
         Command::Cost(options) => cost::run(&options),
         Command::Load(options) => load::run(&options),
         Command::Memory(options) => memory::run(&options),
         Command::Bodies(options) => bodies::run(&options),
-        Command::Gossip(options) => gossip::run_all(&options),
+        Command::Gossip(options) => gossip::run(&options),
         Command::Fleet(options) => fleet::run(&options),
         Command::Lines(options) => lines::run(&options),
         Command::Peer(peer) => load::peer(&peer),
@@ -73,7 +76,7 @@
         Command::Stand => load::stand(),
         Command::Servers { count } => servers::run(count),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("dunelink-bench: {error:#}");
--- a/fuzz/fuzz_targets/config_platform.rs
+++ b/fuzz/fuzz_targets/config_platform.rs
@@ -1,5 +1,6 @@
 #![no_main]
-//! The platform's file: whatever can be used has settings that the decision module takes.
+//! The platform's settings file: every text that is accepted gives settings that pass the decision module's
+//! check, and every error message is a single line.
 
 use dunelink::Config;
 
--- a/fuzz/fuzz_targets/config_toml.rs
+++ b/fuzz/fuzz_targets/config_toml.rs
@@ -1,5 +1,6 @@
 #![no_main]
-//! An operator's file: whatever can be used is written and read back to the same value.
+//! An operator's settings file: every text that is accepted can be written and read back to an equal value,
+//! and every error message is a single line.
 
 use dunelink::Config;
 
--- a/fuzz/fuzz_targets/graphql_body.rs
+++ b/fuzz/fuzz_targets/graphql_body.rs
@@ -1,5 +1,5 @@
 #![no_main]
-//! A body: what is taken for safe has no mutation in any reading.
+//! The body of a POST: one that is classified as safe contains no mutation, whichever parser reads it.
 
 #[path = "../../crates/graphql/tests/differential/mod.rs"]
 mod differential;
--- a/fuzz/fuzz_targets/message.rs
+++ b/fuzz/fuzz_targets/message.rs
@@ -1,5 +1,5 @@
 #![no_main]
-//! A connection's bytes: heads end where another parser says so.
+//! The bytes of a connection: the head of each message ends where a second parser says that it ends.
 
 #[path = "../../crates/edge/tests/differential/mod.rs"]
 mod differential;
--- a/fuzz/fuzz_targets/target.rs
+++ b/fuzz/fuzz_targets/target.rs
@@ -1,5 +1,5 @@
 #![no_main]
-//! A path: what is not turned down is read alike by another parser.
+//! A request's path: one that is not rejected is read the same by a second parser.
 
 #[path = "../../crates/edge/tests/differential/mod.rs"]
 mod differential;
--- a/fuzz/fuzz_targets/watch_line.rs
+++ b/fuzz/fuzz_targets/watch_line.rs
@@ -1,5 +1,5 @@
 #![no_main]
-//! A line of discovery's watch.
+//! A line of the discovery service's watch stream: no server that it lists has a negative weight.
 
 use dunelink::Update;
 
