--- a/crates/dunelink/src/config/graphql.rs
+++ b/crates/dunelink/src/config/graphql.rs
@@ -6,7 +6,9 @@
 
 use dunelink_edge::target::is_class_name;
 use dunelink_graphql as graphql;
-use dunelink_graphql::{Documents, Known, Reader, Rule, Table, TableError, Weights};
+use dunelink_graphql::{
+    ClassRule, ClassTable, ClassTableError, DocumentCache, DocumentManifest, RequestReader, Weights,
+};
 use serde::{Deserialize, Serialize};
 
 use super::{Class, Config, ConfigError, Effect, Problem, error};
@@ -231,7 +233,7 @@
         )?;
         for (at, name) in self.parameters.iter().enumerate() {
             let expected = "expected letters, digits, _ and -, and none of GraphQL's own parameters";
-            require(graphql::is_passable(name), &format!("parameters[{at}]"), expected)?;
+            require(graphql::is_allowable_parameter(name), &format!("parameters[{at}]"), expected)?;
         }
         let limits = &self.limits;
         for (limit, key) in [
@@ -256,17 +258,19 @@
         }
         self.table(classes).check().map_err(|error| {
             let key = match error {
-                TableError::Query => "query".to_string(),
-                TableError::Mutation => "mutation".to_string(),
-                TableError::RuleSafe(at) | TableError::RuleKeyed(at) => format!("operations[{at}].class"),
-                TableError::RuleOpen(at) => format!("operations[{at}].fields"),
+                ClassTableError::QueryClass => "query".to_string(),
+                ClassTableError::MutationClass => "mutation".to_string(),
+                ClassTableError::SafeMutationRule(at) | ClassTableError::KeyedQueryRule(at) => {
+                    format!("operations[{at}].class")
+                }
+                ClassTableError::RuleWithoutFields(at) => format!("operations[{at}].fields"),
             };
             Problem::new(format!("graphql.{key}"), error.to_string())
         })
     }
 
     /// Builds the table that maps operations to classes.
-    fn table(&self, classes: &[Class]) -> Table {
+    fn table(&self, classes: &[Class]) -> ClassTable {
         let class = |name: &str| {
             // `check` rejects unknown names. Without any class there is no safe default, so the effect is
             // unsafe.
@@ -278,17 +282,17 @@
             };
             graphql::Class { index, effect }
         };
-        let rule = |operation: &GraphQlOperation| Rule {
+        let rule = |operation: &GraphQlOperation| ClassRule {
             kind: match operation.kind {
-                GraphQlType::Query => graphql::Kind::Query,
-                GraphQlType::Mutation => graphql::Kind::Mutation,
+                GraphQlType::Query => graphql::OperationKind::Query,
+                GraphQlType::Mutation => graphql::OperationKind::Mutation,
             },
             fields: operation.fields.clone(),
             names: operation.names.clone(),
             documents: operation.documents.iter().map(|name| name.to_ascii_lowercase()).collect(),
             class: class(&operation.class),
         };
-        Table {
+        ClassTable {
             query: class(&self.query),
             mutation: class(&self.mutation),
             rules: self.operations.iter().map(rule).collect(),
@@ -296,10 +300,10 @@
     }
 
     /// Reads the manifest; empty if none is configured.
-    fn read_documents(&self) -> Result<Documents, ConfigError> {
-        let Some(path) = &self.documents else { return Ok(Documents::default()) };
+    fn read_documents(&self) -> Result<DocumentManifest, ConfigError> {
+        let Some(path) = &self.documents else { return Ok(DocumentManifest::default()) };
         let text = error::read(path)?;
-        Documents::from_json(&text).map_err(|e| {
+        DocumentManifest::from_json(&text).map_err(|e| {
             let error = ConfigError::new(format!("expected a manifest of documents: {e}"));
             error.at((e.line() > 0).then_some(e.line()), "").in_file(path)
         })
@@ -311,12 +315,12 @@
     ///
     /// The settings don't match the classes, the manifest can't be read, or one of its documents is invalid
     /// or exceeds a limit.
-    pub(crate) fn reader(&self, classes: &[Class]) -> Result<Reader, ConfigError> {
+    pub(crate) fn reader(&self, classes: &[Class]) -> Result<RequestReader, ConfigError> {
         self.check(classes)?;
         let GraphQlLimits { bytes, tokens, depth, aliases, directives, fields, work, batch, known } =
             self.limits.clone();
         let weights = &self.weights;
-        let reader = Reader {
+        let reader = RequestReader {
             table: self.table(classes),
             limits: graphql::Limits { bytes, tokens, depth, aliases, directives, fields, work, batch },
             weights: Weights {
@@ -325,12 +329,12 @@
                 fields: weights.fields.iter().map(|(name, weight)| (name.clone(), **weight)).collect(),
                 list_arguments: weights.list_arguments.clone(),
             },
-            documents: self.read_documents()?,
-            passed: self.parameters.clone(),
-            known: Known::holding(known as u64),
+            manifest: self.read_documents()?,
+            allowed_parameters: self.parameters.clone(),
+            document_cache: DocumentCache::with_capacity(known as u64),
         };
-        for (name, text) in reader.documents.iter() {
-            let read = graphql::Document::read(text, &Default::default(), &reader.limits, &reader.weights);
+        for (name, text) in reader.manifest.iter() {
+            let read = graphql::Document::parse(text, &Default::default(), &reader.limits, &reader.weights);
             read.map_err(|error| {
                 let error = ConfigError::new(error.to_string()).at(None, name);
                 self.documents.iter().fold(error, |error, path| error.in_file(path))
@@ -348,7 +352,7 @@
     ///
     /// The settings don't match the classes, the manifest can't be read, or one of its documents is invalid
     /// or exceeds a limit.
-    pub fn graphql_reader(&self) -> Result<Option<Reader>, ConfigError> {
+    pub fn graphql_reader(&self) -> Result<Option<RequestReader>, ConfigError> {
         self.graphql.as_ref().map(|endpoint| endpoint.reader(&self.classes)).transpose()
     }
 }
