--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -20,7 +20,8 @@
 const SERVERS: usize = 8;
 /// Deadline of every request.
 const DEADLINE: Duration = Duration::from_millis(1500);
-/// How far past its deadline an answer may still arrive without violating a rule, since a busy machine adds delay.
+/// How far past its deadline an answer may still arrive without violating a rule, since a busy machine adds
+/// delay.
 const DEADLINE_SLACK: Duration = Duration::from_millis(700);
 /// Interval at which the nodes are asked for their shares of the limits.
 const SHARE_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
