--- a/crates/dunelinkd/src/log.rs
+++ b/crates/dunelinkd/src/log.rs
@@ -1,7 +1,7 @@
 //! The log: one event per line on standard error, as text or as JSON.
 
 use clap::ValueEnum;
-use dunelink::config::LogFormat;
+use dunelink::config;
 
 /// The format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -12,11 +12,11 @@
     Json,
 }
 
-impl From<LogFormat> for LogFormat {
-    fn from(format: LogFormat) -> LogFormat {
+impl From<config::LogFormat> for LogFormat {
+    fn from(format: config::LogFormat) -> LogFormat {
         match format {
-            LogFormat::Text => LogFormat::Text,
-            LogFormat::Json => LogFormat::Json,
+            config::LogFormat::Text => LogFormat::Text,
+            config::LogFormat::Json => LogFormat::Json,
         }
     }
 }
--- a/crates/dunelinkd/src/main.rs
+++ b/crates/dunelinkd/src/main.rs
@@ -80,9 +80,8 @@
 fn check(file: PathBuf) -> anyhow::Result<()> {
     let name = file.display().to_string();
     let config = Source::from_path(file).read()?;
-    let documents = config
-        .graphql_reader()?
-        .map(|reader| format!(", {} known GraphQL documents", reader.documents.len()));
+    let documents =
+        config.graphql_reader()?.map(|reader| format!(", {} known GraphQL documents", reader.manifest.len()));
     let (classes, tenants) = (config.classes.len(), config.tenants.len());
     println!(
         "{name}: {classes} classes, {tenants} tenants{}; the configuration is valid",
--- a/crates/dunelinkd/src/serve.rs
+++ b/crates/dunelinkd/src/serve.rs
@@ -108,8 +108,8 @@
     }
     let ready = spawn_local(wait_until_ready(node.handle().clone(), shared, serving.clone()));
     spawn_local(reload_on_hangup(source, hang_up, discovery_mover, node.handle().clone()));
-    let close_timeout =
-        (config.max_deadline() + LAST_ANSWER_TIMEOUT).min(MAX_SHUTDOWN_TIME.saturating_sub(ACCEPT_AFTER_SIGTERM));
+    let close_timeout = (config.max_deadline() + LAST_ANSWER_TIMEOUT)
+        .min(MAX_SHUTDOWN_TIME.saturating_sub(ACCEPT_AFTER_SIGTERM));
     if let Some(list_source) = list_source {
         spawn_local(list_source.run());
         let mut shards = Shards::start(shards, node.handle(), listener, ready, shared)?;
