--- a/crates/dunelinkd/src/clients.rs
+++ b/crates/dunelinkd/src/clients.rs
@@ -14,7 +14,7 @@
 use dunelink::http::plain;
 use dunelink::{AnswerBody, CallError, Completion, Config, Handle};
 use dunelink_edge::Fault;
-use dunelink_edge::request::{self, Hosting};
+use dunelink_edge::request::{self, HostRequirement};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
@@ -399,15 +399,16 @@
         request_deadline: Instant,
     ) -> Result<AnsweredRequest, Rejection> {
         // hyper decides where the next request begins in the stream, and drops headers that contradict that.
-        let (wire_head, received_at) = socket_state.next_head().ok_or(Fault::TwoFramings).map_err(reject)?;
+        let (wire_head, received_at) =
+            socket_state.next_head().ok_or(Fault::ConflictingFraming).map_err(reject)?;
         wire_head.check().map_err(reject)?;
-        let chunked = wire_head.codings > 0;
+        let chunked = wire_head.transfer_codings > 0;
         if request.uri().path() == "/_health" {
             if !request.body().is_end_stream() {
                 return Err(plain(StatusCode::BAD_REQUEST, "a GET has no body"));
             }
             let (head, _) = request.into_parts();
-            request::read(&head, Hosting::Wire).map_err(reject)?;
+            request::validate_head(&head, HostRequirement::Required).map_err(reject)?;
             return Ok((self.health(&head.method), chunked));
         }
         let (mut head, body) = request.into_parts();
--- a/crates/dunelinkd/src/log.rs
+++ b/crates/dunelinkd/src/log.rs
@@ -1,7 +1,7 @@
 //! The log: one event per line on standard error, as text or as JSON.
 
 use clap::ValueEnum;
-use dunelink::config::LogFormat;
+use dunelink::config;
 
 /// The format of a log line, as given on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -12,11 +12,11 @@
     Json,
 }
 
-impl From<LogFormat> for LogFormatArg {
-    fn from(format: LogFormat) -> LogFormatArg {
+impl From<config::LogFormat> for LogFormatArg {
+    fn from(format: config::LogFormat) -> LogFormatArg {
         match format {
-            LogFormat::Text => LogFormatArg::Text,
-            LogFormat::Json => LogFormatArg::Json,
+            config::LogFormat::Text => LogFormatArg::Text,
+            config::LogFormat::Json => LogFormatArg::Json,
         }
     }
 }
