--- a/crates/dunelinkd/src/graphql.rs
+++ b/crates/dunelinkd/src/graphql.rs
@@ -7,7 +7,10 @@
 use bytes::Bytes;
 use clap::{Args, Subcommand};
 use dunelink::Config;
-use dunelink::graphql::{Kind, Media, Part, Reader, Rejection, Request, Ruling, Verdict};
+use dunelink::graphql::{
+    BatchPart, Classification, ClassifiedRequest, OperationKind, Rejection, Request, RequestReader,
+    ResponseMediaType,
+};
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
 use serde_json::{Value, json};
@@ -60,7 +63,7 @@
 }
 
 impl Explain {
-    fn read(&self, reader: &Reader) -> anyhow::Result<Result<Verdict, Rejection>> {
+    fn read(&self, reader: &RequestReader) -> anyhow::Result<Result<ClassifiedRequest, Rejection>> {
         let name = self.file.display();
         let text = if self.file.as_os_str() == "-" {
             let mut text = Vec::new();
@@ -106,19 +109,21 @@
 }
 
 /// The parts of a request, each with what it is taken for.
-fn parts(verdict: &Result<Verdict, Rejection>) -> Vec<Result<&Ruling, &Rejection>> {
+fn parts(verdict: &Result<ClassifiedRequest, Rejection>) -> Vec<Result<&Classification, &Rejection>> {
     match verdict {
         Err(rejection) => vec![Err(rejection)],
-        Ok(Verdict::Single(ruling)) => vec![Ok(ruling)],
-        Ok(Verdict::Batch(parts)) => parts.iter().map(|Part { ruling, .. }| ruling.as_ref()).collect(),
+        Ok(ClassifiedRequest::Single(ruling)) => vec![Ok(ruling)],
+        Ok(ClassifiedRequest::Batch(parts)) => {
+            parts.iter().map(|BatchPart { classification, .. }| classification.as_ref()).collect()
+        }
     }
 }
 
-fn class_name<'a>(config: &'a Config, ruling: &Ruling) -> &'a str {
+fn class_name<'a>(config: &'a Config, ruling: &Classification) -> &'a str {
     config.classes.get(ruling.class.index).map_or("", |class| &class.name)
 }
 
-fn to_text(config: &Config, verdict: &Result<Verdict, Rejection>) -> String {
+fn to_text(config: &Config, verdict: &Result<ClassifiedRequest, Rejection>) -> String {
     let mut text = String::new();
     let mut say = |key: &str, value: &dyn std::fmt::Display| text += &format!("{key:<11}{value}\n");
     let parts = parts(verdict);
@@ -130,14 +135,15 @@
             Ok(ruling) => ruling,
             Err(wrong) => {
                 say("turned down", &format!(" {}: {wrong}", wrong.code.name()));
-                let (response, json) = (wrong.status(Media::Response), wrong.status(Media::Json));
+                let (response, json) =
+                    (wrong.status(ResponseMediaType::GraphqlResponse), wrong.status(ResponseMediaType::Json));
                 say("status", &format!("{}, or {} as application/json", response.as_u16(), json.as_u16()));
                 continue;
             }
         };
         say("class", &class_name(config, ruling));
         say("effect", &ruling.class.effect.name());
-        say("why", &ruling.why);
+        say("why", &ruling.reason);
         if let Some(operation) = &ruling.operation {
             let named = operation.name.as_deref().unwrap_or("without a name");
             say("operation", &format!("{} {named}", operation.kind.name()));
@@ -155,17 +161,17 @@
     text
 }
 
-fn to_json(config: &Config, verdict: &Result<Verdict, Rejection>) -> Value {
-    let part = |part: &Result<&Ruling, &Rejection>| match part {
+fn to_json(config: &Config, verdict: &Result<ClassifiedRequest, Rejection>) -> Value {
+    let part = |part: &Result<&Classification, &Rejection>| match part {
         Err(wrong) => json!({
             "code": wrong.code.name(), "message": wrong.message,
-            "status": wrong.status(Media::Response).as_u16(), "status_json": wrong.status(Media::Json).as_u16(),
+            "status": wrong.status(ResponseMediaType::GraphqlResponse).as_u16(), "status_json": wrong.status(ResponseMediaType::Json).as_u16(),
         }),
         Ok(ruling) => json!({
-            "class": class_name(config, ruling), "effect": ruling.class.effect.name(), "why": ruling.why.to_string(),
+            "class": class_name(config, ruling), "effect": ruling.class.effect.name(), "why": ruling.reason.to_string(),
             "operation": ruling.operation.as_ref().map(|operation| json!({
                 "type": operation.kind.name(), "name": operation.name, "root_fields": operation.root_fields,
-                "mutates": operation.kind == Kind::Mutation, "work_us": operation.work.as_micros() as u64,
+                "mutates": operation.kind == OperationKind::Mutation, "work_us": operation.work.as_micros() as u64,
                 "fields": operation.size.fields, "depth": operation.size.depth,
                 "aliases": operation.size.aliases, "directives": operation.size.directives,
             })),
--- a/crates/dunelinkd/src/lab.rs
+++ b/crates/dunelinkd/src/lab.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, anyhow, bail};
 use clap::{Args, Subcommand};
-use dunelink_lab::{Case, Experiment, report, run, shortest};
+use dunelink_lab::{Case, Experiment, report, run, shrink_case};
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 
@@ -123,8 +123,11 @@
         if let Some(folder) = &play.out {
             write(folder, file, &experiment, &runs)?;
         }
-        broken +=
-            runs.iter().filter_map(|(_, outcome)| outcome.as_ref().ok()).map(|f| f.breaches).sum::<u64>();
+        broken += runs
+            .iter()
+            .filter_map(|(_, outcome)| outcome.as_ref().ok())
+            .map(|f| f.violation_count)
+            .sum::<u64>();
         if STOP.load(Ordering::SeqCst) {
             bail!("it was interrupted; what was played is told");
         }
@@ -142,7 +145,7 @@
     jobs: Option<usize>,
     name: &str,
     stop: &AtomicBool,
-) -> anyhow::Result<Vec<(Case, report::Outcome)>> {
+) -> anyhow::Result<Vec<(Case, report::RunResult)>> {
     let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs.unwrap_or(0)).build()?;
     // Nothing is drawn where nobody looks.
     let bar = ProgressBar::new((cases.len() as f64 * GRAIN) as u64);
@@ -181,7 +184,7 @@
     folder: &Path,
     file: &Path,
     experiment: &Experiment,
-    runs: &[(Case, report::Outcome)],
+    runs: &[(Case, report::RunResult)],
 ) -> anyhow::Result<()> {
     fs::create_dir_all(folder).with_context(|| format!("{}: can't be made", folder.display()))?;
     let stem = file.file_stem().unwrap_or_default();
@@ -206,17 +209,17 @@
     // It was played before with the same settings: what fails then, fails at once.
     run(case, &mut |_| false)?;
     let play = |case: &Case| run(case, &mut |_| true).unwrap_or_else(|error| unreachable!("{error}"));
-    match shortest(case, &play) {
+    match shrink_case(case, &play) {
         None => println!("{}: {policy} with seed {seed} breaks no rule", file.display()),
         Some((case, breach)) => {
             println!("seed {seed}, {:.3} s: {:?}, {}", breach.at, breach.rule, breach.what);
             let e = &case.experiment;
             println!("span {:?}, {} nodes", e.span, e.nodes.count);
-            for trouble in &e.troubles {
+            for trouble in &e.faults {
                 let (servers, nodes) = (&trouble.servers, &trouble.nodes);
                 println!(
                     "{:?} at {:?} for {:?}, {servers:?} of servers, {nodes:?} of nodes",
-                    trouble.kind, trouble.at, trouble.lasts
+                    trouble.kind, trouble.at, trouble.duration
                 );
             }
         }
--- a/crates/dunelinkd/src/main.rs
+++ b/crates/dunelinkd/src/main.rs
@@ -80,7 +80,7 @@
     let name = file.display().to_string();
     let config = Source::of(file).read()?;
     let documents =
-        config.graphql_reader()?.map(|reader| format!(", {} known documents", reader.documents.len()));
+        config.graphql_reader()?.map(|reader| format!(", {} known documents", reader.manifest.len()));
     let (classes, tenants) = (config.classes.len(), config.tenants.len());
     println!("{name}: {classes} classes, {tenants} tenants{}; it can be used", documents.unwrap_or_default());
     Ok(())
--- a/crates/graphql/src/class_table.rs
+++ b/crates/graphql/src/class_table.rs
@@ -116,18 +116,18 @@
 impl std::fmt::Display for ClassReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ClassReason::Rule(index) => write!(f, "operations[{index}] matches"),
+            ClassReason::Rule(index) => write!(f, "operations[{index}] fits"),
             ClassReason::Default(kind) => {
-                write!(f, "no rule matches; default class of a {}", kind.name())
+                write!(f, "no line of the table fits; a {} by default", kind.name())
             }
             ClassReason::MissingKey(index) => {
-                write!(f, "operations[{index}] matches, but there is no Idempotency-Key")
+                write!(f, "operations[{index}] fits, but there is no Idempotency-Key")
             }
             ClassReason::StricterOperation(kind) => {
                 write!(f, "the document has another operation, a {}, that must not run twice", kind.name())
             }
             ClassReason::UnknownDocument => {
-                write!(f, "the document is not in the manifest, so it may contain any operation")
+                write!(f, "the document is not known here, so it may be anything")
             }
         }
     }
--- a/crates/lab/src/rivals/ejection.rs
+++ b/crates/lab/src/baselines/ejection.rs
@@ -4,8 +4,8 @@
 use cherryusher::Outcome;
 use rand_pcg::Pcg64;
 
-use super::choosers::RoundRobin;
-use super::plain::{Choose, Known, View};
+use super::policy::{SelectionContext, ServerSelector, ServerView};
+use super::selectors::RoundRobin;
 use crate::Micros;
 
 const IN_A_ROW: u32 = 5;
@@ -27,22 +27,22 @@
     health: Vec<Health>,
 }
 
-impl Choose for OutlierEjection {
-    fn listed(&mut self, servers: &[Known]) {
+impl ServerSelector for OutlierEjection {
+    fn list_changed(&mut self, servers: &[ServerView]) {
         self.health.resize(servers.len(), Health::default());
     }
 
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize {
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         for _ in 0..view.ready.len() {
-            let place = self.turn.choose(view, rng);
+            let place = self.turn.select(view, rng);
             if self.health[place].until <= view.now {
                 return place;
             }
         }
-        self.turn.choose(view, rng)
+        self.turn.select(view, rng)
     }
 
-    fn ended(&mut self, now: Micros, server: usize, outcome: Outcome, _: Micros) {
+    fn attempt_ended(&mut self, now: Micros, server: usize, outcome: Outcome, _: Micros) {
         // At least one may always go.
         let most = (self.health.len() as f64 * PART).max(1.0) as usize;
         let aside = self.health.iter().filter(|health| health.until > now).count();
--- a/crates/lab/src/rivals/mod.rs
+++ b/crates/lab/src/baselines/mod.rs
@@ -1,10 +1,10 @@
-//! What decides at a node: the decision module, or one of its rivals, each from its paper or public description.
+//! What decides at a node: the decision module, or one of its baselines, each from its paper or public description.
 
-mod choosers;
 mod ejection;
 mod oracle;
-mod plain;
+mod policy;
 mod prequal;
+mod selectors;
 
 use cherryusher::{
     Action, Balancer, Class, DedupScope, Discovery, Event, Idempotency, ServerId, ServerObservation,
@@ -14,14 +14,14 @@
 
 use crate::Micros;
 use crate::experiment::{self, Experiment, micros};
-use crate::rules::KEY_WINDOW;
-use crate::world::chance::{For, generator};
-use crate::world::truth::Truth;
+use crate::invariants::KEY_WINDOW;
+use crate::simulation::chance::{For, generator};
+use crate::simulation::ground_truth::GroundTruth;
 
-pub use plain::{Choose, Known, Plain};
+pub use policy::{BaselinePolicy, ServerSelector, ServerView};
 
 /// The policies that an experiment may name.
-pub const NAMES: [&str; 11] = [
+pub const POLICY_NAMES: [&str; 11] = [
     "dunelink",
     "random",
     "round-robin",
@@ -38,20 +38,20 @@
 /// What decides at a node. The same events and the same truth give the same actions.
 pub trait Policy {
     /// Takes an event and says what is to be done. Only who could not exist looks at the truth.
-    fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, out: &mut Vec<Action>);
+    fn handle(&mut self, now: Micros, event: Event, truth: &GroundTruth<'_>, out: &mut Vec<Action>);
 
     /// What it has seen of servers by itself, for nodes that gossip. Who has nothing to say leaves it at that.
-    fn sightings(&self, _now: Micros) -> Vec<ServerObservation> {
+    fn server_observations(&self, _now: Micros) -> Vec<ServerObservation> {
         Vec::new()
     }
 }
 
 impl Policy for Balancer {
-    fn handle(&mut self, now: Micros, event: Event, _: &Truth<'_>, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, _: &GroundTruth<'_>, out: &mut Vec<Action>) {
         Balancer::handle(self, now, event, out);
     }
 
-    fn sightings(&self, now: Micros) -> Vec<ServerObservation> {
+    fn server_observations(&self, now: Micros) -> Vec<ServerObservation> {
         Balancer::observations(self, now)
     }
 }
@@ -106,23 +106,28 @@
 
 /// The policy of this name at a node. An unknown name is the least of them, a random choice; experiments that name
 /// one are turned down when they are read.
-pub fn make(name: &str, e: &Experiment, seed: u64, rank: u32) -> Result<Box<dyn Policy>, SettingsError> {
+pub fn create_policy(
+    name: &str,
+    e: &Experiment,
+    seed: u64,
+    rank: u32,
+) -> Result<Box<dyn Policy>, SettingsError> {
     let mut rng = generator(seed, For::Policies, u64::from(rank));
     let settings = settings(e, rank);
     if name == "dunelink" {
         return Ok(Box::new(Balancer::new(settings, rng.next_u64())?));
     }
-    let chooser: Box<dyn Choose> = match name {
-        "round-robin" => Box::new(choosers::RoundRobin::default()),
-        "least-requests" => Box::new(choosers::LeastRequests { weighted: false }),
-        "p2c" => Box::new(choosers::TwoChoices),
-        "peak-ewma" => Box::new(choosers::PeakEwma::default()),
-        "weighted-least-load" => Box::new(choosers::LeastRequests { weighted: true }),
-        "subset" => Box::new(choosers::Subset::new(rank, e.nodes.count, e.nodes.subset)),
+    let chooser: Box<dyn ServerSelector> = match name {
+        "round-robin" => Box::new(selectors::RoundRobin::default()),
+        "least-requests" => Box::new(selectors::LeastRequests { weighted: false }),
+        "p2c" => Box::new(selectors::TwoChoices),
+        "peak-ewma" => Box::new(selectors::PeakEwma::default()),
+        "weighted-least-load" => Box::new(selectors::LeastRequests { weighted: true }),
+        "subset" => Box::new(selectors::Subset::new(rank, e.nodes.count, e.nodes.subset)),
         "outlier-ejection" => Box::new(ejection::OutlierEjection::default()),
         "prequal" => Box::new(prequal::Prequal::new(4 * micros(e.network.delay))),
         "oracle" => Box::new(oracle::Oracle { work: micros(e.servers.time) as f64 }),
-        _ => Box::new(choosers::Random),
+        _ => Box::new(selectors::Random),
     };
-    Ok(Box::new(Plain::new(settings, rng, chooser)))
+    Ok(Box::new(BaselinePolicy::new(settings, rng, chooser)))
 }
--- a/crates/lab/src/rivals/oracle.rs
+++ b/crates/lab/src/baselines/oracle.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-use super::plain::{Choose, View};
+use super::policy::{SelectionContext, ServerSelector};
 
 /// So many servers are all looked at; of more, as many at random.
 const ALL: usize = 256;
@@ -14,16 +14,16 @@
     pub(super) work: f64,
 }
 
-impl Choose for Oracle {
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize {
+impl ServerSelector for Oracle {
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         let count = view.ready.len();
         let from = rng.random_range(0..count);
-        let outlook = |place: usize| view.truth.outlook(view.servers[place].id, self.work);
+        let sojourn = |place: usize| view.truth.expected_sojourn(view.servers[place].id, self.work);
         let looked: Vec<usize> = match count <= ALL {
             true => (0..count).map(|step| view.ready[(from + step) % count]).collect(),
             false => (0..ALL).map(|_| view.ready[rng.random_range(0..count)]).collect(),
         };
-        let best = looked.into_iter().min_by(|a, b| outlook(*a).total_cmp(&outlook(*b)));
+        let best = looked.into_iter().min_by(|a, b| sojourn(*a).total_cmp(&sojourn(*b)));
         best.unwrap_or(view.ready[from])
     }
 }
--- a/crates/lab/src/rivals/plain.rs
+++ b/crates/lab/src/baselines/policy.rs
@@ -1,4 +1,4 @@
-//! What all rivals have in common: they keep the list, send each request at once, try again what proved not to have run
+//! What all baselines have in common: they keep the list, send each request at once, try again what proved not to have run
 //! and what is safe, and give up in time. They refuse only when there is no server.
 
 use std::collections::{BTreeMap, HashMap};
@@ -11,15 +11,15 @@
 
 use super::Policy;
 use crate::Micros;
-use crate::world::truth::Truth;
+use crate::simulation::ground_truth::GroundTruth;
 
 /// A client is answered this long before it would leave.
 const BEFORE: Micros = 2_000;
 
 /// A server, as a rival knows it.
 #[derive(Clone, Debug)]
-pub struct Known {
-    /// Which.
+pub struct ServerView {
+    /// TargetSelector.
     pub id: ServerId,
     /// Whether it takes requests.
     pub ready: bool,
@@ -30,25 +30,25 @@
 }
 
 /// What a chooser sees.
-pub struct View<'a> {
+pub struct SelectionContext<'a> {
     /// The time at this node.
     pub now: Micros,
     /// All servers.
-    pub servers: &'a [Known],
+    pub servers: &'a [ServerView],
     /// Those that take requests, by place in `servers`; never empty.
     pub ready: &'a [usize],
     /// What is so, and no node can see.
-    pub truth: &'a Truth<'a>,
+    pub truth: &'a GroundTruth<'a>,
 }
 
 /// Chooses among servers.
-pub trait Choose {
+pub trait ServerSelector {
     /// The list has changed; what is kept by place is void.
-    fn listed(&mut self, _servers: &[Known]) {}
+    fn list_changed(&mut self, _servers: &[ServerView]) {}
     /// The place in `servers` of the one that a request goes to.
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize;
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize;
     /// An attempt at a server has ended.
-    fn ended(&mut self, _now: Micros, _server: usize, _outcome: Outcome, _took: Micros) {}
+    fn attempt_ended(&mut self, _now: Micros, _server: usize, _outcome: Outcome, _took: Micros) {}
 }
 
 struct Job {
@@ -58,55 +58,61 @@
 }
 
 /// A rival: a chooser and what goes round it.
-pub struct Plain {
+pub struct BaselinePolicy {
     settings: Settings,
     rng: Pcg64,
-    chooser: Box<dyn Choose>,
-    servers: Vec<Known>,
+    chooser: Box<dyn ServerSelector>,
+    servers: Vec<ServerView>,
     places: HashMap<ServerId, usize>,
     ready: Vec<usize>,
     jobs: BTreeMap<RequestId, Job>,
 }
 
-impl Plain {
+impl BaselinePolicy {
     /// A rival with this chooser.
-    pub fn new(settings: Settings, rng: Pcg64, chooser: Box<dyn Choose>) -> Plain {
+    pub fn new(settings: Settings, rng: Pcg64, chooser: Box<dyn ServerSelector>) -> BaselinePolicy {
         let (servers, places, ready) = (Vec::new(), HashMap::new(), Vec::new());
-        Plain { settings, rng, chooser, servers, places, ready, jobs: BTreeMap::new() }
+        BaselinePolicy { settings, rng, chooser, servers, places, ready, jobs: BTreeMap::new() }
     }
 
-    fn listed(&mut self, entries: &[ServerEntry], whole: bool) {
+    fn apply_list(&mut self, entries: &[ServerEntry], whole: bool) {
         if whole {
             self.servers.iter_mut().for_each(|server| server.ready = false);
         }
         for entry in entries {
             let place = *self.places.entry(entry.id).or_insert_with(|| {
-                self.servers.push(Known { id: entry.id, ready: false, weight: 1.0, in_flight: 0 });
+                self.servers.push(ServerView { id: entry.id, ready: false, weight: 1.0, in_flight: 0 });
                 self.servers.len() - 1
             });
             self.servers[place].ready = entry.state == ServerState::Ready;
             self.servers[place].weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
         }
         self.ready = (0..self.servers.len()).filter(|place| self.servers[*place].ready).collect();
-        self.chooser.listed(&self.servers);
+        self.chooser.list_changed(&self.servers);
     }
 
-    fn send(&mut self, now: Micros, request: RequestId, truth: &Truth<'_>, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Micros, request: RequestId, truth: &GroundTruth<'_>, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&request) else { return };
         if self.ready.is_empty() {
             self.jobs.remove(&request);
             out.push(Action::Refuse { request, retry_after: 0 });
             return;
         }
-        let view = View { now, servers: &self.servers, ready: &self.ready, truth };
-        let place = self.chooser.choose(&view, &mut self.rng);
+        let view = SelectionContext { now, servers: &self.servers, ready: &self.ready, truth };
+        let place = self.chooser.select(&view, &mut self.rng);
         let server = &mut self.servers[place];
         server.in_flight += 1;
         job.attempts.push((server.id, true));
         out.push(Action::Send { request, server: server.id, start_before: None });
     }
 
-    fn ended(&mut self, now: Micros, end: &AttemptEnd, truth: &Truth<'_>, out: &mut Vec<Action>) {
+    fn attempt_ended(
+        &mut self,
+        now: Micros,
+        end: &AttemptEnd,
+        truth: &GroundTruth<'_>,
+        out: &mut Vec<Action>,
+    ) {
         let Some(job) = self.jobs.get_mut(&end.request) else { return };
         let Some(attempt) = job.attempts.get_mut(usize::from(end.attempt)) else { return };
         if !std::mem::take(&mut attempt.1) {
@@ -115,7 +121,7 @@
         if let Some(place) = self.places.get(&attempt.0) {
             let server = &mut self.servers[*place];
             server.in_flight = server.in_flight.saturating_sub(1);
-            self.chooser.ended(now, *place, end.outcome, end.elapsed);
+            self.chooser.attempt_ended(now, *place, end.outcome, end.elapsed);
         }
         let safe = self
             .settings
@@ -153,20 +159,20 @@
         }
     }
 
-    fn arrived(&mut self, now: Micros, request: &Request, truth: &Truth<'_>, out: &mut Vec<Action>) {
+    fn arrived(&mut self, now: Micros, request: &Request, truth: &GroundTruth<'_>, out: &mut Vec<Action>) {
         self.jobs.insert(request.id, Job { class: request.class, attempts: Vec::new() });
         out.push(Action::SetTimer { after: request.remaining.saturating_sub(BEFORE), token: request.id });
         self.send(now, request.id, truth, out);
     }
 }
 
-impl Policy for Plain {
-    fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, out: &mut Vec<Action>) {
+impl Policy for BaselinePolicy {
+    fn handle(&mut self, now: Micros, event: Event, truth: &GroundTruth<'_>, out: &mut Vec<Action>) {
         match event {
-            Event::ServerList(list) | Event::CachedServerList(list) => self.listed(&list, true),
-            Event::ServerChanges(list) => self.listed(&list, false),
+            Event::ServerList(list) | Event::CachedServerList(list) => self.apply_list(&list, true),
+            Event::ServerChanges(list) => self.apply_list(&list, false),
             Event::RequestArrived(request) => self.arrived(now, &request, truth, out),
-            Event::AttemptEnded(end) => self.ended(now, &end, truth, out),
+            Event::AttemptEnded(end) => self.attempt_ended(now, &end, truth, out),
             Event::TimerFired(request) => self.give_up(request, out),
             Event::ClientLeft(request) => {
                 let mut unheard = Vec::new();
--- a/crates/lab/src/rivals/prequal.rs
+++ b/crates/lab/src/baselines/prequal.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-use super::plain::{Choose, View};
+use super::policy::{SelectionContext, ServerSelector};
 use crate::Micros;
 
 /// By the paper: three probes a request, 16 answers kept for a second; a server is hot over this quantile of requests.
@@ -66,8 +66,8 @@
     }
 }
 
-impl Choose for Prequal {
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize {
+impl ServerSelector for Prequal {
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         while self.pending.front().is_some_and(|answer| answer.at + self.trip <= view.now) {
             self.pool.extend(self.pending.pop_front());
         }
--- a/crates/lab/src/rivals/choosers.rs
+++ b/crates/lab/src/baselines/selectors.rs
@@ -4,14 +4,14 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-use super::plain::{Choose, Known, View};
+use super::policy::{SelectionContext, ServerSelector, ServerView};
 use crate::Micros;
 
 /// Any, with equal chance.
 pub(super) struct Random;
 
-impl Choose for Random {
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize {
+impl ServerSelector for Random {
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         view.ready[rng.random_range(0..view.ready.len())]
     }
 }
@@ -22,8 +22,8 @@
     at: Option<usize>,
 }
 
-impl Choose for RoundRobin {
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize {
+impl ServerSelector for RoundRobin {
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         let at = self.at.map_or_else(|| rng.random_range(0..view.ready.len()), |at| at + 1);
         self.at = Some(at);
         view.ready[at % view.ready.len()]
@@ -31,13 +31,13 @@
 }
 
 /// The one with the fewest requests of this node, against its weight where those count: "least connections", and with
-/// weights the weighted least load by which join-the-shortest-queue is approached. Ties fall to chance.
+/// weights the weighted least load by which join-the-shrink-queue is approached. Ties fall to chance.
 pub(super) struct LeastRequests {
     pub(super) weighted: bool,
 }
 
-impl Choose for LeastRequests {
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize {
+impl ServerSelector for LeastRequests {
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         let load = |place: usize| {
             let server = &view.servers[place];
             let weight = if self.weighted { server.weight } else { 1.0 };
@@ -60,7 +60,7 @@
     }
 }
 
-fn two(view: &View<'_>, rng: &mut Pcg64) -> (usize, usize) {
+fn two(view: &SelectionContext<'_>, rng: &mut Pcg64) -> (usize, usize) {
     let count = view.ready.len();
     let first = rng.random_range(0..count);
     if count == 1 {
@@ -74,8 +74,8 @@
 /// Randomized Load Balancing, 2001).
 pub(super) struct TwoChoices;
 
-impl Choose for TwoChoices {
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize {
+impl ServerSelector for TwoChoices {
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         let (a, b) = two(view, rng);
         if view.servers[b].in_flight < view.servers[a].in_flight { b } else { a }
     }
@@ -95,7 +95,7 @@
 const UNKNOWN: f64 = 1e6;
 
 impl PeakEwma {
-    fn cost(&self, view: &View<'_>, place: usize) -> f64 {
+    fn cost(&self, view: &SelectionContext<'_>, place: usize) -> f64 {
         let (latency, at) = self.known.get(place).copied().unwrap_or_default();
         let out = f64::from(view.servers[place].in_flight);
         if latency == 0.0 {
@@ -106,17 +106,17 @@
     }
 }
 
-impl Choose for PeakEwma {
-    fn listed(&mut self, servers: &[Known]) {
+impl ServerSelector for PeakEwma {
+    fn list_changed(&mut self, servers: &[ServerView]) {
         self.known.resize(servers.len(), (0.0, 0));
     }
 
-    fn choose(&mut self, view: &View<'_>, rng: &mut Pcg64) -> usize {
+    fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         let (a, b) = two(view, rng);
         if self.cost(view, b) < self.cost(view, a) { b } else { a }
     }
 
-    fn ended(&mut self, now: Micros, server: usize, _: Outcome, took: Micros) {
+    fn attempt_ended(&mut self, now: Micros, server: usize, _: Outcome, took: Micros) {
         let Some((latency, at)) = self.known.get_mut(server) else { return };
         let took = took as f64;
         let keeps = (-(now.saturating_sub(*at) as f64) / DECAY).exp();
@@ -141,8 +141,8 @@
     }
 }
 
-impl Choose for Subset {
-    fn listed(&mut self, servers: &[Known]) {
+impl ServerSelector for Subset {
+    fn list_changed(&mut self, servers: &[ServerView]) {
         let mut all: Vec<usize> = (0..servers.len()).filter(|place| servers[*place].ready).collect();
         let subsets = (all.len() / self.size.max(1)).max(1) as u64;
         let (round, number) = (self.rank / subsets, self.rank % subsets);
@@ -160,7 +160,7 @@
         self.at = (self.rank * self.mine.len() as u64 / self.nodes.max(1)) as usize;
     }
 
-    fn choose(&mut self, view: &View<'_>, _: &mut Pcg64) -> usize {
+    fn select(&mut self, view: &SelectionContext<'_>, _: &mut Pcg64) -> usize {
         self.at += 1;
         match self.mine.is_empty() {
             true => view.ready[self.at % view.ready.len()],
--- a/crates/lab/src/experiment/cases.rs
+++ b/crates/lab/src/experiment/cases.rs
@@ -1,13 +1,13 @@
 //! The runs of an experiment: every point of its sweep, every policy, every seed.
 
-use super::{Experiment, Problem};
+use super::{Experiment, ExperimentError};
 
 /// One run: an experiment with all its keys settled, a policy, a seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Case {
     /// What holds for it.
     pub experiment: Experiment,
-    /// Which policy.
+    /// TargetSelector policy.
     pub policy: String,
     /// What the policy is called.
     pub variant: String,
@@ -35,19 +35,19 @@
 
 impl Experiment {
     /// The same with some keys changed.
-    fn with(&self, changes: &[(&str, &toml::Value)]) -> Result<Experiment, Problem> {
+    fn with(&self, changes: &[(&str, &toml::Value)]) -> Result<Experiment, ExperimentError> {
         if changes.is_empty() {
             return Ok(self.clone());
         }
-        let mut tree = toml::Value::try_from(self).map_err(|e| Problem::of("", e.to_string()))?;
+        let mut tree = toml::Value::try_from(self).map_err(|e| ExperimentError::of("", e.to_string()))?;
         for (key, value) in changes {
             if !set(&mut tree, key, value) {
-                return Err(Problem::of(*key, "a key that experiments have"));
+                return Err(ExperimentError::of(*key, "a key that experiments have"));
             }
         }
         let key = || changes.iter().map(|(key, _)| *key).collect::<Vec<_>>().join(", ");
         let read: Experiment =
-            tree.try_into().map_err(|e: toml::de::Error| Problem::of(key(), e.message()))?;
+            tree.try_into().map_err(|e: toml::de::Error| ExperimentError::of(key(), e.message()))?;
         read.check()?;
         Ok(read)
     }
@@ -66,7 +66,7 @@
     }
 
     /// All runs: every point of the sweep, every policy, every seed.
-    pub fn cases(&self) -> Result<Vec<Case>, Problem> {
+    pub fn cases(&self) -> Result<Vec<Case>, ExperimentError> {
         let mut cases = Vec::new();
         for point in self.points() {
             let name: Vec<String> = point.iter().map(|(key, value)| format!("{key}={value}")).collect();
--- a/crates/lab/src/experiment/check.rs
+++ b/crates/lab/src/experiment/check.rs
@@ -5,8 +5,8 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use super::{Experiment, Problem, Shape, Which};
-use crate::rivals;
+use super::{Experiment, ExperimentError, TargetSelector, WorkDistribution};
+use crate::baselines;
 
 /// What one machine bears in one run.
 const MOST: (u32, u32) = (1000, 20_000);
@@ -47,12 +47,12 @@
     whole.map(|line| line + 1).or(at.map(|position| line_at(text, position)))
 }
 
-struct Checks(Result<(), Problem>);
+struct Checks(Result<(), ExperimentError>);
 
 impl Checks {
     fn holds(&mut self, holds: bool, key: impl Into<String>, expected: &str) {
         if !holds && self.0.is_ok() {
-            self.0 = Err(Problem::of(key, expected));
+            self.0 = Err(ExperimentError::of(key, expected));
         }
     }
 
@@ -70,11 +70,11 @@
         self.holds(holds, key, &format!("a time from {least:?} to a day"));
     }
 
-    fn which(&mut self, which: &Which, count: u32, key: &str) {
+    fn which(&mut self, which: &TargetSelector, count: u32, key: &str) {
         match which {
-            Which::Part(part) => self.part(*part, format!("{key}.part")),
-            Which::Zone(_) => {}
-            Which::These(these) => self.holds(
+            TargetSelector::Part(part) => self.part(*part, format!("{key}.part")),
+            TargetSelector::Zone(_) => {}
+            TargetSelector::These(these) => self.holds(
                 these.iter().all(|number| *number < count),
                 format!("{key}.these"),
                 &format!("numbers under {count}"),
@@ -85,7 +85,7 @@
 
 impl Experiment {
     /// Whether it can be played.
-    pub fn check(&self) -> Result<(), Problem> {
+    pub fn check(&self) -> Result<(), ExperimentError> {
         let mut c = Checks(Ok(()));
         let ms = Duration::from_millis(1);
         c.span(self.span, 10 * ms, "span");
@@ -141,16 +141,16 @@
         c.number(s.falls_at, 0.0, "servers.falls_at");
         c.span(s.down, ms, "servers.down");
         match &s.shape {
-            Shape::Even | Shape::Exponential => {}
-            Shape::Lognormal { sigma } => {
+            WorkDistribution::Even | WorkDistribution::Exponential => {}
+            WorkDistribution::Lognormal { sigma } => {
                 c.holds((0.0..=4.0).contains(sigma), "servers.shape", "a sigma from 0 to 4")
             }
-            Shape::Bimodal { part, times } => {
+            WorkDistribution::Bimodal { part, times } => {
                 c.part(*part, "servers.shape");
                 c.number(*times, 1.0, "servers.shape");
             }
-            Shape::Pareto { alpha } => c.number(*alpha, 1.01, "servers.shape"),
-            Shape::Recorded { counts } => {
+            WorkDistribution::Pareto { alpha } => c.number(*alpha, 1.01, "servers.shape"),
+            WorkDistribution::Recorded { counts } => {
                 let fine = counts.iter().all(|(length, count)| *length >= 0.0 && *count >= 0.0);
                 let some = counts.iter().map(|(length, count)| length * count).sum::<f64>() > 0.0;
                 c.holds(fine && some, "servers.shape", "pairs of a length and how often it is met");
@@ -163,18 +163,22 @@
         c.part(self.network.refused, "network.refused");
         c.part(self.network.resets, "network.resets");
         c.span(self.network.connect_timeout, ms, "network.connect_timeout");
-        for (at, trouble) in self.troubles.iter().enumerate() {
+        for (at, trouble) in self.faults.iter().enumerate() {
             let key = |name: &str| format!("troubles.{at}.{name}");
             c.number(trouble.factor, 0.0, key("factor"));
             c.holds(trouble.at <= self.span, key("at"), "a time within `span`");
-            c.span(trouble.lasts, ms, key("for"));
+            c.span(trouble.duration, ms, key("for"));
             c.which(&trouble.servers, s.count, &key("servers"));
             c.which(&trouble.nodes, n.count, &key("nodes"));
         }
         c.holds(!self.compare.is_empty(), "compare", "at least one policy");
         for (at, variant) in self.compare.iter().enumerate() {
-            let known = rivals::NAMES.contains(&variant.policy.as_str());
-            c.holds(known, format!("compare.{at}.policy"), &format!("one of {}", rivals::NAMES.join(", ")));
+            let known = baselines::POLICY_NAMES.contains(&variant.policy.as_str());
+            c.holds(
+                known,
+                format!("compare.{at}.policy"),
+                &format!("one of {}", baselines::POLICY_NAMES.join(", ")),
+            );
         }
         for (key, values) in &self.sweep {
             c.holds(!values.is_empty(), format!("sweep.{key}"), "at least one value");
--- a/crates/lab/src/experiment/shapes.rs
+++ b/crates/lab/src/experiment/kinds.rs
@@ -20,7 +20,7 @@
 /// How the work of a request varies about its mean.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum Shape {
+pub enum WorkDistribution {
     /// Always the same.
     Even,
     /// Exponential.
@@ -104,7 +104,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum FaultKind {
     /// Servers take requests and do nothing.
     Stall,
     /// Servers do `factor` of their speed.
@@ -127,10 +127,10 @@
     Clock,
 }
 
-/// Which servers, or nodes.
+/// TargetSelector servers, or nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum Which {
+pub enum TargetSelector {
     /// This part of them, drawn at random.
     Part(f64),
     /// Those of a zone; nodes are in zones in turn as servers are.
@@ -142,30 +142,30 @@
 /// Something that goes wrong for a while.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When it begins.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
     /// How long it lasts.
     #[serde(rename = "for", with = "humantime_serde")]
-    pub lasts: Duration,
-    /// How much of it; see [`Kind`].
+    pub duration: Duration,
+    /// How much of it; see [`FaultKind`].
     #[serde(default = "one")]
     pub factor: f64,
-    /// Which servers; all if it does not say.
+    /// TargetSelector servers; all if it does not say.
     #[serde(default = "all")]
-    pub servers: Which,
-    /// Which nodes; all if it does not say.
+    pub servers: TargetSelector,
+    /// TargetSelector nodes; all if it does not say.
     #[serde(default = "all")]
-    pub nodes: Which,
+    pub nodes: TargetSelector,
 }
 
 fn one() -> f64 {
     1.0
 }
 
-fn all() -> Which {
-    Which::Part(1.0)
+fn all() -> TargetSelector {
+    TargetSelector::Part(1.0)
 }
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -2,7 +2,7 @@
 
 mod cases;
 mod check;
-mod shapes;
+mod kinds;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use thiserror::Error;
 
 pub use cases::Case;
-pub use shapes::{Arrivals, Class, Effect, Kind, Shape, Trouble, Which};
+pub use kinds::{Arrivals, Class, Effect, Fault, FaultKind, TargetSelector, WorkDistribution};
 
 use crate::Micros;
 
 /// What is wrong with an experiment.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}{key}: expected {expected}", line.map(|line| format!("line {line}: ")).unwrap_or_default())]
-pub struct Problem {
+pub struct ExperimentError {
     /// The line, from 1, where it is known.
     pub line: Option<usize>,
     /// The key.
@@ -27,10 +27,10 @@
     pub expected: String,
 }
 
-impl Problem {
+impl ExperimentError {
     /// A problem with a key.
-    pub fn of(key: impl Into<String>, expected: impl Into<String>) -> Problem {
-        Problem { line: None, key: key.into(), expected: expected.into() }
+    pub fn of(key: impl Into<String>, expected: impl Into<String>) -> ExperimentError {
+        ExperimentError { line: None, key: key.into(), expected: expected.into() }
     }
 }
 
@@ -65,7 +65,8 @@
     /// What lies between them.
     pub network: Network,
     /// What goes wrong, and when.
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
     /// What is compared.
     pub compare: Vec<Variant>,
     /// Keys, and the values that each of them takes in turn.
@@ -157,7 +158,7 @@
     #[serde(with = "humantime_serde")]
     pub time: Duration,
     /// How that varies.
-    pub shape: Shape,
+    pub shape: WorkDistribution,
     /// Their speeds, in turn.
     pub speeds: Vec<f64>,
     /// Whether the list tells of the speeds, as weights.
@@ -213,7 +214,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Which policy: see [`crate::rivals::NAMES`].
+    /// TargetSelector policy: see [`crate::baselines::POLICY_NAMES`].
     pub policy: String,
     /// What it is called in the report; the policy's name if empty.
     #[serde(default)]
@@ -243,7 +244,7 @@
             servers: Servers::default(),
             list: List::default(),
             network: Network::default(),
-            troubles: Vec::new(),
+            faults: Vec::new(),
             compare: Vec::new(),
             sweep: BTreeMap::new(),
         }
@@ -298,7 +299,7 @@
             shares: false,
             queue: 100,
             time: Duration::from_millis(20),
-            shape: Shape::Exponential,
+            shape: WorkDistribution::Exponential,
             speeds: vec![1.0],
             weights: false,
             cold_from: 0.12,
@@ -339,8 +340,8 @@
     }
 
     /// Reads an experiment, and checks it.
-    pub fn from_toml(text: &str) -> Result<Experiment, Problem> {
-        let read: Experiment = toml::from_str(text).map_err(|error| Problem {
+    pub fn from_toml(text: &str) -> Result<Experiment, ExperimentError> {
+        let read: Experiment = toml::from_str(text).map_err(|error| ExperimentError {
             line: error.span().map(|span| check::line_at(text, span.start)),
             key: error.span().map(|span| check::key_at(text, span.start)).unwrap_or_default(),
             expected: format!("something else ({})", error.message().trim()),
@@ -348,7 +349,7 @@
         // What cases say is checked as well: a sweep may lead to values that can't be.
         read.check()
             .and_then(|()| read.cases().map(drop))
-            .map_err(|problem| Problem { line: check::line_of(text, &problem.key), ..problem })?;
+            .map_err(|problem| ExperimentError { line: check::line_of(text, &problem.key), ..problem })?;
         Ok(read)
     }
 }
--- a/crates/lab/src/intervals.rs
+++ b/crates/lab/src/intervals.rs
@@ -8,7 +8,8 @@
     /// The mean.
     pub mean: f64,
     /// Half the width; 0 with one value, of which nothing can be said.
-    pub within: f64,
+    #[serde(rename = "within")]
+    pub half_width: f64,
 }
 
 /// Student's t for 95%, by degrees of freedom from 1 on.
@@ -24,10 +25,10 @@
     }
     let mean = values.iter().sum::<f64>() / count;
     if values.len() == 1 {
-        return Estimate { mean, within: 0.0 };
+        return Estimate { mean, half_width: 0.0 };
     }
     let spread = (values.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (count - 1.0)).sqrt();
     // Beyond the table it is hardly over the normal distribution's.
     let t = T.get(values.len() - 2).copied().unwrap_or(2.04);
-    Estimate { mean, within: t * spread / count.sqrt() }
+    Estimate { mean, half_width: t * spread / count.sqrt() }
 }
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/invariants.rs
@@ -16,7 +16,7 @@
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rule {
+pub enum Invariant {
     /// A request had no final answer within its time.
     NoAnswer,
     /// A request had a second final answer.
@@ -33,9 +33,9 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
-    /// Which.
-    pub rule: Rule,
+pub struct Violation {
+    /// TargetSelector.
+    pub rule: Invariant,
     /// When, in seconds from the start.
     pub at: f64,
     /// By what.
@@ -53,15 +53,15 @@
 /// Keeps what was broken.
 #[derive(Debug, Default)]
 pub(crate) struct Rules {
-    pub(crate) broken: Vec<Breach>,
+    pub(crate) violations: Vec<Violation>,
     pub(crate) count: u64,
 }
 
 impl Rules {
-    pub(crate) fn breach(&mut self, rule: Rule, at: Micros, what: impl FnOnce() -> String) {
+    pub(crate) fn breach(&mut self, rule: Invariant, at: Micros, what: impl FnOnce() -> String) {
         self.count += 1;
-        if self.broken.len() < TOLD {
-            self.broken.push(Breach { rule, at: at as f64 / 1e6, what: what() });
+        if self.violations.len() < TOLD {
+            self.violations.push(Violation { rule, at: at as f64 / 1e6, what: what() });
         }
     }
 
@@ -86,7 +86,7 @@
             Effect::Keyed => cell == runs.cell && now.saturating_sub(runs.first_sent) <= KEY_WINDOW,
         };
         if !harmless {
-            self.breach(Rule::RanTwice, now, || {
+            self.breach(Invariant::RanTwice, now, || {
                 format!("request {request}, run {} in cell {cell}", runs.count)
             });
         }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
 //! The lab: a discrete-event model in simulated time of clients, nodes, servers, the server list and the network. Each
-//! node hosts the real decision module, unchanged, or one of the rivals that it is compared with.
+//! node hosts the real decision module, unchanged, or one of the baselines that it is compared with.
 //!
 //! Nothing here does I/O or reads a clock. The same experiment, policy and seed give the same run, to the byte: all
 //! chance comes from generators of a fixed kind, one for each purpose, so that all policies meet the same requests.
@@ -20,26 +20,26 @@
 //! )?;
 //! let case = &experiment.cases()?[0];
 //! let figures = run(case, &mut |_| true)?;
-//! assert!(figures.broken.is_empty());
+//! assert!(figures.violations.is_empty());
 //! assert_eq!(figures.asked, figures.served);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+pub mod baselines;
 pub mod experiment;
-mod figures;
 mod intervals;
+mod invariants;
+mod metrics;
 pub mod report;
-pub mod rivals;
-mod rules;
 mod shrink;
-pub mod world;
+pub mod simulation;
 
-pub use experiment::{Case, Experiment, Problem};
-pub use figures::{Figures, Moment};
+pub use experiment::{Case, Experiment, ExperimentError};
 pub use intervals::{Estimate, estimate};
-pub use rules::{Breach, Rule};
-pub use shrink::shortest;
-pub use world::{run, run_with};
+pub use invariants::{Invariant, Violation};
+pub use metrics::{RunMetrics, TimelinePoint};
+pub use shrink::shrink_case;
+pub use simulation::{run, run_with_policies};
 
 /// A point in simulated time, or a span of it, in microseconds.
 pub type Micros = u64;
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/metrics.rs
@@ -4,8 +4,8 @@
 use serde::Serialize;
 
 use crate::Micros;
-use crate::rules::Breach;
-use crate::world::Talked;
+use crate::invariants::Violation;
+use crate::simulation::GossipStats;
 
 /// How many moments a run's time line is told in.
 pub(crate) const MOMENTS: usize = 120;
@@ -15,7 +15,7 @@
 
 /// What came of the requests of one class or tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Part {
+pub struct GroupTotals {
     /// Its name.
     pub name: String,
     /// How many were asked for.
@@ -28,7 +28,7 @@
     pub earned: f64,
 }
 
-impl Part {
+impl GroupTotals {
     /// The part of the worth that was earned.
     pub fn gain(&self) -> f64 {
         if self.worth > 0.0 { self.earned / self.worth } else { 1.0 }
@@ -37,7 +37,7 @@
 
 /// A moment of the time line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Moment {
+pub struct TimelinePoint {
     /// When it begins, in seconds.
     pub at: f64,
     /// Requests a second that clients began to want.
@@ -56,7 +56,7 @@
 
 /// How many attempts there were, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Attempts {
+pub struct AttemptCounts {
     /// First ones.
     pub first: u64,
     /// After another had ended.
@@ -69,7 +69,7 @@
 
 /// What came of a run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figures {
+pub struct RunMetrics {
     /// Whether it was ended before its time.
     pub cut: bool,
     /// What clients wanted, from `settle` on; and how many of that were served, in time, at last not.
@@ -97,40 +97,43 @@
     /// The mean.
     pub mean: f64,
     /// By class.
-    pub classes: Vec<Part>,
+    pub classes: Vec<GroupTotals>,
     /// By tenant; empty without.
-    pub tenants: Vec<Part>,
+    pub tenants: Vec<GroupTotals>,
     /// Jain's index of the parts of worth that tenants earned: 1 when all are alike.
     pub fairness: f64,
     /// The least part of its worth that a tenant of at least 50 requests earned.
     pub worst_tenant: f64,
-    /// Attempts.
-    pub attempts: Attempts,
+    /// AttemptCounts.
+    pub attempts: AttemptCounts,
     /// The part of time that servers' cores were at work: least, mean, most.
     pub used: (f64, f64, f64),
     /// Little's law at the servers: how many were there on average, and arrivals a second times the mean stay.
     pub little: (f64, f64),
     /// What gossip came to, where nodes gossip.
-    pub talked: Option<Talked>,
+    #[serde(rename = "talked")]
+    pub gossip: Option<GossipStats>,
     /// Events of the simulation.
     pub events: u64,
     /// The time line.
-    pub moments: Vec<Moment>,
+    pub moments: Vec<TimelinePoint>,
     /// Rows of servers: what each had, by moments, on average.
     pub heat: Vec<Vec<f32>>,
-    /// Rules that were broken: the first ones, and how many.
-    pub broken: Vec<Breach>,
+    /// Rules that were violations: the first ones, and how many.
+    #[serde(rename = "broken")]
+    pub violations: Vec<Violation>,
     /// How many.
-    pub breaches: u64,
+    #[serde(rename = "breaches")]
+    pub violation_count: u64,
 }
 
-impl Figures {
+impl RunMetrics {
     /// The part of all worth that was earned: worth answered in time over worth asked for.
     pub fn gain(&self) -> f64 {
         if self.worth > 0.0 { self.earned / self.worth } else { 1.0 }
     }
 
-    /// Attempts for each request that was wanted.
+    /// AttemptCounts for each request that was wanted.
     pub fn attempts_a_request(&self) -> f64 {
         let all = self.attempts.first + self.attempts.again + self.attempts.copies;
         all as f64 / self.asked.max(1) as f64
@@ -166,12 +169,12 @@
     span: Micros,
     pub(crate) refused: u64,
     pub(crate) failed: u64,
-    pub(crate) attempts: Attempts,
+    pub(crate) attempts: AttemptCounts,
     in_time: u64,
     latency: Histogram<u64>,
     sum: f64,
-    classes: Vec<Part>,
-    tenants: Vec<Part>,
+    classes: Vec<GroupTotals>,
+    tenants: Vec<GroupTotals>,
     ticks: Vec<Tick>,
     heat: Vec<Vec<f32>>,
     servers: usize,
@@ -185,14 +188,14 @@
         tenants: u32,
         servers: usize,
     ) -> Counts {
-        let part = |name: String| Part { name, ..Part::default() };
+        let part = |name: String| GroupTotals { name, ..GroupTotals::default() };
         let tick = || Tick { asked: 0, served: 0, turned: 0, worth: 0.0, earned: 0.0, latency: histogram(2) };
         Counts {
             settle,
             span,
             refused: 0,
             failed: 0,
-            attempts: Attempts::default(),
+            attempts: AttemptCounts::default(),
             in_time: 0,
             latency: histogram(3),
             sum: 0.0,
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Which moment a time is in.
+    /// TargetSelector moment a time is in.
     fn moment(&self, at: Micros) -> usize {
         ((at as u128 * MOMENTS as u128 / u128::from(self.span.max(1))) as usize).min(MOMENTS - 1)
     }
@@ -252,16 +255,17 @@
         self.heat[row][moment] += count as f32 * weight / in_row;
     }
 
-    pub(crate) fn figures(self, rest: Rest) -> Figures {
-        let sum = |of: fn(&Part) -> f64| self.classes.iter().map(of).sum::<f64>();
+    pub(crate) fn figures(self, rest: Rest) -> RunMetrics {
+        let sum = |of: fn(&GroupTotals) -> f64| self.classes.iter().map(of).sum::<f64>();
         let (asked, served) = (sum(|part| part.asked as f64) as u64, sum(|part| part.served as f64) as u64);
-        let gains: Vec<f64> = self.tenants.iter().filter(|part| part.asked >= 50).map(Part::gain).collect();
+        let gains: Vec<f64> =
+            self.tenants.iter().filter(|part| part.asked >= 50).map(GroupTotals::gain).collect();
         let squares: f64 = gains.iter().map(|gain| gain * gain).sum();
         let all: f64 = gains.iter().sum();
         let fairness = if squares > 0.0 { all * all / (gains.len() as f64 * squares) } else { 1.0 };
         let ms = |percent: f64| self.latency.value_at_percentile(percent) as f64 / 1e3;
         let width = self.span as f64 / 1e6 / MOMENTS as f64;
-        let told = |(at, tick): (usize, &Tick)| Moment {
+        let told = |(at, tick): (usize, &Tick)| TimelinePoint {
             at: at as f64 * width,
             asked: tick.asked as f64 / width,
             served: tick.served as f64 / width,
@@ -270,7 +274,7 @@
             p99: tick.latency.value_at_percentile(99.0) as f64 / 1e3,
             gain: if tick.worth > 0.0 { tick.earned / tick.worth } else { 1.0 },
         };
-        Figures {
+        RunMetrics {
             cut: rest.cut,
             asked,
             served,
@@ -289,14 +293,14 @@
             attempts: self.attempts,
             used: rest.used,
             little: rest.little,
-            talked: rest.talked,
+            gossip: rest.gossip,
             events: rest.events,
             moments: self.ticks.iter().enumerate().map(told).collect(),
             classes: self.classes,
             tenants: self.tenants,
             heat: self.heat,
-            broken: rest.broken,
-            breaches: rest.breaches,
+            violations: rest.violations,
+            violation_count: rest.violation_count,
         }
     }
 }
@@ -306,8 +310,8 @@
     pub(crate) cut: bool,
     pub(crate) used: (f64, f64, f64),
     pub(crate) little: (f64, f64),
-    pub(crate) talked: Option<Talked>,
+    pub(crate) gossip: Option<GossipStats>,
     pub(crate) events: u64,
-    pub(crate) broken: Vec<Breach>,
-    pub(crate) breaches: u64,
+    pub(crate) violations: Vec<Violation>,
+    pub(crate) violation_count: u64,
 }
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/html.rs
@@ -2,9 +2,9 @@
 
 use std::fmt::Write as _;
 
-use super::{Group, Outcome, groups, plots};
+use super::{Group, RunResult, groups, plots};
 use crate::experiment::{Case, Experiment};
-use crate::figures::Figures;
+use crate::metrics::RunMetrics;
 
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;max-width:960px;margin:2em auto;padding:0 1em;color:#222}\
 table{border-collapse:collapse;font-size:13px;width:100%}th,td{padding:3px 7px;border-bottom:1px solid #ddd;text-align:right}\
@@ -17,29 +17,29 @@
 }
 
 fn row(text: &mut String, group: &Group<'_>) {
-    let gain = group.figure(Figures::gain);
-    let mean = |of: fn(&Figures) -> f64| group.figure(of).mean;
-    let breaches = group.sum(|f| f.breaches);
+    let gain = group.figure(RunMetrics::gain);
+    let mean = |of: fn(&RunMetrics) -> f64| group.figure(of).mean;
+    let violation_count = group.sum(|f| f.violation_count);
     let own = if group.policy.starts_with("dunelink") { " class=own" } else { "" };
     let _ = write!(
         text,
         "<tr{own}><td>{}</td><td>{:.3} ± {:.3}</td><td>{:.1}</td><td>{:.0}</td><td>{:.0}</td><td>{:.3}</td><td>{:.3}</td>\
-         <td>{:.2}</td><td>{}</td><td>{}</td><td>{}</td><td>{:.2}, {:.2}</td><td{}>{breaches}</td></tr>",
+         <td>{:.2}</td><td>{}</td><td>{}</td><td>{}</td><td>{:.2}, {:.2}</td><td{}>{violation_count}</td></tr>",
         escape(group.policy),
         gain.mean,
-        gain.within,
+        gain.half_width,
         mean(|f| f.p50),
         mean(|f| f.p99),
         mean(|f| f.p999),
         mean(|f| f.worst_tenant),
         mean(|f| f.fairness),
-        mean(Figures::attempts_a_request),
+        mean(RunMetrics::attempts_a_request),
         group.sum(|f| f.attempts.wasted),
         group.sum(|f| f.refused),
         group.sum(|f| f.failed),
         mean(|f| f.used.1),
         mean(|f| f.used.2),
-        if breaches > 0 { " class=bad" } else { "" },
+        if violation_count > 0 { " class=bad" } else { "" },
     );
     for (seed, error) in &group.failed {
         let _ = write!(
@@ -51,7 +51,12 @@
     }
 }
 
-fn parts(text: &mut String, title: &str, groups: &[&Group<'_>], of: fn(&Figures) -> &[crate::figures::Part]) {
+fn parts(
+    text: &mut String,
+    title: &str,
+    groups: &[&Group<'_>],
+    of: fn(&RunMetrics) -> &[crate::metrics::GroupTotals],
+) {
     let names: Vec<&str> = groups
         .iter()
         .find_map(|group| group.runs.first())
@@ -69,7 +74,8 @@
     for group in groups {
         let _ = write!(text, "<tr><td>{}</td>", escape(group.policy));
         for at in 0..shown.len() {
-            let gain = group.figure(|figures| of(figures).get(at).map_or(0.0, crate::figures::Part::gain));
+            let gain =
+                group.figure(|figures| of(figures).get(at).map_or(0.0, crate::metrics::GroupTotals::gain));
             let _ = write!(text, "<td>{:.3}</td>", gain.mean);
         }
         *text += "</tr>";
@@ -96,16 +102,16 @@
         figures.events,
         figures.events as f64 / figures.asked.max(1) as f64
     );
-    if let Some(talked) = figures.talked {
+    if let Some(talked) = figures.gossip {
         let _ = write!(
             text,
             "<p>Gossip: {:.0} bytes/s a node; at the end each held at least {} others to be there.</p>",
             talked.bytes, talked.least
         );
     }
-    if !figures.broken.is_empty() {
+    if !figures.violations.is_empty() {
         *text += "<ul class=bad>";
-        for breach in &figures.broken {
+        for breach in &figures.violations {
             let _ = write!(text, "<li>{:.3} s: {:?}, {}</li>", breach.at, breach.rule, escape(&breach.what));
         }
         *text += "</ul>";
@@ -114,7 +120,7 @@
 }
 
 /// The page of an experiment's runs.
-pub fn page(experiment: &Experiment, runs: &[(Case, Outcome)]) -> String {
+pub fn page(experiment: &Experiment, runs: &[(Case, RunResult)]) -> String {
     let mut text = format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>{0}</title><style>{STYLE}</style><h1>{0}</h1><p>{1}</p>",
         escape(&experiment.name),
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -1,6 +1,6 @@
 //! What is told of the runs of an experiment: rows for programs, and a page for people.
 
-mod page;
+mod html;
 mod plots;
 
 use std::collections::BTreeMap;
@@ -8,13 +8,13 @@
 use serde::Serialize;
 
 use crate::experiment::Case;
-use crate::figures::Figures;
 use crate::intervals::{Estimate, estimate};
+use crate::metrics::RunMetrics;
 
-pub use page::page;
+pub use html::page;
 
 /// A run, or why there is none.
-pub type Outcome = Result<Figures, String>;
+pub type RunResult = Result<RunMetrics, String>;
 
 /// One run as a row.
 #[derive(Clone, Debug, Serialize)]
@@ -30,33 +30,33 @@
     /// Worth earned over worth asked for.
     pub gain: f64,
     /// What came of it, or nothing.
-    pub figures: Option<&'a Figures>,
+    pub figures: Option<&'a RunMetrics>,
     /// Why it failed.
     pub error: Option<&'a str>,
 }
 
-fn row<'a>(case: &'a Case, outcome: &'a Outcome) -> Row<'a> {
+fn row<'a>(case: &'a Case, outcome: &'a RunResult) -> Row<'a> {
     Row {
         experiment: &case.experiment.name,
         point: &case.point,
         policy: &case.variant,
         seed: case.seed,
-        gain: outcome.as_ref().map_or(0.0, Figures::gain),
+        gain: outcome.as_ref().map_or(0.0, RunMetrics::gain),
         figures: outcome.as_ref().ok(),
         error: outcome.as_ref().err().map(String::as_str),
     }
 }
 
 /// One JSON object a line for each run, with all figures.
-pub fn json_lines(runs: &[(Case, Outcome)]) -> String {
-    let line = |(case, outcome): &(Case, Outcome)| {
+pub fn json_lines(runs: &[(Case, RunResult)]) -> String {
+    let line = |(case, outcome): &(Case, RunResult)| {
         serde_json::to_string(&row(case, outcome)).unwrap_or_default() + "\n"
     };
     runs.iter().map(line).collect()
 }
 
 /// A table for programs, one row for each run; a failed one has no figures.
-pub fn csv(runs: &[(Case, Outcome)]) -> String {
+pub fn csv(runs: &[(Case, RunResult)]) -> String {
     let mut writer = csv::Writer::from_writer(Vec::new());
     let head = "experiment,point,policy,seed,gain,asked,served,in_time,lost,refused,failed,p50_ms,p99_ms,p999_ms,mean_ms,\
                 worst_tenant,fairness,attempts_a_request,wasted,used_mean,used_most,breaches,events,error";
@@ -87,7 +87,7 @@
                     f.attempts.wasted as f64,
                     f.used.1,
                     f.used.2,
-                    f.breaches as f64,
+                    f.violation_count as f64,
                     f.events as f64,
                 ];
                 let all = numbers.iter().chain(&more).chain(&last);
@@ -113,25 +113,25 @@
     /// The policy.
     pub policy: &'a str,
     /// Its runs that count.
-    pub runs: Vec<(&'a Case, &'a Figures)>,
+    pub runs: Vec<(&'a Case, &'a RunMetrics)>,
     /// Those that failed, by seed.
     pub failed: Vec<(u64, &'a str)>,
 }
 
 impl Group<'_> {
     /// A figure over the seeds.
-    pub fn figure(&self, of: impl Fn(&Figures) -> f64) -> Estimate {
+    pub fn figure(&self, of: impl Fn(&RunMetrics) -> f64) -> Estimate {
         estimate(&self.runs.iter().map(|(_, figures)| of(figures)).collect::<Vec<_>>())
     }
 
     /// A count over all runs.
-    pub fn sum(&self, of: impl Fn(&Figures) -> u64) -> u64 {
+    pub fn sum(&self, of: impl Fn(&RunMetrics) -> u64) -> u64 {
         self.runs.iter().map(|(_, figures)| of(figures)).sum()
     }
 }
 
 /// The runs by point and policy, in the order in which they were given.
-pub fn groups(runs: &[(Case, Outcome)]) -> Vec<Group<'_>> {
+pub fn groups(runs: &[(Case, RunResult)]) -> Vec<Group<'_>> {
     let mut order: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     let mut groups: Vec<Group<'_>> = Vec::new();
     for (case, outcome) in runs {
@@ -153,28 +153,28 @@
 }
 
 /// The figures of each policy as a table of text, for a terminal or a document.
-pub fn table(runs: &[(Case, Outcome)]) -> String {
+pub fn table(runs: &[(Case, RunResult)]) -> String {
     let mut text = String::from(
         "| point | policy | G | p50, ms | p99, ms | p99.9, ms | worst tenant | attempts | refused | failed | broken |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for group in groups(runs) {
-        let gain = group.figure(Figures::gain);
-        let mean = |of: fn(&Figures) -> f64| group.figure(of).mean;
+        let gain = group.figure(RunMetrics::gain);
+        let mean = |of: fn(&RunMetrics) -> f64| group.figure(of).mean;
         text += &format!(
             "| {} | {} | {:.3} ± {:.3} | {:.0} | {:.0} | {:.0} | {:.3} | {:.2} | {} | {} | {} |\n",
             group.point,
             group.policy,
             gain.mean,
-            gain.within,
+            gain.half_width,
             mean(|f| f.p50),
             mean(|f| f.p99),
             mean(|f| f.p999),
             mean(|f| f.worst_tenant),
-            mean(Figures::attempts_a_request),
+            mean(RunMetrics::attempts_a_request),
             group.sum(|f| f.refused),
             group.sum(|f| f.failed),
-            group.sum(|f| f.breaches),
+            group.sum(|f| f.violation_count),
         );
         for (seed, error) in &group.failed {
             text += &format!(
--- a/crates/lab/src/report/plots.rs
+++ b/crates/lab/src/report/plots.rs
@@ -4,8 +4,8 @@
 use plotters::prelude::*;
 
 use super::Group;
-use crate::experiment::{Case, Kind};
-use crate::figures::{Figures, Moment};
+use crate::experiment::{Case, FaultKind};
+use crate::metrics::{RunMetrics, TimelinePoint};
 
 type Drawn = Result<(), Box<dyn std::error::Error>>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
@@ -51,10 +51,10 @@
 
 /// Marks when something goes wrong.
 fn mark(chart: &mut Chart<'_, '_>, case: &Case, top: f64) -> Drawn {
-    for trouble in &case.experiment.troubles {
-        let (from, to) = (trouble.at.as_secs_f64(), (trouble.at + trouble.lasts).as_secs_f64());
+    for trouble in &case.experiment.faults {
+        let (from, to) = (trouble.at.as_secs_f64(), (trouble.at + trouble.duration).as_secs_f64());
         let to = to.min(case.experiment.span.as_secs_f64());
-        let shade = if trouble.kind == Kind::Burst { ORANGE.mix(0.10) } else { RED.mix(0.08) };
+        let shade = if trouble.kind == FaultKind::Burst { ORANGE.mix(0.10) } else { RED.mix(0.08) };
         chart.draw_series([Rectangle::new([(from, 0.0), (to, top)], shade.filled())])?;
         let name = format!("{:?}", trouble.kind).to_lowercase();
         chart.draw_series([Text::new(
@@ -66,10 +66,10 @@
     Ok(())
 }
 
-type Line = (&'static str, RGBColor, fn(&Moment) -> f64);
+type Line = (&'static str, RGBColor, fn(&TimelinePoint) -> f64);
 
 /// Lines over time, with troubles marked; `powers` if values are the logarithms of what is told.
-fn lines(title: &str, case: &Case, figures: &Figures, unit: &str, powers: bool, lines: &[Line]) -> String {
+fn lines(title: &str, case: &Case, figures: &RunMetrics, unit: &str, powers: bool, lines: &[Line]) -> String {
     let value = |y: &f64| if powers { format!("{:.0}", 10f64.powf(*y)) } else { format!("{y:.0}") };
     let moments = &figures.moments;
     let top =
@@ -104,7 +104,7 @@
 }
 
 /// Requests a second over time.
-pub(super) fn rates(case: &Case, figures: &Figures) -> String {
+pub(super) fn rates(case: &Case, figures: &RunMetrics) -> String {
     let all: [Line; 3] = [
         ("asked", GREY, |m| m.asked),
         ("served", BLUE, |m| m.served),
@@ -114,14 +114,14 @@
 }
 
 /// Latency over time.
-pub(super) fn latency(case: &Case, figures: &Figures) -> String {
+pub(super) fn latency(case: &Case, figures: &RunMetrics) -> String {
     let all: [Line; 2] =
         [("p50", BLUE, |m| m.p50.max(1.0).log10()), ("p99", ORANGE, |m| m.p99.max(1.0).log10())];
     lines("latency of what was served, from the intended start", case, figures, "ms, logarithmic", true, &all)
 }
 
 /// What servers have, over time.
-pub(super) fn heat(case: &Case, figures: &Figures) -> String {
+pub(super) fn heat(case: &Case, figures: &RunMetrics) -> String {
     let rows = figures.heat.len();
     let cores = f64::from(case.experiment.servers.cores);
     let columns = figures.heat.first().map_or(1, Vec::len).max(1);
@@ -154,8 +154,8 @@
             }
         }
         chart.draw_series(cells)?;
-        for trouble in &case.experiment.troubles {
-            for at in [trouble.at, trouble.at + trouble.lasts]
+        for trouble in &case.experiment.faults {
+            for at in [trouble.at, trouble.at + trouble.duration]
                 .map(|at| at.as_secs_f64())
                 .into_iter()
                 .filter(|at| *at < end)
@@ -170,8 +170,8 @@
 /// The gain of each policy, with its interval over seeds.
 pub(super) fn gains(groups: &[&Group<'_>]) -> String {
     let height = 60 + 26 * groups.len() as u32;
-    let found: Vec<_> = groups.iter().map(|group| (group.policy, group.figure(Figures::gain))).collect();
-    let least = found.iter().map(|(_, gain)| gain.mean - gain.within).fold(1.0_f64, f64::min);
+    let found: Vec<_> = groups.iter().map(|group| (group.policy, group.figure(RunMetrics::gain))).collect();
+    let least = found.iter().map(|(_, gain)| gain.mean - gain.half_width).fold(1.0_f64, f64::min);
     let from = ((least - 0.02) * 10.0).floor().clamp(0.0, 9.0) / 10.0;
     svg(height, |area| {
         let count = found.len() as f64;
@@ -201,7 +201,8 @@
         for (row, (policy, gain)) in found.iter().enumerate() {
             let y = count - row as f64 - 0.5;
             let colour = if policy.starts_with("dunelink") { BLUE } else { GREY };
-            let (low, high) = ((gain.mean - gain.within).max(from), (gain.mean + gain.within).min(1.0));
+            let (low, high) =
+                ((gain.mean - gain.half_width).max(from), (gain.mean + gain.half_width).min(1.0));
             // Dots, not bars: the scale does not begin at 0.
             chart.draw_series([Circle::new((gain.mean, y), 5, colour.filled())])?;
             chart.draw_series([PathElement::new([(low, y), (high, y)], BLACK.stroke_width(2))])?;
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use crate::experiment::Case;
-use crate::figures::Figures;
-use crate::rules::Breach;
+use crate::invariants::Violation;
+use crate::metrics::RunMetrics;
 
 /// Shrinks a case that breaks a rule: fewer troubles, fewer nodes and a shorter span, as long as the same rule is broken.
 /// Nothing if none is. `play` plays a case.
-pub fn shortest(case: &Case, play: &dyn Fn(&Case) -> Figures) -> Option<(Case, Breach)> {
-    let first = play(case).broken.into_iter().next()?;
+pub fn shrink_case(case: &Case, play: &dyn Fn(&Case) -> RunMetrics) -> Option<(Case, Violation)> {
+    let first = play(case).violations.into_iter().next()?;
     let rule = first.rule;
-    let breaks = |case: &Case| play(case).broken.into_iter().find(|breach| breach.rule == rule);
+    let breaks = |case: &Case| play(case).violations.into_iter().find(|breach| breach.rule == rule);
     let (mut best, mut breach) = (case.clone(), first);
     // The first breach does not depend on what comes after it.
     let mut cut = best.clone();
@@ -21,9 +21,9 @@
         (best, breach) = (cut, still);
     }
     let mut at = 0;
-    while at < best.experiment.troubles.len() {
+    while at < best.experiment.faults.len() {
         let mut less = best.clone();
-        less.experiment.troubles.remove(at);
+        less.experiment.faults.remove(at);
         match breaks(&less) {
             Some(still) => (best, breach) = (less, still),
             None => at += 1,
--- a/crates/lab/src/world/chance.rs
+++ b/crates/lab/src/simulation/chance.rs
@@ -4,7 +4,7 @@
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_pcg::Pcg64;
 
-use crate::experiment::Shape;
+use crate::experiment::WorkDistribution;
 
 /// What a generator is for.
 #[derive(Clone, Copy, Debug)]
@@ -40,23 +40,23 @@
 }
 
 /// How much work a request is, against the mean.
-pub(crate) fn work(rng: &mut Pcg64, shape: &Shape) -> f64 {
+pub(crate) fn work(rng: &mut Pcg64, shape: &WorkDistribution) -> f64 {
     match shape {
-        Shape::Even => 1.0,
-        Shape::Exponential => exponential(rng, 1.0),
+        WorkDistribution::Even => 1.0,
+        WorkDistribution::Exponential => exponential(rng, 1.0),
         // The mean of the whole is 1.
-        Shape::Lognormal { sigma } => {
+        WorkDistribution::Lognormal { sigma } => {
             LogNormal::new(-sigma * sigma / 2.0, *sigma).map_or(1.0, |lognormal| lognormal.sample(rng))
         }
-        Shape::Bimodal { part, times } => {
+        WorkDistribution::Bimodal { part, times } => {
             let little = 1.0 / (1.0 - part + part * times);
             if rng.random::<f64>() < *part { little * times } else { little }
         }
-        Shape::Pareto { alpha } => {
+        WorkDistribution::Pareto { alpha } => {
             let least = (alpha - 1.0) / alpha;
             least / (1.0 - rng.random::<f64>()).powf(1.0 / alpha)
         }
-        Shape::Recorded { counts } => {
+        WorkDistribution::Recorded { counts } => {
             let all: f64 = counts.iter().map(|(_, count)| count).sum();
             let mean = counts.iter().map(|(length, count)| length * count).sum::<f64>() / all;
             let mut left = rng.random::<f64>() * all;
--- a/crates/lab/src/world/list.rs
+++ b/crates/lab/src/simulation/list.rs
@@ -6,8 +6,8 @@
 use super::World;
 use super::chance::exponential;
 use super::events::Due;
+use crate::baselines::server_id;
 use crate::experiment::micros;
-use crate::rivals::server_id;
 
 /// How much later laggards hear.
 const LAG: f64 = 10.0;
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -3,12 +3,12 @@
 pub(crate) mod chance;
 mod clients;
 mod events;
+pub mod ground_truth;
 mod list;
 mod nodes;
-mod station;
+mod server;
 mod talk;
 mod troubles;
-pub mod truth;
 mod wants;
 
 use std::collections::{HashMap, VecDeque};
@@ -17,16 +17,16 @@
 use rand_pcg::Pcg64;
 
 use crate::Micros;
-use crate::experiment::{Case, Experiment, Kind, micros};
-use crate::figures::{Counts, Figures, MOMENTS, Rest};
-use crate::rivals::{self, Policy};
-use crate::rules::Rules;
+use crate::baselines::{self, Policy};
+use crate::experiment::{Case, Experiment, FaultKind, micros};
+use crate::invariants::Rules;
+use crate::metrics::{Counts, MOMENTS, Rest, RunMetrics};
 use chance::{For, exponential, generator};
 use clients::{Clients, Want};
 use events::{Agenda, Due};
 use nodes::{Attempt, Node, Request};
-pub use station::{Make, Station, Taken};
-pub use talk::Talked;
+pub use server::{Admission, ServerParameters, SimulatedServer};
+pub use talk::GossipStats;
 
 /// Simulated time begins here, far from 0: "long ago" is before it.
 pub(crate) const BEGIN: Micros = 1_000_000_000;
@@ -51,9 +51,9 @@
     nodes: Vec<Node>,
     /// Gossip of each node, or none at all.
     talks: Vec<talk::Talk>,
-    stations: Vec<Station>,
+    stations: Vec<SimulatedServer>,
     ids: HashMap<ServerId, usize>,
-    troubles: Vec<troubles::Met>,
+    faults: Vec<troubles::Met>,
     /// The multiple of requests by bursts.
     burst: f64,
     network: Pcg64,
@@ -72,18 +72,18 @@
 
 /// Plays a case. `progress` hears how much of it is over, and says whether it goes on. An error tells what the policy
 /// does not take.
-pub fn run(case: &Case, progress: &mut dyn FnMut(f64) -> bool) -> Result<Figures, SettingsError> {
-    let make = |rank| rivals::make(&case.policy, &case.experiment, case.seed, rank);
+pub fn run(case: &Case, progress: &mut dyn FnMut(f64) -> bool) -> Result<RunMetrics, SettingsError> {
+    let make = |rank| baselines::create_policy(&case.policy, &case.experiment, case.seed, rank);
     make(0)?;
-    Ok(run_with(case, progress, &|rank| make(rank).ok()))
+    Ok(run_with_policies(case, progress, &|rank| make(rank).ok()))
 }
 
 /// The same with policies that the caller makes for each node; a node without one answers nobody.
-pub fn run_with(
+pub fn run_with_policies(
     case: &Case,
     progress: &mut dyn FnMut(f64) -> bool,
     make: &dyn Fn(u32) -> Option<Box<dyn Policy>>,
-) -> Figures {
+) -> RunMetrics {
     let mut world = World::new(case, make);
     world.begin();
     let cut = !world.play(progress);
@@ -95,7 +95,7 @@
         let (e, seed) = (&case.experiment, case.seed);
         let s = &e.servers;
         let station = |number: usize| {
-            Station::new(Make {
+            SimulatedServer::new(ServerParameters {
                 cores: s.cores,
                 shares: s.shares,
                 queue: s.queue,
@@ -120,8 +120,8 @@
             nodes: (0..e.nodes.count).map(|rank| Node::new(make(rank), count)).collect(),
             talks: talk::talks(e, seed),
             stations: (0..count).map(station).collect(),
-            ids: (0..count).map(|number| (rivals::server_id(number), number)).collect(),
-            troubles: troubles::met(e, seed),
+            ids: (0..count).map(|number| (baselines::server_id(number), number)).collect(),
+            faults: troubles::met(e, seed),
             burst: 1.0,
             network: generator(seed, For::Network, 0),
             list: generator(seed, For::List, 0),
@@ -141,10 +141,10 @@
         for node in 0..self.nodes.len() {
             self.hears_all(node);
         }
-        for (number, trouble) in self.e.troubles.iter().enumerate() {
+        for (number, trouble) in self.e.faults.iter().enumerate() {
             let at = BEGIN + micros(trouble.at);
             self.agenda.put(at, Due::Trouble(number, true));
-            self.agenda.put(at + micros(trouble.lasts), Due::Trouble(number, false));
+            self.agenda.put(at + micros(trouble.duration), Due::Trouble(number, false));
         }
         match self.e.clients.loops {
             0 => self.next_want(),
@@ -283,7 +283,7 @@
         self.tell_of(server);
     }
 
-    fn figures(mut self, cut: bool) -> Figures {
+    fn figures(mut self, cut: bool) -> RunMetrics {
         let (now, span) = (self.now, (self.now - BEGIN).max(1) as f64);
         self.stations.iter_mut().for_each(|station| station.turned(now));
         let used: Vec<f64> = self.stations.iter().map(|s| s.busy / span / f64::from(s.cores())).collect();
@@ -295,20 +295,20 @@
         let talked = self.talked();
         self.counts.figures(Rest {
             cut,
-            talked,
+            gossip: talked,
             used: (least, mean, most),
             little,
             events: self.events,
-            broken: self.rules.broken,
-            breaches: self.rules.count,
+            violations: self.rules.violations,
+            violation_count: self.rules.count,
         })
     }
 
     /// Whether a node can't reach servers now.
     fn parted(&self, node: usize, server: usize) -> bool {
-        self.troubles.iter().any(|met| {
+        self.faults.iter().any(|met| {
             met.on
-                && self.e.troubles[met.number].kind == Kind::Partition
+                && self.e.faults[met.number].kind == FaultKind::Partition
                 && met.nodes[node]
                 && met.servers[server]
         })
--- a/crates/lab/src/world/nodes.rs
+++ b/crates/lab/src/simulation/nodes.rs
@@ -4,12 +4,12 @@
 use rand::Rng;
 
 use super::events::{Due, Reply};
-use super::truth::Truth;
-use super::{BEGIN, Taken, World};
+use super::ground_truth::GroundTruth;
+use super::{Admission, BEGIN, World};
 use crate::Micros;
+use crate::baselines::Policy;
 use crate::experiment::{Effect, micros};
-use crate::rivals::Policy;
-use crate::rules::{GRACE, Rule, Runs};
+use crate::invariants::{GRACE, Invariant, Runs};
 
 /// A node gives up this long before its client does.
 const BEFORE: Micros = 1_000;
@@ -34,8 +34,8 @@
     }
 
     /// What it has seen of servers by itself.
-    pub(super) fn sightings(&self, now: Micros) -> Vec<ServerObservation> {
-        self.policy.as_ref().map_or(Vec::new(), |policy| policy.sightings(now))
+    pub(super) fn server_observations(&self, now: Micros) -> Vec<ServerObservation> {
+        self.policy.as_ref().map_or(Vec::new(), |policy| policy.server_observations(now))
     }
 }
 
@@ -114,7 +114,7 @@
             let policy = self.nodes[node].policy.take();
             let Some(mut policy) = policy else { continue };
             let work = micros(self.e.servers.time) as f64;
-            let truth = Truth { now: self.now, stations: &self.stations, numbers: &self.ids, work };
+            let truth = GroundTruth { now: self.now, stations: &self.stations, numbers: &self.ids, work };
             policy.handle(shown, event, &truth, &mut actions);
             self.nodes[node].policy = Some(policy);
             for action in actions.drain(..) {
@@ -182,7 +182,8 @@
     fn answer(&mut self, number: u64, reply: Reply) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         if std::mem::replace(&mut request.answered, true) {
-            self.rules.breach(Rule::TwoAnswers, self.now - BEGIN, || format!("request {number}: {reply:?}"));
+            self.rules
+                .breach(Invariant::TwoAnswers, self.now - BEGIN, || format!("request {number}: {reply:?}"));
             return;
         }
         let ran = request.runs.any()
@@ -192,7 +193,8 @@
                 .any(|id| self.attempts.get(id).is_some_and(|a| a.stage != Stage::Over));
         let safe = self.e.classes[request.class].effect == Effect::Safe;
         if matches!(reply, Reply::Refused(_)) && ran && !safe {
-            self.rules.breach(Rule::RefusedAfterRunning, self.now - BEGIN, || format!("request {number}"));
+            self.rules
+                .breach(Invariant::RefusedAfterRunning, self.now - BEGIN, || format!("request {number}"));
         }
         let way = self.way();
         self.agenda.put(self.now + way, Due::Answer(number, reply));
@@ -230,7 +232,7 @@
         if let Some(since) = self.nodes[node].away[server].filter(|since| since + GRACE < self.now) {
             let late = (self.now - since) as f64 / 1e6;
             let what = || format!("node {node} to server {server}, {late:.2} s after it heard");
-            self.rules.breach(Rule::SentToDraining, self.now - BEGIN, what);
+            self.rules.breach(Invariant::SentToDraining, self.now - BEGIN, what);
         }
         let fails = match () {
             () if answered => Some((0, Outcome::NotSent)),
@@ -272,10 +274,10 @@
         let station = &mut self.stations[server];
         let taken = station.arrive(now, id, work);
         // What it turns away counts as well: it was sent that.
-        let (pushed, ramp) = (taken != Taken::Down && station.pushed(now, work), station.ramp(now));
+        let (pushed, ramp) = (taken != Admission::Down && station.pushed(now, work), station.ramp(now));
         let outcome = match taken {
-            Taken::Down => Some(Outcome::ConnectFailed),
-            Taken::Full => Some(Outcome::Rejected),
+            Admission::Down => Some(Outcome::ConnectFailed),
+            Admission::Full => Some(Outcome::Rejected),
             _ => None,
         };
         match (outcome, taken) {
@@ -284,13 +286,13 @@
                 let way = self.way();
                 self.agenda.put(now + way, Due::Ends(id, outcome));
             }
-            (None, Taken::Runs) => self.runs(id),
+            (None, Admission::Started) => self.runs(id),
             (None, _) => attempt_stage(&mut self.attempts, id, Stage::Waits),
         }
         if pushed {
             if ramp < 1.0 {
                 let what = || format!("server {server} at {:.0}% of its speed", 100.0 * ramp);
-                self.rules.breach(Rule::PushedOver, now - BEGIN, what);
+                self.rules.breach(Invariant::PushedOver, now - BEGIN, what);
             }
             self.fall(server, true);
         } else {
--- a/crates/lab/src/world/station.rs
+++ b/crates/lab/src/simulation/server.rs
@@ -16,11 +16,11 @@
 
 /// What becomes of a request that comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     /// It is worked on.
-    Runs,
+    Started,
     /// It waits.
-    Waits,
+    Queued,
     /// It is turned away.
     Full,
     /// Nobody is there.
@@ -29,7 +29,7 @@
 
 /// How a server is made.
 #[derive(Clone, Debug)]
-pub struct Make {
+pub struct ServerParameters {
     /// How many requests it works on at full speed.
     pub cores: u32,
     /// Whether it works on all at once.
@@ -48,8 +48,8 @@
 
 /// A server.
 #[derive(Debug)]
-pub struct Station {
-    make: Make,
+pub struct SimulatedServer {
+    make: ServerParameters,
     /// What the list should say.
     pub state: ServerState,
     /// When it last started; 0 for long ago.
@@ -78,11 +78,11 @@
     pub busy: f64,
 }
 
-impl Station {
+impl SimulatedServer {
     /// A warm server.
-    pub fn new(make: Make) -> Station {
+    pub fn new(make: ServerParameters) -> SimulatedServer {
         let rate = make.speed;
-        Station {
+        SimulatedServer {
             make,
             state: ServerState::Ready,
             started: 0,
@@ -129,7 +129,7 @@
     }
 
     /// For how long one more request of this work would be here, as far as that can be known.
-    pub fn outlook(&self, now: Micros, work: f64) -> f64 {
+    pub fn expected_sojourn(&self, now: Micros, work: f64) -> f64 {
         if self.state == ServerState::Gone {
             return f64::INFINITY;
         }
@@ -175,21 +175,21 @@
     }
 
     /// A request comes.
-    pub fn arrive(&mut self, now: Micros, id: u64, work: f64) -> Taken {
+    pub fn arrive(&mut self, now: Micros, id: u64, work: f64) -> Admission {
         if self.state == ServerState::Gone {
-            return Taken::Down;
+            return Admission::Down;
         }
         self.read(now);
         let cores = self.make.cores as usize;
         let taken = match self.make.shares {
-            true if self.running.len() < cores.max(self.make.queue) => Taken::Runs,
-            false if self.running.len() < cores => Taken::Runs,
-            false if self.waiting.len() < self.make.queue => Taken::Waits,
-            _ => Taken::Full,
+            true if self.running.len() < cores.max(self.make.queue) => Admission::Started,
+            false if self.running.len() < cores => Admission::Started,
+            false if self.waiting.len() < self.make.queue => Admission::Queued,
+            _ => Admission::Full,
         };
         match taken {
-            Taken::Runs => self.begin(id, work),
-            Taken::Waits => self.waiting.push_back((id, work)),
+            Admission::Started => self.begin(id, work),
+            Admission::Queued => self.waiting.push_back((id, work)),
             _ => {}
         }
         self.set(now);
--- a/crates/lab/src/world/talk.rs
+++ b/crates/lab/src/simulation/talk.rs
@@ -11,7 +11,7 @@
 use super::events::Due;
 use super::{BEGIN, World};
 use crate::Micros;
-use crate::experiment::{Experiment, Kind};
+use crate::experiment::{Experiment, FaultKind};
 
 /// How often a node tells what it sees of servers by itself.
 const LOOK: Micros = 200_000;
@@ -84,7 +84,7 @@
     /// A node tells what it sees of servers.
     pub(super) fn sees(&mut self, node: usize) {
         let shown = self.clock(node);
-        let seen = self.nodes[node].sightings(shown);
+        let seen = self.nodes[node].server_observations(shown);
         self.talk(node, Input::Observations(seen));
         if self.now < self.ends {
             self.agenda.put(self.now + LOOK, Due::Sees(node));
@@ -130,13 +130,13 @@
 
     /// Whether nothing passes between two nodes now.
     fn apart(&self, one: usize, other: usize) -> bool {
-        self.troubles.iter().any(|met| {
-            met.on && self.e.troubles[met.number].kind == Kind::Cut && met.nodes[one] != met.nodes[other]
+        self.faults.iter().any(|met| {
+            met.on && self.e.faults[met.number].kind == FaultKind::Cut && met.nodes[one] != met.nodes[other]
         })
     }
 
     /// Bytes a second that a node sends on average, and how many others each holds to be there at the end.
-    pub(super) fn talked(&self) -> Option<Talked> {
+    pub(super) fn talked(&self) -> Option<GossipStats> {
         let count = self.talks.len();
         if count == 0 {
             return None;
@@ -148,13 +148,13 @@
             *present.entry(talk.gossip.alive_processes().len()).or_default() += 1;
         }
         let least = present.keys().min().copied().unwrap_or(0);
-        Some(Talked { bytes: bytes as f64 / count as f64 / seconds, least })
+        Some(GossipStats { bytes: bytes as f64 / count as f64 / seconds, least })
     }
 }
 
 /// What gossip came to.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
-pub struct Talked {
+pub struct GossipStats {
     /// Bytes a second a node.
     pub bytes: f64,
     /// The fewest others that any node held to be there at the end.
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/simulation/troubles.rs
@@ -6,7 +6,7 @@
 use super::World;
 use super::chance::{For, generator};
 use super::events::Due;
-use crate::experiment::{Experiment, Kind, Which, micros};
+use crate::experiment::{Experiment, FaultKind, TargetSelector, micros};
 
 /// Whom a trouble of the experiment meets.
 pub(super) struct Met {
@@ -18,10 +18,10 @@
 
 /// Draws whom each trouble meets.
 pub(super) fn met(e: &Experiment, seed: u64) -> Vec<Met> {
-    let draw = |number: usize, which: &Which, count: u32, of_nodes: u64| -> Vec<bool> {
+    let draw = |number: usize, which: &TargetSelector, count: u32, of_nodes: u64| -> Vec<bool> {
         let mut rng = generator(seed, For::Troubles, 2 * number as u64 + of_nodes);
         match which {
-            Which::Part(part) => {
+            TargetSelector::Part(part) => {
                 // Just so many, whoever they are.
                 let mut all: Vec<usize> = (0..count as usize).collect();
                 for at in (1..all.len()).rev() {
@@ -32,40 +32,40 @@
                 all.into_iter().take(some).for_each(|one| met[one] = true);
                 met
             }
-            Which::Zone(zone) => {
+            TargetSelector::Zone(zone) => {
                 (0..count).map(|n| n % u32::from(e.servers.zones) == u32::from(*zone)).collect()
             }
-            Which::These(these) => (0..count).map(|n| these.contains(&n)).collect(),
+            TargetSelector::These(these) => (0..count).map(|n| these.contains(&n)).collect(),
         }
     };
-    let met = |(number, trouble): (usize, &crate::experiment::Trouble)| Met {
+    let met = |(number, trouble): (usize, &crate::experiment::Fault)| Met {
         number,
         servers: draw(number, &trouble.servers, e.servers.count, 0),
         nodes: draw(number, &trouble.nodes, e.nodes.count, 1),
         on: false,
     };
-    e.troubles.iter().enumerate().map(met).collect()
+    e.faults.iter().enumerate().map(met).collect()
 }
 
 impl World<'_> {
     pub(super) fn trouble(&mut self, number: usize, begins: bool) {
-        let (kind, factor) = (self.e.troubles[number].kind, self.e.troubles[number].factor);
-        self.troubles[number].on = begins;
+        let (kind, factor) = (self.e.faults[number].kind, self.e.faults[number].factor);
+        self.faults[number].on = begins;
         match kind {
-            Kind::Burst => {
+            FaultKind::Burst => {
                 self.burst = if begins { self.burst * factor } else { self.burst / factor.max(1e-9) }
             }
-            Kind::Partition | Kind::Cut => {}
-            Kind::Silence | Kind::Clock => {
+            FaultKind::Partition | FaultKind::Cut => {}
+            FaultKind::Silence | FaultKind::Clock => {
                 for node in 0..self.nodes.len() {
-                    if !self.troubles[number].nodes[node] {
+                    if !self.faults[number].nodes[node] {
                         continue;
                     }
                     let at = &mut self.nodes[node];
                     match (kind, begins) {
-                        (Kind::Clock, true) => at.ahead += (factor * 1e6) as u64,
+                        (FaultKind::Clock, true) => at.ahead += (factor * 1e6) as u64,
                         // A clock that moves forward only does not step back.
-                        (Kind::Clock, false) => {}
+                        (FaultKind::Clock, false) => {}
                         (_, true) => at.silent += 1,
                         (_, false) => at.silent -= 1,
                     }
@@ -73,7 +73,7 @@
             }
             _ => {
                 for server in 0..self.stations.len() {
-                    if self.troubles[number].servers[server] {
+                    if self.faults[number].servers[server] {
                         self.at_station(server, number, begins);
                     }
                 }
@@ -82,26 +82,28 @@
     }
 
     fn at_station(&mut self, server: usize, number: usize, begins: bool) {
-        let trouble = &self.e.troubles[number];
+        let trouble = &self.e.faults[number];
         let station = &mut self.stations[server];
         match (trouble.kind, begins) {
-            (Kind::Stall, true) => station.stalls += 1,
-            (Kind::Stall, false) => station.stalls -= 1,
-            (Kind::Slow, true) => station.slow *= trouble.factor.max(1e-6),
-            (Kind::Slow, false) => station.slow /= trouble.factor.max(1e-6),
-            (Kind::Resets, true) => station.resets += trouble.factor,
-            (Kind::Resets, false) => station.resets -= trouble.factor,
-            (Kind::Crash, true) if station.state != ServerState::Gone => return self.fall(server, false),
-            (Kind::Drain, true) if station.state == ServerState::Ready => {
+            (FaultKind::Stall, true) => station.stalls += 1,
+            (FaultKind::Stall, false) => station.stalls -= 1,
+            (FaultKind::Slow, true) => station.slow *= trouble.factor.max(1e-6),
+            (FaultKind::Slow, false) => station.slow /= trouble.factor.max(1e-6),
+            (FaultKind::Resets, true) => station.resets += trouble.factor,
+            (FaultKind::Resets, false) => station.resets -= trouble.factor,
+            (FaultKind::Crash, true) if station.state != ServerState::Gone => {
+                return self.fall(server, false);
+            }
+            (FaultKind::Drain, true) if station.state == ServerState::Ready => {
                 station.state = ServerState::Draining;
                 station.version += 1;
                 // It has half of the time to finish what it has.
-                let (version, gone) = (station.version, self.now + micros(trouble.lasts) / 2);
+                let (version, gone) = (station.version, self.now + micros(trouble.duration) / 2);
                 self.agenda.put(gone, Due::Gone(server, version));
                 return self.tell_of(server);
             }
-            (Kind::Crash | Kind::Drain, true) => return,
-            (Kind::Crash | Kind::Drain, false) => return self.starts(server),
+            (FaultKind::Crash | FaultKind::Drain, true) => return,
+            (FaultKind::Crash | FaultKind::Drain, false) => return self.starts(server),
             _ => {}
         }
         station.turned(self.now);
--- a/crates/lab/src/world/wants.rs
+++ b/crates/lab/src/simulation/wants.rs
@@ -9,8 +9,8 @@
 use super::{BEGIN, World};
 use crate::Micros;
 use crate::experiment::{Effect, micros};
-use crate::figures::Ended;
-use crate::rules::Rule;
+use crate::invariants::Invariant;
+use crate::metrics::Ended;
 
 impl World<'_> {
     pub(super) fn next_want(&mut self) {
@@ -104,7 +104,7 @@
             request.answered = true;
             let node = request.node;
             self.rules
-                .breach(Rule::NoAnswer, self.now - BEGIN, || format!("request {number} at node {node}"));
+                .breach(Invariant::NoAnswer, self.now - BEGIN, || format!("request {number} at node {node}"));
             self.tell(node, Event::ClientLeft(number));
         }
         self.let_go(number);
--- a/crates/lab/tests/chance.rs
+++ b/crates/lab/tests/chance.rs
@@ -2,39 +2,41 @@
 
 use std::time::Duration;
 
-use dunelink_lab::experiment::{Class, Effect, Experiment, Kind, Shape, Trouble, Variant, Which};
+use dunelink_lab::experiment::{
+    Class, Effect, Experiment, Fault, FaultKind, TargetSelector, Variant, WorkDistribution,
+};
 use dunelink_lab::run;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn which() -> impl Strategy<Value = Which> {
+fn which() -> impl Strategy<Value = TargetSelector> {
     prop_oneof![
-        (0.0..=1.0f64).prop_map(Which::Part),
-        (0..3u8).prop_map(Which::Zone),
-        proptest::collection::vec(0..4u32, 1..3).prop_map(Which::These),
+        (0.0..=1.0f64).prop_map(TargetSelector::Part),
+        (0..3u8).prop_map(TargetSelector::Zone),
+        proptest::collection::vec(0..4u32, 1..3).prop_map(TargetSelector::These),
     ]
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn trouble() -> impl Strategy<Value = Fault> {
     let kinds = [
-        Kind::Stall,
-        Kind::Slow,
-        Kind::Crash,
-        Kind::Drain,
-        Kind::Partition,
-        Kind::Cut,
-        Kind::Silence,
-        Kind::Resets,
-        Kind::Burst,
-        Kind::Clock,
+        FaultKind::Stall,
+        FaultKind::Slow,
+        FaultKind::Crash,
+        FaultKind::Drain,
+        FaultKind::Partition,
+        FaultKind::Cut,
+        FaultKind::Silence,
+        FaultKind::Resets,
+        FaultKind::Burst,
+        FaultKind::Clock,
     ];
     let kind = (0..kinds.len()).prop_map(move |at| kinds[at]);
     (kind, 0..5_000u64, 50..4_000u64, 0.05..1.0f64, which(), which()).prop_map(
-        |(kind, at, lasts, factor, servers, nodes)| Trouble {
+        |(kind, at, lasts, factor, servers, nodes)| Fault {
             kind,
             at: Duration::from_millis(at),
-            lasts: Duration::from_millis(lasts),
-            factor: if kind == Kind::Burst { 8.0 * factor } else { factor },
+            duration: Duration::from_millis(lasts),
+            factor: if kind == FaultKind::Burst { 8.0 * factor } else { factor },
             servers,
             nodes,
         },
@@ -48,11 +50,11 @@
     (sizes, load, troubles, 0.0..0.3f64, any::<u64>()).prop_map(|(sizes, load, troubles, loss, seed)| {
         let (nodes, servers, zones, cells, cores) = sizes;
         let (load, retries, heed, tenants, attempts, shares) = load;
-        let mut e = Experiment { span: Duration::from_secs(6), troubles, ..Experiment::default() };
+        let mut e = Experiment { span: Duration::from_secs(6), faults: troubles, ..Experiment::default() };
         (e.nodes.count, e.nodes.attempts, e.nodes.copies) = (nodes.max(4), attempts, attempts > 1);
         e.nodes.retry_after = Duration::from_secs(1);
         (e.servers.count, e.servers.zones, e.servers.cells, e.servers.cores) = (servers, zones, cells, cores);
-        (e.servers.shares, e.servers.shape) = (shares, Shape::Lognormal { sigma: 1.0 });
+        (e.servers.shares, e.servers.shape) = (shares, WorkDistribution::Lognormal { sigma: 1.0 });
         e.servers.warm_up = Duration::from_secs(4);
         // Falling over by sheer load is another matter than a node's part in it: see the rule's own test.
         e.servers.falls_at = 0.0;
@@ -84,7 +86,7 @@
         e.seeds = vec![seed];
         e.check().unwrap();
         let figures = run(&e.cases().unwrap()[0], &mut |_| true).unwrap();
-        prop_assert_eq!(figures.breaches, 0, "{:?}", figures.broken);
+        prop_assert_eq!(figures.violation_count, 0, "{:?}", figures.violations);
         prop_assert_eq!(figures.asked, figures.served + figures.lost);
         prop_assert!((0.0..=1.0).contains(&figures.gain()));
         let (there, law) = figures.little;
--- a/crates/lab/tests/theory.rs
+++ b/crates/lab/tests/theory.rs
@@ -1,10 +1,10 @@
 //! The model against what queueing theory says of it. All seeds are fixed.
 
-use dunelink_lab::{Case, Estimate, Experiment, Figures, estimate, run};
+use dunelink_lab::{Case, Estimate, Experiment, RunMetrics, estimate, run};
 
-fn played(case: &Case) -> Figures {
+fn played(case: &Case) -> RunMetrics {
     let figures = run(case, &mut |_| true).unwrap();
-    assert_eq!(figures.breaches, 0, "{:?}", figures.broken);
+    assert_eq!(figures.violation_count, 0, "{:?}", figures.violations);
     let (there, law) = figures.little;
     assert!((there - law).abs() <= 1e-6 * there.max(1.0), "Little's law: {there} and {law}");
     figures
@@ -25,15 +25,15 @@
     Experiment::from_toml(&text).unwrap()
 }
 
-fn over_seeds(e: &Experiment, of: impl Fn(&Figures) -> f64) -> Estimate {
+fn over_seeds(e: &Experiment, of: impl Fn(&RunMetrics) -> f64) -> Estimate {
     estimate(&e.cases().unwrap().iter().map(|case| of(&played(case))).collect::<Vec<_>>())
 }
 
 /// Within the interval, or off by what rounding to microseconds and the histogram may add.
 fn agrees(found: Estimate, theory: f64) {
     let off = (found.mean - theory).abs();
-    assert!(off <= 1.5 * found.within + 0.004 * theory, "{found:?}, by theory {theory}");
-    assert!(found.within < 0.2 * theory, "{found:?} tells little");
+    assert!(off <= 1.5 * found.half_width + 0.004 * theory, "{found:?}, by theory {theory}");
+    assert!(found.half_width < 0.2 * theory, "{found:?} tells little");
 }
 
 #[test]
--- a/crates/lab/tests/worlds.rs
+++ b/crates/lab/tests/worlds.rs
@@ -3,15 +3,17 @@
 use std::time::Duration;
 
 use cherryusher::{Action, Event, ServerId};
-use dunelink_lab::rivals::Policy;
-use dunelink_lab::world::truth::Truth;
-use dunelink_lab::{Case, Experiment, Figures, Micros, Rule, report, run, run_with, shortest};
+use dunelink_lab::baselines::Policy;
+use dunelink_lab::simulation::ground_truth::GroundTruth;
+use dunelink_lab::{
+    Case, Experiment, Invariant, Micros, RunMetrics, report, run, run_with_policies, shrink_case,
+};
 
 fn cases(text: &str) -> Vec<Case> {
     Experiment::from_toml(text).unwrap().cases().unwrap()
 }
 
-fn played(case: &Case) -> Figures {
+fn played(case: &Case) -> RunMetrics {
     run(case, &mut |_| true).unwrap()
 }
 
@@ -56,11 +58,12 @@
     for case in cases(&format!("{SMALL}{TROUBLES}{ALL}")) {
         let figures = played(&case);
         assert!(figures.asked > 1000 && figures.gain() > 0.3, "{}: {:?}", case.policy, figures.gain());
-        let answers = [Rule::NoAnswer, Rule::TwoAnswers, Rule::RanTwice, Rule::RefusedAfterRunning];
-        let broken = figures.broken.iter().find(|breach| answers.contains(&breach.rule));
+        let answers =
+            [Invariant::NoAnswer, Invariant::TwoAnswers, Invariant::RanTwice, Invariant::RefusedAfterRunning];
+        let broken = figures.violations.iter().find(|breach| answers.contains(&breach.rule));
         assert!(broken.is_none(), "{}: {broken:?}", case.policy);
         if case.policy == "dunelink" {
-            assert_eq!(figures.breaches, 0, "{:?}", figures.broken);
+            assert_eq!(figures.violation_count, 0, "{:?}", figures.violations);
         }
         let (there, law) = figures.little;
         assert!((there - law).abs() < 1e-6 * there, "{}: {there}, {law}", case.policy);
@@ -99,8 +102,8 @@
 fn a_load_over_capacity_for_the_whole_time_is_answered_all_the_same() {
     let text = SMALL.replace("rate = 300.0", "rate = 1500.0")
         + "compare = [{ policy = \"dunelink\" }, { policy = \"random\" }]";
-    let runs: Vec<Figures> = cases(&text).iter().map(played).collect();
-    assert_eq!(runs[0].breaches, 0, "{:?}", runs[0].broken);
+    let runs: Vec<RunMetrics> = cases(&text).iter().map(played).collect();
+    assert_eq!(runs[0].violation_count, 0, "{:?}", runs[0].violations);
     assert!(runs[0].gain() > runs[1].gain(), "{} and {}", runs[0].gain(), runs[1].gain());
 }
 
@@ -115,26 +118,26 @@
 
 /// A policy that breaks one rule, and else sends everything to one server.
 struct Wrong {
-    rule: Option<Rule>,
+    rule: Option<Invariant>,
     to: ServerId,
     lists: u32,
 }
 
 impl Policy for Wrong {
-    fn handle(&mut self, _: Micros, event: Event, _: &Truth<'_>, out: &mut Vec<Action>) {
+    fn handle(&mut self, _: Micros, event: Event, _: &GroundTruth<'_>, out: &mut Vec<Action>) {
         match event {
             Event::ServerList(list) if self.lists == 0 => {
                 self.lists += 1;
                 self.to = list[3].id;
             }
-            Event::RequestArrived(request) if self.rule != Some(Rule::NoAnswer) => {
+            Event::RequestArrived(request) if self.rule != Some(Invariant::NoAnswer) => {
                 out.push(Action::Send { request: request.id, server: self.to, start_before: None });
                 match self.rule {
-                    Some(Rule::TwoAnswers) => out.extend([Action::Fail(request.id); 2]),
-                    Some(Rule::RanTwice) => {
+                    Some(Invariant::TwoAnswers) => out.extend([Action::Fail(request.id); 2]),
+                    Some(Invariant::RanTwice) => {
                         out.push(Action::Send { request: request.id, server: self.to, start_before: None })
                     }
-                    Some(Rule::RefusedAfterRunning) => {
+                    Some(Invariant::RefusedAfterRunning) => {
                         out.push(Action::Refuse { request: request.id, retry_after: 0 })
                     }
                     _ => {}
@@ -146,8 +149,8 @@
     }
 }
 
-fn wrong(case: &Case, rule: Option<Rule>) -> Figures {
-    run_with(case, &mut |_| true, &|_| Some(Box::new(Wrong { rule, to: 0, lists: 0 })))
+fn wrong(case: &Case, rule: Option<Invariant>) -> RunMetrics {
+    run_with_policies(case, &mut |_| true, &|_| Some(Box::new(Wrong { rule, to: 0, lists: 0 })))
 }
 
 #[test]
@@ -165,23 +168,29 @@
         ]
     "#;
     let case = &cases(text)[0];
-    for rule in [Rule::NoAnswer, Rule::TwoAnswers, Rule::RanTwice, Rule::RefusedAfterRunning] {
+    for rule in
+        [Invariant::NoAnswer, Invariant::TwoAnswers, Invariant::RanTwice, Invariant::RefusedAfterRunning]
+    {
         let figures = wrong(case, Some(rule));
-        assert_eq!(figures.broken.first().map(|breach| breach.rule), Some(rule));
+        assert_eq!(figures.violations.first().map(|breach| breach.rule), Some(rule));
     }
-    let told: Vec<Rule> = wrong(case, None).broken.iter().map(|breach| breach.rule).collect();
-    assert!(told.contains(&Rule::SentToDraining), "{told:?}");
+    let told: Vec<Invariant> = wrong(case, None).violations.iter().map(|breach| breach.rule).collect();
+    assert!(told.contains(&Invariant::SentToDraining), "{told:?}");
     let mut pushed = case.clone();
-    pushed.experiment.troubles.remove(0);
-    pushed.experiment.troubles[0].at = Duration::from_secs(4);
-    pushed.experiment.troubles.push(dunelink_lab::experiment::Trouble {
-        kind: dunelink_lab::experiment::Kind::Crash,
+    pushed.experiment.faults.remove(0);
+    pushed.experiment.faults[0].at = Duration::from_secs(4);
+    pushed.experiment.faults.push(dunelink_lab::experiment::Fault {
+        kind: dunelink_lab::experiment::FaultKind::Crash,
         at: Duration::from_secs(1),
-        lasts: Duration::from_millis(10),
-        ..pushed.experiment.troubles[0].clone()
+        duration: Duration::from_millis(10),
+        ..pushed.experiment.faults[0].clone()
     });
     let figures = wrong(&pushed, None);
-    assert!(figures.broken.iter().any(|breach| breach.rule == Rule::PushedOver), "{:?}", figures.broken);
+    assert!(
+        figures.violations.iter().any(|breach| breach.rule == Invariant::PushedOver),
+        "{:?}",
+        figures.violations
+    );
 }
 
 #[test]
@@ -190,21 +199,17 @@
     let mut case = cases(&text).remove(0);
     case.experiment.span = Duration::from_secs(5);
     // Nobody sends to who drains but this one.
-    let (short, breach) = shortest(&case, &|case| {
+    let (short, breach) = shrink_case(&case, &|case| {
         let mut figures = wrong(case, None);
-        figures.broken.retain(|breach| breach.rule == Rule::SentToDraining);
+        figures.violations.retain(|breach| breach.rule == Invariant::SentToDraining);
         figures
     })
     .unwrap_or_else(|| panic!("nothing was broken"));
-    assert_eq!(breach.rule, Rule::SentToDraining);
-    assert!(
-        short.experiment.troubles.len() < case.experiment.troubles.len(),
-        "{:?}",
-        short.experiment.troubles
-    );
+    assert_eq!(breach.rule, Invariant::SentToDraining);
+    assert!(short.experiment.faults.len() < case.experiment.faults.len(), "{:?}", short.experiment.faults);
     assert!(short.experiment.span < Duration::from_secs(4) && short.experiment.nodes.count == 1, "{short:?}");
-    case.experiment.troubles.clear();
-    assert!(shortest(&case, &|case| played(case)).is_none());
+    case.experiment.faults.clear();
+    assert!(shrink_case(&case, &|case| played(case)).is_none());
 }
 
 #[test]
@@ -304,7 +309,7 @@
 fn nodes_that_gossip_send_less_to_servers_that_stall() {
     let played = |more: &str| {
         let text = format!("{SELDOM}\ncompare = [{{ policy = \"dunelink\"{more} }}]");
-        cases(&text).iter().map(played).map(|f| (f.lost, f.breaches, f.talked)).collect::<Vec<_>>()
+        cases(&text).iter().map(played).map(|f| (f.lost, f.violation_count, f.gossip)).collect::<Vec<_>>()
     };
     let (alone, told) = (&played("")[0], &played(", set = { \"nodes.gossip\" = true }")[0]);
     println!("alone {alone:?}, told {told:?}");
@@ -325,9 +330,9 @@
         compare = [{ policy = "dunelink" }]
     "#;
     let whole = played(&cases(text)[0]);
-    assert_eq!((whole.breaches, whole.talked.unwrap().least), (0, 7));
+    assert_eq!((whole.violation_count, whole.gossip.unwrap().least), (0, 7));
     assert!(whole.gain() > 0.95, "{}", whole.gain());
     // In the midst of it each side holds the other to be gone.
     let halves = played(&cases(&text.replace("24s", "11s"))[0]);
-    assert_eq!(halves.talked.unwrap().least, 3);
+    assert_eq!(halves.gossip.unwrap().least, 3);
 }
