--- a/crates/dunelinkd/src/lab.rs
+++ b/crates/dunelinkd/src/lab.rs
@@ -212,7 +212,7 @@
     match shrink_case(case, &play) {
         None => println!("{}: {policy} with seed {seed} breaks no rule", file.display()),
         Some((case, breach)) => {
-            println!("seed {seed}, {:.3} s: {:?}, {}", breach.at, breach.rule, breach.what);
+            println!("seed {seed}, {:.3} s: {:?}, {}", breach.at, breach.invariant, breach.cause);
             let e = &case.experiment;
             println!("span {:?}, {} nodes", e.span, e.nodes.count);
             for trouble in &e.faults {
--- a/crates/lab/src/baselines/mod.rs
+++ b/crates/lab/src/baselines/mod.rs
@@ -15,7 +15,7 @@
 use crate::Micros;
 use crate::experiment::{self, Experiment, micros};
 use crate::invariants::KEY_WINDOW;
-use crate::simulation::chance::{For, generator};
+use crate::simulation::chance::{RngPurpose, generator};
 use crate::simulation::ground_truth::GroundTruth;
 
 pub use policy::{BaselinePolicy, ServerSelector, ServerView};
@@ -112,7 +112,7 @@
     seed: u64,
     rank: u32,
 ) -> Result<Box<dyn Policy>, SettingsError> {
-    let mut rng = generator(seed, For::Policies, u64::from(rank));
+    let mut rng = generator(seed, RngPurpose::Policies, u64::from(rank));
     let settings = settings(e, rank);
     if name == "dunelink" {
         return Ok(Box::new(Balancer::new(settings, rng.next_u64())?));
--- a/crates/lab/src/invariants.rs
+++ b/crates/lab/src/invariants.rs
@@ -1,100 +1,104 @@
-//! The rules, checked from outside the module: one answer each and in time, no effect twice, nothing new to who drains,
-//! no cold server pushed over.
+//! Invariants, checked outside the decision module: each request gets one reply and in time, no effect happens twice,
+//! nothing new is sent to a draining server, and no cold server is overloaded.
 
 use serde::Serialize;
 
 use crate::Micros;
 use crate::experiment::Effect;
 
-/// Breaches that are told one by one; all are counted.
-const TOLD: usize = 20;
-/// How long after hearing that a server drains or is gone something new may still go there.
-pub(crate) const GRACE: Micros = 1_000_000;
-/// For how long a cell drops a key's repeats.
+/// The maximum number of violations that are recorded with details; all are counted.
+const MAX_RECORDED: usize = 20;
+/// How long after a node learns that a server is draining or gone new attempts may still be sent to it.
+pub(crate) const DRAIN_GRACE: Micros = 1_000_000;
+/// How long a cell deduplicates repeats of an idempotency key.
 pub(crate) const KEY_WINDOW: Micros = 10_000_000;
 
-/// A rule.
+/// A property that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Invariant {
-    /// A request had no final answer within its time.
+    /// A request got no reply before the client's deadline.
     NoAnswer,
-    /// A request had a second final answer.
+    /// A request got a second reply.
     TwoAnswers,
-    /// An unsafe request ran twice, or a keyed one where it is not known, or too late.
+    /// An unsafe request ran twice, or a keyed one ran in another cell or outside the deduplication window.
     RanTwice,
-    /// A request was answered as harmless to repeat that ran, or still may.
+    /// A request that ran, or still may run, was refused as harmless to repeat.
     RefusedAfterRunning,
-    /// Something new went to a server over 1 s after the node had heard that it drains or is gone.
+    /// An attempt was sent to a server over 1 s after the node learned that it is draining or gone.
     SentToDraining,
-    /// A cold server was sent more than it bears, by all nodes together.
+    /// A cold server was overloaded by the attempts of all nodes together.
     PushedOver,
 }
 
-/// A rule that was broken.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// TargetSelector.
-    pub rule: Invariant,
-    /// When, in seconds from the start.
+    /// The violated invariant.
+    #[serde(rename = "rule")]
+    pub invariant: Invariant,
+    /// The time in seconds from the start.
     pub at: f64,
-    /// By what.
-    pub what: String,
+    /// A description of the cause.
+    #[serde(rename = "what")]
+    pub cause: String,
 }
 
-/// What a request's runs have been so far.
+/// The executions of a request so far.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Runs {
+pub(crate) struct ExecutionHistory {
     count: u32,
-    cell: u16,
+    first_cell: u16,
     first_sent: Micros,
 }
 
-/// Keeps what was broken.
+/// Checks invariants and records violations.
 #[derive(Debug, Default)]
-pub(crate) struct Rules {
+pub(crate) struct InvariantChecks {
     pub(crate) violations: Vec<Violation>,
     pub(crate) count: u64,
 }
 
-impl Rules {
-    pub(crate) fn breach(&mut self, rule: Invariant, at: Micros, what: impl FnOnce() -> String) {
+impl InvariantChecks {
+    pub(crate) fn report(&mut self, invariant: Invariant, at: Micros, cause: impl FnOnce() -> String) {
         self.count += 1;
-        if self.violations.len() < TOLD {
-            self.violations.push(Violation { rule, at: at as f64 / 1e6, what: what() });
+        if self.violations.len() < MAX_RECORDED {
+            self.violations.push(Violation { invariant, at: at as f64 / 1e6, cause: cause() });
         }
     }
 
-    /// A request begins to be worked on at a server of this cell.
-    pub(crate) fn runs(
+    /// Records that a server of this cell starts to execute a request, and checks that this is harmless.
+    pub(crate) fn record_execution(
         &mut self,
         now: Micros,
         request: u64,
         effect: Effect,
-        runs: &mut Runs,
+        history: &mut ExecutionHistory,
         cell: u16,
         sent: Micros,
     ) {
-        if runs.count == 0 {
-            *runs = Runs { count: 1, cell, first_sent: sent };
+        if history.count == 0 {
+            *history = ExecutionHistory { count: 1, first_cell: cell, first_sent: sent };
             return;
         }
-        runs.count += 1;
+        history.count += 1;
         let harmless = match effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
-            Effect::Keyed => cell == runs.cell && now.saturating_sub(runs.first_sent) <= KEY_WINDOW,
+            Effect::Keyed => {
+                cell == history.first_cell && now.saturating_sub(history.first_sent) <= KEY_WINDOW
+            }
         };
         if !harmless {
-            self.breach(Invariant::RanTwice, now, || {
-                format!("request {request}, run {} in cell {cell}", runs.count)
+            self.report(Invariant::RanTwice, now, || {
+                format!("request {request}, run {} in cell {cell}", history.count)
             });
         }
     }
 }
 
-impl Runs {
-    pub(crate) fn any(&self) -> bool {
+impl ExecutionHistory {
+    pub(crate) fn has_run(&self) -> bool {
         self.count > 0
     }
 }
--- a/crates/lab/src/metrics.rs
+++ b/crates/lab/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted in a run.
+//! The metrics of a run.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -7,164 +7,169 @@
 use crate::invariants::Violation;
 use crate::simulation::GossipStats;
 
-/// How many moments a run's time line is told in.
-pub(crate) const MOMENTS: usize = 120;
-/// The most rows of servers in the picture of their load.
-const ROWS: usize = 60;
-const LONGEST: Micros = 600_000_000;
+/// The number of intervals in the time line of a run.
+pub(crate) const TIMELINE_POINTS: usize = 120;
+/// The maximum number of rows in the heat map of server load.
+const MAX_HEAT_ROWS: usize = 60;
+/// The maximum latency that histograms can hold.
+const MAX_LATENCY: Micros = 600_000_000;
 
-/// What came of the requests of one class or tenant.
+/// The totals of the calls of one class or tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct GroupTotals {
-    /// Its name.
+    /// The name of the class or tenant.
     pub name: String,
-    /// How many were asked for.
+    /// The number of calls.
     pub asked: u64,
-    /// How many were served.
+    /// The number of calls that were served.
     pub served: u64,
-    /// What they were worth.
+    /// The sum of the worth of all calls.
     pub worth: f64,
-    /// What was earned of it.
+    /// The sum of the worth that was earned.
     pub earned: f64,
 }
 
 impl GroupTotals {
-    /// The part of the worth that was earned.
+    /// The fraction of the worth that was earned; 1 if there was none.
     pub fn gain(&self) -> f64 {
         if self.worth > 0.0 { self.earned / self.worth } else { 1.0 }
     }
 }
 
-/// A moment of the time line.
+/// The metrics of one interval of the time line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TimelinePoint {
-    /// When it begins, in seconds.
+    /// The start in seconds.
     pub at: f64,
-    /// Requests a second that clients began to want.
+    /// Calls started per second.
     pub asked: f64,
-    /// Requests a second that were served.
+    /// Calls served per second.
     pub served: f64,
-    /// Requests a second that were refused or failed, each time.
-    pub turned: f64,
-    /// Latency of those served, in milliseconds, from the intended start: 50th and 99th percentile.
+    /// Requests refused or failed per second, retries included.
+    #[serde(rename = "turned")]
+    pub rejected: f64,
+    /// The median latency in milliseconds of the calls that started in this interval and were served, measured from the
+    /// intended start.
     pub p50: f64,
-    /// The 99th.
+    /// The 99th percentile of these latencies in milliseconds.
     pub p99: f64,
-    /// What was worth earning among what was wanted in it, and what was earned of that.
+    /// The fraction of the worth of calls started in the interval that was earned.
     pub gain: f64,
 }
 
-/// How many attempts there were, by cause.
+/// The numbers of attempts by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct AttemptCounts {
-    /// First ones.
+    /// First attempts of requests.
     pub first: u64,
-    /// After another had ended.
+    /// Retries, sent after another attempt had ended.
     pub again: u64,
-    /// Beside another.
+    /// Hedged attempts, sent while another was in flight.
     pub copies: u64,
-    /// Of all, those that were worked on to the end for nobody.
+    /// Of all attempts, those that were executed to the end although nobody waited for them any more.
     pub wasted: u64,
 }
 
-/// What came of a run.
+/// The metrics of a run. Unless noted, they cover the calls that start after `settle`.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunMetrics {
-    /// Whether it was ended before its time.
+    /// Whether the run was stopped early.
     pub cut: bool,
-    /// What clients wanted, from `settle` on; and how many of that were served, in time, at last not.
+    /// The number of calls.
     pub asked: u64,
-    /// Served.
+    /// The number of calls that were served.
     pub served: u64,
-    /// Served within the aim.
+    /// The number of calls that were served within their class's target latency.
     pub in_time: u64,
-    /// Wanted, and not served at last.
+    /// The number of calls that were not served, retries included.
     pub lost: u64,
-    /// Answers that refused, each time.
+    /// The number of refused requests, retries included.
     pub refused: u64,
-    /// Answers that something failed, each time.
+    /// The number of failed requests, retries included.
     pub failed: u64,
-    /// What all was worth, and what was earned.
+    /// The sum of the worth of all calls.
     pub worth: f64,
-    /// What was earned.
+    /// The sum of the worth that was earned.
     pub earned: f64,
-    /// Latency of what was served, in milliseconds from the intended start: 50th, 99th, 99.9th percentile, mean.
+    /// The median latency of served calls in milliseconds, measured from the intended start, as are the next three.
     pub p50: f64,
-    /// The 99th percentile.
+    /// The 99th percentile in milliseconds.
     pub p99: f64,
-    /// The 99.9th percentile.
+    /// The 99.9th percentile in milliseconds.
     pub p999: f64,
-    /// The mean.
+    /// The mean in milliseconds.
     pub mean: f64,
-    /// By class.
+    /// The totals by class.
     pub classes: Vec<GroupTotals>,
-    /// By tenant; empty without.
+    /// The totals by tenant; empty without tenants.
     pub tenants: Vec<GroupTotals>,
-    /// Jain's index of the parts of worth that tenants earned: 1 when all are alike.
+    /// Jain's fairness index of the fractions of worth that tenants earned: 1 if all are equal.
     pub fairness: f64,
-    /// The least part of its worth that a tenant of at least 50 requests earned.
+    /// The least fraction of its worth that a tenant with at least 50 calls earned.
     pub worst_tenant: f64,
-    /// AttemptCounts.
+    /// The numbers of attempts.
     pub attempts: AttemptCounts,
-    /// The part of time that servers' cores were at work: least, mean, most.
-    pub used: (f64, f64, f64),
-    /// Little's law at the servers: how many were there on average, and arrivals a second times the mean stay.
+    /// The utilization of the servers' cores: minimum, mean and maximum over servers.
+    #[serde(rename = "used")]
+    pub utilization: (f64, f64, f64),
+    /// Little's law at the servers: the mean number of attempts there, and the arrival rate times the mean sojourn time.
     pub little: (f64, f64),
-    /// What gossip came to, where nodes gossip.
+    /// The gossip statistics; `None` if nodes don't gossip.
     #[serde(rename = "talked")]
     pub gossip: Option<GossipStats>,
-    /// Events of the simulation.
+    /// The number of simulated events.
     pub events: u64,
     /// The time line.
-    pub moments: Vec<TimelinePoint>,
-    /// Rows of servers: what each had, by moments, on average.
+    #[serde(rename = "moments")]
+    pub timeline: Vec<TimelinePoint>,
+    /// The heat map: for each row of servers, the mean number of requests at a server in each interval.
     pub heat: Vec<Vec<f32>>,
-    /// Rules that were violations: the first ones, and how many.
+    /// The first violations of invariants.
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
-    /// How many.
+    /// The number of all violations.
     #[serde(rename = "breaches")]
     pub violation_count: u64,
 }
 
 impl RunMetrics {
-    /// The part of all worth that was earned: worth answered in time over worth asked for.
+    /// The fraction of the worth of all calls that was earned; 1 if there was none.
     pub fn gain(&self) -> f64 {
         if self.worth > 0.0 { self.earned / self.worth } else { 1.0 }
     }
 
-    /// AttemptCounts for each request that was wanted.
-    pub fn attempts_a_request(&self) -> f64 {
-        let all = self.attempts.first + self.attempts.again + self.attempts.copies;
-        all as f64 / self.asked.max(1) as f64
+    /// The mean number of attempts per call.
+    pub fn attempts_per_call(&self) -> f64 {
+        let total = self.attempts.first + self.attempts.again + self.attempts.copies;
+        total as f64 / self.asked.max(1) as f64
     }
 }
 
 fn histogram(digits: u8) -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, digits).expect("bounds that are known to be fine")
+    Histogram::new_with_bounds(1, MAX_LATENCY, digits).expect("the bounds are valid")
 }
 
-struct Tick {
+struct Interval {
     asked: u64,
     served: u64,
-    turned: u64,
+    rejected: u64,
     worth: f64,
     earned: f64,
     latency: Histogram<u64>,
 }
 
-/// A want that has come to its end.
-pub(crate) struct Ended {
+/// A call that is over, with its times relative to the start.
+pub(crate) struct FinishedCall {
     pub(crate) start: Micros,
     pub(crate) class: usize,
     pub(crate) tenant: Option<u32>,
     pub(crate) worth: f64,
-    /// What was earned, and after how long, if it was served.
+    /// If the call was served: the earned worth, the latency, and whether it met the target latency.
     pub(crate) served: Option<(f64, Micros, bool)>,
 }
 
-/// Counts.
-pub(crate) struct Counts {
+/// Collects the metrics of a run.
+pub(crate) struct MetricsCollector {
     settle: Micros,
     span: Micros,
     pub(crate) refused: u64,
@@ -172,25 +177,26 @@
     pub(crate) attempts: AttemptCounts,
     in_time: u64,
     latency: Histogram<u64>,
-    sum: f64,
+    latency_sum: f64,
     classes: Vec<GroupTotals>,
     tenants: Vec<GroupTotals>,
-    ticks: Vec<Tick>,
+    intervals: Vec<Interval>,
     heat: Vec<Vec<f32>>,
     servers: usize,
 }
 
-impl Counts {
+impl MetricsCollector {
     pub(crate) fn new(
         settle: Micros,
         span: Micros,
         classes: &[String],
         tenants: u32,
         servers: usize,
-    ) -> Counts {
+    ) -> MetricsCollector {
         let part = |name: String| GroupTotals { name, ..GroupTotals::default() };
-        let tick = || Tick { asked: 0, served: 0, turned: 0, worth: 0.0, earned: 0.0, latency: histogram(2) };
-        Counts {
+        let current =
+            || Interval { asked: 0, served: 0, rejected: 0, worth: 0.0, earned: 0.0, latency: histogram(2) };
+        MetricsCollector {
             settle,
             span,
             refused: 0,
@@ -198,84 +204,85 @@
             attempts: AttemptCounts::default(),
             in_time: 0,
             latency: histogram(3),
-            sum: 0.0,
+            latency_sum: 0.0,
             classes: classes.iter().cloned().map(part).collect(),
             tenants: (0..tenants).map(|number| part(format!("t{number}"))).collect(),
-            ticks: (0..MOMENTS).map(|_| tick()).collect(),
-            heat: vec![vec![0.0; MOMENTS]; servers.min(ROWS)],
+            intervals: (0..TIMELINE_POINTS).map(|_| current()).collect(),
+            heat: vec![vec![0.0; TIMELINE_POINTS]; servers.min(MAX_HEAT_ROWS)],
             servers,
         }
     }
 
     /// TargetSelector moment a time is in.
-    fn moment(&self, at: Micros) -> usize {
-        ((at as u128 * MOMENTS as u128 / u128::from(self.span.max(1))) as usize).min(MOMENTS - 1)
+    fn interval(&self, at: Micros) -> usize {
+        ((at as u128 * TIMELINE_POINTS as u128 / u128::from(self.span.max(1))) as usize)
+            .min(TIMELINE_POINTS - 1)
     }
 
-    pub(crate) fn turned(&mut self, now: Micros) {
-        let moment = self.moment(now);
-        self.ticks[moment].turned += 1;
+    pub(crate) fn record_rejection(&mut self, now: Micros) {
+        let interval = self.interval(now);
+        self.intervals[interval].rejected += 1;
     }
 
-    /// A want has come to its end.
-    pub(crate) fn ended(&mut self, want: &Ended) {
-        let earned = want.served.map_or(0.0, |(earned, _, _)| earned);
-        let moment = self.moment(want.start);
-        let tick = &mut self.ticks[moment];
-        tick.asked += 1;
-        tick.worth += want.worth;
-        tick.earned += earned;
-        if let Some((_, took, _)) = want.served {
-            let end = self.moment(want.start + took);
-            self.ticks[end].served += 1;
-            let _ = self.ticks[moment].latency.record(took.clamp(1, LONGEST));
+    /// Records a call that is over.
+    pub(crate) fn record_call(&mut self, call: &FinishedCall) {
+        let earned = call.served.map_or(0.0, |(earned, _, _)| earned);
+        let interval = self.interval(call.start);
+        let current = &mut self.intervals[interval];
+        current.asked += 1;
+        current.worth += call.worth;
+        current.earned += earned;
+        if let Some((_, latency, _)) = call.served {
+            let end = self.interval(call.start + latency);
+            self.intervals[end].served += 1;
+            let _ = self.intervals[interval].latency.record(latency.clamp(1, MAX_LATENCY));
         }
-        if want.start < self.settle {
+        if call.start < self.settle {
             return;
         }
-        let parts = self.classes.get_mut(want.class).into_iter();
-        for part in parts.chain(want.tenant.and_then(|tenant| self.tenants.get_mut(tenant as usize))) {
+        let parts = self.classes.get_mut(call.class).into_iter();
+        for part in parts.chain(call.tenant.and_then(|tenant| self.tenants.get_mut(tenant as usize))) {
             part.asked += 1;
-            part.worth += want.worth;
+            part.worth += call.worth;
             part.earned += earned;
-            part.served += u64::from(want.served.is_some());
+            part.served += u64::from(call.served.is_some());
         }
-        if let Some((_, took, in_time)) = want.served {
-            let _ = self.latency.record(took.clamp(1, LONGEST));
-            self.sum += took as f64;
+        if let Some((_, latency, in_time)) = call.served {
+            let _ = self.latency.record(latency.clamp(1, MAX_LATENCY));
+            self.latency_sum += latency as f64;
             self.in_time += u64::from(in_time);
         }
     }
 
-    /// What a server has, looked at some times in each moment; `weight` is one over how often.
-    pub(crate) fn load(&mut self, now: Micros, server: usize, count: usize, weight: f32) {
-        let (moment, rows) = (self.moment(now), self.heat.len());
+    /// Records a load sample of a server; `weight` is 1 over the number of samples per interval.
+    pub(crate) fn record_load(&mut self, now: Micros, server: usize, count: usize, weight: f32) {
+        let (interval, rows) = (self.interval(now), self.heat.len());
         let row = server * rows / self.servers;
         let in_row = self.servers as f32 / rows as f32;
-        self.heat[row][moment] += count as f32 * weight / in_row;
+        self.heat[row][interval] += count as f32 * weight / in_row;
     }
 
-    pub(crate) fn figures(self, rest: Rest) -> RunMetrics {
+    pub(crate) fn finish(self, totals: RunTotals) -> RunMetrics {
         let sum = |of: fn(&GroupTotals) -> f64| self.classes.iter().map(of).sum::<f64>();
         let (asked, served) = (sum(|part| part.asked as f64) as u64, sum(|part| part.served as f64) as u64);
         let gains: Vec<f64> =
             self.tenants.iter().filter(|part| part.asked >= 50).map(GroupTotals::gain).collect();
         let squares: f64 = gains.iter().map(|gain| gain * gain).sum();
-        let all: f64 = gains.iter().sum();
-        let fairness = if squares > 0.0 { all * all / (gains.len() as f64 * squares) } else { 1.0 };
+        let total: f64 = gains.iter().sum();
+        let fairness = if squares > 0.0 { total * total / (gains.len() as f64 * squares) } else { 1.0 };
         let ms = |percent: f64| self.latency.value_at_percentile(percent) as f64 / 1e3;
-        let width = self.span as f64 / 1e6 / MOMENTS as f64;
-        let told = |(at, tick): (usize, &Tick)| TimelinePoint {
+        let width = self.span as f64 / 1e6 / TIMELINE_POINTS as f64;
+        let point = |(at, current): (usize, &Interval)| TimelinePoint {
             at: at as f64 * width,
-            asked: tick.asked as f64 / width,
-            served: tick.served as f64 / width,
-            turned: tick.turned as f64 / width,
-            p50: tick.latency.value_at_percentile(50.0) as f64 / 1e3,
-            p99: tick.latency.value_at_percentile(99.0) as f64 / 1e3,
-            gain: if tick.worth > 0.0 { tick.earned / tick.worth } else { 1.0 },
+            asked: current.asked as f64 / width,
+            served: current.served as f64 / width,
+            rejected: current.rejected as f64 / width,
+            p50: current.latency.value_at_percentile(50.0) as f64 / 1e3,
+            p99: current.latency.value_at_percentile(99.0) as f64 / 1e3,
+            gain: if current.worth > 0.0 { current.earned / current.worth } else { 1.0 },
         };
         RunMetrics {
-            cut: rest.cut,
+            cut: totals.cut,
             asked,
             served,
             in_time: self.in_time,
@@ -287,28 +294,28 @@
             p50: ms(50.0),
             p99: ms(99.0),
             p999: ms(99.9),
-            mean: self.sum / 1e3 / served.max(1) as f64,
+            mean: self.latency_sum / 1e3 / served.max(1) as f64,
             fairness,
             worst_tenant: gains.iter().copied().fold(1.0, f64::min),
             attempts: self.attempts,
-            used: rest.used,
-            little: rest.little,
-            gossip: rest.gossip,
-            events: rest.events,
-            moments: self.ticks.iter().enumerate().map(told).collect(),
+            utilization: totals.utilization,
+            little: totals.little,
+            gossip: totals.gossip,
+            events: totals.events,
+            timeline: self.intervals.iter().enumerate().map(point).collect(),
             classes: self.classes,
             tenants: self.tenants,
             heat: self.heat,
-            violations: rest.violations,
-            violation_count: rest.violation_count,
+            violations: totals.violations,
+            violation_count: totals.violation_count,
         }
     }
 }
 
-/// What the world knows at its end.
-pub(crate) struct Rest {
+/// The metrics that the simulation itself keeps.
+pub(crate) struct RunTotals {
     pub(crate) cut: bool,
-    pub(crate) used: (f64, f64, f64),
+    pub(crate) utilization: (f64, f64, f64),
     pub(crate) little: (f64, f64),
     pub(crate) gossip: Option<GossipStats>,
     pub(crate) events: u64,
--- a/crates/lab/src/report/html.rs
+++ b/crates/lab/src/report/html.rs
@@ -33,12 +33,12 @@
         mean(|f| f.p999),
         mean(|f| f.worst_tenant),
         mean(|f| f.fairness),
-        mean(RunMetrics::attempts_a_request),
+        mean(RunMetrics::attempts_per_call),
         group.sum(|f| f.attempts.wasted),
         group.sum(|f| f.refused),
         group.sum(|f| f.failed),
-        mean(|f| f.used.1),
-        mean(|f| f.used.2),
+        mean(|f| f.utilization.1),
+        mean(|f| f.utilization.2),
         if violation_count > 0 { " class=bad" } else { "" },
     );
     for (seed, error) in &group.failed {
@@ -111,8 +111,14 @@
     }
     if !figures.violations.is_empty() {
         *text += "<ul class=bad>";
-        for breach in &figures.violations {
-            let _ = write!(text, "<li>{:.3} s: {:?}, {}</li>", breach.at, breach.rule, escape(&breach.what));
+        for violation in &figures.violations {
+            let _ = write!(
+                text,
+                "<li>{:.3} s: {:?}, {}</li>",
+                violation.at,
+                violation.invariant,
+                escape(&violation.cause)
+            );
         }
         *text += "</ul>";
     }
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -83,10 +83,10 @@
                     f.fairness,
                 ];
                 let last = [
-                    f.attempts_a_request(),
+                    f.attempts_per_call(),
                     f.attempts.wasted as f64,
-                    f.used.1,
-                    f.used.2,
+                    f.utilization.1,
+                    f.utilization.2,
                     f.violation_count as f64,
                     f.events as f64,
                 ];
@@ -171,7 +171,7 @@
             mean(|f| f.p99),
             mean(|f| f.p999),
             mean(|f| f.worst_tenant),
-            mean(RunMetrics::attempts_a_request),
+            mean(RunMetrics::attempts_per_call),
             group.sum(|f| f.refused),
             group.sum(|f| f.failed),
             group.sum(|f| f.violation_count),
--- a/crates/lab/src/report/plots.rs
+++ b/crates/lab/src/report/plots.rs
@@ -71,7 +71,7 @@
 /// Lines over time, with troubles marked; `powers` if values are the logarithms of what is told.
 fn lines(title: &str, case: &Case, figures: &RunMetrics, unit: &str, powers: bool, lines: &[Line]) -> String {
     let value = |y: &f64| if powers { format!("{:.0}", 10f64.powf(*y)) } else { format!("{y:.0}") };
-    let moments = &figures.moments;
+    let moments = &figures.timeline;
     let top =
         lines.iter().flat_map(|(_, _, of)| moments.iter().map(of)).fold(0.0_f64, f64::max).max(1e-3) * 1.1;
     let end = case.experiment.span.as_secs_f64();
@@ -108,7 +108,7 @@
     let all: [Line; 3] = [
         ("asked", GREY, |m| m.asked),
         ("served", BLUE, |m| m.served),
-        ("refused or failed", RED, |m| m.turned),
+        ("refused or failed", RED, |m| m.rejected),
     ];
     lines("requests a second", case, figures, "1/s", false, &all)
 }
--- a/crates/lab/src/simulation/ground_truth.rs
+++ b/crates/lab/src/simulation/ground_truth.rs
@@ -1,4 +1,4 @@
-//! What is so at the servers: for policies that ask them, or that could not exist.
+//! The real state of the servers, for policies that probe them, and for the oracle, which could not exist in reality.
 
 use std::collections::HashMap;
 
@@ -7,27 +7,29 @@
 use super::server::SimulatedServer;
 use crate::Micros;
 
-/// The servers as they are now.
+/// The real state of the servers now.
 pub struct GroundTruth<'a> {
     pub(crate) now: Micros,
-    pub(crate) stations: &'a [SimulatedServer],
-    pub(crate) numbers: &'a HashMap<ServerId, usize>,
-    /// How much work a request is on average.
-    pub(crate) work: f64,
+    pub(crate) servers: &'a [SimulatedServer],
+    pub(crate) indices: &'a HashMap<ServerId, usize>,
+    /// The mean work of a request, in microseconds at a server of speed 1.
+    pub(crate) mean_work: f64,
 }
 
 impl GroundTruth<'_> {
-    /// For how long a request of this work would be at a server, in microseconds.
+    /// The expected time that a request of this work would spend at a server, queueing included, in microseconds; infinite
+    /// if the server is not there.
     pub fn expected_sojourn(&self, server: ServerId, work: f64) -> f64 {
-        let station = self.numbers.get(&server).and_then(|number| self.stations.get(*number));
-        station.map_or(f64::INFINITY, |station| station.expected_sojourn(self.now, work))
+        let server_model = self.indices.get(&server).and_then(|index| self.servers.get(*index));
+        server_model.map_or(f64::INFINITY, |model| model.expected_sojourn(self.now, work))
     }
 
-    /// What a server says to a probe: how many requests it has, and how long one takes; nothing if it says nothing.
+    /// A server's answer to a probe: the number of requests at it, and the expected latency of one more in microseconds;
+    /// `None` if it does not answer.
     pub fn probe(&self, server: ServerId) -> Option<(f64, f64)> {
-        let station = self.stations.get(*self.numbers.get(&server)?)?;
-        let latency = station.expected_sojourn(self.now, self.work);
-        let answers = station.speed(self.now) > 0.0 && latency.is_finite();
-        answers.then(|| (station.count() as f64, latency))
+        let server_model = self.servers.get(*self.indices.get(&server)?)?;
+        let latency = server_model.expected_sojourn(self.now, self.mean_work);
+        let answers = server_model.speed(self.now) > 0.0 && latency.is_finite();
+        answers.then(|| (server_model.count() as f64, latency))
     }
 }
--- a/crates/lab/src/simulation/list.rs
+++ b/crates/lab/src/simulation/list.rs
@@ -1,21 +1,22 @@
-//! How nodes hear of servers: each change by itself, after a while or never, and the whole list now and then.
+//! Service discovery: each change of a server reaches each node after a delay or never, and every node gets the full
+//! list from time to time.
 
 use cherryusher::{Event, ServerEntry, ServerState};
 use rand::Rng;
 
 use super::World;
 use super::chance::exponential;
-use super::events::Due;
+use super::events::ScheduledEvent;
 use crate::baselines::server_id;
 use crate::experiment::micros;
 
-/// How much later laggards hear.
-const LAG: f64 = 10.0;
+/// The factor by which updates to laggards are delayed.
+const LAGGARD_FACTOR: f64 = 10.0;
 
 impl World<'_> {
-    /// What the list says of a server.
-    fn entry(&self, number: usize) -> ServerEntry {
-        let (s, station) = (&self.e.servers, &self.stations[number]);
+    /// The list's entry for a server.
+    fn server_entry(&self, number: usize) -> ServerEntry {
+        let (s, station) = (&self.experiment.servers, &self.servers[number]);
         ServerEntry {
             id: server_id(number),
             state: station.state,
@@ -27,53 +28,54 @@
         }
     }
 
-    /// Something has changed at a server: the list tells each node.
-    pub(super) fn tell_of(&mut self, server: usize) {
-        let (entry, version) = (self.entry(server), self.stations[server].version);
-        let list = &self.e.list;
+    /// Sends the new state of a server to all nodes.
+    pub(super) fn publish_server(&mut self, server: usize) {
+        let (entry, version) = (self.server_entry(server), self.servers[server].version);
+        let list = &self.experiment.list;
         let laggards = (list.laggards * self.nodes.len() as f64).round() as usize;
         for node in 0..self.nodes.len() {
-            let lag = if node < laggards { LAG } else { 1.0 };
-            let wait = exponential(&mut self.list, micros(list.delay) as f64 * lag) as u64;
-            if self.list.random::<f64>() >= list.loss {
-                self.agenda.put(self.now + wait, Due::Hears(node, server, entry, version));
+            let lag = if node < laggards { LAGGARD_FACTOR } else { 1.0 };
+            let wait = exponential(&mut self.list_rng, micros(list.delay) as f64 * lag) as u64;
+            if self.list_rng.random::<f64>() >= list.loss {
+                self.queue.push(self.now + wait, ScheduledEvent::ServerUpdate(node, server, entry, version));
             }
         }
     }
 
-    /// What a node knows of a server from now on; whether that is new.
-    fn learns(&mut self, node: usize, server: usize, state: ServerState, version: u32) -> bool {
+    /// Records the state of a server that a node has received; returns whether it is not older than what it had.
+    fn record_server_state(&mut self, node: usize, server: usize, state: ServerState, version: u32) -> bool {
         let (now, at) = (self.now, &mut self.nodes[node]);
         if version < at.versions[server] {
             return false;
         }
         at.versions[server] = version;
-        at.away[server] = match state {
+        at.unavailable_since[server] = match state {
             ServerState::Ready => None,
-            _ => at.away[server].or(Some(now)),
+            _ => at.unavailable_since[server].or(Some(now)),
         };
         true
     }
 
-    pub(super) fn hears(&mut self, node: usize, server: usize, entry: ServerEntry, version: u32) {
-        if self.nodes[node].silent == 0 && self.learns(node, server, entry.state, version) {
-            self.tell(node, Event::ServerChanges(vec![entry]));
+    pub(super) fn server_update(&mut self, node: usize, server: usize, entry: ServerEntry, version: u32) {
+        if self.nodes[node].silence_count == 0 && self.record_server_state(node, server, entry.state, version)
+        {
+            self.notify_node(node, Event::ServerChanges(vec![entry]));
         }
     }
 
-    pub(super) fn hears_all(&mut self, node: usize) {
-        if self.nodes[node].silent == 0 {
-            for server in 0..self.stations.len() {
-                let (state, version) = (self.stations[server].state, self.stations[server].version);
-                self.learns(node, server, state, version);
+    pub(super) fn full_server_list(&mut self, node: usize) {
+        if self.nodes[node].silence_count == 0 {
+            for server in 0..self.servers.len() {
+                let (state, version) = (self.servers[server].state, self.servers[server].version);
+                self.record_server_state(node, server, state, version);
             }
-            let present = (0..self.stations.len()).filter(|n| self.stations[*n].state != ServerState::Gone);
-            let list = present.map(|number| self.entry(number)).collect();
-            self.tell(node, Event::ServerList(list));
+            let present = (0..self.servers.len()).filter(|n| self.servers[*n].state != ServerState::Gone);
+            let list = present.map(|number| self.server_entry(number)).collect();
+            self.notify_node(node, Event::ServerList(list));
         }
-        // Nodes are not told all at once.
-        let every = micros(self.e.list.whole_every);
-        let wait = every / 2 + self.list.random_range(0..=every);
-        self.agenda.put(self.now + wait, Due::HearsAll(node));
+        // The full lists are spread in time, so that not all nodes get theirs at once.
+        let every = micros(self.experiment.list.whole_every);
+        let wait = every / 2 + self.list_rng.random_range(0..=every);
+        self.queue.push(self.now + wait, ScheduledEvent::FullServerList(node));
     }
 }
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The world: clients, nodes, servers, the list and the network, in simulated time.
+//! The simulation of clients, nodes, servers, service discovery and the network, in simulated time.
 
 pub(crate) mod chance;
 mod clients;
@@ -19,81 +19,84 @@
 use crate::Micros;
 use crate::baselines::{self, Policy};
 use crate::experiment::{Case, Experiment, FaultKind, micros};
-use crate::invariants::Rules;
-use crate::metrics::{Counts, MOMENTS, Rest, RunMetrics};
-use chance::{For, exponential, generator};
-use clients::{Clients, Want};
-use events::{Agenda, Due};
+use crate::invariants::InvariantChecks;
+use crate::metrics::{MetricsCollector, RunMetrics, RunTotals, TIMELINE_POINTS};
+use chance::{RngPurpose, exponential, generator};
+use clients::{Call, Clients};
+use events::{EventQueue, ScheduledEvent};
 use nodes::{Attempt, Node, Request};
 pub use server::{Admission, ServerParameters, SimulatedServer};
 pub use talk::GossipStats;
 
-/// Simulated time begins here, far from 0: "long ago" is before it.
-pub(crate) const BEGIN: Micros = 1_000_000_000;
-/// How often the speeds of cold servers are set anew.
-const WARM_STEP: Micros = 200_000;
-/// How long after the last want what servers still work on for nobody is brought to its end.
-const LINGER: Micros = 60_000_000;
-/// How often servers are looked at in each moment of the time line.
-const LOOKS: Micros = 4;
+/// The start of simulated time. It is far from 0, so that there are times long before it.
+pub(crate) const START_TIME: Micros = 1_000_000_000;
+/// The interval at which the speeds of warming servers are updated.
+const WARM_UP_STEP: Micros = 200_000;
+/// The maximum time after the end of arrivals for servers to finish attempts that nobody waits for.
+const DRAIN_TIME: Micros = 60_000_000;
+/// The number of load samples in each interval of the time line.
+const SAMPLES_PER_POINT: Micros = 4;
 
-/// The world, at a time.
+/// The state of the simulation.
 pub(crate) struct World<'a> {
-    e: &'a Experiment,
+    experiment: &'a Experiment,
     now: Micros,
-    agenda: Agenda,
+    queue: EventQueue,
     clients: Clients<'a>,
-    wants: HashMap<u64, Want>,
+    calls: HashMap<u64, Call>,
     requests: HashMap<u64, Request>,
     attempts: HashMap<u64, Attempt>,
-    /// The last number that was given to any of these.
-    number: u64,
+    /// The last id that was given to a call, a request or an attempt.
+    last_id: u64,
     nodes: Vec<Node>,
-    /// Gossip of each node, or none at all.
-    talks: Vec<talk::Talk>,
-    stations: Vec<SimulatedServer>,
+    /// The gossip of each node; empty if the experiment has none.
+    gossip_nodes: Vec<talk::GossipNode>,
+    servers: Vec<SimulatedServer>,
     ids: HashMap<ServerId, usize>,
-    faults: Vec<troubles::Met>,
-    /// The multiple of requests by bursts.
+    fault_targets: Vec<troubles::FaultTargets>,
+    /// The current factor of the arrival rate, by burst faults.
     burst: f64,
-    network: Pcg64,
-    list: Pcg64,
-    habits: Pcg64,
-    rules: Rules,
-    counts: Counts,
+    network_rng: Pcg64,
+    list_rng: Pcg64,
+    client_rng: Pcg64,
+    invariants: InvariantChecks,
+    metrics: MetricsCollector,
     events: u64,
-    ends: Micros,
-    /// The sum of how long attempts were at servers.
-    stays: f64,
-    /// What nodes have not been told yet.
-    untold: VecDeque<(usize, cherryusher::Event)>,
-    telling: bool,
+    arrivals_end: Micros,
+    /// The sum of the times that attempts spent at servers, in microseconds.
+    total_sojourn: f64,
+    /// Events that are still to be delivered to nodes.
+    pending_events: VecDeque<(usize, cherryusher::Event)>,
+    delivering: bool,
 }
 
-/// Plays a case. `progress` hears how much of it is over, and says whether it goes on. An error tells what the policy
-/// does not take.
+/// Runs a case. `progress` is called with the completed fraction, and returns whether to continue.
+///
+/// # Errors
+///
+/// Fails if the policy rejects the settings.
 pub fn run(case: &Case, progress: &mut dyn FnMut(f64) -> bool) -> Result<RunMetrics, SettingsError> {
     let make = |rank| baselines::create_policy(&case.policy, &case.experiment, case.seed, rank);
     make(0)?;
     Ok(run_with_policies(case, progress, &|rank| make(rank).ok()))
 }
 
-/// The same with policies that the caller makes for each node; a node without one answers nobody.
+/// Runs a case with the policies that `make` creates for each node's rank; a node without one answers nothing.
 pub fn run_with_policies(
     case: &Case,
     progress: &mut dyn FnMut(f64) -> bool,
     make: &dyn Fn(u32) -> Option<Box<dyn Policy>>,
 ) -> RunMetrics {
     let mut world = World::new(case, make);
-    world.begin();
-    let cut = !world.play(progress);
-    world.figures(cut)
+    world.start();
+    let cut = !world.run_until_end(progress);
+    world.into_metrics(cut)
 }
 
 impl<'a> World<'a> {
     fn new(case: &'a Case, make: &dyn Fn(u32) -> Option<Box<dyn Policy>>) -> World<'a> {
-        let (e, seed) = (&case.experiment, case.seed);
-        let s = &e.servers;
+        let (experiment, seed) = (&case.experiment, case.seed);
+        let s = &experiment.servers;
         let station = |number: usize| {
             SimulatedServer::new(ServerParameters {
                 cores: s.cores,
@@ -106,209 +109,219 @@
             })
         };
         let count = s.count as usize;
-        let classes: Vec<String> = e.classes.iter().map(|class| class.name.clone()).collect();
-        let ends = BEGIN + micros(e.span);
+        let classes: Vec<String> = experiment.classes.iter().map(|class| class.name.clone()).collect();
+        let arrivals_end = START_TIME + micros(experiment.span);
         World {
-            e,
-            now: BEGIN,
-            agenda: Agenda::default(),
-            clients: Clients::new(e, seed),
-            wants: HashMap::new(),
+            experiment,
+            now: START_TIME,
+            queue: EventQueue::default(),
+            clients: Clients::new(experiment, seed),
+            calls: HashMap::new(),
             requests: HashMap::new(),
             attempts: HashMap::new(),
-            number: 0,
-            nodes: (0..e.nodes.count).map(|rank| Node::new(make(rank), count)).collect(),
-            talks: talk::talks(e, seed),
-            stations: (0..count).map(station).collect(),
+            last_id: 0,
+            nodes: (0..experiment.nodes.count).map(|rank| Node::new(make(rank), count)).collect(),
+            gossip_nodes: talk::gossip_nodes(experiment, seed),
+            servers: (0..count).map(station).collect(),
             ids: (0..count).map(|number| (baselines::server_id(number), number)).collect(),
-            faults: troubles::met(e, seed),
+            fault_targets: troubles::fault_targets(experiment, seed),
             burst: 1.0,
-            network: generator(seed, For::Network, 0),
-            list: generator(seed, For::List, 0),
-            habits: generator(seed, For::Clients, 0),
-            rules: Rules::default(),
-            counts: Counts::new(micros(e.settle), micros(e.span), &classes, e.tenants.count, count),
+            network_rng: generator(seed, RngPurpose::Network, 0),
+            list_rng: generator(seed, RngPurpose::List, 0),
+            client_rng: generator(seed, RngPurpose::Clients, 0),
+            invariants: InvariantChecks::default(),
+            metrics: MetricsCollector::new(
+                micros(experiment.settle),
+                micros(experiment.span),
+                &classes,
+                experiment.tenants.count,
+                count,
+            ),
             events: 0,
-            ends,
-            stays: 0.0,
-            untold: VecDeque::new(),
-            telling: false,
+            arrivals_end,
+            total_sojourn: 0.0,
+            pending_events: VecDeque::new(),
+            delivering: false,
         }
     }
 
-    fn begin(&mut self) {
-        self.stations.iter_mut().for_each(|station| station.turned(BEGIN));
+    fn start(&mut self) {
+        self.servers.iter_mut().for_each(|station| station.update_speed(START_TIME));
         for node in 0..self.nodes.len() {
-            self.hears_all(node);
+            self.full_server_list(node);
         }
-        for (number, trouble) in self.e.faults.iter().enumerate() {
-            let at = BEGIN + micros(trouble.at);
-            self.agenda.put(at, Due::Trouble(number, true));
-            self.agenda.put(at + micros(trouble.duration), Due::Trouble(number, false));
+        for (number, trouble) in self.experiment.faults.iter().enumerate() {
+            let at = START_TIME + micros(trouble.at);
+            self.queue.push(at, ScheduledEvent::FaultChange(number, true));
+            self.queue.push(at + micros(trouble.duration), ScheduledEvent::FaultChange(number, false));
         }
-        match self.e.clients.loops {
-            0 => self.next_want(),
+        match self.experiment.clients.loops {
+            0 => self.schedule_arrival(),
             loops => (0..loops).for_each(|client| {
-                let thinks = self.clients.thinks();
-                self.agenda.put(BEGIN + thinks, Due::Thought(client));
+                let think_time = self.clients.think_time();
+                self.queue.push(START_TIME + think_time, ScheduledEvent::ThinkTimeOver(client));
             }),
         }
-        self.begin_talk();
-        self.agenda.put(BEGIN, Due::Look);
-        self.agenda.put(BEGIN, Due::Warms);
+        self.start_gossip();
+        self.queue.push(START_TIME, ScheduledEvent::SampleLoad);
+        self.queue.push(START_TIME, ScheduledEvent::WarmUpStep);
     }
 
-    /// Plays to the end; whether nobody stopped it.
-    fn play(&mut self, progress: &mut dyn FnMut(f64) -> bool) -> bool {
-        let span = (self.ends - BEGIN) as f64;
-        while let Some((at, due)) = self.agenda.next() {
-            // After the last want only what is still open is brought to its end.
-            let over = self.attempts.is_empty() || at > self.ends + LINGER;
-            if at > self.ends && self.wants.is_empty() && over {
+    /// Runs to the end; returns false if `progress` stopped it.
+    fn run_until_end(&mut self, progress: &mut dyn FnMut(f64) -> bool) -> bool {
+        let span = (self.arrivals_end - START_TIME) as f64;
+        while let Some((at, due)) = self.queue.pop() {
+            // After the end of arrivals, only pending calls and attempts are completed.
+            let over = self.attempts.is_empty() || at > self.arrivals_end + DRAIN_TIME;
+            if at > self.arrivals_end && self.calls.is_empty() && over {
                 break;
             }
             self.now = at;
             self.events += 1;
-            if self.events.is_multiple_of(65_536) && !progress(((at - BEGIN) as f64 / span).min(1.0)) {
+            if self.events.is_multiple_of(65_536) && !progress(((at - START_TIME) as f64 / span).min(1.0)) {
                 return false;
             }
-            self.happens(due);
+            self.dispatch(due);
         }
         true
     }
 
-    fn happens(&mut self, due: Due) {
+    fn dispatch(&mut self, due: ScheduledEvent) {
         match due {
-            Due::Want => self.wanted(),
-            Due::Idle => self.next_want(),
-            Due::Thought(client) => {
-                if self.now < self.ends {
-                    let want = self.clients.want(self.now, Some(client));
-                    self.ask_for(want);
+            ScheduledEvent::OpenLoopArrival => self.open_loop_arrival(),
+            ScheduledEvent::ArrivalRateCheck => self.schedule_arrival(),
+            ScheduledEvent::ThinkTimeOver(client) => {
+                if self.now < self.arrivals_end {
+                    let call = self.clients.draw_call(self.now, Some(client));
+                    self.start_call(call);
                 }
             }
-            Due::Ask(want) => self.ask(want),
-            Due::AtNode(request) => self.at_node(request),
-            Due::Expires(request) => self.expires(request),
-            Due::Leaves(request) => self.leaves(request),
-            Due::AtServer(attempt) => self.at_server(attempt),
-            Due::Done(server, serial) => self.done(server, serial),
-            Due::Ends(attempt, outcome) => self.ends(attempt, outcome),
-            Due::Withdraw(attempt) => self.withdraw(attempt),
-            Due::Answer(request, reply) => self.answered(request, reply),
-            Due::Woken(node, token, serial) => self.woken(node, token, serial),
-            Due::Hears(node, server, entry, version) => self.hears(node, server, entry, version),
-            Due::HearsAll(node) => self.hears_all(node),
-            Due::Trouble(number, begins) => self.trouble(number, begins),
-            Due::Gone(server, version) => {
-                if self.stations[server].version == version {
-                    self.fall(server, false);
+            ScheduledEvent::SendRequest(call) => self.send_request(call),
+            ScheduledEvent::RequestAtNode(request) => self.request_at_node(request),
+            ScheduledEvent::NodeDeadline(request) => self.node_deadline(request),
+            ScheduledEvent::ClientDeadline(request) => self.client_deadline(request),
+            ScheduledEvent::AttemptAtServer(attempt) => self.attempt_at_server(attempt),
+            ScheduledEvent::ServerCompletion(server, serial) => self.server_completion(server, serial),
+            ScheduledEvent::AttemptOutcome(attempt, outcome) => self.attempt_outcome(attempt, outcome),
+            ScheduledEvent::CancelAtServer(attempt) => self.cancel_at_server(attempt),
+            ScheduledEvent::ReplyAtClient(request, reply) => self.reply_at_client(request, reply),
+            ScheduledEvent::NodeTimer(node, token, serial) => self.node_timer(node, token, serial),
+            ScheduledEvent::ServerUpdate(node, server, entry, version) => {
+                self.server_update(node, server, entry, version)
+            }
+            ScheduledEvent::FullServerList(node) => self.full_server_list(node),
+            ScheduledEvent::FaultChange(number, begins) => self.change_fault(number, begins),
+            ScheduledEvent::DrainEnd(server, version) => {
+                if self.servers[server].version == version {
+                    self.stop_server(server, false);
                 }
             }
-            Due::Starts(server) => self.starts(server),
-            Due::Warms => self.warms(),
-            Due::Look => self.look(),
-            Due::Sees(node) => self.sees(node),
-            Due::Looks(node) => self.looks(node),
-            Due::Packet(node, from, bytes) => self.packet(node, from, &bytes),
+            ScheduledEvent::ServerStart(server) => self.start_server(server),
+            ScheduledEvent::WarmUpStep => self.warm_up_step(),
+            ScheduledEvent::SampleLoad => self.sample_load(),
+            ScheduledEvent::ShareObservations(node) => self.share_observations(node),
+            ScheduledEvent::GossipTick(node) => self.gossip_tick(node),
+            ScheduledEvent::GossipPacket(node, from, bytes) => self.gossip_packet(node, from, &bytes),
         }
     }
 
-    /// One way through the network.
-    fn way(&mut self) -> Micros {
-        let network = &self.e.network;
-        let jitter = exponential(&mut self.network, micros(network.jitter) as f64);
+    /// Draws the one-way delay of the network.
+    fn network_delay(&mut self) -> Micros {
+        let network = &self.experiment.network;
+        let jitter = exponential(&mut self.network_rng, micros(network.jitter) as f64);
         micros(network.delay) + jitter as Micros
     }
 
-    fn next_number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    fn warms(&mut self) {
+    fn warm_up_step(&mut self) {
         let now = self.now;
-        for server in 0..self.stations.len() {
-            if self.stations[server].ramp(now) < 1.0 {
-                self.stations[server].turned(now);
-                self.reckon(server);
+        for server in 0..self.servers.len() {
+            if self.servers[server].ramp(now) < 1.0 {
+                self.servers[server].update_speed(now);
+                self.schedule_completion(server);
             }
         }
-        self.agenda.put(now + WARM_STEP, Due::Warms);
+        self.queue.push(now + WARM_UP_STEP, ScheduledEvent::WarmUpStep);
     }
 
-    fn look(&mut self) {
-        let at = self.now - BEGIN;
-        if self.now < self.ends {
-            for (number, station) in self.stations.iter().enumerate() {
-                self.counts.load(at, number, station.count(), 1.0 / LOOKS as f32);
+    fn sample_load(&mut self) {
+        let at = self.now - START_TIME;
+        if self.now < self.arrivals_end {
+            for (number, station) in self.servers.iter().enumerate() {
+                self.metrics.record_load(at, number, station.count(), 1.0 / SAMPLES_PER_POINT as f32);
             }
-            let step = (self.ends - BEGIN) / (MOMENTS as Micros * LOOKS);
-            self.agenda.put(self.now + step.max(1), Due::Look);
+            let step = (self.arrivals_end - START_TIME) / (TIMELINE_POINTS as Micros * SAMPLES_PER_POINT);
+            self.queue.push(self.now + step.max(1), ScheduledEvent::SampleLoad);
         }
     }
 
-    /// Sees to it that the next end at a server is looked at.
-    fn reckon(&mut self, server: usize) {
-        let station = &self.stations[server];
+    /// Schedules the next completion at a server.
+    fn schedule_completion(&mut self, server: usize) {
+        let station = &self.servers[server];
         if let Some(at) = station.next() {
-            self.agenda.put(at.max(self.now), Due::Done(server, station.serial));
+            self.queue.push(at.max(self.now), ScheduledEvent::ServerCompletion(server, station.serial));
         }
     }
 
-    /// A server falls, or is gone after draining; what it had is broken off.
-    fn fall(&mut self, server: usize, pushed: bool) {
-        let lost = self.stations[server].fall(self.now);
+    /// Stops a server: it crashes, or has drained. Its attempts are reset. If it was overloaded, it restarts by itself.
+    fn stop_server(&mut self, server: usize, overloaded: bool) {
+        let lost = self.servers[server].stop(self.now);
         for attempt in lost {
-            self.off_server(attempt);
-            let way = self.way();
-            self.agenda.put(self.now + way, Due::Ends(attempt, cherryusher::Outcome::Reset));
+            self.leave_server(attempt);
+            let way = self.network_delay();
+            self.queue
+                .push(self.now + way, ScheduledEvent::AttemptOutcome(attempt, cherryusher::Outcome::Reset));
         }
-        self.tell_of(server);
-        if pushed {
-            let down = micros(self.e.servers.down);
-            self.agenda.put(self.now + down, Due::Starts(server));
+        self.publish_server(server);
+        if overloaded {
+            let down = micros(self.experiment.servers.down);
+            self.queue.push(self.now + down, ScheduledEvent::ServerStart(server));
         }
     }
 
-    fn starts(&mut self, server: usize) {
-        if self.stations[server].state == ServerState::Ready {
+    fn start_server(&mut self, server: usize) {
+        if self.servers[server].state == ServerState::Ready {
             return;
         }
-        // One that drains is replaced: what it still had is lost.
-        if self.stations[server].state == ServerState::Draining {
-            self.fall(server, false);
+        // A draining server is replaced, and its remaining attempts are lost.
+        if self.servers[server].state == ServerState::Draining {
+            self.stop_server(server, false);
         }
-        self.stations[server].start(self.now);
-        self.tell_of(server);
+        self.servers[server].start(self.now);
+        self.publish_server(server);
     }
 
-    fn figures(mut self, cut: bool) -> RunMetrics {
-        let (now, span) = (self.now, (self.now - BEGIN).max(1) as f64);
-        self.stations.iter_mut().for_each(|station| station.turned(now));
-        let used: Vec<f64> = self.stations.iter().map(|s| s.busy / span / f64::from(s.cores())).collect();
+    fn into_metrics(mut self, cut: bool) -> RunMetrics {
+        let (now, span) = (self.now, (self.now - START_TIME).max(1) as f64);
+        self.servers.iter_mut().for_each(|station| station.update_speed(now));
+        let used: Vec<f64> =
+            self.servers.iter().map(|s| s.busy_integral / span / f64::from(s.cores())).collect();
         let mean = used.iter().sum::<f64>() / used.len().max(1) as f64;
         let (least, most) = used.iter().fold((f64::MAX, 0.0_f64), |(l, m), x| (l.min(*x), m.max(*x)));
-        let here = self.stations.iter().map(|station| station.here).sum::<f64>() / span;
-        // Arrivals a second times the mean stay is the sum of stays over the span.
-        let little = (here, self.stays / span);
-        let talked = self.talked();
-        self.counts.figures(Rest {
+        let mean_count = self.servers.iter().map(|station| station.count_integral).sum::<f64>() / span;
+        // The arrival rate times the mean sojourn time is the sum of sojourn times over the span.
+        let little = (mean_count, self.total_sojourn / span);
+        let talked = self.gossip_stats();
+        self.metrics.finish(RunTotals {
             cut,
             gossip: talked,
-            used: (least, mean, most),
+            utilization: (least, mean, most),
             little,
             events: self.events,
-            violations: self.rules.violations,
-            violation_count: self.rules.count,
+            violations: self.invariants.violations,
+            violation_count: self.invariants.count,
         })
     }
 
-    /// Whether a node can't reach servers now.
-    fn parted(&self, node: usize, server: usize) -> bool {
-        self.faults.iter().any(|met| {
-            met.on
-                && self.e.faults[met.number].kind == FaultKind::Partition
+    /// Whether a partition currently separates a node from a server.
+    fn is_partitioned(&self, node: usize, server: usize) -> bool {
+        self.fault_targets.iter().any(|met| {
+            met.active
+                && self.experiment.faults[met.number].kind == FaultKind::Partition
                 && met.nodes[node]
                 && met.servers[server]
         })
--- a/crates/lab/src/simulation/nodes.rs
+++ b/crates/lab/src/simulation/nodes.rs
@@ -1,280 +1,292 @@
-//! Nodes: what they are told, and what they do about it.
+//! Nodes: delivers events to their policies and carries out the actions.
 
 use cherryusher::{Action, AttemptNo, Event, Outcome, ServerId, ServerObservation};
 use rand::Rng;
 
-use super::events::{Due, Reply};
+use super::events::{Reply, ScheduledEvent};
 use super::ground_truth::GroundTruth;
-use super::{Admission, BEGIN, World};
+use super::{Admission, START_TIME, World};
 use crate::Micros;
 use crate::baselines::Policy;
 use crate::experiment::{Effect, micros};
-use crate::invariants::{GRACE, Invariant, Runs};
+use crate::invariants::{DRAIN_GRACE, ExecutionHistory, Invariant};
 
-/// A node gives up this long before its client does.
-const BEFORE: Micros = 1_000;
+/// A node gives up on a request this long before the client does.
+const REPLY_MARGIN: Micros = 1_000;
 
 /// A node.
 pub(crate) struct Node {
     policy: Option<Box<dyn Policy>>,
-    /// How far its clock is ahead, and what it showed last: it never goes back.
-    pub(super) ahead: Micros,
-    shown: Micros,
-    /// The last version of each server that it heard of.
+    /// By how much the node's clock is ahead, and its last reading: it never goes back.
+    pub(super) clock_offset: Micros,
+    last_clock: Micros,
+    /// The last version of each server's entry that the node received.
     pub(super) versions: Vec<u32>,
-    /// Since when it knows that a server takes nothing new.
-    pub(super) away: Vec<Option<Micros>>,
-    /// How many troubles keep it from hearing.
-    pub(super) silent: u32,
+    /// For each server, since when the node knows that it is draining or gone.
+    pub(super) unavailable_since: Vec<Option<Micros>>,
+    /// The number of active faults that keep server updates from the node.
+    pub(super) silence_count: u32,
 }
 
 impl Node {
     pub(super) fn new(policy: Option<Box<dyn Policy>>, servers: usize) -> Node {
-        Node { policy, ahead: 0, shown: 0, versions: vec![0; servers], away: vec![None; servers], silent: 0 }
+        Node {
+            policy,
+            clock_offset: 0,
+            last_clock: 0,
+            versions: vec![0; servers],
+            unavailable_since: vec![None; servers],
+            silence_count: 0,
+        }
     }
 
-    /// What it has seen of servers by itself.
+    /// The observations of servers that the policy made itself.
     pub(super) fn server_observations(&self, now: Micros) -> Vec<ServerObservation> {
         self.policy.as_ref().map_or(Vec::new(), |policy| policy.server_observations(now))
     }
 }
 
-/// A request, from its client's asking until nothing of it is left anywhere.
+/// A request, kept until the client is done with it and all its attempts are over.
 pub(super) struct Request {
-    pub(super) want: u64,
+    pub(super) call: u64,
     pub(super) node: usize,
     class: usize,
-    /// When its client leaves.
-    leaves: Micros,
+    /// When the client gives up.
+    client_deadline: Micros,
     pub(super) answered: bool,
     pub(super) client_gone: bool,
-    /// Those that are not over at their node and server both.
+    /// The attempts that are not yet over both at the node and at the server.
     attempts: Vec<u64>,
-    sent: AttemptNo,
-    runs: Runs,
-    timer: u64,
+    sent_count: AttemptNo,
+    executions: ExecutionHistory,
+    timer_serial: u64,
 }
 
 impl Request {
-    pub(super) fn new(want: u64, node: usize, class: usize, leaves: Micros) -> Request {
+    pub(super) fn new(call: u64, node: usize, class: usize, client_deadline: Micros) -> Request {
         let (answered, client_gone, attempts) = (false, false, Vec::new());
         Request {
-            want,
+            call,
             node,
             class,
-            leaves,
+            client_deadline,
             answered,
             client_gone,
             attempts,
-            sent: 0,
-            runs: Runs::default(),
-            timer: 0,
+            sent_count: 0,
+            executions: ExecutionHistory::default(),
+            timer_serial: 0,
         }
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    Travels,
-    Waits,
-    Runs,
+    Traveling,
+    Queued,
+    Running,
     /// It is not at the server, and will not be.
-    Over,
+    Finished,
 }
 
-/// An attempt, until it is over at its node and at its server.
+/// An attempt, kept until it is over both at its node and at its server.
 pub(super) struct Attempt {
     request: u64,
     number: AttemptNo,
     server: usize,
     sent: Micros,
-    came: Micros,
-    /// Whether its node still waits for it.
-    out: bool,
+    arrived_at: Micros,
+    /// Whether the node still waits for the outcome.
+    awaited: bool,
     stage: Stage,
 }
 
 impl World<'_> {
-    /// What a node's clock shows now.
-    pub(super) fn clock(&mut self, node: usize) -> Micros {
+    /// Reads the clock of a node.
+    pub(super) fn node_clock(&mut self, node: usize) -> Micros {
         let at = &mut self.nodes[node];
-        at.shown = at.shown.max(self.now + at.ahead);
-        at.shown
+        at.last_clock = at.last_clock.max(self.now + at.clock_offset);
+        at.last_clock
     }
 
-    /// Tells a node, and does what it says; what comes of that is told after.
-    pub(super) fn tell(&mut self, node: usize, event: Event) {
-        self.untold.push_back((node, event));
-        if std::mem::replace(&mut self.telling, true) {
+    /// Delivers an event to a node and carries out its actions. Events that these cause are delivered afterwards.
+    pub(super) fn notify_node(&mut self, node: usize, event: Event) {
+        self.pending_events.push_back((node, event));
+        if std::mem::replace(&mut self.delivering, true) {
             return;
         }
         let mut actions = Vec::new();
-        while let Some((node, event)) = self.untold.pop_front() {
-            let shown = self.clock(node);
+        while let Some((node, event)) = self.pending_events.pop_front() {
+            let shown = self.node_clock(node);
             let policy = self.nodes[node].policy.take();
             let Some(mut policy) = policy else { continue };
-            let work = micros(self.e.servers.time) as f64;
-            let truth = GroundTruth { now: self.now, stations: &self.stations, numbers: &self.ids, work };
+            let mean_work = micros(self.experiment.servers.time) as f64;
+            let truth = GroundTruth { now: self.now, servers: &self.servers, indices: &self.ids, mean_work };
             policy.handle(shown, event, &truth, &mut actions);
             self.nodes[node].policy = Some(policy);
             for action in actions.drain(..) {
-                self.act(node, action);
+                self.apply_action(node, action);
             }
         }
-        self.telling = false;
+        self.delivering = false;
     }
 
-    fn act(&mut self, node: usize, action: Action) {
+    fn apply_action(&mut self, node: usize, action: Action) {
         match action {
             Action::Send { request, server, .. } => self.send(node, request, server),
-            Action::Refuse { request, retry_after } => self.answer(request, Reply::Refused(retry_after)),
-            Action::Fail(request) => self.answer(request, Reply::Failed),
+            Action::Refuse { request, retry_after } => self.send_reply(request, Reply::Refused(retry_after)),
+            Action::Fail(request) => self.send_reply(request, Reply::Failed),
             Action::Cancel(request, number) => {
                 let attempts = self.requests.get(&request).map(|request| request.attempts.clone());
                 let named = |id: &u64| self.attempts.get(id).is_some_and(|one| one.number == number);
                 if let Some(id) = attempts.unwrap_or_default().into_iter().find(named) {
-                    let way = self.way();
-                    self.agenda.put(self.now + way, Due::Withdraw(id));
-                    self.ends(id, Outcome::Cancelled);
+                    let way = self.network_delay();
+                    self.queue.push(self.now + way, ScheduledEvent::CancelAtServer(id));
+                    self.attempt_outcome(id, Outcome::Cancelled);
                 }
             }
             Action::SetTimer { after, token } => {
                 let serial = match self.requests.get_mut(&token) {
                     Some(request) => {
-                        request.timer += 1;
-                        request.timer
+                        request.timer_serial += 1;
+                        request.timer_serial
                     }
                     None => 0,
                 };
-                self.agenda.put(self.now + after, Due::Woken(node, token, serial));
+                self.queue.push(self.now + after, ScheduledEvent::NodeTimer(node, token, serial));
             }
             Action::Subscribe => {}
         }
     }
 
-    /// A request has one timer, the last that was asked for.
-    pub(super) fn woken(&mut self, node: usize, token: u64, serial: u64) {
-        let of_request = self.requests.get(&token).map(|request| request.timer);
+    /// Fires a timer. A request has only one timer, the one set last.
+    pub(super) fn node_timer(&mut self, node: usize, token: u64, serial: u64) {
+        let of_request = self.requests.get(&token).map(|request| request.timer_serial);
         if serial == 0 || of_request == Some(serial) {
-            self.tell(node, Event::TimerFired(token));
+            self.notify_node(node, Event::TimerFired(token));
         }
     }
 
-    pub(super) fn at_node(&mut self, number: u64) {
+    pub(super) fn request_at_node(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
-        let back = 2 * micros(self.e.network.delay) + BEFORE;
-        let remaining = request.leaves.saturating_sub(self.now + back);
+        let back = 2 * micros(self.experiment.network.delay) + REPLY_MARGIN;
+        let remaining = request.client_deadline.saturating_sub(self.now + back);
         let (node, class) = (request.node, request.class);
-        let tenant = self.wants.get(&request.want).and_then(|want| want.tenant);
-        self.agenda.put(self.now + remaining, Due::Expires(number));
+        let tenant = self.calls.get(&request.call).and_then(|call| call.tenant);
+        self.queue.push(self.now + remaining, ScheduledEvent::NodeDeadline(number));
         let arrived =
             cherryusher::Request { id: number, class, remaining, expected_work: None, key: None, tenant };
-        self.tell(node, Event::RequestArrived(arrived));
+        self.notify_node(node, Event::RequestArrived(arrived));
     }
 
-    pub(super) fn expires(&mut self, number: u64) {
+    pub(super) fn node_deadline(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
         for attempt in request.attempts.clone() {
-            self.ends(attempt, Outcome::TimedOut);
+            self.attempt_outcome(attempt, Outcome::TimedOut);
         }
     }
 
-    fn answer(&mut self, number: u64, reply: Reply) {
+    fn send_reply(&mut self, number: u64, reply: Reply) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         if std::mem::replace(&mut request.answered, true) {
-            self.rules
-                .breach(Invariant::TwoAnswers, self.now - BEGIN, || format!("request {number}: {reply:?}"));
+            self.invariants.report(Invariant::TwoAnswers, self.now - START_TIME, || {
+                format!("request {number}: {reply:?}")
+            });
             return;
         }
-        let ran = request.runs.any()
+        let ran = request.executions.has_run()
             || request
                 .attempts
                 .iter()
-                .any(|id| self.attempts.get(id).is_some_and(|a| a.stage != Stage::Over));
-        let safe = self.e.classes[request.class].effect == Effect::Safe;
+                .any(|id| self.attempts.get(id).is_some_and(|a| a.stage != Stage::Finished));
+        let safe = self.experiment.classes[request.class].effect == Effect::Safe;
         if matches!(reply, Reply::Refused(_)) && ran && !safe {
-            self.rules
-                .breach(Invariant::RefusedAfterRunning, self.now - BEGIN, || format!("request {number}"));
+            self.invariants.report(Invariant::RefusedAfterRunning, self.now - START_TIME, || {
+                format!("request {number}")
+            });
         }
-        let way = self.way();
-        self.agenda.put(self.now + way, Due::Answer(number, reply));
+        let way = self.network_delay();
+        self.queue.push(self.now + way, ScheduledEvent::ReplyAtClient(number, reply));
     }
 
     fn send(&mut self, node: usize, number: u64, server: ServerId) {
         let Some(server) = self.ids.get(&server).copied() else { return };
-        let id = self.next_number();
-        let (way, back) = (self.way(), self.way());
-        let refused = self.network.random::<f64>() < self.e.network.refused;
-        let parted = self.parted(node, server);
+        let id = self.next_id();
+        let (way, back) = (self.network_delay(), self.network_delay());
+        let refused = self.network_rng.random::<f64>() < self.experiment.network.refused;
+        let parted = self.is_partitioned(node, server);
         let Some(request) = self.requests.get_mut(&number) else { return };
-        let beside = request.attempts.iter().any(|id| self.attempts.get(id).is_some_and(|a| a.out));
-        let counts = &mut self.counts.attempts;
-        match (request.sent, beside) {
-            _ if self.now < BEGIN + micros(self.e.settle) => {}
+        let beside = request.attempts.iter().any(|id| self.attempts.get(id).is_some_and(|a| a.awaited));
+        let counts = &mut self.metrics.attempts;
+        match (request.sent_count, beside) {
+            _ if self.now < START_TIME + micros(self.experiment.settle) => {}
             (0, _) => counts.first += 1,
             (_, true) => counts.copies += 1,
             _ => counts.again += 1,
         }
-        let (sent, came) = (self.now, self.now);
+        let (sent, arrived_at) = (self.now, self.now);
         let attempt = Attempt {
             request: number,
-            number: request.sent,
+            number: request.sent_count,
             server,
             sent,
-            came,
-            out: true,
-            stage: Stage::Travels,
+            arrived_at,
+            awaited: true,
+            stage: Stage::Traveling,
         };
-        request.sent += 1;
+        request.sent_count += 1;
         request.attempts.push(id);
         let answered = request.answered;
         self.attempts.insert(id, attempt);
-        if let Some(since) = self.nodes[node].away[server].filter(|since| since + GRACE < self.now) {
+        if let Some(since) =
+            self.nodes[node].unavailable_since[server].filter(|since| since + DRAIN_GRACE < self.now)
+        {
             let late = (self.now - since) as f64 / 1e6;
             let what = || format!("node {node} to server {server}, {late:.2} s after it heard");
-            self.rules.breach(Invariant::SentToDraining, self.now - BEGIN, what);
+            self.invariants.report(Invariant::SentToDraining, self.now - START_TIME, what);
         }
         let fails = match () {
             () if answered => Some((0, Outcome::NotSent)),
-            () if parted => Some((micros(self.e.network.connect_timeout), Outcome::ConnectFailed)),
+            () if parted => Some((micros(self.experiment.network.connect_timeout), Outcome::ConnectFailed)),
             () if refused => Some((way + back, Outcome::ConnectFailed)),
             () => None,
         };
         match fails {
             Some((after, outcome)) => {
-                self.off_server(id);
-                self.agenda.put(self.now + after, Due::Ends(id, outcome));
+                self.leave_server(id);
+                self.queue.push(self.now + after, ScheduledEvent::AttemptOutcome(id, outcome));
             }
-            None => self.agenda.put(self.now + way, Due::AtServer(id)),
+            None => self.queue.push(self.now + way, ScheduledEvent::AttemptAtServer(id)),
         }
     }
 
-    /// An attempt is at its server no more, or never will be.
-    pub(super) fn off_server(&mut self, id: u64) {
+    /// Records that an attempt has left its server, or will never reach it.
+    pub(super) fn leave_server(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
-        let stage = std::mem::replace(&mut attempt.stage, Stage::Over);
-        if matches!(stage, Stage::Waits | Stage::Runs) {
-            self.stays += (self.now - attempt.came) as f64;
+        let stage = std::mem::replace(&mut attempt.stage, Stage::Finished);
+        if matches!(stage, Stage::Queued | Stage::Running) {
+            self.total_sojourn += (self.now - attempt.arrived_at) as f64;
         }
     }
 
-    pub(super) fn at_server(&mut self, id: u64) {
+    pub(super) fn attempt_at_server(&mut self, id: u64) {
         let now = self.now;
-        let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.stage == Stage::Travels)
+        let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.stage == Stage::Traveling)
         else {
             return;
         };
         let (server, number) = (attempt.server, attempt.request);
-        attempt.came = now;
-        let want = self.requests.get(&number).map(|request| request.want);
-        // A client that has left can't be asked; what it wanted is still the work.
-        let work = want
-            .and_then(|want| self.wants.get(&want))
-            .map_or_else(|| micros(self.e.servers.time) as f64, |w| w.work);
-        let station = &mut self.stations[server];
+        attempt.arrived_at = now;
+        let call = self.requests.get(&number).map(|request| request.call);
+        // If the call is over, its work is no longer known, and the mean is used.
+        let work = call
+            .and_then(|call| self.calls.get(&call))
+            .map_or_else(|| micros(self.experiment.servers.time) as f64, |w| w.work);
+        let station = &mut self.servers[server];
         let taken = station.arrive(now, id, work);
-        // What it turns away counts as well: it was sent that.
-        let (pushed, ramp) = (taken != Admission::Down && station.pushed(now, work), station.ramp(now));
+        // Attempts that the server rejects count too, because nodes sent them.
+        let (overloaded, ramp) =
+            (taken != Admission::Down && station.is_overloaded(now, work), station.ramp(now));
         let outcome = match taken {
             Admission::Down => Some(Outcome::ConnectFailed),
             Admission::Full => Some(Outcome::Rejected),
@@ -282,80 +294,80 @@
         };
         match (outcome, taken) {
             (Some(outcome), _) => {
-                self.off_server(id);
-                let way = self.way();
-                self.agenda.put(now + way, Due::Ends(id, outcome));
+                self.leave_server(id);
+                let way = self.network_delay();
+                self.queue.push(now + way, ScheduledEvent::AttemptOutcome(id, outcome));
             }
-            (None, Admission::Started) => self.runs(id),
-            (None, _) => attempt_stage(&mut self.attempts, id, Stage::Waits),
+            (None, Admission::Started) => self.attempt_started(id),
+            (None, _) => set_stage(&mut self.attempts, id, Stage::Queued),
         }
-        if pushed {
+        if overloaded {
             if ramp < 1.0 {
                 let what = || format!("server {server} at {:.0}% of its speed", 100.0 * ramp);
-                self.rules.breach(Invariant::PushedOver, now - BEGIN, what);
+                self.invariants.report(Invariant::PushedOver, now - START_TIME, what);
             }
-            self.fall(server, true);
+            self.stop_server(server, true);
         } else {
-            self.reckon(server);
+            self.schedule_completion(server);
         }
     }
 
-    /// A server begins to work on an attempt.
-    fn runs(&mut self, id: u64) {
-        attempt_stage(&mut self.attempts, id, Stage::Runs);
+    /// A server starts to execute an attempt.
+    fn attempt_started(&mut self, id: u64) {
+        set_stage(&mut self.attempts, id, Stage::Running);
         let Some(attempt) = self.attempts.get(&id) else { return };
         let Some(request) = self.requests.get_mut(&attempt.request) else { return };
-        let effect = self.e.classes[request.class].effect;
-        let cell = (attempt.server % usize::from(self.e.servers.cells)) as u16;
-        self.rules.runs(
-            self.now - BEGIN,
+        let effect = self.experiment.classes[request.class].effect;
+        let cell = (attempt.server % usize::from(self.experiment.servers.cells)) as u16;
+        self.invariants.record_execution(
+            self.now - START_TIME,
             attempt.request,
             effect,
-            &mut request.runs,
+            &mut request.executions,
             cell,
-            attempt.sent - BEGIN,
+            attempt.sent - START_TIME,
         );
     }
 
-    pub(super) fn done(&mut self, server: usize, serial: u64) {
-        if self.stations[server].serial != serial {
+    pub(super) fn server_completion(&mut self, server: usize, serial: u64) {
+        if self.servers[server].serial != serial {
             return;
         }
-        if let Some((id, next)) = self.stations[server].done(self.now) {
-            self.off_server(id);
-            let lost = self.e.network.resets + self.stations[server].resets;
-            let outcome = match self.network.random::<f64>() < lost {
+        if let Some((id, next)) = self.servers[server].done(self.now) {
+            self.leave_server(id);
+            let lost = self.experiment.network.resets + self.servers[server].resets;
+            let outcome = match self.network_rng.random::<f64>() < lost {
                 true => Outcome::Reset,
                 false => Outcome::Served,
             };
-            let way = self.way();
-            self.agenda.put(self.now + way, Due::Ends(id, outcome));
+            let way = self.network_delay();
+            self.queue.push(self.now + way, ScheduledEvent::AttemptOutcome(id, outcome));
             if let Some(next) = next {
-                self.runs(next);
+                self.attempt_started(next);
             }
         }
-        self.reckon(server);
+        self.schedule_completion(server);
     }
 
-    /// A server hears that nobody waits for an attempt; what it works on it goes on with.
-    pub(super) fn withdraw(&mut self, id: u64) {
+    /// The cancellation of an attempt reaches its server, which drops it only if it is not running yet.
+    pub(super) fn cancel_at_server(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let (server, stage) = (attempt.server, attempt.stage);
         match stage {
-            Stage::Travels => self.off_server(id),
-            Stage::Waits if self.stations[server].withdraw(self.now, id) => self.off_server(id),
+            Stage::Traveling => self.leave_server(id),
+            Stage::Queued if self.servers[server].withdraw(self.now, id) => self.leave_server(id),
             _ => return,
         }
-        self.forget(id);
+        self.drop_finished_attempt(id);
     }
 
-    /// A node hears how an attempt ended, or ends it.
-    pub(super) fn ends(&mut self, id: u64, outcome: Outcome) {
+    /// Delivers the outcome of an attempt to its node; also used when the node itself ends it.
+    pub(super) fn attempt_outcome(&mut self, id: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         let (number, sent, no) = (attempt.request, attempt.sent, attempt.number);
-        if !std::mem::replace(&mut attempt.out, false) {
-            self.counts.attempts.wasted += u64::from(outcome == Outcome::Served);
-            self.forget(id);
+        if !std::mem::replace(&mut attempt.awaited, false) {
+            self.metrics.attempts.wasted += u64::from(outcome == Outcome::Served);
+            self.drop_finished_attempt(id);
             return;
         }
         let mut told = None;
@@ -363,17 +375,17 @@
             let finished = request.answered;
             if outcome == Outcome::Served {
                 match finished {
-                    true => self.counts.attempts.wasted += 1,
+                    true => self.metrics.attempts.wasted += 1,
                     false => request.answered = true,
                 }
             }
             told = Some((request.node, request.answered, !finished));
         }
-        self.forget(id);
+        self.drop_finished_attempt(id);
         let Some((node, finished, first)) = told else { return };
         if outcome == Outcome::Served && first {
-            let way = self.way();
-            self.agenda.put(self.now + way, Due::Answer(number, Reply::Served));
+            let way = self.network_delay();
+            self.queue.push(self.now + way, ScheduledEvent::ReplyAtClient(number, Reply::Served));
         }
         let took = self.now - sent;
         let ended = cherryusher::AttemptEnd {
@@ -383,13 +395,14 @@
             elapsed: took,
             request_finished: finished,
         };
-        self.tell(node, Event::AttemptEnded(ended));
-        self.let_go(number);
+        self.notify_node(node, Event::AttemptEnded(ended));
+        self.drop_finished_request(number);
     }
 
-    /// Forgets an attempt that is over at its node and server.
-    fn forget(&mut self, id: u64) {
-        let Some(attempt) = self.attempts.get(&id).filter(|one| !one.out && one.stage == Stage::Over) else {
+    /// Removes an attempt that is over at its node and its server.
+    fn drop_finished_attempt(&mut self, id: u64) {
+        let Some(attempt) = self.attempts.get(&id).filter(|one| !one.awaited && one.stage == Stage::Finished)
+        else {
             return;
         };
         let number = attempt.request;
@@ -397,11 +410,11 @@
         if let Some(request) = self.requests.get_mut(&number) {
             request.attempts.retain(|other| *other != id);
         }
-        self.let_go(number);
+        self.drop_finished_request(number);
     }
 
-    /// Forgets a request of which nothing is left.
-    pub(super) fn let_go(&mut self, number: u64) {
+    /// Removes a request once it is answered, its client is done, and no attempts are left.
+    pub(super) fn drop_finished_request(&mut self, number: u64) {
         let over = |request: &Request| request.answered && request.client_gone && request.attempts.is_empty();
         if self.requests.get(&number).is_some_and(over) {
             self.requests.remove(&number);
@@ -409,7 +422,7 @@
     }
 }
 
-fn attempt_stage(attempts: &mut std::collections::HashMap<u64, Attempt>, id: u64, stage: Stage) {
+fn set_stage(attempts: &mut std::collections::HashMap<u64, Attempt>, id: u64, stage: Stage) {
     if let Some(attempt) = attempts.get_mut(&id) {
         attempt.stage = stage;
     }
--- a/crates/lab/src/simulation/server.rs
+++ b/crates/lab/src/simulation/server.rs
@@ -1,5 +1,5 @@
-//! One server: what it works on, what waits, how fast it is. Work is counted on a clock of its own that runs as fast as
-//! each request on it is worked on, so that a change of speed touches nothing but that clock.
+//! The model of one server: running and queued requests, and its speed. The progress of work is measured by a virtual
+//! clock that advances at the speed at which each request is executed, so that a change of speed affects only the clock.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -8,82 +8,83 @@
 
 use crate::Micros;
 
-/// Over how long what a server is sent is added up against what it can do, and in how many steps.
-const WINDOW: Micros = 2_000_000;
-const STEP: Micros = WINDOW / 10;
-/// So few requests push nothing over.
-const FEW: u32 = 8;
+/// The sliding window in which the offered work is compared to the capacity, and its step.
+const OVERLOAD_WINDOW: Micros = 2_000_000;
+const OVERLOAD_STEP: Micros = OVERLOAD_WINDOW / 10;
+/// This number of requests in the window never overloads a server.
+const MIN_OVERLOAD_REQUESTS: u32 = 8;
 
-/// What becomes of a request that comes.
+/// What a server does with a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is worked on.
+    /// It is executed at once.
     Started,
-    /// It waits.
+    /// It is queued.
     Queued,
-    /// It is turned away.
+    /// It is rejected, because the queue is full.
     Full,
-    /// Nobody is there.
+    /// The server is down.
     Down,
 }
 
-/// How a server is made.
+/// The parameters of a server.
 #[derive(Clone, Debug)]
 pub struct ServerParameters {
-    /// How many requests it works on at full speed.
+    /// The number of requests that it executes at full speed.
     pub cores: u32,
-    /// Whether it works on all at once.
+    /// Whether it executes all requests at once, each slower (processor sharing).
     pub shares: bool,
-    /// How many may wait, or be there.
+    /// The maximum number of queued requests; with processor sharing, of running ones.
     pub queue: usize,
     /// Its speed when warm.
     pub speed: f64,
-    /// The part of it that it starts with.
+    /// The fraction of the speed right after a start.
     pub cold_from: f64,
-    /// Until it has all.
+    /// The time from a start to full speed.
     pub warm_up: Micros,
-    /// The multiple of what it can do that pushes it over; 0 for none.
+    /// The multiple of its capacity at which it crashes from overload; 0 for never.
     pub falls_at: f64,
 }
 
-/// A server.
+/// A simulated server.
 #[derive(Debug)]
 pub struct SimulatedServer {
-    make: ServerParameters,
-    /// What the list should say.
+    parameters: ServerParameters,
+    /// The state that the server list should have.
     pub state: ServerState,
-    /// When it last started; 0 for long ago.
+    /// When it last started; 0 if it was warm at the start of the simulation.
     pub started: Micros,
-    /// Counted up with each change that the list tells of.
+    /// Incremented with each change that is published in the server list.
     pub version: u32,
-    /// How many stalls are on.
+    /// The number of active stall faults.
     pub stalls: u32,
-    /// What is left of its speed in brown-outs.
+    /// The factor of the speed by slow-down faults.
     pub slow: f64,
-    /// The part of answers that are lost with their connection.
+    /// The fraction of replies that are lost by connection resets.
     pub resets: f64,
     running: BinaryHeap<Reverse<(u64, u64)>>,
     waiting: VecDeque<(u64, f64)>,
-    /// The clock of work, when it was read, and how fast it ran since.
+    /// The virtual clock, when it was last updated, and its rate since.
     clock: f64,
-    read_at: Micros,
+    clock_at: Micros,
     rate: f64,
-    /// Counted up whenever the next end may have moved.
+    /// Incremented whenever the time of the next completion may have changed.
     pub serial: u64,
-    sent: [(f64, u32); 10],
-    sent_step: Micros,
-    /// The integral over time of how many are here.
-    pub here: f64,
-    /// The same of cores at work.
-    pub busy: f64,
+    /// Work and number of the requests that arrived in each step of the window.
+    offered: [(f64, u32); 10],
+    offered_step: Micros,
+    /// The integral over time of the number of requests at the server.
+    pub count_integral: f64,
+    /// The integral over time of the number of busy cores.
+    pub busy_integral: f64,
 }
 
 impl SimulatedServer {
-    /// A warm server.
-    pub fn new(make: ServerParameters) -> SimulatedServer {
-        let rate = make.speed;
+    /// Creates a warm server.
+    pub fn new(parameters: ServerParameters) -> SimulatedServer {
+        let rate = parameters.speed;
         SimulatedServer {
-            make,
+            parameters,
             state: ServerState::Ready,
             started: 0,
             version: 0,
@@ -93,176 +94,181 @@
             running: BinaryHeap::new(),
             waiting: VecDeque::new(),
             clock: 0.0,
-            read_at: 0,
+            clock_at: 0,
             rate,
             serial: 0,
-            sent: [(0.0, 0); 10],
-            sent_step: 0,
-            here: 0.0,
-            busy: 0.0,
+            offered: [(0.0, 0); 10],
+            offered_step: 0,
+            count_integral: 0.0,
+            busy_integral: 0.0,
         }
     }
 
-    /// How many requests are here.
+    /// The number of requests that are running or queued.
     pub fn count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// The part of its speed that it has by its age.
+    /// The fraction of full speed, by the time since the start.
     pub fn ramp(&self, now: Micros) -> f64 {
         if self.started == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.started) as f64 / self.make.warm_up.max(1) as f64;
-        self.make.cold_from + (1.0 - self.make.cold_from) * age.min(1.0)
+        let age = now.saturating_sub(self.started) as f64 / self.parameters.warm_up.max(1) as f64;
+        self.parameters.cold_from + (1.0 - self.parameters.cold_from) * age.min(1.0)
     }
 
-    /// How many requests it works on at full speed.
+    /// The number of requests that it executes at full speed.
     pub fn cores(&self) -> u32 {
-        self.make.cores
+        self.parameters.cores
     }
 
-    /// How fast it works on a request that is alone, now.
+    /// The current speed of a request that is alone.
     pub fn speed(&self, now: Micros) -> f64 {
         let stalls = if self.stalls > 0 { 0.0 } else { 1.0 };
-        self.make.speed * self.slow * self.ramp(now) * stalls
+        self.parameters.speed * self.slow * self.ramp(now) * stalls
     }
 
-    /// For how long one more request of this work would be here, as far as that can be known.
+    /// The expected time that one more request of this work would spend at the server, in microseconds.
     pub fn expected_sojourn(&self, now: Micros, work: f64) -> f64 {
         if self.state == ServerState::Gone {
             return f64::INFINITY;
         }
-        let left: f64 =
+        let remaining: f64 =
             self.running.iter().map(|Reverse((end, _))| (f64::from_bits(*end) - self.clock).max(0.0)).sum();
-        let left = left + self.waiting.iter().map(|(_, work)| work).sum::<f64>();
-        let cores = f64::from(self.make.cores);
-        let ahead = match self.count() < self.make.cores as usize {
+        let remaining = remaining + self.waiting.iter().map(|(_, work)| work).sum::<f64>();
+        let cores = f64::from(self.parameters.cores);
+        let total_work = match self.count() < self.parameters.cores as usize {
             true => work,
-            false => work + left / cores,
+            false => work + remaining / cores,
         };
-        ahead / self.speed(now).max(1e-9)
+        total_work / self.speed(now).max(1e-9)
     }
 
-    /// Moves its clock of work on.
-    fn read(&mut self, now: Micros) {
-        let span = now.saturating_sub(self.read_at) as f64;
-        self.here += span * self.count() as f64;
-        self.busy += span * (self.running.len() as f64).min(f64::from(self.make.cores));
+    /// Advances the virtual clock and the integrals to `now`.
+    fn advance(&mut self, now: Micros) {
+        let span = now.saturating_sub(self.clock_at) as f64;
+        self.count_integral += span * self.count() as f64;
+        self.busy_integral += span * (self.running.len() as f64).min(f64::from(self.parameters.cores));
         self.clock += span * self.rate;
-        self.read_at = now;
+        self.clock_at = now;
     }
 
-    /// Sets the speed of that clock anew.
-    fn set(&mut self, now: Micros) {
-        let crowd = match self.make.shares {
-            true => (f64::from(self.make.cores) / (self.running.len() as f64).max(1.0)).min(1.0),
+    /// Updates the rate of the virtual clock.
+    fn update_rate(&mut self, now: Micros) {
+        let sharing = match self.parameters.shares {
+            true => (f64::from(self.parameters.cores) / (self.running.len() as f64).max(1.0)).min(1.0),
             false => 1.0,
         };
-        self.rate = self.speed(now) * crowd;
+        self.rate = self.speed(now) * sharing;
         self.serial += 1;
     }
 
-    /// Something about its speed has changed.
-    pub fn turned(&mut self, now: Micros) {
-        self.read(now);
-        self.set(now);
+    /// Applies a change of the speed.
+    pub fn update_speed(&mut self, now: Micros) {
+        self.advance(now);
+        self.update_rate(now);
     }
 
-    fn begin(&mut self, id: u64, work: f64) {
-        // Bits of numbers from 0 on are in the order of the numbers.
+    fn start_request(&mut self, id: u64, work: f64) {
+        // The bits of non-negative floats have the same order as the floats.
         self.running.push(Reverse(((self.clock + work.max(0.0)).to_bits(), id)));
     }
 
-    /// A request comes.
+    /// A request arrives.
     pub fn arrive(&mut self, now: Micros, id: u64, work: f64) -> Admission {
         if self.state == ServerState::Gone {
             return Admission::Down;
         }
-        self.read(now);
-        let cores = self.make.cores as usize;
-        let taken = match self.make.shares {
-            true if self.running.len() < cores.max(self.make.queue) => Admission::Started,
+        self.advance(now);
+        let cores = self.parameters.cores as usize;
+        let admission = match self.parameters.shares {
+            true if self.running.len() < cores.max(self.parameters.queue) => Admission::Started,
             false if self.running.len() < cores => Admission::Started,
-            false if self.waiting.len() < self.make.queue => Admission::Queued,
+            false if self.waiting.len() < self.parameters.queue => Admission::Queued,
             _ => Admission::Full,
         };
-        match taken {
-            Admission::Started => self.begin(id, work),
+        match admission {
+            Admission::Started => self.start_request(id, work),
             Admission::Queued => self.waiting.push_back((id, work)),
             _ => {}
         }
-        self.set(now);
-        taken
+        self.update_rate(now);
+        admission
     }
 
-    /// Whether what came over the last while pushes it over; told of each that comes.
-    pub fn pushed(&mut self, now: Micros, work: f64) -> bool {
-        let step = now / STEP;
-        for stale in (self.sent_step + 1..=step).take(self.sent.len()) {
-            self.sent[(stale % 10) as usize] = (0.0, 0);
+    /// Records the work of an arriving request, and returns whether the server is now overloaded and crashes.
+    pub fn is_overloaded(&mut self, now: Micros, work: f64) -> bool {
+        let step = now / OVERLOAD_STEP;
+        for stale in (self.offered_step + 1..=step).take(self.offered.len()) {
+            self.offered[(stale % 10) as usize] = (0.0, 0);
         }
-        self.sent_step = step;
-        let of_step = &mut self.sent[(step % 10) as usize];
-        *of_step = (of_step.0 + work, of_step.1 + 1);
-        let (work, count) = self.sent.iter().fold((0.0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        let able = f64::from(self.make.cores) * self.make.speed * self.ramp(now) * WINDOW as f64;
-        self.make.falls_at > 0.0 && count > FEW && work > self.make.falls_at * able
+        self.offered_step = step;
+        let current = &mut self.offered[(step % 10) as usize];
+        *current = (current.0 + work, current.1 + 1);
+        let (work, count) = self.offered.iter().fold((0.0, 0), |sum, step| (sum.0 + step.0, sum.1 + step.1));
+        let capacity = f64::from(self.parameters.cores)
+            * self.parameters.speed
+            * self.ramp(now)
+            * OVERLOAD_WINDOW as f64;
+        self.parameters.falls_at > 0.0
+            && count > MIN_OVERLOAD_REQUESTS
+            && work > self.parameters.falls_at * capacity
     }
 
-    /// When the next request is done, if nothing changes; nothing if none moves.
+    /// When the next request completes if nothing changes; `None` if none is running or the server is stalled.
     pub fn next(&self) -> Option<Micros> {
         let Reverse((end, _)) = self.running.peek()?;
         if self.rate <= 0.0 {
             return None;
         }
-        let left = (f64::from_bits(*end) - self.clock).max(0.0) / self.rate;
-        (left < 1e15).then(|| self.read_at + left.ceil() as Micros)
+        let remaining = (f64::from_bits(*end) - self.clock).max(0.0) / self.rate;
+        (remaining < 1e15).then(|| self.clock_at + remaining.ceil() as Micros)
     }
 
-    /// The request that is done, if one is, and the one that is worked on in its place.
+    /// Completes a request whose work is done, if there is one; returns it and the queued request that starts in its place.
     pub fn done(&mut self, now: Micros) -> Option<(u64, Option<u64>)> {
-        self.read(now);
+        self.advance(now);
         let Reverse((end, id)) = *self.running.peek()?;
-        // A part of a microsecond may be missing by rounding.
+        // Rounding may leave a fraction of a microsecond.
         if f64::from_bits(end) > self.clock + 1e-3 {
             return None;
         }
         self.running.pop();
         let next = self.waiting.pop_front();
         if let Some((id, work)) = next {
-            self.begin(id, work);
+            self.start_request(id, work);
         }
-        self.set(now);
+        self.update_rate(now);
         Some((id, next.map(|(id, _)| id)))
     }
 
-    /// Takes out a request that only waits; whether it did.
+    /// Removes a queued request; returns whether it was in the queue.
     pub fn withdraw(&mut self, now: Micros, id: u64) -> bool {
         let Some(at) = self.waiting.iter().position(|(waiting, _)| *waiting == id) else { return false };
-        self.read(now);
+        self.advance(now);
         self.waiting.remove(at);
         true
     }
 
-    /// It is gone, with all that it had.
-    pub fn fall(&mut self, now: Micros) -> Vec<u64> {
-        self.read(now);
+    /// Stops the server, and returns the requests that it had.
+    pub fn stop(&mut self, now: Micros) -> Vec<u64> {
+        self.advance(now);
         self.state = ServerState::Gone;
         self.version += 1;
         let mut lost: Vec<u64> = self.running.drain().map(|Reverse((_, id))| id).collect();
         lost.sort_unstable();
         lost.extend(self.waiting.drain(..).map(|(id, _)| id));
-        self.set(now);
+        self.update_rate(now);
         lost
     }
 
-    /// It is back, and cold.
+    /// Starts the server again, cold.
     pub fn start(&mut self, now: Micros) {
-        self.read(now);
+        self.advance(now);
         (self.state, self.started) = (ServerState::Ready, now.max(1));
         self.version += 1;
-        self.sent = [(0.0, 0); 10];
-        self.set(now);
+        self.offered = [(0.0, 0); 10];
+        self.update_rate(now);
     }
 }
--- a/crates/lab/src/simulation/talk.rs
+++ b/crates/lab/src/simulation/talk.rs
@@ -1,4 +1,4 @@
-//! Nodes that gossip: the daemon's own state machine at each node of the world, its packets on the world's network.
+//! Gossip between nodes: the daemon's own state machine at each node, with packets on the simulated network.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,43 +7,43 @@
 use dunelink_gossip::{Gossip, Input, KeyRing, Output, Secret, Settings};
 use rand::RngCore;
 
-use super::chance::{For, generator};
-use super::events::Due;
-use super::{BEGIN, World};
+use super::chance::{RngPurpose, generator};
+use super::events::ScheduledEvent;
+use super::{START_TIME, World};
 use crate::Micros;
 use crate::experiment::{Experiment, FaultKind};
 
-/// How often a node tells what it sees of servers by itself.
-const LOOK: Micros = 200_000;
-/// How often a member is asked whether it is there.
-const PERIOD: Micros = 300_000;
-/// Nodes that all others know at first.
-const SEEDS: usize = 3;
+/// The interval at which a node gossips its own observations of servers.
+const OBSERVATION_INTERVAL: Micros = 200_000;
+/// The interval between probes of members.
+const PROBE_PERIOD: Micros = 300_000;
+/// The minimum number of seed nodes, which all others know from the start.
+const MIN_SEEDS: usize = 3;
 
-/// Gossip of one node.
-pub(crate) struct Talk {
+/// The gossip state machine of one node.
+pub(crate) struct GossipNode {
     gossip: Gossip,
-    /// When it wants to be looked at: of several looks that are due only this one counts.
-    wakes: Micros,
+    /// When the next tick is due; ticks scheduled for other times are ignored.
+    next_tick: Micros,
 }
 
 fn address(node: usize) -> SocketAddr {
     (Ipv4Addr::from(0x0a00_0001 + node as u32), 7946).into()
 }
 
-/// The node at an address.
+/// The index of the node with this address.
 fn node_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else { return None };
     u32::from(*address.ip()).checked_sub(0x0a00_0001).map(|node| node as usize)
 }
 
-/// Gossip for each node, where the experiment wants it.
-pub(super) fn talks(e: &Experiment, seed: u64) -> Vec<Talk> {
-    if !e.nodes.gossip {
+/// Creates the gossip of each node; none if the experiment disables it.
+pub(super) fn gossip_nodes(experiment: &Experiment, seed: u64) -> Vec<GossipNode> {
+    if !experiment.nodes.gossip {
         return Vec::new();
     }
-    let count = e.nodes.count as usize;
-    let mut rng = generator(seed, For::Gossip, 0);
+    let count = experiment.nodes.count as usize;
+    let mut rng = generator(seed, RngPurpose::Gossip, 0);
     let secrets: Vec<[u8; 32]> = (0..count)
         .map(|_| {
             let mut secret = [0; 32];
@@ -58,93 +58,95 @@
         let settings = Settings {
             name: format!("n{node}"),
             address: address(node),
-            seeds: (0..SEEDS.max(count / 50).min(count)).map(address).collect(),
-            probe_period: PERIOD,
-            max_bytes_per_second: e.nodes.gossip_ceiling,
-            configured_nodes: e.nodes.count,
+            seeds: (0..MIN_SEEDS.max(count / 50).min(count)).map(address).collect(),
+            probe_period: PROBE_PERIOD,
+            max_bytes_per_second: experiment.nodes.gossip_ceiling,
+            configured_nodes: experiment.nodes.count,
             seed: seed.wrapping_mul(1_000_003).wrapping_add(node as u64),
             first_statement_number: 1,
         };
         let keys = KeyRing::parse(&ring).ok()?;
-        let gossip = Gossip::new(settings, keys, Secret::from_seed(*secret), BEGIN)?;
-        Some(Talk { gossip, wakes: Micros::MAX })
+        let gossip = Gossip::new(settings, keys, Secret::from_seed(*secret), START_TIME)?;
+        Some(GossipNode { gossip, next_tick: Micros::MAX })
     };
     secrets.iter().enumerate().filter_map(talk).collect()
 }
 
 impl World<'_> {
-    /// All begin to gossip, not at one moment.
-    pub(super) fn begin_talk(&mut self) {
-        for node in 0..self.talks.len() {
-            let at = BEGIN + LOOK * node as Micros / self.talks.len() as Micros;
-            self.agenda.put(at, Due::Sees(node));
+    /// Starts gossip at all nodes, spread over the interval.
+    pub(super) fn start_gossip(&mut self) {
+        for node in 0..self.gossip_nodes.len() {
+            let at = START_TIME + OBSERVATION_INTERVAL * node as Micros / self.gossip_nodes.len() as Micros;
+            self.queue.push(at, ScheduledEvent::ShareObservations(node));
         }
     }
 
-    /// A node tells what it sees of servers.
-    pub(super) fn sees(&mut self, node: usize) {
-        let shown = self.clock(node);
-        let seen = self.nodes[node].server_observations(shown);
-        self.talk(node, Input::Observations(seen));
-        if self.now < self.ends {
-            self.agenda.put(self.now + LOOK, Due::Sees(node));
+    /// A node gossips its own observations of servers.
+    pub(super) fn share_observations(&mut self, node: usize) {
+        let shown = self.node_clock(node);
+        let observations = self.nodes[node].server_observations(shown);
+        self.handle_gossip(node, Input::Observations(observations));
+        if self.now < self.arrivals_end {
+            self.queue.push(self.now + OBSERVATION_INTERVAL, ScheduledEvent::ShareObservations(node));
         }
     }
 
-    pub(super) fn looks(&mut self, node: usize) {
-        if self.talks[node].wakes == self.now {
-            self.talk(node, Input::Tick);
+    pub(super) fn gossip_tick(&mut self, node: usize) {
+        if self.gossip_nodes[node].next_tick == self.now {
+            self.handle_gossip(node, Input::Tick);
         }
     }
 
-    pub(super) fn packet(&mut self, node: usize, from: usize, bytes: &[u8]) {
-        self.talk(node, Input::Packet(address(from), bytes));
+    pub(super) fn gossip_packet(&mut self, node: usize, from: usize, bytes: &[u8]) {
+        self.handle_gossip(node, Input::Packet(address(from), bytes));
     }
 
-    fn talk(&mut self, node: usize, input: Input<'_>) {
+    fn handle_gossip(&mut self, node: usize, input: Input<'_>) {
         let mut out = Vec::new();
-        let shown = self.clock(node);
-        self.talks[node].gossip.handle(shown, input, &mut out);
+        let shown = self.node_clock(node);
+        self.gossip_nodes[node].gossip.handle(shown, input, &mut out);
         for output in out {
             match output {
                 Output::Send(to, bytes) => {
                     let Some(to) = node_at(to).filter(|to| *to < self.nodes.len()) else { continue };
-                    let way = self.way();
-                    if !self.apart(node, to) {
-                        self.agenda.put(self.now + way, Due::Packet(to, node, bytes));
+                    let way = self.network_delay();
+                    if !self.is_cut_off(node, to) {
+                        self.queue.push(self.now + way, ScheduledEvent::GossipPacket(to, node, bytes));
                     }
                 }
-                Output::Suspicions(doubts) => self.tell(node, Event::PeerSuspicions(doubts)),
+                Output::Suspicions(suspicions) => self.notify_node(node, Event::PeerSuspicions(suspicions)),
                 Output::FleetPosition(fleet) => {
-                    self.tell(node, Event::FleetChanged { balancers: fleet.nodes, rank: fleet.rank });
+                    self.notify_node(node, Event::FleetChanged { balancers: fleet.nodes, rank: fleet.rank });
                 }
                 Output::PayloadReceived(..) | Output::LogEvent(_) => {}
             }
         }
-        let wait = self.talks[node].gossip.next_wakeup().saturating_sub(shown).max(1000);
-        if self.now < self.ends {
-            self.talks[node].wakes = self.now + wait;
-            self.agenda.put(self.now + wait, Due::Looks(node));
+        let wait = self.gossip_nodes[node].gossip.next_wakeup().saturating_sub(shown).max(1000);
+        if self.now < self.arrivals_end {
+            self.gossip_nodes[node].next_tick = self.now + wait;
+            self.queue.push(self.now + wait, ScheduledEvent::GossipTick(node));
         }
     }
 
-    /// Whether nothing passes between two nodes now.
-    fn apart(&self, one: usize, other: usize) -> bool {
-        self.faults.iter().any(|met| {
-            met.on && self.e.faults[met.number].kind == FaultKind::Cut && met.nodes[one] != met.nodes[other]
+    /// Whether a cut currently separates two nodes.
+    fn is_cut_off(&self, one: usize, other: usize) -> bool {
+        self.fault_targets.iter().any(|met| {
+            met.active
+                && self.experiment.faults[met.number].kind == FaultKind::Cut
+                && met.nodes[one] != met.nodes[other]
         })
     }
 
-    /// Bytes a second that a node sends on average, and how many others each holds to be there at the end.
-    pub(super) fn talked(&self) -> Option<GossipStats> {
-        let count = self.talks.len();
+    /// Returns the traffic of gossip and the least number of live members at any node; `None` without gossip.
+    pub(super) fn gossip_stats(&self) -> Option<GossipStats> {
+        let count = self.gossip_nodes.len();
         if count == 0 {
             return None;
         }
-        let seconds = (self.now - BEGIN).max(1) as f64 / 1e6;
-        let bytes: u64 = self.talks.iter().map(|talk| talk.gossip.counters().bytes_sent).sum();
+        let seconds = (self.now - START_TIME).max(1) as f64 / 1e6;
+        let bytes: u64 = self.gossip_nodes.iter().map(|talk| talk.gossip.counters().bytes_sent).sum();
         let mut present: HashMap<usize, usize> = HashMap::new();
-        for talk in &self.talks {
+        for talk in &self.gossip_nodes {
             *present.entry(talk.gossip.alive_processes().len()).or_default() += 1;
         }
         let least = present.keys().min().copied().unwrap_or(0);
@@ -152,11 +154,11 @@
     }
 }
 
-/// What gossip came to.
+/// The traffic and the final membership of gossip.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 pub struct GossipStats {
-    /// Bytes a second a node.
+    /// The mean number of bytes that a node sends per second.
     pub bytes: f64,
-    /// The fewest others that any node held to be there at the end.
+    /// The least number of other nodes that any node considers alive at the end.
     pub least: usize,
 }
--- a/crates/lab/src/simulation/troubles.rs
+++ b/crates/lab/src/simulation/troubles.rs
@@ -1,28 +1,28 @@
-//! What goes wrong, and whom it meets.
+//! Fault injection: the targets of each fault, and its effects.
 
 use cherryusher::ServerState;
 use rand::Rng;
 
 use super::World;
-use super::chance::{For, generator};
-use super::events::Due;
+use super::chance::{RngPurpose, generator};
+use super::events::ScheduledEvent;
 use crate::experiment::{Experiment, FaultKind, TargetSelector, micros};
 
-/// Whom a trouble of the experiment meets.
-pub(super) struct Met {
+/// The targets of a fault of the experiment.
+pub(super) struct FaultTargets {
     pub(super) number: usize,
     pub(super) servers: Vec<bool>,
     pub(super) nodes: Vec<bool>,
-    pub(super) on: bool,
+    pub(super) active: bool,
 }
 
-/// Draws whom each trouble meets.
-pub(super) fn met(e: &Experiment, seed: u64) -> Vec<Met> {
+/// Draws the targets of each fault.
+pub(super) fn fault_targets(experiment: &Experiment, seed: u64) -> Vec<FaultTargets> {
     let draw = |number: usize, which: &TargetSelector, count: u32, of_nodes: u64| -> Vec<bool> {
-        let mut rng = generator(seed, For::Troubles, 2 * number as u64 + of_nodes);
+        let mut rng = generator(seed, RngPurpose::Troubles, 2 * number as u64 + of_nodes);
         match which {
             TargetSelector::Part(part) => {
-                // Just so many, whoever they are.
+                // Exactly this fraction of them, chosen at random.
                 let mut all: Vec<usize> = (0..count as usize).collect();
                 for at in (1..all.len()).rev() {
                     all.swap(at, rng.random_range(0..=at));
@@ -33,24 +33,24 @@
                 met
             }
             TargetSelector::Zone(zone) => {
-                (0..count).map(|n| n % u32::from(e.servers.zones) == u32::from(*zone)).collect()
+                (0..count).map(|n| n % u32::from(experiment.servers.zones) == u32::from(*zone)).collect()
             }
             TargetSelector::These(these) => (0..count).map(|n| these.contains(&n)).collect(),
         }
     };
-    let met = |(number, trouble): (usize, &crate::experiment::Fault)| Met {
+    let met = |(number, trouble): (usize, &crate::experiment::Fault)| FaultTargets {
         number,
-        servers: draw(number, &trouble.servers, e.servers.count, 0),
-        nodes: draw(number, &trouble.nodes, e.nodes.count, 1),
-        on: false,
+        servers: draw(number, &trouble.servers, experiment.servers.count, 0),
+        nodes: draw(number, &trouble.nodes, experiment.nodes.count, 1),
+        active: false,
     };
-    e.faults.iter().enumerate().map(met).collect()
+    experiment.faults.iter().enumerate().map(met).collect()
 }
 
 impl World<'_> {
-    pub(super) fn trouble(&mut self, number: usize, begins: bool) {
-        let (kind, factor) = (self.e.faults[number].kind, self.e.faults[number].factor);
-        self.faults[number].on = begins;
+    pub(super) fn change_fault(&mut self, number: usize, begins: bool) {
+        let (kind, factor) = (self.experiment.faults[number].kind, self.experiment.faults[number].factor);
+        self.fault_targets[number].active = begins;
         match kind {
             FaultKind::Burst => {
                 self.burst = if begins { self.burst * factor } else { self.burst / factor.max(1e-9) }
@@ -58,32 +58,32 @@
             FaultKind::Partition | FaultKind::Cut => {}
             FaultKind::Silence | FaultKind::Clock => {
                 for node in 0..self.nodes.len() {
-                    if !self.faults[number].nodes[node] {
+                    if !self.fault_targets[number].nodes[node] {
                         continue;
                     }
                     let at = &mut self.nodes[node];
                     match (kind, begins) {
-                        (FaultKind::Clock, true) => at.ahead += (factor * 1e6) as u64,
-                        // A clock that moves forward only does not step back.
+                        (FaultKind::Clock, true) => at.clock_offset += (factor * 1e6) as u64,
+                        // A monotonic clock does not step back.
                         (FaultKind::Clock, false) => {}
-                        (_, true) => at.silent += 1,
-                        (_, false) => at.silent -= 1,
+                        (_, true) => at.silence_count += 1,
+                        (_, false) => at.silence_count -= 1,
                     }
                 }
             }
             _ => {
-                for server in 0..self.stations.len() {
-                    if self.faults[number].servers[server] {
-                        self.at_station(server, number, begins);
+                for server in 0..self.servers.len() {
+                    if self.fault_targets[number].servers[server] {
+                        self.change_server_fault(server, number, begins);
                     }
                 }
             }
         }
     }
 
-    fn at_station(&mut self, server: usize, number: usize, begins: bool) {
-        let trouble = &self.e.faults[number];
-        let station = &mut self.stations[server];
+    fn change_server_fault(&mut self, server: usize, number: usize, begins: bool) {
+        let trouble = &self.experiment.faults[number];
+        let station = &mut self.servers[server];
         match (trouble.kind, begins) {
             (FaultKind::Stall, true) => station.stalls += 1,
             (FaultKind::Stall, false) => station.stalls -= 1,
@@ -92,21 +92,21 @@
             (FaultKind::Resets, true) => station.resets += trouble.factor,
             (FaultKind::Resets, false) => station.resets -= trouble.factor,
             (FaultKind::Crash, true) if station.state != ServerState::Gone => {
-                return self.fall(server, false);
+                return self.stop_server(server, false);
             }
             (FaultKind::Drain, true) if station.state == ServerState::Ready => {
                 station.state = ServerState::Draining;
                 station.version += 1;
-                // It has half of the time to finish what it has.
+                // The server has half of the fault's duration to finish its requests.
                 let (version, gone) = (station.version, self.now + micros(trouble.duration) / 2);
-                self.agenda.put(gone, Due::Gone(server, version));
-                return self.tell_of(server);
+                self.queue.push(gone, ScheduledEvent::DrainEnd(server, version));
+                return self.publish_server(server);
             }
             (FaultKind::Crash | FaultKind::Drain, true) => return,
-            (FaultKind::Crash | FaultKind::Drain, false) => return self.starts(server),
+            (FaultKind::Crash | FaultKind::Drain, false) => return self.start_server(server),
             _ => {}
         }
-        station.turned(self.now);
-        self.reckon(server);
+        station.update_speed(self.now);
+        self.schedule_completion(server);
     }
 }
--- a/crates/lab/src/simulation/wants.rs
+++ b/crates/lab/src/simulation/wants.rs
@@ -1,113 +1,117 @@
-//! What clients do: they want something, ask for it, hear an answer or leave, and ask again.
+//! Clients: they start calls, send requests, receive replies or give up, and retry.
 
 use cherryusher::Event;
 use rand::Rng;
 
-use super::clients::Want;
-use super::events::{Due, Reply};
+use super::clients::Call;
+use super::events::{Reply, ScheduledEvent};
 use super::nodes::Request;
-use super::{BEGIN, World};
+use super::{START_TIME, World};
 use crate::Micros;
 use crate::experiment::{Effect, micros};
 use crate::invariants::Invariant;
-use crate::metrics::Ended;
+use crate::metrics::FinishedCall;
 
 impl World<'_> {
-    pub(super) fn next_want(&mut self) {
+    pub(super) fn schedule_arrival(&mut self) {
         let (wait, comes) = self.clients.next(self.now, self.burst);
         let at = self.now + wait;
-        if at < self.ends {
-            self.agenda.put(at, if comes { Due::Want } else { Due::Idle });
+        if at < self.arrivals_end {
+            self.queue.push(
+                at,
+                if comes { ScheduledEvent::OpenLoopArrival } else { ScheduledEvent::ArrivalRateCheck },
+            );
         }
     }
 
-    pub(super) fn wanted(&mut self) {
-        let want = self.clients.want(self.now, None);
-        self.ask_for(want);
-        self.next_want();
+    pub(super) fn open_loop_arrival(&mut self) {
+        let call = self.clients.draw_call(self.now, None);
+        self.start_call(call);
+        self.schedule_arrival();
     }
 
-    pub(super) fn ask_for(&mut self, want: Want) {
-        let number = self.next_number();
-        self.wants.insert(number, want);
-        self.ask(number);
+    pub(super) fn start_call(&mut self, call: Call) {
+        let number = self.next_id();
+        self.calls.insert(number, call);
+        self.send_request(number);
     }
 
-    pub(super) fn ask(&mut self, want: u64) {
-        let Some(wanted) = self.wants.get_mut(&want) else { return };
+    pub(super) fn send_request(&mut self, call: u64) {
+        let Some(wanted) = self.calls.get_mut(&call) else { return };
         wanted.tries += 1;
         let (class, node) = (wanted.class, wanted.node);
-        let (number, way) = (self.next_number(), self.way());
-        let patience = micros(self.e.classes[class].deadline);
-        self.requests.insert(number, Request::new(want, node, class, self.now + patience));
-        self.agenda.put(self.now + way, Due::AtNode(number));
-        self.agenda.put(self.now + patience, Due::Leaves(number));
+        let (number, way) = (self.next_id(), self.network_delay());
+        let patience = micros(self.experiment.classes[class].deadline);
+        self.requests.insert(number, Request::new(call, node, class, self.now + patience));
+        self.queue.push(self.now + way, ScheduledEvent::RequestAtNode(number));
+        self.queue.push(self.now + patience, ScheduledEvent::ClientDeadline(number));
     }
 
-    /// A client hears its answer; it may ask again.
-    pub(super) fn answered(&mut self, number: u64, reply: Reply) {
+    /// A reply reaches its client, which may retry.
+    pub(super) fn reply_at_client(&mut self, number: u64, reply: Reply) {
         let Some(request) = self.requests.get_mut(&number) else { return };
-        // Who has left hears nothing.
+        // A client that has given up ignores the reply.
         if std::mem::replace(&mut request.client_gone, true) {
             return;
         }
-        let want = request.want;
-        self.let_go(number);
-        self.concludes(want, reply);
+        let call = request.call;
+        self.drop_finished_request(number);
+        self.finish_try(call, reply);
     }
 
-    fn concludes(&mut self, number: u64, reply: Reply) {
-        let Some(want) = self.wants.get(&number) else { return };
-        let class = &self.e.classes[want.class];
-        let counted = want.start >= BEGIN + micros(self.e.settle);
+    fn finish_try(&mut self, number: u64, reply: Reply) {
+        let Some(call) = self.calls.get(&number) else { return };
+        let class = &self.experiment.classes[call.class];
+        let counted = call.start >= START_TIME + micros(self.experiment.settle);
         match reply {
             Reply::Served => {}
-            Reply::Refused(_) => self.counts.refused += u64::from(counted),
-            Reply::Failed => self.counts.failed += u64::from(counted),
+            Reply::Refused(_) => self.metrics.refused += u64::from(counted),
+            Reply::Failed => self.metrics.failed += u64::from(counted),
         }
         if reply != Reply::Served {
-            self.counts.turned(self.now - BEGIN);
-            // What failed may have run; only a safe request is asked again then.
+            self.metrics.record_rejection(self.now - START_TIME);
+            // A failed request may have run, so it is retried only if it is safe.
             let harmless = matches!(reply, Reply::Refused(_)) || class.effect == Effect::Safe;
-            if harmless && want.tries <= self.e.clients.retries {
-                let own = micros(self.e.clients.backoff) << (want.tries - 1).min(6);
-                let own = own / 2 + (own as f64 / 2.0 * self.habits.random::<f64>()) as Micros;
+            if harmless && call.tries <= self.experiment.clients.retries {
+                let own = micros(self.experiment.clients.backoff) << (call.tries - 1).min(6);
+                let own = own / 2 + (own as f64 / 2.0 * self.client_rng.random::<f64>()) as Micros;
                 let told = match reply {
-                    Reply::Refused(after) if want.heeds => after,
+                    Reply::Refused(after) if call.obeys_retry_after => after,
                     _ => 0,
                 };
-                self.agenda.put(self.now + own.max(told), Due::Ask(number));
+                self.queue.push(self.now + own.max(told), ScheduledEvent::SendRequest(number));
                 return;
             }
         }
-        let Some(want) = self.wants.remove(&number) else { return };
-        let took = self.now - want.start;
+        let Some(call) = self.calls.remove(&number) else { return };
+        let took = self.now - call.start;
         let in_time = took <= micros(class.aim);
-        let earned = want.worth * if in_time { 1.0 } else { class.late_worth };
+        let earned = call.worth * if in_time { 1.0 } else { class.late_worth };
         let served = (reply == Reply::Served).then_some((earned, took, in_time));
-        let Want { start, class, tenant, worth, client, .. } = want;
-        self.counts.ended(&Ended { start: start - BEGIN, class, tenant, worth, served });
+        let Call { start, class, tenant, worth, client, .. } = call;
+        self.metrics.record_call(&FinishedCall { start: start - START_TIME, class, tenant, worth, served });
         if let Some(client) = client {
-            let thinks = self.clients.thinks();
-            self.agenda.put(self.now + thinks, Due::Thought(client));
+            let think_time = self.clients.think_time();
+            self.queue.push(self.now + think_time, ScheduledEvent::ThinkTimeOver(client));
         }
     }
 
-    /// A client's patience is over.
-    pub(super) fn leaves(&mut self, number: u64) {
+    /// The client's deadline has passed.
+    pub(super) fn client_deadline(&mut self, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         if std::mem::replace(&mut request.client_gone, true) {
             return;
         }
-        let want = request.want;
+        let call = request.call;
         if !request.answered {
             request.answered = true;
             let node = request.node;
-            self.rules
-                .breach(Invariant::NoAnswer, self.now - BEGIN, || format!("request {number} at node {node}"));
-            self.tell(node, Event::ClientLeft(number));
+            self.invariants.report(Invariant::NoAnswer, self.now - START_TIME, || {
+                format!("request {number} at node {node}")
+            });
+            self.notify_node(node, Event::ClientLeft(number));
         }
-        self.let_go(number);
-        self.concludes(want, Reply::Failed);
+        self.drop_finished_request(number);
+        self.finish_try(call, Reply::Failed);
     }
 }
--- a/crates/lab/tests/worlds.rs
+++ b/crates/lab/tests/worlds.rs
@@ -60,7 +60,7 @@
         assert!(figures.asked > 1000 && figures.gain() > 0.3, "{}: {:?}", case.policy, figures.gain());
         let answers =
             [Invariant::NoAnswer, Invariant::TwoAnswers, Invariant::RanTwice, Invariant::RefusedAfterRunning];
-        let broken = figures.violations.iter().find(|breach| answers.contains(&breach.rule));
+        let broken = figures.violations.iter().find(|violation| answers.contains(&violation.invariant));
         assert!(broken.is_none(), "{}: {broken:?}", case.policy);
         if case.policy == "dunelink" {
             assert_eq!(figures.violation_count, 0, "{:?}", figures.violations);
@@ -172,9 +172,10 @@
         [Invariant::NoAnswer, Invariant::TwoAnswers, Invariant::RanTwice, Invariant::RefusedAfterRunning]
     {
         let figures = wrong(case, Some(rule));
-        assert_eq!(figures.violations.first().map(|breach| breach.rule), Some(rule));
+        assert_eq!(figures.violations.first().map(|violation| violation.invariant), Some(rule));
     }
-    let told: Vec<Invariant> = wrong(case, None).violations.iter().map(|breach| breach.rule).collect();
+    let told: Vec<Invariant> =
+        wrong(case, None).violations.iter().map(|violation| violation.invariant).collect();
     assert!(told.contains(&Invariant::SentToDraining), "{told:?}");
     let mut pushed = case.clone();
     pushed.experiment.faults.remove(0);
@@ -187,7 +188,7 @@
     });
     let figures = wrong(&pushed, None);
     assert!(
-        figures.violations.iter().any(|breach| breach.rule == Invariant::PushedOver),
+        figures.violations.iter().any(|violation| violation.invariant == Invariant::PushedOver),
         "{:?}",
         figures.violations
     );
@@ -199,13 +200,13 @@
     let mut case = cases(&text).remove(0);
     case.experiment.span = Duration::from_secs(5);
     // Nobody sends to who drains but this one.
-    let (short, breach) = shrink_case(&case, &|case| {
+    let (short, violation) = shrink_case(&case, &|case| {
         let mut figures = wrong(case, None);
-        figures.violations.retain(|breach| breach.rule == Invariant::SentToDraining);
+        figures.violations.retain(|violation| violation.invariant == Invariant::SentToDraining);
         figures
     })
     .unwrap_or_else(|| panic!("nothing was broken"));
-    assert_eq!(breach.rule, Invariant::SentToDraining);
+    assert_eq!(violation.invariant, Invariant::SentToDraining);
     assert!(short.experiment.faults.len() < case.experiment.faults.len(), "{:?}", short.experiment.faults);
     assert!(short.experiment.span < Duration::from_secs(4) && short.experiment.nodes.count == 1, "{short:?}");
     case.experiment.faults.clear();
