--- a/crates/lab/src/baselines/mod.rs
+++ b/crates/lab/src/baselines/mod.rs
@@ -20,7 +20,7 @@
 
 pub use policy::{BaselinePolicy, ServerSelector, ServerView};
 
-/// The policies that an experiment may name.
+/// The names of the policies that an experiment can use.
 pub const POLICY_NAMES: [&str; 11] = [
     "dunelink",
     "random",
@@ -35,12 +35,13 @@
     "oracle",
 ];
 
-/// What decides at a node. The same events and the same truth give the same actions.
+/// A load-balancing policy of a node. It is deterministic: the same events and server states give the same actions.
 pub trait Policy {
-    /// Takes an event and says what is to be done. Only who could not exist looks at the truth.
+    /// Handles an event and adds the resulting actions to `out`. `truth` is only for baselines that probe servers and for
+    /// the oracle.
     fn handle(&mut self, now: Micros, event: Event, truth: &GroundTruth<'_>, out: &mut Vec<Action>);
 
-    /// What it has seen of servers by itself, for nodes that gossip. Who has nothing to say leaves it at that.
+    /// The policy's own observations of servers, which nodes gossip. The default has none.
     fn server_observations(&self, _now: Micros) -> Vec<ServerObservation> {
         Vec::new()
     }
@@ -56,12 +57,12 @@
     }
 }
 
-/// The name of a server, by its number: as far apart as names that are hashed.
+/// The id of a server by its index: spread over the range as hashed names are.
 pub(crate) fn server_id(number: usize) -> ServerId {
     (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 2
 }
 
-/// What the decision module is told at a node.
+/// The settings of the decision module at a node.
 pub fn settings(e: &Experiment, rank: u32) -> Settings {
     let effect = |effect: experiment::Effect| match effect {
         experiment::Effect::Safe => Idempotency::Idempotent,
@@ -104,8 +105,12 @@
     }
 }
 
-/// The policy of this name at a node. An unknown name is the least of them, a random choice; experiments that name
-/// one are turned down when they are read.
+/// Creates the policy with this name for a node. An unknown name gives random selection; experiments with unknown names
+/// are already rejected when they are read.
+///
+/// # Errors
+///
+/// Fails if the decision module rejects its settings.
 pub fn create_policy(
     name: &str,
     e: &Experiment,
@@ -117,7 +122,7 @@
     if name == "dunelink" {
         return Ok(Box::new(Balancer::new(settings, rng.next_u64())?));
     }
-    let chooser: Box<dyn ServerSelector> = match name {
+    let selector: Box<dyn ServerSelector> = match name {
         "round-robin" => Box::new(selectors::RoundRobin::default()),
         "least-requests" => Box::new(selectors::LeastRequests { weighted: false }),
         "p2c" => Box::new(selectors::TwoChoices),
@@ -129,5 +134,5 @@
         "oracle" => Box::new(oracle::Oracle { work: micros(e.servers.time) as f64 }),
         _ => Box::new(selectors::Random),
     };
-    Ok(Box::new(BaselinePolicy::new(settings, rng, chooser)))
+    Ok(Box::new(BaselinePolicy::new(settings, rng, selector)))
 }
--- a/crates/lab/src/baselines/oracle.rs
+++ b/crates/lab/src/baselines/oracle.rs
@@ -1,16 +1,16 @@
-//! Who sees how long each server would take: the limit for whoever chooses when a request comes.
+//! The oracle knows the real state of all servers: the bound for policies that select a server when a request arrives.
 
 use rand::Rng;
 use rand_pcg::Pcg64;
 
 use super::policy::{SelectionContext, ServerSelector};
 
-/// So many servers are all looked at; of more, as many at random.
-const ALL: usize = 256;
+/// The maximum number of servers that are compared; of more servers, this many are sampled.
+const MAX_COMPARED: usize = 256;
 
 /// The policy.
 pub(super) struct Oracle {
-    /// What a request is held to take.
+    /// The assumed work of a request in microseconds.
     pub(super) work: f64,
 }
 
@@ -18,12 +18,12 @@
     fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize {
         let count = view.ready.len();
         let from = rng.random_range(0..count);
-        let sojourn = |place: usize| view.truth.expected_sojourn(view.servers[place].id, self.work);
-        let looked: Vec<usize> = match count <= ALL {
+        let sojourn = |index: usize| view.truth.expected_sojourn(view.servers[index].id, self.work);
+        let candidates: Vec<usize> = match count <= MAX_COMPARED {
             true => (0..count).map(|step| view.ready[(from + step) % count]).collect(),
-            false => (0..ALL).map(|_| view.ready[rng.random_range(0..count)]).collect(),
+            false => (0..MAX_COMPARED).map(|_| view.ready[rng.random_range(0..count)]).collect(),
         };
-        let best = looked.into_iter().min_by(|a, b| sojourn(*a).total_cmp(&sojourn(*b)));
+        let best = candidates.into_iter().min_by(|a, b| sojourn(*a).total_cmp(&sojourn(*b)));
         best.unwrap_or(view.ready[from])
     }
 }
--- a/crates/lab/src/baselines/policy.rs
+++ b/crates/lab/src/baselines/policy.rs
@@ -13,96 +13,96 @@
 use crate::Micros;
 use crate::simulation::ground_truth::GroundTruth;
 
-/// A client is answered this long before it would leave.
-const BEFORE: Micros = 2_000;
+/// A request is answered this long before its deadline.
+const REPLY_MARGIN: Micros = 2_000;
 
-/// A server, as a rival knows it.
+/// A server as a baseline sees it.
 #[derive(Clone, Debug)]
 pub struct ServerView {
     /// TargetSelector.
     pub id: ServerId,
-    /// Whether it takes requests.
+    /// Whether the server takes requests.
     pub ready: bool,
-    /// Its size, by the list; 1 if that does not say.
+    /// The relative capacity by the server list; 1 if the list has none.
     pub weight: f64,
-    /// How many requests of this node are there.
+    /// The number of this node's attempts in flight at the server.
     pub in_flight: u32,
 }
 
-/// What a chooser sees.
+/// The input for the selection of a server.
 pub struct SelectionContext<'a> {
-    /// The time at this node.
+    /// The time by the node's clock.
     pub now: Micros,
     /// All servers.
     pub servers: &'a [ServerView],
-    /// Those that take requests, by place in `servers`; never empty.
+    /// The indices in `servers` of those that take requests; never empty.
     pub ready: &'a [usize],
-    /// What is so, and no node can see.
+    /// The real state of the servers.
     pub truth: &'a GroundTruth<'a>,
 }
 
-/// Chooses among servers.
+/// The algorithm that selects a server.
 pub trait ServerSelector {
-    /// The list has changed; what is kept by place is void.
+    /// The server list has changed; new servers are at the end.
     fn list_changed(&mut self, _servers: &[ServerView]) {}
-    /// The place in `servers` of the one that a request goes to.
+    /// Returns the index in `servers` of the server for a request.
     fn select(&mut self, view: &SelectionContext<'_>, rng: &mut Pcg64) -> usize;
     /// An attempt at a server has ended.
     fn attempt_ended(&mut self, _now: Micros, _server: usize, _outcome: Outcome, _took: Micros) {}
 }
 
-struct Job {
+struct PendingRequest {
     class: usize,
-    /// Where it was sent, in order; whether it is out.
+    /// The server of each attempt, in order, and whether the attempt is in flight.
     attempts: Vec<(ServerId, bool)>,
 }
 
-/// A rival: a chooser and what goes round it.
+/// A baseline policy: the common part with a selector of servers.
 pub struct BaselinePolicy {
     settings: Settings,
     rng: Pcg64,
-    chooser: Box<dyn ServerSelector>,
+    selector: Box<dyn ServerSelector>,
     servers: Vec<ServerView>,
-    places: HashMap<ServerId, usize>,
+    indices: HashMap<ServerId, usize>,
     ready: Vec<usize>,
-    jobs: BTreeMap<RequestId, Job>,
+    pending: BTreeMap<RequestId, PendingRequest>,
 }
 
 impl BaselinePolicy {
-    /// A rival with this chooser.
-    pub fn new(settings: Settings, rng: Pcg64, chooser: Box<dyn ServerSelector>) -> BaselinePolicy {
-        let (servers, places, ready) = (Vec::new(), HashMap::new(), Vec::new());
-        BaselinePolicy { settings, rng, chooser, servers, places, ready, jobs: BTreeMap::new() }
+    /// Creates a baseline with this selector.
+    pub fn new(settings: Settings, rng: Pcg64, selector: Box<dyn ServerSelector>) -> BaselinePolicy {
+        let (servers, indices, ready) = (Vec::new(), HashMap::new(), Vec::new());
+        BaselinePolicy { settings, rng, selector, servers, indices, ready, pending: BTreeMap::new() }
     }
 
-    fn apply_list(&mut self, entries: &[ServerEntry], whole: bool) {
-        if whole {
+    fn apply_list(&mut self, entries: &[ServerEntry], is_full: bool) {
+        if is_full {
             self.servers.iter_mut().for_each(|server| server.ready = false);
         }
         for entry in entries {
-            let place = *self.places.entry(entry.id).or_insert_with(|| {
+            let index = *self.indices.entry(entry.id).or_insert_with(|| {
                 self.servers.push(ServerView { id: entry.id, ready: false, weight: 1.0, in_flight: 0 });
                 self.servers.len() - 1
             });
-            self.servers[place].ready = entry.state == ServerState::Ready;
-            self.servers[place].weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
+            self.servers[index].ready = entry.state == ServerState::Ready;
+            self.servers[index].weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
         }
-        self.ready = (0..self.servers.len()).filter(|place| self.servers[*place].ready).collect();
-        self.chooser.list_changed(&self.servers);
+        self.ready = (0..self.servers.len()).filter(|index| self.servers[*index].ready).collect();
+        self.selector.list_changed(&self.servers);
     }
 
     fn send(&mut self, now: Micros, request: RequestId, truth: &GroundTruth<'_>, out: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get_mut(&request) else { return };
+        let Some(request_state) = self.pending.get_mut(&request) else { return };
         if self.ready.is_empty() {
-            self.jobs.remove(&request);
+            self.pending.remove(&request);
             out.push(Action::Refuse { request, retry_after: 0 });
             return;
         }
         let view = SelectionContext { now, servers: &self.servers, ready: &self.ready, truth };
-        let place = self.chooser.select(&view, &mut self.rng);
-        let server = &mut self.servers[place];
+        let index = self.selector.select(&view, &mut self.rng);
+        let server = &mut self.servers[index];
         server.in_flight += 1;
-        job.attempts.push((server.id, true));
+        request_state.attempts.push((server.id, true));
         out.push(Action::Send { request, server: server.id, start_before: None });
     }
 
@@ -113,31 +113,31 @@
         truth: &GroundTruth<'_>,
         out: &mut Vec<Action>,
     ) {
-        let Some(job) = self.jobs.get_mut(&end.request) else { return };
-        let Some(attempt) = job.attempts.get_mut(usize::from(end.attempt)) else { return };
+        let Some(request_state) = self.pending.get_mut(&end.request) else { return };
+        let Some(attempt) = request_state.attempts.get_mut(usize::from(end.attempt)) else { return };
         if !std::mem::take(&mut attempt.1) {
             return;
         }
-        if let Some(place) = self.places.get(&attempt.0) {
-            let server = &mut self.servers[*place];
+        if let Some(index) = self.indices.get(&attempt.0) {
+            let server = &mut self.servers[*index];
             server.in_flight = server.in_flight.saturating_sub(1);
-            self.chooser.attempt_ended(now, *place, end.outcome, end.elapsed);
+            self.selector.attempt_ended(now, *index, end.outcome, end.elapsed);
         }
         let safe = self
             .settings
             .classes
-            .get(job.class)
+            .get(request_state.class)
             .is_some_and(|class| class.idempotency == Idempotency::Idempotent);
-        let (tries, never) = (job.attempts.len(), end.outcome.never_ran());
+        let (tries, never_ran) = (request_state.attempts.len(), end.outcome.never_ran());
         let timed_out = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
         if end.request_finished || end.outcome == Outcome::Served {
-            self.jobs.remove(&end.request);
-        } else if tries < usize::from(self.settings.max_attempts) && !timed_out && (never || safe) {
+            self.pending.remove(&end.request);
+        } else if tries < usize::from(self.settings.max_attempts) && !timed_out && (never_ran || safe) {
             self.send(now, end.request, truth, out);
         } else {
-            self.jobs.remove(&end.request);
-            // It went again only after proof, so that the last attempt tells of all.
-            let harmless = never || safe;
+            self.pending.remove(&end.request);
+            // Earlier attempts were retried only if that was harmless, so the last one decides for all.
+            let harmless = never_ran || safe;
             out.push(match harmless {
                 true => Action::Refuse { request: end.request, retry_after: 0 },
                 false => Action::Fail(end.request),
@@ -146,11 +146,11 @@
     }
 
     fn give_up(&mut self, request: RequestId, out: &mut Vec<Action>) {
-        if let Some(job) = self.jobs.remove(&request) {
-            let still = job.attempts.iter().enumerate().filter(|(_, (_, is_out))| *is_out);
-            for (number, (id, _)) in still {
-                if let Some(place) = self.places.get(id) {
-                    let server = &mut self.servers[*place];
+        if let Some(request_state) = self.pending.remove(&request) {
+            let in_flight = request_state.attempts.iter().enumerate().filter(|(_, (_, is_out))| *is_out);
+            for (number, (id, _)) in in_flight {
+                if let Some(index) = self.indices.get(id) {
+                    let server = &mut self.servers[*index];
                     server.in_flight = server.in_flight.saturating_sub(1);
                 }
                 out.push(Action::Cancel(request, number as u16));
@@ -160,8 +160,11 @@
     }
 
     fn arrived(&mut self, now: Micros, request: &Request, truth: &GroundTruth<'_>, out: &mut Vec<Action>) {
-        self.jobs.insert(request.id, Job { class: request.class, attempts: Vec::new() });
-        out.push(Action::SetTimer { after: request.remaining.saturating_sub(BEFORE), token: request.id });
+        self.pending.insert(request.id, PendingRequest { class: request.class, attempts: Vec::new() });
+        out.push(Action::SetTimer {
+            after: request.remaining.saturating_sub(REPLY_MARGIN),
+            token: request.id,
+        });
         self.send(now, request.id, truth, out);
     }
 }
@@ -175,9 +178,9 @@
             Event::AttemptEnded(end) => self.attempt_ended(now, &end, truth, out),
             Event::TimerFired(request) => self.give_up(request, out),
             Event::ClientLeft(request) => {
-                let mut unheard = Vec::new();
-                self.give_up(request, &mut unheard);
-                out.extend(unheard.into_iter().filter(|action| matches!(action, Action::Cancel(..))));
+                let mut actions = Vec::new();
+                self.give_up(request, &mut actions);
+                out.extend(actions.into_iter().filter(|action| matches!(action, Action::Cancel(..))));
             }
             _ => {}
         }
--- a/crates/lab/src/experiment/cases.rs
+++ b/crates/lab/src/experiment/cases.rs
@@ -2,23 +2,23 @@
 
 use super::{Experiment, ExperimentError};
 
-/// One run: an experiment with all its keys settled, a policy, a seed.
+/// One run: an experiment with the values of its swept keys applied, a policy and a seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Case {
-    /// What holds for it.
+    /// The experiment with these values.
     pub experiment: Experiment,
     /// TargetSelector policy.
     pub policy: String,
-    /// What the policy is called.
+    /// The name of the variant in reports.
     pub variant: String,
     /// The values of swept keys, as text; empty without a sweep.
     pub point: String,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
 }
 
-/// Puts a value at a dotted key of a tree; whether there was such a key.
-fn set(tree: &mut toml::Value, key: &str, value: &toml::Value) -> bool {
+/// Sets the value of a dotted key; returns whether the tree has the key.
+fn set_key(tree: &mut toml::Value, key: &str, value: &toml::Value) -> bool {
     let mut at = tree;
     for part in key.split('.') {
         let next = match at {
@@ -34,14 +34,14 @@
 }
 
 impl Experiment {
-    /// The same with some keys changed.
-    fn with(&self, changes: &[(&str, &toml::Value)]) -> Result<Experiment, ExperimentError> {
+    /// Returns the experiment with the values of some keys changed.
+    fn with_changes(&self, changes: &[(&str, &toml::Value)]) -> Result<Experiment, ExperimentError> {
         if changes.is_empty() {
             return Ok(self.clone());
         }
         let mut tree = toml::Value::try_from(self).map_err(|e| ExperimentError::of("", e.to_string()))?;
         for (key, value) in changes {
-            if !set(&mut tree, key, value) {
+            if !set_key(&mut tree, key, value) {
                 return Err(ExperimentError::of(*key, "a key that experiments have"));
             }
         }
@@ -52,15 +52,15 @@
         Ok(read)
     }
 
-    /// All points of the sweep.
-    fn points(&self) -> Vec<Vec<(&str, &toml::Value)>> {
+    /// The combinations of all values of the swept keys.
+    fn sweep_points(&self) -> Vec<Vec<(&str, &toml::Value)>> {
         let mut points = vec![Vec::new()];
         for (key, values) in &self.sweep {
-            let mut more = Vec::new();
+            let mut extended = Vec::new();
             for point in &points {
-                more.extend(values.iter().map(|value| [&point[..], &[(key.as_str(), value)]].concat()));
+                extended.extend(values.iter().map(|value| [&point[..], &[(key.as_str(), value)]].concat()));
             }
-            points = more;
+            points = extended;
         }
         points
     }
@@ -68,12 +68,12 @@
     /// All runs: every point of the sweep, every policy, every seed.
     pub fn cases(&self) -> Result<Vec<Case>, ExperimentError> {
         let mut cases = Vec::new();
-        for point in self.points() {
+        for point in self.sweep_points() {
             let name: Vec<String> = point.iter().map(|(key, value)| format!("{key}={value}")).collect();
             for variant in &self.compare {
-                let own = variant.set.iter().map(|(key, value)| (key.as_str(), value));
-                let changes: Vec<_> = point.iter().copied().chain(own).collect();
-                let experiment = self.with(&changes)?;
+                let variant_changes = variant.set.iter().map(|(key, value)| (key.as_str(), value));
+                let changes: Vec<_> = point.iter().copied().chain(variant_changes).collect();
+                let experiment = self.with_changes(&changes)?;
                 cases.extend(self.seeds.iter().map(|seed| Case {
                     experiment: experiment.clone(),
                     policy: variant.policy.clone(),
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! What is tried: a world, a time line of troubles, the policies to compare, sweeps over any key, seeds.
+//! Experiments: the simulated system, a time line of faults, the policies to compare, sweeps over any key, and seeds.
 
 mod cases;
 mod check;
@@ -15,61 +15,61 @@
 
 use crate::Micros;
 
-/// What is wrong with an experiment.
+/// An error in an experiment.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}{key}: expected {expected}", line.map(|line| format!("line {line}: ")).unwrap_or_default())]
 pub struct ExperimentError {
-    /// The line, from 1, where it is known.
+    /// The line number from 1; `None` if it is not known.
     pub line: Option<usize>,
-    /// The key.
+    /// The dotted key.
     pub key: String,
-    /// What was expected there.
+    /// The expected value.
     pub expected: String,
 }
 
 impl ExperimentError {
-    /// A problem with a key.
+    /// Creates an error about a key.
     pub fn of(key: impl Into<String>, expected: impl Into<String>) -> ExperimentError {
         ExperimentError { line: None, key: key.into(), expected: expected.into() }
     }
 }
 
-/// An experiment, as its file says it.
+/// An experiment, as read from its file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// The name in reports.
     pub name: String,
-    /// What it asks.
+    /// A description of its purpose.
     pub about: String,
-    /// For how long requests come.
+    /// The simulated time during which calls arrive.
     #[serde(with = "humantime_serde")]
     pub span: Duration,
-    /// For how long from the start nothing is counted.
+    /// The warm-up time at the start that is excluded from the metrics.
     #[serde(with = "humantime_serde")]
     pub settle: Duration,
-    /// For random numbers: a run for each.
+    /// The seeds of random numbers; each gives a run.
     pub seeds: Vec<u64>,
-    /// The nodes that share the work.
+    /// The nodes, which balance the load.
     pub nodes: Nodes,
-    /// Who asks.
+    /// The clients.
     pub clients: Clients,
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Whom requests come from.
+    /// The tenants that send requests.
     pub tenants: Tenants,
-    /// Who answers.
+    /// The servers.
     pub servers: Servers,
-    /// How nodes hear of servers.
+    /// The propagation of the server list to nodes.
     pub list: List,
-    /// What lies between them.
+    /// The network.
     pub network: Network,
-    /// What goes wrong, and when.
+    /// The faults and their times.
     #[serde(rename = "troubles")]
     pub faults: Vec<Fault>,
-    /// What is compared.
+    /// The policies to compare.
     pub compare: Vec<Variant>,
-    /// Keys, and the values that each of them takes in turn.
+    /// The keys to vary, each with its values; all combinations are run.
     pub sweep: BTreeMap<String, Vec<toml::Value>>,
 }
 
@@ -77,26 +77,26 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Nodes {
-    /// How many.
+    /// The number of nodes.
     pub count: u32,
-    /// The most attempts of a request.
+    /// The maximum number of attempts per request.
     pub attempts: u16,
     /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Whether a second attempt may be out beside the first.
+    /// Whether requests may be hedged: a second attempt sent while the first is in flight.
     pub copies: bool,
-    /// How many labels tenants are hashed to.
+    /// The number of labels that tenants are hashed to.
     pub labels: u16,
-    /// The least servers of a label's pool.
+    /// The minimum number of servers in a label's pool.
     pub pool_min: u16,
-    /// The longest that clients are asked to stay away.
+    /// The maximum `Retry-After` sent to clients.
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
-    /// How many servers a node of the `subset` policy keeps to.
+    /// The size of a node's subset of servers with the `subset` policy.
     pub subset: usize,
-    /// Whether they gossip: who is there, and which servers they suspect.
+    /// Whether nodes gossip about their membership and suspected servers.
     pub gossip: bool,
-    /// The most bytes of that which a node sends in any second.
+    /// The maximum number of gossip bytes that a node sends per second.
     pub gossip_ceiling: u32,
 }
 
@@ -104,23 +104,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Requests a second, all nodes together; with `loops`, nothing.
+    /// Calls per second, at all nodes together; ignored with `loops`.
     pub rate: f64,
-    /// How they come.
+    /// The arrival process.
     pub arrivals: Arrivals,
-    /// Multiples of the rate at times, with straight lines between: a day's curve. Nothing for an even rate.
+    /// Pairs of a time in seconds and the factor of the rate at it, interpolated linearly, such as a day's curve. Empty
+    /// for a constant rate.
     pub curve: Vec<(f64, f64)>,
-    /// Closed loop: so many clients, each of which waits for its answer before it thinks and asks again.
+    /// The number of closed-loop clients, each of which waits for its reply and thinks before the next call; 0 for
+    /// open-loop arrivals.
     pub loops: u32,
-    /// How long they think, on average.
+    /// The mean think time.
     #[serde(with = "humantime_serde")]
     pub think: Duration,
-    /// How often a request that was refused, or failed harmlessly, is asked again.
+    /// The maximum number of retries of a call that was refused, or failed and is safe.
     pub retries: u32,
-    /// How long they wait before they do, doubled each time, at random from half of it on.
+    /// The backoff before the first retry, doubled for each further one, with jitter over its upper half.
     #[serde(with = "humantime_serde")]
     pub backoff: Duration,
-    /// The part of them that heed `Retry-After`.
+    /// The fraction of clients that obey `Retry-After`.
     pub heed: f64,
 }
 
@@ -128,13 +130,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tenants {
-    /// How many; with none, requests have no tenant.
+    /// The number of tenants; if 0, requests have no tenant.
     pub count: u32,
-    /// How uneven they are: the part of the k-th is k to the minus this. 0 for even.
+    /// The exponent of the Zipf distribution of requests over tenants; 0 for a uniform distribution.
     pub skew: f64,
-    /// The share of each, as a multiple of an even part of the rate.
+    /// The quota of each tenant, as a multiple of an equal share of the rate.
     pub quota: f64,
-    /// What a request beyond its tenant's share is worth, as a part of what it else is.
+    /// The factor of the worth of a request over its tenant's quota.
     pub over_share_worth: f64,
 }
 
@@ -142,89 +144,89 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Servers {
-    /// How many.
+    /// The number of servers.
     pub count: u32,
-    /// How many zones they are in, in turn.
+    /// The number of zones; servers are assigned round robin.
     pub zones: u8,
-    /// How many cells that know each other's keys, in turn.
+    /// The number of cells, within which servers share idempotency keys; servers are assigned round robin.
     pub cells: u16,
-    /// How many requests one works on at full speed.
+    /// The number of requests that a server executes at full speed.
     pub cores: u32,
-    /// Whether it works on all that it has at once, each the slower (processor sharing), or keeps the rest in order.
+    /// Whether a server executes all requests at once, each slower (processor sharing), or queues the rest in order.
     pub shares: bool,
-    /// How many may wait, or with `shares` be there; more are turned away.
+    /// The maximum number of queued requests, or of running ones with `shares`; more are rejected.
     pub queue: usize,
-    /// How long a request takes alone on a server of speed 1.
+    /// The mean execution time of a request that is alone on a server of speed 1.
     #[serde(with = "humantime_serde")]
     pub time: Duration,
-    /// How that varies.
+    /// The distribution of the execution time.
     pub shape: WorkDistribution,
-    /// Their speeds, in turn.
+    /// The speeds of servers, assigned round robin.
     pub speeds: Vec<f64>,
-    /// Whether the list tells of the speeds, as weights.
+    /// Whether the server list has the speeds as weights.
     pub weights: bool,
-    /// The part of its speed that a server starts with.
+    /// The fraction of full speed right after a server's start.
     pub cold_from: f64,
-    /// Until it has all of it.
+    /// The time from a start to full speed.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// A server that is sent this multiple of what it can do, over 2 s, falls over; 0 for never.
+    /// The multiple of its capacity over 2 s at which a server crashes from overload; 0 for never.
     pub falls_at: f64,
-    /// For how long it is down then.
+    /// The downtime after a crash from overload.
     #[serde(with = "humantime_serde")]
     pub down: Duration,
 }
 
-/// How the list of servers reaches nodes.
+/// The propagation of the server list to nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct List {
-    /// How long a change takes on average; exponential, for each node by itself.
+    /// The mean delay of an update; exponentially distributed, independent for each node.
     #[serde(with = "humantime_serde")]
     pub delay: Duration,
-    /// The part of changes that a node never hears of, until the whole list comes.
+    /// The fraction of updates that are lost; the node then gets the change with the next full list.
     pub loss: f64,
-    /// How often the whole list comes.
+    /// The mean interval between full lists.
     #[serde(with = "humantime_serde")]
     pub whole_every: Duration,
-    /// The part of nodes that hear ten times as late as the others.
+    /// The fraction of nodes whose updates are delayed ten times as long.
     pub laggards: f64,
 }
 
-/// What lies between nodes, servers and clients.
+/// The network between clients, nodes and servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// One way.
+    /// The minimum one-way delay.
     #[serde(with = "humantime_serde")]
     pub delay: Duration,
-    /// What is added at random, on average; exponential.
+    /// The mean of the random additional delay; exponentially distributed.
     #[serde(with = "humantime_serde")]
     pub jitter: Duration,
-    /// The part of attempts whose connection is refused.
+    /// The fraction of attempts whose connection is refused.
     pub refused: f64,
-    /// The part of attempts that ran and whose answer is lost with the connection.
+    /// The fraction of executed attempts whose reply is lost by a connection reset.
     pub resets: f64,
-    /// How long a connection is tried for.
+    /// The timeout of connecting to a server.
     #[serde(with = "humantime_serde")]
     pub connect_timeout: Duration,
 }
 
-/// A policy to compare, with what is different for it.
+/// A policy to compare, with changed settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
     /// TargetSelector policy: see [`crate::baselines::POLICY_NAMES`].
     pub policy: String,
-    /// What it is called in the report; the policy's name if empty.
+    /// The name in reports; the policy's name if empty.
     #[serde(default)]
     pub name: String,
-    /// Keys that have other values for it.
+    /// Keys of the experiment with other values for this variant.
     #[serde(default)]
     pub set: BTreeMap<String, toml::Value>,
 }
 
-/// A span in whole microseconds.
+/// A duration in whole microseconds.
 pub(crate) fn micros(span: Duration) -> Micros {
     span.as_micros() as Micros
 }
@@ -334,22 +336,27 @@
 }
 
 impl Experiment {
-    /// How many requests a second are within the share of each tenant, over all nodes.
+    /// The quota of each tenant in requests per second, over all nodes.
     pub(crate) fn quota_per_s(&self) -> f64 {
         self.tenants.quota * self.clients.rate / f64::from(self.tenants.count.max(1))
     }
 
-    /// Reads an experiment, and checks it.
+    /// Parses and checks an experiment.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text is not valid TOML or has an invalid key or value.
     pub fn from_toml(text: &str) -> Result<Experiment, ExperimentError> {
-        let read: Experiment = toml::from_str(text).map_err(|error| ExperimentError {
+        let experiment: Experiment = toml::from_str(text).map_err(|error| ExperimentError {
             line: error.span().map(|span| check::line_at(text, span.start)),
             key: error.span().map(|span| check::key_at(text, span.start)).unwrap_or_default(),
             expected: format!("something else ({})", error.message().trim()),
         })?;
-        // What cases say is checked as well: a sweep may lead to values that can't be.
-        read.check()
-            .and_then(|()| read.cases().map(drop))
+        // The cases are checked as well, because a sweep may contain invalid values.
+        experiment
+            .check()
+            .and_then(|()| experiment.cases().map(drop))
             .map_err(|problem| ExperimentError { line: check::line_of(text, &problem.key), ..problem })?;
-        Ok(read)
+        Ok(experiment)
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -2,7 +2,7 @@
 //! node hosts the real decision module, unchanged, or one of the baselines that it is compared with.
 //!
 //! Nothing here does I/O or reads a clock. The same experiment, policy and seed give the same run, to the byte: all
-//! chance comes from generators of a fixed kind, one for each purpose, so that all policies meet the same requests.
+//! random numbers come from seeded generators, one for each purpose, so that all policies handle the same requests.
 //!
 //! ```
 //! use dunelink_lab::{Experiment, run};
@@ -19,9 +19,9 @@
 //!     "#,
 //! )?;
 //! let case = &experiment.cases()?[0];
-//! let figures = run(case, &mut |_| true)?;
-//! assert!(figures.violations.is_empty());
-//! assert_eq!(figures.asked, figures.served);
+//! let metrics = run(case, &mut |_| true)?;
+//! assert!(metrics.violations.is_empty());
+//! assert_eq!(metrics.asked, metrics.served);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
--- a/crates/lab/src/metrics.rs
+++ b/crates/lab/src/metrics.rs
@@ -213,7 +213,7 @@
         }
     }
 
-    /// TargetSelector moment a time is in.
+    /// The index of the interval of the time line that contains this time.
     fn interval(&self, at: Micros) -> usize {
         ((at as u128 * TIMELINE_POINTS as u128 / u128::from(self.span.max(1))) as usize)
             .min(TIMELINE_POINTS - 1)
