--- a/crates/lab/src/baselines/mod.rs
+++ b/crates/lab/src/baselines/mod.rs
@@ -1,4 +1,5 @@
-//! What decides at a node: the decision module, or one of its baselines, each from its paper or public description.
+//! The policies of nodes: the decision module, or one of the baselines, each after its paper or public
+//! description.
 
 mod ejection;
 mod oracle;
@@ -35,10 +36,11 @@
     "oracle",
 ];
 
-/// A load-balancing policy of a node. It is deterministic: the same events and server states give the same actions.
+/// A load-balancing policy of a node. It is deterministic: the same events and server states give the same
+/// actions.
 pub trait Policy {
-    /// Handles an event and adds the resulting actions to `out`. `truth` is only for baselines that probe servers and for
-    /// the oracle.
+    /// Handles an event and adds the resulting actions to `out`. `truth` is only for baselines that probe
+    /// servers and for the oracle.
     fn handle(&mut self, now: Micros, event: Event, truth: &GroundTruth<'_>, out: &mut Vec<Action>);
 
     /// The policy's own observations of servers, which nodes gossip. The default has none.
@@ -105,8 +107,8 @@
     }
 }
 
-/// Creates the policy with this name for a node. An unknown name gives random selection; experiments with unknown names
-/// are already rejected when they are read.
+/// Creates the policy with this name for a node. An unknown name gives random selection; experiments with
+/// unknown names are already rejected when they are read.
 ///
 /// # Errors
 ///
--- a/crates/lab/src/baselines/oracle.rs
+++ b/crates/lab/src/baselines/oracle.rs
@@ -1,4 +1,5 @@
-//! The oracle knows the real state of all servers: the bound for policies that select a server when a request arrives.
+//! The oracle knows the real state of all servers: the bound for policies that select a server when a request
+//! arrives.
 
 use rand::Rng;
 use rand_pcg::Pcg64;
--- a/crates/lab/src/baselines/policy.rs
+++ b/crates/lab/src/baselines/policy.rs
@@ -1,5 +1,6 @@
-//! What all baselines have in common: they keep the list, send each request at once, try again what proved not to have run
-//! and what is safe, and give up in time. They refuse only when there is no server.
+//! The common part of all baselines: they keep the server list, send each request at once, retry attempts
+//! that certainly did not run or are safe, and give up before the deadline. They refuse requests only if
+//! there is no server.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,7 +20,7 @@
 /// A server as a baseline sees it.
 #[derive(Clone, Debug)]
 pub struct ServerView {
-    /// TargetSelector.
+    /// The id of the server.
     pub id: ServerId,
     /// Whether the server takes requests.
     pub ready: bool,
--- a/crates/lab/src/baselines/prequal.rs
+++ b/crates/lab/src/baselines/prequal.rs
@@ -1,6 +1,6 @@
-//! Prequal (B. Wydrowski and others, Load is not what you should balance, NSDI 2024): a pool of answers to probes,
-//! from which the hot-cold lexicographic rule selects. A probe returns the number of requests at a server and the
-//! expected latency; its cost at the server is not modelled.
+//! Prequal (B. Wydrowski and others, Load is not what you should balance, NSDI 2024): a pool of answers to
+//! probes, from which the hot-cold lexicographic rule selects. A probe returns the number of requests at a
+//! server and the expected latency; its cost at the server is not modelled.
 
 use std::collections::VecDeque;
 
@@ -10,8 +10,8 @@
 use super::policy::{SelectionContext, ServerSelector};
 use crate::Micros;
 
-/// As in the paper: three probes per request, a pool of 16 answers that expire after a second; a server is hot above this
-/// quantile of the number of requests.
+/// As in the paper: three probes per request, a pool of 16 answers that expire after a second; a server is
+/// hot above this quantile of the number of requests.
 const PROBES_PER_REQUEST: usize = 3;
 const POOL_SIZE: usize = 16;
 const MAX_ANSWER_AGE: Micros = 1_000_000;
--- a/crates/lab/src/baselines/selectors.rs
+++ b/crates/lab/src/baselines/selectors.rs
@@ -30,8 +30,9 @@
     }
 }
 
-/// The one with the fewest requests of this node, against its weight where those count: "least connections", and with
-/// weights the weighted least load by which join-the-shrink-queue is approached. Ties fall to chance.
+/// Selects the server with the fewest requests of this node in flight ("least connections"), optionally
+/// relative to its weight (weighted least load, which approximates join-the-shortest-queue). Ties are broken
+/// at random.
 pub(super) struct LeastRequests {
     pub(super) weighted: bool,
 }
@@ -70,8 +71,8 @@
     (view.ready[first], view.ready[second])
 }
 
-/// Selects the less loaded of two random servers, by requests of this node in flight (M. Mitzenmacher, The Power of Two Choices in
-/// Randomized Load Balancing, 2001).
+/// Selects the less loaded of two random servers, by requests of this node in flight (M. Mitzenmacher, The
+/// Power of Two Choices in Randomized Load Balancing, 2001).
 pub(super) struct TwoChoices;
 
 impl ServerSelector for TwoChoices {
@@ -81,16 +82,17 @@
     }
 }
 
-/// Selects, of two random servers, the one with the lower product of latency and requests in flight, where the latency
-/// estimate follows a rise at once and decays exponentially: "peak EWMA", as described for Finagle and linkerd.
+/// Selects, of two random servers, the one with the lower product of latency and requests in flight, where
+/// the latency estimate follows a rise at once and decays exponentially: "peak EWMA", as described for
+/// Finagle and linkerd.
 #[derive(Default)]
 pub(super) struct PeakEwma {
     /// The latency estimate in microseconds (0 if unknown), and when it was updated, by server index.
     latencies: Vec<(f64, Micros)>,
 }
 
-/// The time constant of the latency's decay (10 s in the descriptions), and the cost of a server with unknown latency
-/// while requests are in flight.
+/// The time constant of the latency's decay (10 s in the descriptions), and the cost of a server with unknown
+/// latency while requests are in flight.
 const DECAY_US: f64 = 10e6;
 const UNKNOWN_LATENCY_COST: f64 = 1e6;
 
@@ -125,8 +127,8 @@
     }
 }
 
-/// Deterministic subsetting (Site Reliability Engineering, 2016, chapter 20): the nodes of a round divide the shuffled
-/// servers among themselves. Each node selects the servers of its subset in turn.
+/// Deterministic subsetting (Site Reliability Engineering, 2016, chapter 20): the nodes of a round divide the
+/// shuffled servers among themselves. Each node selects the servers of its subset in turn.
 pub(super) struct Subset {
     rank: u64,
     nodes: u64,
@@ -146,7 +148,8 @@
         let mut all: Vec<usize> = (0..servers.len()).filter(|index| servers[*index].ready).collect();
         let subsets = (all.len() / self.size.max(1)).max(1) as u64;
         let (round, subset_number) = (self.rank / subsets, self.rank % subsets);
-        // All nodes of a round shuffle alike: by server ids, not by the order in which they learned of the servers.
+        // All nodes of a round shuffle alike: by server ids, not by the order in which they learned of the
+        // servers.
         all.sort_by_key(|index| {
             let mix = servers[*index].id ^ round.wrapping_mul(0xd1b5_4a32_d192_ed03);
             (
--- a/crates/lab/src/experiment/cases.rs
+++ b/crates/lab/src/experiment/cases.rs
@@ -7,7 +7,7 @@
 pub struct Case {
     /// The experiment with these values.
     pub experiment: Experiment,
-    /// TargetSelector policy.
+    /// The name of the policy.
     pub policy: String,
     /// The name of the variant in reports.
     pub variant: String,
--- a/crates/lab/src/experiment/kinds.rs
+++ b/crates/lab/src/experiment/kinds.rs
@@ -1,62 +1,62 @@
-//! The parts of an experiment that come in kinds.
+//! The enums and parameter types of experiments.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How open-loop requests come.
+/// The arrival process of open-loop calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Arrivals {
-    /// Each by itself: a Poisson process.
+    /// A Poisson process.
     #[default]
     Poisson,
-    /// At even distances.
+    /// At constant intervals.
     Even,
-    /// In bursts of ten at the same moment; these are a Poisson process.
+    /// In bursts of ten simultaneous calls; the bursts are a Poisson process.
     Bursts,
 }
 
-/// How the work of a request varies about its mean.
+/// The distribution of the work of requests about its mean.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum WorkDistribution {
-    /// Always the same.
+    /// Constant.
     Even,
     /// Exponential.
     Exponential,
     /// Lognormal.
     Lognormal {
-        /// The deviation of its logarithm.
+        /// The standard deviation of the logarithm.
         sigma: f64,
     },
-    /// Most take little, some take much.
+    /// Two values: most requests are short, some are long.
     Bimodal {
-        /// The part that takes much.
+        /// The fraction of long requests.
         part: f64,
-        /// How many times as long those take.
+        /// The factor by which they are longer.
         times: f64,
     },
-    /// Pareto: few are very long.
+    /// Pareto: a few requests are very long.
     Pareto {
-        /// Its exponent, over 1.
+        /// The exponent, greater than 1.
         alpha: f64,
     },
-    /// From a recorded histogram: lengths against each other, and how often each is met.
+    /// A recorded histogram of relative lengths.
     Recorded {
-        /// Pairs of length and count.
+        /// Pairs of a length and its count.
         counts: Vec<(f64, f64)>,
     },
 }
 
-/// Whether a request may run again.
+/// The effect of running a request more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// Repeats are harmless.
     #[default]
     Safe,
-    /// The servers of a cell drop repeats for 10 s.
+    /// The servers of a cell deduplicate repeats for 10 s.
     Keyed,
     /// It must never run twice.
     Unsafe,
@@ -66,23 +66,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name in reports.
     pub name: String,
-    /// Whether a request may run again.
+    /// The effect of running a request more than once.
     pub effect: Effect,
-    /// How much of the requests it is, against the others.
+    /// The relative share of calls that are of this class.
     pub part: f64,
-    /// How many times as much work as the mean a request is.
+    /// The factor of the mean work of its requests.
     pub work: f64,
-    /// An answer within this time earns all.
+    /// The target latency; a reply within it earns the full worth.
     #[serde(with = "humantime_serde")]
     pub aim: Duration,
-    /// The client's whole wait.
+    /// The time after which the client gives up.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
-    /// What an answer in time is worth.
+    /// The worth of a reply within the target latency.
     pub worth: f64,
-    /// The share of that which a late one earns.
+    /// The fraction of the worth that a later reply earns.
     pub late_worth: f64,
 }
 
@@ -101,29 +101,29 @@
     }
 }
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FaultKind {
-    /// Servers take requests and do nothing.
+    /// Servers accept requests but make no progress.
     Stall,
-    /// Servers do `factor` of their speed.
+    /// The speed of servers is multiplied by `factor`.
     Slow,
-    /// Servers are gone at once with all that they have, and start cold at the end.
+    /// Servers crash and lose their requests; they start cold at the end.
     Crash,
-    /// Servers drain, and are gone after that; they start cold at the end.
+    /// Servers drain and then stop; they start cold at the end.
     Drain,
     /// Nodes (`nodes`) can't reach servers.
     Partition,
     /// Nodes (`nodes`) can't reach the other nodes, nor these them.
     Cut,
-    /// Nodes (`nodes`) hear nothing of the list.
+    /// Nodes (`nodes`) get no updates of the server list.
     Silence,
-    /// `factor` of the attempts at servers run and lose their connection.
+    /// The fraction `factor` of the attempts at servers run, but their connections are reset.
     Resets,
-    /// `factor` times as many requests come.
+    /// The arrival rate is multiplied by `factor`.
     Burst,
-    /// The clocks of nodes (`nodes`) jump ahead by `factor` seconds, and stay there.
+    /// The clocks of nodes (`nodes`) jump ahead by `factor` seconds and stay ahead.
     Clock,
 }
 
@@ -131,33 +131,33 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum TargetSelector {
-    /// This part of them, drawn at random.
+    /// This fraction of them, drawn at random.
     Part(f64),
-    /// Those of a zone; nodes are in zones in turn as servers are.
+    /// Those of a zone; nodes are assigned to zones round robin, like servers.
     Zone(u8),
-    /// These, by number.
+    /// These, by index.
     These(Vec<u32>),
 }
 
-/// Something that goes wrong for a while.
+/// A fault for a limited time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// The start, from the start of the run.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// How long it lasts.
+    /// The duration.
     #[serde(rename = "for", with = "humantime_serde")]
     pub duration: Duration,
     /// How much of it; see [`FaultKind`].
     #[serde(default = "one")]
     pub factor: f64,
-    /// TargetSelector servers; all if it does not say.
+    /// The affected servers; all by default.
     #[serde(default = "all")]
     pub servers: TargetSelector,
-    /// TargetSelector nodes; all if it does not say.
+    /// The affected nodes; all by default.
     #[serde(default = "all")]
     pub nodes: TargetSelector,
 }
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,4 +1,5 @@
-//! Experiments: the simulated system, a time line of faults, the policies to compare, sweeps over any key, and seeds.
+//! Experiments: the simulated system, a time line of faults, the policies to compare, sweeps over any key,
+//! and seeds.
 
 mod cases;
 mod check;
@@ -108,11 +109,11 @@
     pub rate: f64,
     /// The arrival process.
     pub arrivals: Arrivals,
-    /// Pairs of a time in seconds and the factor of the rate at it, interpolated linearly, such as a day's curve. Empty
-    /// for a constant rate.
+    /// Pairs of a time in seconds and the factor of the rate at it, interpolated linearly, such as a day's
+    /// curve. Empty for a constant rate.
     pub curve: Vec<(f64, f64)>,
-    /// The number of closed-loop clients, each of which waits for its reply and thinks before the next call; 0 for
-    /// open-loop arrivals.
+    /// The number of closed-loop clients, each of which waits for its reply and thinks before the next call;
+    /// 0 for open-loop arrivals.
     pub loops: u32,
     /// The mean think time.
     #[serde(with = "humantime_serde")]
@@ -152,7 +153,8 @@
     pub cells: u16,
     /// The number of requests that a server executes at full speed.
     pub cores: u32,
-    /// Whether a server executes all requests at once, each slower (processor sharing), or queues the rest in order.
+    /// Whether a server executes all requests at once, each slower (processor sharing), or queues the rest in
+    /// order.
     pub shares: bool,
     /// The maximum number of queued requests, or of running ones with `shares`; more are rejected.
     pub queue: usize,
--- a/crates/lab/src/invariants.rs
+++ b/crates/lab/src/invariants.rs
@@ -1,5 +1,5 @@
-//! Invariants, checked outside the decision module: each request gets one reply and in time, no effect happens twice,
-//! nothing new is sent to a draining server, and no cold server is overloaded.
+//! Invariants, checked outside the decision module: each request gets one reply and in time, no effect
+//! happens twice, nothing new is sent to a draining server, and no cold server is overloaded.
 
 use serde::Serialize;
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,9 @@
-//! The lab: a discrete-event model in simulated time of clients, nodes, servers, the server list and the network. Each
-//! node hosts the real decision module, unchanged, or one of the baselines that it is compared with.
+//! The lab: a discrete-event simulation of clients, nodes, servers, the server list and the network. Each
+//! node hosts the real decision module, unchanged, or one of the baseline policies that it is compared with.
 //!
-//! Nothing here does I/O or reads a clock. The same experiment, policy and seed give the same run, to the byte: all
-//! random numbers come from seeded generators, one for each purpose, so that all policies handle the same requests.
+//! Nothing here does I/O or reads a clock. The same experiment, policy and seed give the same run, to the
+//! byte: all random numbers come from seeded generators, one for each purpose, so that all policies handle
+//! the same requests.
 //!
 //! ```
 //! use dunelink_lab::{Experiment, run};
--- a/crates/lab/src/metrics.rs
+++ b/crates/lab/src/metrics.rs
@@ -48,8 +48,8 @@
     /// Requests refused or failed per second, retries included.
     #[serde(rename = "turned")]
     pub rejected: f64,
-    /// The median latency in milliseconds of the calls that started in this interval and were served, measured from the
-    /// intended start.
+    /// The median latency in milliseconds of the calls that started in this interval and were served,
+    /// measured from the intended start.
     pub p50: f64,
     /// The 99th percentile of these latencies in milliseconds.
     pub p99: f64,
@@ -91,7 +91,8 @@
     pub worth: f64,
     /// The sum of the worth that was earned.
     pub earned: f64,
-    /// The median latency of served calls in milliseconds, measured from the intended start, as are the next three.
+    /// The median latency of served calls in milliseconds, measured from the intended start, as are the next
+    /// three.
     pub p50: f64,
     /// The 99th percentile in milliseconds.
     pub p99: f64,
@@ -112,7 +113,8 @@
     /// The utilization of the servers' cores: minimum, mean and maximum over servers.
     #[serde(rename = "used")]
     pub utilization: (f64, f64, f64),
-    /// Little's law at the servers: the mean number of attempts there, and the arrival rate times the mean sojourn time.
+    /// Little's law at the servers: the mean number of attempts there, and the arrival rate times the mean
+    /// sojourn time.
     pub little: (f64, f64),
     /// The gossip statistics; `None` if nodes don't gossip.
     #[serde(rename = "talked")]
--- a/crates/lab/src/report/html.rs
+++ b/crates/lab/src/report/html.rs
@@ -1,4 +1,4 @@
-//! One page that needs nothing else: tables, pictures, and what was tried.
+//! The report as one self-contained HTML page: tables, plots and the experiment.
 
 use std::fmt::Write as _;
 
@@ -16,9 +16,9 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-fn row(text: &mut String, group: &Group<'_>) {
-    let gain = group.figure(RunMetrics::gain);
-    let mean = |of: fn(&RunMetrics) -> f64| group.figure(of).mean;
+fn write_row(text: &mut String, group: &Group<'_>) {
+    let gain = group.mean_of(RunMetrics::gain);
+    let mean = |of: fn(&RunMetrics) -> f64| group.mean_of(of).mean;
     let violation_count = group.sum(|f| f.violation_count);
     let own = if group.policy.starts_with("dunelink") { " class=own" } else { "" };
     let _ = write!(
@@ -51,7 +51,7 @@
     }
 }
 
-fn parts(
+fn write_totals(
     text: &mut String,
     title: &str,
     groups: &[&Group<'_>],
@@ -65,17 +65,17 @@
     if names.len() < 2 {
         return;
     }
-    let most = 12;
-    let shown = &names[..names.len().min(most)];
-    let more = if names.len() > most { format!(" (the first {most})") } else { String::new() };
-    let _ = write!(text, "<details><summary>G by {title}{more}</summary><table><tr><th>policy</th>");
+    let max_shown = 12;
+    let shown = &names[..names.len().min(max_shown)];
+    let note = if names.len() > max_shown { format!(" (the first {max_shown})") } else { String::new() };
+    let _ = write!(text, "<details><summary>G by {title}{note}</summary><table><tr><th>policy</th>");
     shown.iter().for_each(|name| *text += &format!("<th>{}</th>", escape(name)));
     *text += "</tr>";
     for group in groups {
         let _ = write!(text, "<tr><td>{}</td>", escape(group.policy));
         for at in 0..shown.len() {
             let gain =
-                group.figure(|figures| of(figures).get(at).map_or(0.0, crate::metrics::GroupTotals::gain));
+                group.mean_of(|figures| of(figures).get(at).map_or(0.0, crate::metrics::GroupTotals::gain));
             let _ = write!(text, "<td>{:.3}</td>", gain.mean);
         }
         *text += "</tr>";
@@ -83,7 +83,7 @@
     *text += "</table></details>";
 }
 
-fn pictures(text: &mut String, group: &Group<'_>, open: bool) {
+fn write_plots(text: &mut String, group: &Group<'_>, open: bool) {
     let Some((case, figures)) = group.runs.first() else { return };
     let open = if open { " open" } else { "" };
     let _ = write!(
@@ -102,11 +102,11 @@
         figures.events,
         figures.events as f64 / figures.asked.max(1) as f64
     );
-    if let Some(talked) = figures.gossip {
+    if let Some(gossip) = figures.gossip {
         let _ = write!(
             text,
             "<p>Gossip: {:.0} bytes/s a node; at the end each held at least {} others to be there.</p>",
-            talked.bytes, talked.least
+            gossip.bytes, gossip.least
         );
     }
     if !figures.violations.is_empty() {
@@ -125,7 +125,7 @@
     *text += "</details>";
 }
 
-/// The page of an experiment's runs.
+/// Formats the runs of an experiment as an HTML page.
 pub fn page(experiment: &Experiment, runs: &[(Case, RunResult)]) -> String {
     let mut text = format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>{0}</title><style>{STYLE}</style><h1>{0}</h1><p>{1}</p>",
@@ -140,22 +140,22 @@
     let mut points: Vec<&str> = all.iter().map(|group| group.point).collect();
     points.dedup();
     for point in points {
-        let here: Vec<&Group<'_>> = all.iter().filter(|group| group.point == point).collect();
+        let point_groups: Vec<&Group<'_>> = all.iter().filter(|group| group.point == point).collect();
         if !point.is_empty() {
             let _ = write!(text, "<h2>{}</h2>", escape(point));
         }
-        text += &plots::gains(&here);
+        text += &plots::gains(&point_groups);
         text += "<table><tr><th>policy</th><th>G</th><th>p50 ms</th><th>p99</th><th>p99.9</th><th>worst tenant</th><th>fairness</th>\
                  <th>attempts</th><th>wasted</th><th>refused</th><th>failed</th><th>used: mean, most</th><th>rules broken</th></tr>";
-        here.iter().for_each(|group| row(&mut text, group));
+        point_groups.iter().for_each(|group| write_row(&mut text, group));
         text += "</table>";
-        parts(&mut text, "class", &here, |figures| &figures.classes);
-        parts(&mut text, "tenant", &here, |figures| &figures.tenants);
-        for (at, group) in here.iter().enumerate() {
-            pictures(&mut text, group, at == 0);
+        write_totals(&mut text, "class", &point_groups, |figures| &figures.classes);
+        write_totals(&mut text, "tenant", &point_groups, |figures| &figures.tenants);
+        for (at, group) in point_groups.iter().enumerate() {
+            write_plots(&mut text, group, at == 0);
         }
     }
-    let told = toml::to_string(experiment).unwrap_or_default();
-    let _ = write!(text, "<h2>What was played</h2><pre>{}</pre></html>", escape(&told));
+    let toml_text = toml::to_string(experiment).unwrap_or_default();
+    let _ = write!(text, "<h2>What was played</h2><pre>{}</pre></html>", escape(&toml_text));
     text
 }
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What is told of the runs of an experiment: rows for programs, and a page for people.
+//! Reports on the runs of an experiment: rows for programs, and an HTML page.
 
 mod html;
 mod plots;
@@ -13,7 +13,7 @@
 
 pub use html::page;
 
-/// A run, or why there is none.
+/// The metrics of a run, or why it failed.
 pub type RunResult = Result<RunMetrics, String>;
 
 /// One run as a row.
@@ -25,13 +25,13 @@
     pub point: &'a str,
     /// The policy, as the report calls it.
     pub policy: &'a str,
-    /// The seed.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// Worth earned over worth asked for.
+    /// The fraction of the worth of all calls that was earned.
     pub gain: f64,
-    /// What came of it, or nothing.
+    /// The metrics; `None` if the run failed.
     pub figures: Option<&'a RunMetrics>,
-    /// Why it failed.
+    /// The error; `None` if the run succeeded.
     pub error: Option<&'a str>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// One JSON object a line for each run, with all figures.
+/// Formats the runs as JSON lines, with all metrics.
 pub fn json_lines(runs: &[(Case, RunResult)]) -> String {
     let line = |(case, outcome): &(Case, RunResult)| {
         serde_json::to_string(&row(case, outcome)).unwrap_or_default() + "\n"
@@ -55,13 +55,13 @@
     runs.iter().map(line).collect()
 }
 
-/// A table for programs, one row for each run; a failed one has no figures.
+/// Formats the runs as CSV, one row per run; a failed run has no metrics.
 pub fn csv(runs: &[(Case, RunResult)]) -> String {
     let mut writer = csv::Writer::from_writer(Vec::new());
-    let head = "experiment,point,policy,seed,gain,asked,served,in_time,lost,refused,failed,p50_ms,p99_ms,p999_ms,mean_ms,\
+    let header = "experiment,point,policy,seed,gain,asked,served,in_time,lost,refused,failed,p50_ms,p99_ms,p999_ms,mean_ms,\
                 worst_tenant,fairness,attempts_a_request,wasted,used_mean,used_most,breaches,events,error";
-    // Nothing fails in memory.
-    let _ = writer.write_record(head.split(','));
+    // Writing to memory does not fail.
+    let _ = writer.write_record(header.split(','));
     for (case, outcome) in runs {
         let mut cells = vec![
             case.experiment.name.clone(),
@@ -71,8 +71,8 @@
         ];
         match outcome {
             Ok(f) => {
-                let numbers = [f.gain(), f.asked as f64, f.served as f64, f.in_time as f64, f.lost as f64];
-                let more = [
+                let counts = [f.gain(), f.asked as f64, f.served as f64, f.in_time as f64, f.lost as f64];
+                let latencies_and_tenants = [
                     f.refused as f64,
                     f.failed as f64,
                     f.p50,
@@ -82,7 +82,7 @@
                     f.worst_tenant,
                     f.fairness,
                 ];
-                let last = [
+                let totals = [
                     f.attempts_per_call(),
                     f.attempts.wasted as f64,
                     f.utilization.1,
@@ -90,7 +90,7 @@
                     f.violation_count as f64,
                     f.events as f64,
                 ];
-                let all = numbers.iter().chain(&more).chain(&last);
+                let all = counts.iter().chain(&latencies_and_tenants).chain(&totals);
                 cells.extend(all.map(|number| {
                     format!("{number:.6}").trim_end_matches('0').trim_end_matches('.').to_string()
                 }));
@@ -112,30 +112,30 @@
     pub point: &'a str,
     /// The policy.
     pub policy: &'a str,
-    /// Its runs that count.
+    /// The successful runs.
     pub runs: Vec<(&'a Case, &'a RunMetrics)>,
-    /// Those that failed, by seed.
+    /// The seeds and errors of the failed runs.
     pub failed: Vec<(u64, &'a str)>,
 }
 
 impl Group<'_> {
-    /// A figure over the seeds.
-    pub fn figure(&self, of: impl Fn(&RunMetrics) -> f64) -> Estimate {
+    /// The mean of a metric over the seeds, with its confidence interval.
+    pub fn mean_of(&self, of: impl Fn(&RunMetrics) -> f64) -> Estimate {
         estimate(&self.runs.iter().map(|(_, figures)| of(figures)).collect::<Vec<_>>())
     }
 
-    /// A count over all runs.
+    /// The sum of a count over all runs.
     pub fn sum(&self, of: impl Fn(&RunMetrics) -> u64) -> u64 {
         self.runs.iter().map(|(_, figures)| of(figures)).sum()
     }
 }
 
-/// The runs by point and policy, in the order in which they were given.
+/// Groups the runs by point and policy, in order of first occurrence.
 pub fn groups(runs: &[(Case, RunResult)]) -> Vec<Group<'_>> {
-    let mut order: BTreeMap<(&str, &str), usize> = BTreeMap::new();
+    let mut positions: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     let mut groups: Vec<Group<'_>> = Vec::new();
     for (case, outcome) in runs {
-        let at = *order.entry((&case.point, &case.variant)).or_insert_with(|| {
+        let position = *positions.entry((&case.point, &case.variant)).or_insert_with(|| {
             groups.push(Group {
                 point: &case.point,
                 policy: &case.variant,
@@ -145,22 +145,22 @@
             groups.len() - 1
         });
         match outcome {
-            Ok(figures) => groups[at].runs.push((case, figures)),
-            Err(error) => groups[at].failed.push((case.seed, error)),
+            Ok(figures) => groups[position].runs.push((case, figures)),
+            Err(error) => groups[position].failed.push((case.seed, error)),
         }
     }
     groups
 }
 
-/// The figures of each policy as a table of text, for a terminal or a document.
+/// Formats the metrics of each policy as a Markdown table.
 pub fn table(runs: &[(Case, RunResult)]) -> String {
     let mut text = String::from(
         "| point | policy | G | p50, ms | p99, ms | p99.9, ms | worst tenant | attempts | refused | failed | broken |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for group in groups(runs) {
-        let gain = group.figure(RunMetrics::gain);
-        let mean = |of: fn(&RunMetrics) -> f64| group.figure(of).mean;
+        let gain = group.mean_of(RunMetrics::gain);
+        let mean = |of: fn(&RunMetrics) -> f64| group.mean_of(of).mean;
         text += &format!(
             "| {} | {} | {:.3} ± {:.3} | {:.0} | {:.0} | {:.0} | {:.3} | {:.2} | {} | {} | {} |\n",
             group.point,
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -6,8 +6,8 @@
 use crate::invariants::Violation;
 use crate::metrics::RunMetrics;
 
-/// Shrinks a case that violates an invariant to fewer faults, fewer nodes and a shorter span, as long as the same
-/// invariant is violated. Returns `None` if the case violates none. `run` runs a case.
+/// Shrinks a case that violates an invariant to fewer faults, fewer nodes and a shorter span, as long as the
+/// same invariant is violated. Returns `None` if the case violates none. `run` runs a case.
 pub fn shrink_case(case: &Case, run: &dyn Fn(&Case) -> RunMetrics) -> Option<(Case, Violation)> {
     let first = run(case).violations.into_iter().next()?;
     let invariant = first.invariant;
--- a/crates/lab/src/simulation/chance.rs
+++ b/crates/lab/src/simulation/chance.rs
@@ -1,5 +1,5 @@
-//! Random numbers from one algorithm, with a separate generator for each purpose, so that draws for one purpose don't
-//! change those for another.
+//! Random numbers from one algorithm, with a separate generator for each purpose, so that draws for one
+//! purpose don't change those for another.
 
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal};
--- a/crates/lab/src/simulation/clients.rs
+++ b/crates/lab/src/simulation/clients.rs
@@ -1,5 +1,5 @@
-//! The clients' calls: their times, class, tenant and work. They are drawn in order of arrival and independently of
-//! their outcome, so that all policies handle the same calls.
+//! The clients' calls: their times, class, tenant and work. They are drawn in order of arrival and
+//! independently of their outcome, so that all policies handle the same calls.
 
 use rand::Rng;
 use rand_pcg::Pcg64;
@@ -67,8 +67,8 @@
         }
     }
 
-    /// The time until the next arrival, at this multiple of the rate, and whether there is one: `false` means to check
-    /// the rate again then.
+    /// The time until the next arrival, at this multiple of the rate, and whether there is one: `false` means
+    /// to check the rate again then.
     pub(crate) fn next(&mut self, now: Micros, times: f64) -> (Micros, bool) {
         if self.burst_remaining > 0 {
             self.burst_remaining -= 1;
--- a/crates/lab/src/simulation/ground_truth.rs
+++ b/crates/lab/src/simulation/ground_truth.rs
@@ -1,4 +1,5 @@
-//! The real state of the servers, for policies that probe them, and for the oracle, which could not exist in reality.
+//! The real state of the servers, for policies that probe them, and for the oracle, which could not exist in
+//! reality.
 
 use std::collections::HashMap;
 
@@ -17,15 +18,15 @@
 }
 
 impl GroundTruth<'_> {
-    /// The expected time that a request of this work would spend at a server, queueing included, in microseconds; infinite
-    /// if the server is not there.
+    /// The expected time that a request of this work would spend at a server, queueing included, in
+    /// microseconds; infinite if the server is not there.
     pub fn expected_sojourn(&self, server: ServerId, work: f64) -> f64 {
         let server_model = self.indices.get(&server).and_then(|index| self.servers.get(*index));
         server_model.map_or(f64::INFINITY, |model| model.expected_sojourn(self.now, work))
     }
 
-    /// A server's answer to a probe: the number of requests at it, and the expected latency of one more in microseconds;
-    /// `None` if it does not answer.
+    /// A server's answer to a probe: the number of requests at it, and the expected latency of one more in
+    /// microseconds; `None` if it does not answer.
     pub fn probe(&self, server: ServerId) -> Option<(f64, f64)> {
         let server_model = self.servers.get(*self.indices.get(&server)?)?;
         let latency = server_model.expected_sojourn(self.now, self.mean_work);
--- a/crates/lab/src/simulation/list.rs
+++ b/crates/lab/src/simulation/list.rs
@@ -1,5 +1,5 @@
-//! Service discovery: each change of a server reaches each node after a delay or never, and every node gets the full
-//! list from time to time.
+//! Service discovery: each change of a server reaches each node after a delay or never, and every node gets
+//! the full list from time to time.
 
 use cherryusher::{Event, ServerEntry, ServerState};
 use rand::Rng;
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Records the state of a server that a node has received; returns whether it is not older than what it had.
+    /// Records the state of a server that a node has received; returns whether it is not older than what it
+    /// had.
     fn record_server_state(&mut self, node: usize, server: usize, state: ServerState, version: u32) -> bool {
         let (now, at) = (self.now, &mut self.nodes[node]);
         if version < at.versions[server] {
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -81,7 +81,8 @@
     Ok(run_with_policies(case, progress, &|rank| make(rank).ok()))
 }
 
-/// Runs a case with the policies that `make` creates for each node's rank; a node without one answers nothing.
+/// Runs a case with the policies that `make` creates for each node's rank; a node without one answers
+/// nothing.
 pub fn run_with_policies(
     case: &Case,
     progress: &mut dyn FnMut(f64) -> bool,
@@ -267,7 +268,8 @@
         }
     }
 
-    /// Stops a server: it crashes, or has drained. Its attempts are reset. If it was overloaded, it restarts by itself.
+    /// Stops a server: it crashes, or has drained. Its attempts are reset. If it was overloaded, it restarts
+    /// by itself.
     fn stop_server(&mut self, server: usize, overloaded: bool) {
         let lost = self.servers[server].stop(self.now);
         for attempt in lost {
--- a/crates/lab/src/simulation/nodes.rs
+++ b/crates/lab/src/simulation/nodes.rs
@@ -109,7 +109,8 @@
         at.last_clock
     }
 
-    /// Delivers an event to a node and carries out its actions. Events that these cause are delivered afterwards.
+    /// Delivers an event to a node and carries out its actions. Events that these cause are delivered
+    /// afterwards.
     pub(super) fn notify_node(&mut self, node: usize, event: Event) {
         self.pending_events.push_back((node, event));
         if std::mem::replace(&mut self.delivering, true) {
@@ -169,8 +170,8 @@
 
     pub(super) fn request_at_node(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
-        let back = 2 * micros(self.experiment.network.delay) + REPLY_MARGIN;
-        let remaining = request.client_deadline.saturating_sub(self.now + back);
+        let return_delay = 2 * micros(self.experiment.network.delay) + REPLY_MARGIN;
+        let remaining = request.client_deadline.saturating_sub(self.now + return_delay);
         let (node, class) = (request.node, request.class);
         let tenant = self.calls.get(&request.call).and_then(|call| call.tenant);
         self.queue.push(self.now + remaining, ScheduledEvent::NodeDeadline(number));
@@ -212,13 +213,13 @@
     fn send(&mut self, node: usize, number: u64, server: ServerId) {
         let Some(server) = self.ids.get(&server).copied() else { return };
         let id = self.next_id();
-        let (way, back) = (self.network_delay(), self.network_delay());
+        let (way, return_delay) = (self.network_delay(), self.network_delay());
         let refused = self.network_rng.random::<f64>() < self.experiment.network.refused;
         let parted = self.is_partitioned(node, server);
         let Some(request) = self.requests.get_mut(&number) else { return };
-        let beside = request.attempts.iter().any(|id| self.attempts.get(id).is_some_and(|a| a.awaited));
+        let hedged = request.attempts.iter().any(|id| self.attempts.get(id).is_some_and(|a| a.awaited));
         let counts = &mut self.metrics.attempts;
-        match (request.sent_count, beside) {
+        match (request.sent_count, hedged) {
             _ if self.now < START_TIME + micros(self.experiment.settle) => {}
             (0, _) => counts.first += 1,
             (_, true) => counts.copies += 1,
@@ -245,13 +246,13 @@
             let what = || format!("node {node} to server {server}, {late:.2} s after it heard");
             self.invariants.report(Invariant::SentToDraining, self.now - START_TIME, what);
         }
-        let fails = match () {
+        let failure = match () {
             () if answered => Some((0, Outcome::NotSent)),
             () if parted => Some((micros(self.experiment.network.connect_timeout), Outcome::ConnectFailed)),
-            () if refused => Some((way + back, Outcome::ConnectFailed)),
+            () if refused => Some((way + return_delay, Outcome::ConnectFailed)),
             () => None,
         };
-        match fails {
+        match failure {
             Some((after, outcome)) => {
                 self.leave_server(id);
                 self.queue.push(self.now + after, ScheduledEvent::AttemptOutcome(id, outcome));
@@ -370,7 +371,7 @@
             self.drop_finished_attempt(id);
             return;
         }
-        let mut told = None;
+        let mut node_outcome = None;
         if let Some(request) = self.requests.get_mut(&number) {
             let finished = request.answered;
             if outcome == Outcome::Served {
@@ -379,10 +380,10 @@
                     false => request.answered = true,
                 }
             }
-            told = Some((request.node, request.answered, !finished));
+            node_outcome = Some((request.node, request.answered, !finished));
         }
         self.drop_finished_attempt(id);
-        let Some((node, finished, first)) = told else { return };
+        let Some((node, finished, first)) = node_outcome else { return };
         if outcome == Outcome::Served && first {
             let way = self.network_delay();
             self.queue.push(self.now + way, ScheduledEvent::ReplyAtClient(number, Reply::Served));
--- a/crates/lab/src/simulation/server.rs
+++ b/crates/lab/src/simulation/server.rs
@@ -1,5 +1,6 @@
-//! The model of one server: running and queued requests, and its speed. The progress of work is measured by a virtual
-//! clock that advances at the speed at which each request is executed, so that a change of speed affects only the clock.
+//! The model of one server: running and queued requests, and its speed. The progress of work is measured by a
+//! virtual clock that advances at the speed at which each request is executed, so that a change of speed
+//! affects only the clock.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -216,7 +217,8 @@
             && work > self.parameters.falls_at * capacity
     }
 
-    /// When the next request completes if nothing changes; `None` if none is running or the server is stalled.
+    /// When the next request completes if nothing changes; `None` if none is running or the server is
+    /// stalled.
     pub fn next(&self) -> Option<Micros> {
         let Reverse((end, _)) = self.running.peek()?;
         if self.rate <= 0.0 {
@@ -226,7 +228,8 @@
         (remaining < 1e15).then(|| self.clock_at + remaining.ceil() as Micros)
     }
 
-    /// Completes a request whose work is done, if there is one; returns it and the queued request that starts in its place.
+    /// Completes a request whose work is done, if there is one; returns it and the queued request that starts
+    /// in its place.
     pub fn done(&mut self, now: Micros) -> Option<(u64, Option<u64>)> {
         self.advance(now);
         let Reverse((end, id)) = *self.running.peek()?;
--- a/crates/lab/src/simulation/wants.rs
+++ b/crates/lab/src/simulation/wants.rs
@@ -73,13 +73,14 @@
             // A failed request may have run, so it is retried only if it is safe.
             let harmless = matches!(reply, Reply::Refused(_)) || class.effect == Effect::Safe;
             if harmless && call.tries <= self.experiment.clients.retries {
-                let own = micros(self.experiment.clients.backoff) << (call.tries - 1).min(6);
-                let own = own / 2 + (own as f64 / 2.0 * self.client_rng.random::<f64>()) as Micros;
-                let told = match reply {
+                let backoff = micros(self.experiment.clients.backoff) << (call.tries - 1).min(6);
+                let backoff =
+                    backoff / 2 + (backoff as f64 / 2.0 * self.client_rng.random::<f64>()) as Micros;
+                let retry_after = match reply {
                     Reply::Refused(after) if call.obeys_retry_after => after,
                     _ => 0,
                 };
-                self.queue.push(self.now + own.max(told), ScheduledEvent::SendRequest(number));
+                self.queue.push(self.now + backoff.max(retry_after), ScheduledEvent::SendRequest(number));
                 return;
             }
         }
--- a/crates/lab/tests/chance.rs
+++ b/crates/lab/tests/chance.rs
@@ -1,4 +1,4 @@
-//! Worlds and files by chance: the module breaks no rule in any world, and no text is more than an error.
+//! Random experiments violate no invariant with the decision module, and random files give at most an error.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn which() -> impl Strategy<Value = TargetSelector> {
+fn selector() -> impl Strategy<Value = TargetSelector> {
     prop_oneof![
         (0.0..=1.0f64).prop_map(TargetSelector::Part),
         (0..3u8).prop_map(TargetSelector::Zone),
@@ -31,7 +31,7 @@
         FaultKind::Clock,
     ];
     let kind = (0..kinds.len()).prop_map(move |at| kinds[at]);
-    (kind, 0..5_000u64, 50..4_000u64, 0.05..1.0f64, which(), which()).prop_map(
+    (kind, 0..5_000u64, 50..4_000u64, 0.05..1.0f64, selector(), selector()).prop_map(
         |(kind, at, lasts, factor, servers, nodes)| Fault {
             kind,
             at: Duration::from_millis(at),
@@ -43,7 +43,7 @@
     )
 }
 
-fn world() -> impl Strategy<Value = (Experiment, u64)> {
+fn experiment() -> impl Strategy<Value = (Experiment, u64)> {
     let sizes = (1..5u32, 4..24u32, 1..4u8, 1..3u16, 1..4u32);
     let load = (0.1..1.5f64, 0..4u32, 0.0..=1.0f64, 0..6u32, 1..4u16, any::<bool>());
     let troubles = proptest::collection::vec(trouble(), 0..5);
@@ -56,7 +56,8 @@
         (e.servers.count, e.servers.zones, e.servers.cells, e.servers.cores) = (servers, zones, cells, cores);
         (e.servers.shares, e.servers.shape) = (shares, WorkDistribution::Lognormal { sigma: 1.0 });
         e.servers.warm_up = Duration::from_secs(4);
-        // Falling over by sheer load is another matter than a node's part in it: see the rule's own test.
+        // Crashes from overload by the clients' load are not the nodes' fault; the invariant has a test of
+        // its own.
         e.servers.falls_at = 0.0;
         e.clients.rate = load * f64::from(servers * cores) / 0.1;
         e.servers.time = Duration::from_millis(100);
@@ -82,15 +83,15 @@
 proptest! {
     #![proptest_config(config(40))]
     #[test]
-    fn the_module_breaks_no_rule_in_any_world((mut e, seed) in world()) {
+    fn random_experiments_violate_no_invariant((mut e, seed) in experiment()) {
         e.seeds = vec![seed];
         e.check().unwrap();
-        let figures = run(&e.cases().unwrap()[0], &mut |_| true).unwrap();
-        prop_assert_eq!(figures.violation_count, 0, "{:?}", figures.violations);
-        prop_assert_eq!(figures.asked, figures.served + figures.lost);
-        prop_assert!((0.0..=1.0).contains(&figures.gain()));
-        let (there, law) = figures.little;
-        prop_assert!((there - law).abs() <= 1e-3 * there.max(1.0), "{} and {}", there, law);
+        let metrics = run(&e.cases().unwrap()[0], &mut |_| true).unwrap();
+        prop_assert_eq!(metrics.violation_count, 0, "{:?}", metrics.violations);
+        prop_assert_eq!(metrics.asked, metrics.served + metrics.lost);
+        prop_assert!((0.0..=1.0).contains(&metrics.gain()));
+        let (mean_count, by_law) = metrics.little;
+        prop_assert!((mean_count - by_law).abs() <= 1e-3 * mean_count.max(1.0), "{} and {}", mean_count, by_law);
     }
 }
 
@@ -99,10 +100,10 @@
 proptest! {
     #![proptest_config(config(400))]
     #[test]
-    fn no_file_is_more_than_an_error(at in 0..FILE.len(), to in 0..60usize, with in "[\\PC\n]{0,12}") {
-        let end = (at + to).min(FILE.len());
+    fn random_files_do_not_panic(at in 0..FILE.len(), length in 0..60usize, replacement in "[\\PC\n]{0,12}") {
+        let end = (at + length).min(FILE.len());
         if FILE.is_char_boundary(at) && FILE.is_char_boundary(end) {
-            let text = format!("{}{with}{}", &FILE[..at], &FILE[end..]);
+            let text = format!("{}{replacement}{}", &FILE[..at], &FILE[end..]);
             if let Err(problem) = Experiment::from_toml(&text) {
                 prop_assert!(!problem.expected.is_empty());
                 prop_assert!(problem.line.is_none_or(|line| line <= text.lines().count() + 1));
@@ -112,10 +113,10 @@
 }
 
 #[test]
-fn what_fuzzing_kept_is_read_or_told_of() {
-    let kept = testkit::corpus("experiment");
-    let read = kept
+fn corpus_files_parse_or_fail() {
+    let corpus = testkit::corpus("experiment");
+    let read = corpus
         .iter()
         .filter(|bytes| std::str::from_utf8(bytes).is_ok_and(|text| Experiment::from_toml(text).is_ok()));
-    assert!(read.count() >= 3 && kept.len() >= 4, "{}", kept.len());
+    assert!(read.count() >= 3 && corpus.len() >= 4, "{}", corpus.len());
 }
--- a/crates/lab/tests/worlds.rs
+++ b/crates/lab/tests/worlds.rs
@@ -1,4 +1,4 @@
-//! What may happen in worlds, and that the rules are seen when they are broken.
+//! Experiments with all faults and policies, and the detection of violated invariants.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     Experiment::from_toml(text).unwrap().cases().unwrap()
 }
 
-fn played(case: &Case) -> RunMetrics {
+fn run_case(case: &Case) -> RunMetrics {
     run(case, &mut |_| true).unwrap()
 }
 
@@ -54,89 +54,93 @@
 "#;
 
 #[test]
-fn all_policies_bear_all_troubles_and_none_answers_twice_or_never() {
+fn policies_answer_once_under_all_faults() {
     for case in cases(&format!("{SMALL}{TROUBLES}{ALL}")) {
-        let figures = played(&case);
-        assert!(figures.asked > 1000 && figures.gain() > 0.3, "{}: {:?}", case.policy, figures.gain());
+        let metrics = run_case(&case);
+        assert!(metrics.asked > 1000 && metrics.gain() > 0.3, "{}: {:?}", case.policy, metrics.gain());
         let answers =
             [Invariant::NoAnswer, Invariant::TwoAnswers, Invariant::RanTwice, Invariant::RefusedAfterRunning];
-        let broken = figures.violations.iter().find(|violation| answers.contains(&violation.invariant));
+        let broken = metrics.violations.iter().find(|violation| answers.contains(&violation.invariant));
         assert!(broken.is_none(), "{}: {broken:?}", case.policy);
         if case.policy == "dunelink" {
-            assert_eq!(figures.violation_count, 0, "{:?}", figures.violations);
+            assert_eq!(metrics.violation_count, 0, "{:?}", metrics.violations);
         }
-        let (there, law) = figures.little;
-        assert!((there - law).abs() < 1e-6 * there, "{}: {there}, {law}", case.policy);
+        let (mean_count, by_law) = metrics.little;
+        assert!((mean_count - by_law).abs() < 1e-6 * mean_count, "{}: {mean_count}, {by_law}", case.policy);
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run_on_whatever_thread() {
+fn runs_are_deterministic_across_threads() {
     let all = cases(&format!(
         "{SMALL}{TROUBLES}seeds = [3, 4]\ncompare = [{{ policy = \"dunelink\" }}, {{ policy = \"prequal\" }}]"
     ));
-    let one: Vec<_> = all.iter().map(|case| (case.clone(), Ok(played(case)))).collect();
-    let many: Vec<_> = std::thread::scope(|scope| {
-        let runs: Vec<_> = all.iter().map(|case| scope.spawn(|| (case.clone(), Ok(played(case))))).collect();
+    let single_thread: Vec<_> = all.iter().map(|case| (case.clone(), Ok(run_case(case)))).collect();
+    let multi_thread: Vec<_> = std::thread::scope(|scope| {
+        let runs: Vec<_> =
+            all.iter().map(|case| scope.spawn(|| (case.clone(), Ok(run_case(case))))).collect();
         runs.into_iter().map(|run| run.join().unwrap()).collect()
     });
-    let (one, many) = (report::json_lines(&one), report::json_lines(&many));
-    assert_eq!(one, many);
-    let lines: Vec<&str> = one.lines().collect();
-    assert_ne!(lines[0], lines[1], "another seed is another run");
+    let (single_thread, multi_thread) =
+        (report::json_lines(&single_thread), report::json_lines(&multi_thread));
+    assert_eq!(single_thread, multi_thread);
+    let lines: Vec<&str> = single_thread.lines().collect();
+    assert_ne!(lines[0], lines[1], "different seeds give different runs");
 }
 
 #[test]
-fn all_policies_meet_the_same_requests() {
+fn policies_get_the_same_requests() {
     let asked: Vec<(u64, u64)> = cases(&format!("{SMALL}{ALL}"))
         .iter()
         .map(|case| {
-            let figures = played(case);
-            (figures.asked, figures.worth.to_bits())
+            let metrics = run_case(case);
+            (metrics.asked, metrics.worth.to_bits())
         })
         .collect();
-    assert!(asked.iter().all(|one| *one == asked[0]), "{asked:?}");
+    assert!(asked.iter().all(|single_thread| *single_thread == asked[0]), "{asked:?}");
 }
 
 #[test]
-fn a_load_over_capacity_for_the_whole_time_is_answered_all_the_same() {
+fn permanent_overload_is_answered() {
     let text = SMALL.replace("rate = 300.0", "rate = 1500.0")
         + "compare = [{ policy = \"dunelink\" }, { policy = \"random\" }]";
-    let runs: Vec<RunMetrics> = cases(&text).iter().map(played).collect();
+    let runs: Vec<RunMetrics> = cases(&text).iter().map(run_case).collect();
     assert_eq!(runs[0].violation_count, 0, "{:?}", runs[0].violations);
     assert!(runs[0].gain() > runs[1].gain(), "{} and {}", runs[0].gain(), runs[1].gain());
 }
 
 #[test]
-fn closed_loops_ask_no_faster_than_they_are_answered() {
-    // Ten clients, a second to think, 20 ms of work: some 9.8 a second.
+fn closed_loop_rate_is_limited_by_replies() {
+    // Ten clients with 1 s of think time and 20 ms of work make about 9.8 calls per second.
     let text = "span = \"60s\"\nclients = { loops = 10 }\ncompare = [{ policy = \"p2c\" }]";
-    let figures = played(&cases(text)[0]);
-    let rate = figures.asked as f64 / 60.0;
+    let metrics = run_case(&cases(text)[0]);
+    let rate = metrics.asked as f64 / 60.0;
     assert!((9.0..10.6).contains(&rate), "{rate}");
 }
 
-/// A policy that breaks one rule, and else sends everything to one server.
-struct Wrong {
+/// A policy that violates one invariant, and otherwise sends everything to one server.
+struct FaultyPolicy {
     rule: Option<Invariant>,
-    to: ServerId,
+    target: ServerId,
     lists: u32,
 }
 
-impl Policy for Wrong {
+impl Policy for FaultyPolicy {
     fn handle(&mut self, _: Micros, event: Event, _: &GroundTruth<'_>, out: &mut Vec<Action>) {
         match event {
             Event::ServerList(list) if self.lists == 0 => {
                 self.lists += 1;
-                self.to = list[3].id;
+                self.target = list[3].id;
             }
             Event::RequestArrived(request) if self.rule != Some(Invariant::NoAnswer) => {
-                out.push(Action::Send { request: request.id, server: self.to, start_before: None });
+                out.push(Action::Send { request: request.id, server: self.target, start_before: None });
                 match self.rule {
                     Some(Invariant::TwoAnswers) => out.extend([Action::Fail(request.id); 2]),
-                    Some(Invariant::RanTwice) => {
-                        out.push(Action::Send { request: request.id, server: self.to, start_before: None })
-                    }
+                    Some(Invariant::RanTwice) => out.push(Action::Send {
+                        request: request.id,
+                        server: self.target,
+                        start_before: None,
+                    }),
                     Some(Invariant::RefusedAfterRunning) => {
                         out.push(Action::Refuse { request: request.id, retry_after: 0 })
                     }
@@ -149,12 +153,12 @@
     }
 }
 
-fn wrong(case: &Case, rule: Option<Invariant>) -> RunMetrics {
-    run_with_policies(case, &mut |_| true, &|_| Some(Box::new(Wrong { rule, to: 0, lists: 0 })))
+fn run_faulty(case: &Case, rule: Option<Invariant>) -> RunMetrics {
+    run_with_policies(case, &mut |_| true, &|_| Some(Box::new(FaultyPolicy { rule, target: 0, lists: 0 })))
 }
 
 #[test]
-fn every_broken_rule_is_seen() {
+fn detects_every_violation() {
     let text = r#"
         span = "20s"
         settle = "0s"
@@ -171,61 +175,61 @@
     for rule in
         [Invariant::NoAnswer, Invariant::TwoAnswers, Invariant::RanTwice, Invariant::RefusedAfterRunning]
     {
-        let figures = wrong(case, Some(rule));
-        assert_eq!(figures.violations.first().map(|violation| violation.invariant), Some(rule));
+        let metrics = run_faulty(case, Some(rule));
+        assert_eq!(metrics.violations.first().map(|violation| violation.invariant), Some(rule));
     }
-    let told: Vec<Invariant> =
-        wrong(case, None).violations.iter().map(|violation| violation.invariant).collect();
-    assert!(told.contains(&Invariant::SentToDraining), "{told:?}");
-    let mut pushed = case.clone();
-    pushed.experiment.faults.remove(0);
-    pushed.experiment.faults[0].at = Duration::from_secs(4);
-    pushed.experiment.faults.push(dunelink_lab::experiment::Fault {
+    let observed: Vec<Invariant> =
+        run_faulty(case, None).violations.iter().map(|violation| violation.invariant).collect();
+    assert!(observed.contains(&Invariant::SentToDraining), "{observed:?}");
+    let mut overloaded = case.clone();
+    overloaded.experiment.faults.remove(0);
+    overloaded.experiment.faults[0].at = Duration::from_secs(4);
+    overloaded.experiment.faults.push(dunelink_lab::experiment::Fault {
         kind: dunelink_lab::experiment::FaultKind::Crash,
         at: Duration::from_secs(1),
         duration: Duration::from_millis(10),
-        ..pushed.experiment.faults[0].clone()
+        ..overloaded.experiment.faults[0].clone()
     });
-    let figures = wrong(&pushed, None);
+    let metrics = run_faulty(&overloaded, None);
     assert!(
-        figures.violations.iter().any(|violation| violation.invariant == Invariant::PushedOver),
+        metrics.violations.iter().any(|violation| violation.invariant == Invariant::PushedOver),
         "{:?}",
-        figures.violations
+        metrics.violations
     );
 }
 
 #[test]
-fn a_breach_is_shrunk_to_what_it_needs() {
+fn shrinks_a_violating_case() {
     let text = format!("{SMALL}{TROUBLES}compare = [{{ policy = \"random\" }}]");
     let mut case = cases(&text).remove(0);
     case.experiment.span = Duration::from_secs(5);
-    // Nobody sends to who drains but this one.
+    // Only this policy sends to draining servers.
     let (short, violation) = shrink_case(&case, &|case| {
-        let mut figures = wrong(case, None);
-        figures.violations.retain(|violation| violation.invariant == Invariant::SentToDraining);
-        figures
+        let mut metrics = run_faulty(case, None);
+        metrics.violations.retain(|violation| violation.invariant == Invariant::SentToDraining);
+        metrics
     })
-    .unwrap_or_else(|| panic!("nothing was broken"));
+    .unwrap_or_else(|| panic!("no invariant was violated"));
     assert_eq!(violation.invariant, Invariant::SentToDraining);
     assert!(short.experiment.faults.len() < case.experiment.faults.len(), "{:?}", short.experiment.faults);
     assert!(short.experiment.span < Duration::from_secs(4) && short.experiment.nodes.count == 1, "{short:?}");
     case.experiment.faults.clear();
-    assert!(shrink_case(&case, &|case| played(case)).is_none());
+    assert!(shrink_case(&case, &|case| run_case(case)).is_none());
 }
 
 #[test]
-fn a_run_can_be_cut_and_still_tells_its_figures() {
+fn stopped_runs_have_metrics() {
     let case =
         &cases("span = \"1h\"\nclients.rate = 5000.0\nservers.count = 200\ncompare = [{ policy = \"p2c\" }]")
             [0];
-    let mut looks = 0;
-    let figures = run(case, &mut |part| {
-        looks += 1;
+    let mut progress_calls = 0;
+    let metrics = run(case, &mut |part| {
+        progress_calls += 1;
         assert!((0.0..=1.0).contains(&part));
-        looks < 4
+        progress_calls < 4
     })
     .unwrap();
-    assert!(figures.cut && figures.served > 0);
+    assert!(metrics.cut && metrics.served > 0);
 }
 
 #[test]
@@ -249,9 +253,9 @@
 }
 
 #[test]
-fn one_failed_run_leaves_the_others_and_is_named() {
+fn reports_name_failed_runs() {
     let all = cases("span = \"2s\"\nseeds = [1, 2]\nservers.count = 4\ncompare = [{ policy = \"p2c\" }]");
-    let runs = vec![(all[0].clone(), Ok(played(&all[0]))), (all[1].clone(), Err("no <memory>".into()))];
+    let runs = vec![(all[0].clone(), Ok(run_case(&all[0]))), (all[1].clone(), Err("no <memory>".into()))];
     let page = report::page(&all[0].experiment, &runs);
     assert!(page.contains("seed 2 failed: no &lt;memory&gt;") && page.matches("<svg").count() == 4, "{page}");
     assert!(report::csv(&runs).lines().nth(2).unwrap().ends_with("no <memory>"));
@@ -263,7 +267,7 @@
 }
 
 #[test]
-fn what_can_not_be_is_told_with_its_line_and_key() {
+fn errors_name_line_and_key() {
     let cases = [
         ("span = \"2s\"\nnodes.count = 0\n", "line 2: nodes.count: expected 1 to 1000"),
         (
@@ -289,14 +293,14 @@
         ),
         ("name = ", "line 1: name: expected something else"),
     ];
-    for (text, wanted) in cases {
-        let told = Experiment::from_toml(text).unwrap_err().to_string();
-        assert!(told.starts_with(wanted), "{told}");
+    for (text, expected) in cases {
+        let observed = Experiment::from_toml(text).unwrap_err().to_string();
+        assert!(observed.starts_with(expected), "{observed}");
     }
 }
 
-/// Nodes of which each meets a server seldom, with servers that stall for most of the time.
-const SELDOM: &str = r#"
+/// Many nodes, each of which sends few requests to a server, and servers that stall for most of the time.
+const RARE_CONTACT: &str = r#"
     span = "14s"
     settle = "4s"
     nodes = { count = 16 }
@@ -307,21 +311,21 @@
 "#;
 
 #[test]
-fn nodes_that_gossip_send_less_to_servers_that_stall() {
-    let played = |more: &str| {
-        let text = format!("{SELDOM}\ncompare = [{{ policy = \"dunelink\"{more} }}]");
-        cases(&text).iter().map(played).map(|f| (f.lost, f.violation_count, f.gossip)).collect::<Vec<_>>()
+fn gossip_reduces_requests_to_stalled_servers() {
+    let run_case = |more: &str| {
+        let text = format!("{RARE_CONTACT}\ncompare = [{{ policy = \"dunelink\"{more} }}]");
+        cases(&text).iter().map(run_case).map(|f| (f.lost, f.violation_count, f.gossip)).collect::<Vec<_>>()
     };
-    let (alone, told) = (&played("")[0], &played(", set = { \"nodes.gossip\" = true }")[0]);
-    println!("alone {alone:?}, told {told:?}");
-    assert_eq!((alone.1, told.1, alone.2), (0, 0, None));
-    assert!(4 * told.0 <= 3 * alone.0, "{told:?}, {alone:?}");
-    let talked = told.2.unwrap();
+    let (without_gossip, observed) = (&run_case("")[0], &run_case(", set = { \"nodes.gossip\" = true }")[0]);
+    println!("without gossip {without_gossip:?}, with gossip {observed:?}");
+    assert_eq!((without_gossip.1, observed.1, without_gossip.2), (0, 0, None));
+    assert!(4 * observed.0 <= 3 * without_gossip.0, "{observed:?}, {without_gossip:?}");
+    let talked = observed.2.unwrap();
     assert!(talked.least == 15 && talked.bytes < 16_384.0, "{talked:?}");
 }
 
 #[test]
-fn nodes_that_are_cut_off_from_each_other_serve_on_and_find_each_other_again() {
+fn nodes_rejoin_after_a_cut() {
     let text = r#"
         span = "24s"
         nodes = { count = 8, gossip = true }
@@ -330,10 +334,10 @@
         troubles = [{ kind = "cut", at = "6s", for = "6s", nodes = { part = 0.5 } }]
         compare = [{ policy = "dunelink" }]
     "#;
-    let whole = played(&cases(text)[0]);
-    assert_eq!((whole.violation_count, whole.gossip.unwrap().least), (0, 7));
-    assert!(whole.gain() > 0.95, "{}", whole.gain());
-    // In the midst of it each side holds the other to be gone.
-    let halves = played(&cases(&text.replace("24s", "11s"))[0]);
-    assert_eq!(halves.gossip.unwrap().least, 3);
+    let full_run = run_case(&cases(text)[0]);
+    assert_eq!((full_run.violation_count, full_run.gossip.unwrap().least), (0, 7));
+    assert!(full_run.gain() > 0.95, "{}", full_run.gain());
+    // During the cut, each side considers the other dead.
+    let during_cut = run_case(&cases(&text.replace("24s", "11s"))[0]);
+    assert_eq!(during_cut.gossip.unwrap().least, 3);
 }
