--- a/crates/graphql/src/document_cache.rs
+++ b/crates/graphql/src/document_cache.rs
@@ -95,7 +95,7 @@
 
 impl std::fmt::Debug for DocumentCache {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("DocumentCache").field("len", &self.len()).finish_non_exhaustive()
+        f.debug_struct("Known").field("len", &self.len()).finish_non_exhaustive()
     }
 }
 
--- a/crates/graphql/src/manifest.rs
+++ b/crates/graphql/src/manifest.rs
@@ -23,7 +23,7 @@
 #[serde(untagged)]
 enum Manifest {
     Apollo(ApolloManifest),
-    NamesToTexts(HashMap<String, String>),
+    Plain(HashMap<String, String>),
 }
 
 #[derive(Deserialize)]
@@ -54,7 +54,7 @@
     pub fn from_json(text: &str) -> Result<DocumentManifest, serde_json::Error> {
         let documents = match serde_json::from_str(text)? {
             Manifest::Apollo(apollo) => apollo.operations.into_iter().map(|o| (o.id, o.body)).collect(),
-            Manifest::NamesToTexts(texts) => texts,
+            Manifest::Plain(texts) => texts,
         };
         // Names can be hashes, which are compared in lower case.
         Ok(DocumentManifest(
--- a/crates/lab/src/baselines/mod.rs
+++ b/crates/lab/src/baselines/mod.rs
@@ -16,8 +16,8 @@
 use crate::Micros;
 use crate::experiment::{self, Experiment, micros};
 use crate::invariants::KEY_WINDOW;
-use crate::simulation::chance::{RngPurpose, generator};
 use crate::simulation::ground_truth::GroundTruth;
+use crate::simulation::random::{RngPurpose, generator};
 
 pub use policy::{BaselinePolicy, ServerSelector, ServerView};
 
--- a/crates/lab/src/experiment/check.rs
+++ b/crates/lab/src/experiment/check.rs
@@ -75,8 +75,8 @@
         match targets {
             TargetSelector::Part(part) => self.fraction(*part, format!("{key}.part")),
             TargetSelector::Zone(_) => {}
-            TargetSelector::These(these) => self.require(
-                these.iter().all(|number| *number < count),
+            TargetSelector::These(indices) => self.require(
+                indices.iter().all(|number| *number < count),
                 format!("{key}.these"),
                 &format!("numbers under {count}"),
             ),
@@ -176,13 +176,13 @@
         c.fraction(self.network.refused, "network.refused");
         c.fraction(self.network.resets, "network.resets");
         c.span(self.network.connect_timeout, ms, "network.connect_timeout");
-        for (at, trouble) in self.faults.iter().enumerate() {
+        for (at, fault) in self.faults.iter().enumerate() {
             let key = |name: &str| format!("troubles.{at}.{name}");
-            c.number(trouble.factor, 0.0, key("factor"));
-            c.require(trouble.at <= self.span, key("at"), "a time within `span`");
-            c.span(trouble.duration, ms, key("for"));
-            c.targets(&trouble.servers, s.count, &key("servers"));
-            c.targets(&trouble.nodes, n.count, &key("nodes"));
+            c.number(fault.factor, 0.0, key("factor"));
+            c.require(fault.at <= self.span, key("at"), "a time within `span`");
+            c.span(fault.duration, ms, key("for"));
+            c.targets(&fault.servers, s.count, &key("servers"));
+            c.targets(&fault.nodes, n.count, &key("nodes"));
         }
         c.require(!self.compare.is_empty(), "compare", "at least one policy");
         for (at, variant) in self.compare.iter().enumerate() {
--- a/crates/lab/src/experiment/kinds.rs
+++ b/crates/lab/src/experiment/kinds.rs
@@ -127,7 +127,7 @@
     Clock,
 }
 
-/// TargetSelector servers, or nodes.
+/// Selects servers or nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum TargetSelector {
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -218,7 +218,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// TargetSelector policy: see [`crate::baselines::POLICY_NAMES`].
+    /// The name of the policy: one of [`crate::baselines::POLICY_NAMES`].
     pub policy: String,
     /// The name in reports; the policy's name if empty.
     #[serde(default)]
@@ -358,7 +358,7 @@
         experiment
             .check()
             .and_then(|()| experiment.cases().map(drop))
-            .map_err(|problem| ExperimentError { line: check::line_of(text, &problem.key), ..problem })?;
+            .map_err(|error| ExperimentError { line: check::line_of(text, &error.key), ..error })?;
         Ok(experiment)
     }
 }
--- a/crates/lab/src/report/html.rs
+++ b/crates/lab/src/report/html.rs
@@ -60,7 +60,7 @@
     let names: Vec<&str> = groups
         .iter()
         .find_map(|group| group.runs.first())
-        .map(|(_, figures)| of(figures).iter().map(|part| part.name.as_str()).collect())
+        .map(|(_, metrics)| of(metrics).iter().map(|part| part.name.as_str()).collect())
         .unwrap_or_default();
     if names.len() < 2 {
         return;
@@ -75,7 +75,7 @@
         let _ = write!(text, "<tr><td>{}</td>", escape(group.policy));
         for at in 0..shown.len() {
             let gain =
-                group.mean_of(|figures| of(figures).get(at).map_or(0.0, crate::metrics::GroupTotals::gain));
+                group.mean_of(|metrics| of(metrics).get(at).map_or(0.0, crate::metrics::GroupTotals::gain));
             let _ = write!(text, "<td>{:.3}</td>", gain.mean);
         }
         *text += "</tr>";
@@ -84,7 +84,7 @@
 }
 
 fn write_plots(text: &mut String, group: &Group<'_>, open: bool) {
-    let Some((case, figures)) = group.runs.first() else { return };
+    let Some((case, metrics)) = group.runs.first() else { return };
     let open = if open { " open" } else { "" };
     let _ = write!(
         text,
@@ -92,26 +92,26 @@
         escape(group.policy),
         case.seed
     );
-    *text += &plots::rates(case, figures);
-    *text += &plots::latency(case, figures);
-    *text += &plots::heat(case, figures);
-    let (there, law) = figures.little;
+    *text += &plots::rates(case, metrics);
+    *text += &plots::latency(case, metrics);
+    *text += &plots::heat(case, metrics);
+    let (there, law) = metrics.little;
     let _ = write!(
         text,
         "<p>{} events, {:.1} a request. Little's law at the servers: {there:.2} there on average, {law:.2} by arrivals and stays.</p>",
-        figures.events,
-        figures.events as f64 / figures.asked.max(1) as f64
+        metrics.events,
+        metrics.events as f64 / metrics.asked.max(1) as f64
     );
-    if let Some(gossip) = figures.gossip {
+    if let Some(gossip) = metrics.gossip {
         let _ = write!(
             text,
             "<p>Gossip: {:.0} bytes/s a node; at the end each held at least {} others to be there.</p>",
             gossip.bytes, gossip.least
         );
     }
-    if !figures.violations.is_empty() {
+    if !metrics.violations.is_empty() {
         *text += "<ul class=bad>";
-        for violation in &figures.violations {
+        for violation in &metrics.violations {
             let _ = write!(
                 text,
                 "<li>{:.3} s: {:?}, {}</li>",
@@ -132,7 +132,7 @@
         escape(&experiment.name),
         escape(&experiment.about)
     );
-    if runs.iter().any(|(_, outcome)| outcome.as_ref().is_ok_and(|figures| figures.cut)) {
+    if runs.iter().any(|(_, outcome)| outcome.as_ref().is_ok_and(|metrics| metrics.cut)) {
         text +=
             "<p class=bad>Some runs were ended before their time; their figures are of what was played.</p>";
     }
@@ -149,8 +149,8 @@
                  <th>attempts</th><th>wasted</th><th>refused</th><th>failed</th><th>used: mean, most</th><th>rules broken</th></tr>";
         point_groups.iter().for_each(|group| write_row(&mut text, group));
         text += "</table>";
-        write_totals(&mut text, "class", &point_groups, |figures| &figures.classes);
-        write_totals(&mut text, "tenant", &point_groups, |figures| &figures.tenants);
+        write_totals(&mut text, "class", &point_groups, |metrics| &metrics.classes);
+        write_totals(&mut text, "tenant", &point_groups, |metrics| &metrics.tenants);
         for (at, group) in point_groups.iter().enumerate() {
             write_plots(&mut text, group, at == 0);
         }
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -121,12 +121,12 @@
 impl Group<'_> {
     /// The mean of a metric over the seeds, with its confidence interval.
     pub fn mean_of(&self, of: impl Fn(&RunMetrics) -> f64) -> Estimate {
-        estimate(&self.runs.iter().map(|(_, figures)| of(figures)).collect::<Vec<_>>())
+        estimate(&self.runs.iter().map(|(_, metrics)| of(metrics)).collect::<Vec<_>>())
     }
 
     /// The sum of a count over all runs.
     pub fn sum(&self, of: impl Fn(&RunMetrics) -> u64) -> u64 {
-        self.runs.iter().map(|(_, figures)| of(figures)).sum()
+        self.runs.iter().map(|(_, metrics)| of(metrics)).sum()
     }
 }
 
@@ -145,7 +145,7 @@
             groups.len() - 1
         });
         match outcome {
-            Ok(figures) => groups[position].runs.push((case, figures)),
+            Ok(metrics) => groups[position].runs.push((case, metrics)),
             Err(error) => groups[position].failed.push((case.seed, error)),
         }
     }
--- a/crates/lab/src/report/plots.rs
+++ b/crates/lab/src/report/plots.rs
@@ -72,13 +72,13 @@
 fn lines(
     title: &str,
     case: &Case,
-    figures: &RunMetrics,
+    metrics: &RunMetrics,
     unit: &str,
     logarithmic: bool,
     lines: &[Line],
 ) -> String {
     let value = |y: &f64| if logarithmic { format!("{:.0}", 10f64.powf(*y)) } else { format!("{y:.0}") };
-    let points = &figures.timeline;
+    let points = &metrics.timeline;
     let top =
         lines.iter().flat_map(|(_, _, of)| points.iter().map(of)).fold(0.0_f64, f64::max).max(1e-3) * 1.1;
     let end = case.experiment.span.as_secs_f64();
@@ -111,27 +111,27 @@
 }
 
 /// Plots calls per second over time.
-pub(super) fn rates(case: &Case, figures: &RunMetrics) -> String {
+pub(super) fn rates(case: &Case, metrics: &RunMetrics) -> String {
     let all: [Line; 3] = [
         ("asked", GREY, |m| m.asked),
         ("served", BLUE, |m| m.served),
         ("refused or failed", RED, |m| m.rejected),
     ];
-    lines("requests a second", case, figures, "1/s", false, &all)
+    lines("requests a second", case, metrics, "1/s", false, &all)
 }
 
 /// Plots latency over time.
-pub(super) fn latency(case: &Case, figures: &RunMetrics) -> String {
+pub(super) fn latency(case: &Case, metrics: &RunMetrics) -> String {
     let all: [Line; 2] =
         [("p50", BLUE, |m| m.p50.max(1.0).log10()), ("p99", ORANGE, |m| m.p99.max(1.0).log10())];
-    lines("latency of what was served, from the intended start", case, figures, "ms, logarithmic", true, &all)
+    lines("latency of what was served, from the intended start", case, metrics, "ms, logarithmic", true, &all)
 }
 
 /// Plots the load of servers over time as a heat map.
-pub(super) fn heat(case: &Case, figures: &RunMetrics) -> String {
-    let rows = figures.heat.len();
+pub(super) fn heat(case: &Case, metrics: &RunMetrics) -> String {
+    let rows = metrics.heat.len();
     let cores = f64::from(case.experiment.servers.cores);
-    let columns = figures.heat.first().map_or(1, Vec::len).max(1);
+    let columns = metrics.heat.first().map_or(1, Vec::len).max(1);
     let end = case.experiment.span.as_secs_f64();
     let width = end / columns as f64;
     // A server with at most as many requests as cores is blue; the darkest red is eight times as many or
@@ -149,7 +149,7 @@
             .build_cartesian_2d(0.0..end * LEGEND_FACTOR, 0.0..rows as f64)?;
         chart.configure_mesh().disable_mesh().x_desc("seconds").y_desc("servers").y_labels(0).draw()?;
         let mut cells = Vec::new();
-        for (row, loads) in figures.heat.iter().enumerate() {
+        for (row, loads) in metrics.heat.iter().enumerate() {
             let mut from = 0;
             while from < loads.len() {
                 // Adjacent cells of the same shade are drawn as one rectangle.
--- a/crates/lab/src/simulation/wants.rs
+++ b/crates/lab/src/simulation/calls.rs
@@ -6,20 +6,20 @@
 use super::clients::Call;
 use super::events::{Reply, ScheduledEvent};
 use super::nodes::Request;
-use super::{START_TIME, World};
+use super::{START_TIME, Simulation};
 use crate::Micros;
 use crate::experiment::{Effect, micros};
 use crate::invariants::Invariant;
 use crate::metrics::FinishedCall;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn schedule_arrival(&mut self) {
-        let (wait, comes) = self.clients.next(self.now, self.burst);
+        let (wait, arrives) = self.clients.next(self.now, self.burst);
         let at = self.now + wait;
         if at < self.arrivals_end {
             self.queue.push(
                 at,
-                if comes { ScheduledEvent::OpenLoopArrival } else { ScheduledEvent::ArrivalRateCheck },
+                if arrives { ScheduledEvent::OpenLoopArrival } else { ScheduledEvent::ArrivalRateCheck },
             );
         }
     }
@@ -40,10 +40,10 @@
         let Some(wanted) = self.calls.get_mut(&call) else { return };
         wanted.tries += 1;
         let (class, node) = (wanted.class, wanted.node);
-        let (number, way) = (self.next_id(), self.network_delay());
+        let (number, delay) = (self.next_id(), self.network_delay());
         let patience = micros(self.experiment.classes[class].deadline);
         self.requests.insert(number, Request::new(call, node, class, self.now + patience));
-        self.queue.push(self.now + way, ScheduledEvent::RequestAtNode(number));
+        self.queue.push(self.now + delay, ScheduledEvent::RequestAtNode(number));
         self.queue.push(self.now + patience, ScheduledEvent::ClientDeadline(number));
     }
 
@@ -85,10 +85,10 @@
             }
         }
         let Some(call) = self.calls.remove(&number) else { return };
-        let took = self.now - call.start;
-        let in_time = took <= micros(class.aim);
+        let latency = self.now - call.start;
+        let in_time = latency <= micros(class.aim);
         let earned = call.worth * if in_time { 1.0 } else { class.late_worth };
-        let served = (reply == Reply::Served).then_some((earned, took, in_time));
+        let served = (reply == Reply::Served).then_some((earned, latency, in_time));
         let Call { start, class, tenant, worth, client, .. } = call;
         self.metrics.record_call(&FinishedCall { start: start - START_TIME, class, tenant, worth, served });
         if let Some(client) = client {
--- a/crates/lab/src/simulation/clients.rs
+++ b/crates/lab/src/simulation/clients.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-use super::chance::{RngPurpose, WeightedSampler, exponential, generator, relative_work};
+use super::random::{RngPurpose, WeightedSampler, exponential, generator, relative_work};
 use crate::Micros;
 use crate::experiment::{Arrivals, Experiment, micros};
 
--- a/crates/lab/src/simulation/troubles.rs
+++ b/crates/lab/src/simulation/faults.rs
@@ -3,9 +3,9 @@
 use cherryusher::ServerState;
 use rand::Rng;
 
-use super::World;
-use super::chance::{RngPurpose, generator};
+use super::Simulation;
 use super::events::ScheduledEvent;
+use super::random::{RngPurpose, generator};
 use crate::experiment::{Experiment, FaultKind, TargetSelector, micros};
 
 /// The targets of a fault of the experiment.
@@ -27,33 +27,33 @@
                 for at in (1..all.len()).rev() {
                     all.swap(at, rng.random_range(0..=at));
                 }
-                let some = (part * f64::from(count)).round() as usize;
-                let mut met = vec![false; count as usize];
-                all.into_iter().take(some).for_each(|one| met[one] = true);
-                met
+                let count_affected = (part * f64::from(count)).round() as usize;
+                let mut targets = vec![false; count as usize];
+                all.into_iter().take(count_affected).for_each(|one| targets[one] = true);
+                targets
             }
             TargetSelector::Zone(zone) => {
                 (0..count).map(|n| n % u32::from(experiment.servers.zones) == u32::from(*zone)).collect()
             }
-            TargetSelector::These(these) => (0..count).map(|n| these.contains(&n)).collect(),
+            TargetSelector::These(indices) => (0..count).map(|n| indices.contains(&n)).collect(),
         }
     };
-    let met = |(number, trouble): (usize, &crate::experiment::Fault)| FaultTargets {
+    let targets = |(number, trouble): (usize, &crate::experiment::Fault)| FaultTargets {
         number,
         servers: draw(number, &trouble.servers, experiment.servers.count, 0),
         nodes: draw(number, &trouble.nodes, experiment.nodes.count, 1),
         active: false,
     };
-    experiment.faults.iter().enumerate().map(met).collect()
+    experiment.faults.iter().enumerate().map(targets).collect()
 }
 
-impl World<'_> {
-    pub(super) fn change_fault(&mut self, number: usize, begins: bool) {
+impl Simulation<'_> {
+    pub(super) fn change_fault(&mut self, number: usize, active: bool) {
         let (kind, factor) = (self.experiment.faults[number].kind, self.experiment.faults[number].factor);
-        self.fault_targets[number].active = begins;
+        self.fault_targets[number].active = active;
         match kind {
             FaultKind::Burst => {
-                self.burst = if begins { self.burst * factor } else { self.burst / factor.max(1e-9) }
+                self.burst = if active { self.burst * factor } else { self.burst / factor.max(1e-9) }
             }
             FaultKind::Partition | FaultKind::Cut => {}
             FaultKind::Silence | FaultKind::Clock => {
@@ -61,44 +61,44 @@
                     if !self.fault_targets[number].nodes[node] {
                         continue;
                     }
-                    let at = &mut self.nodes[node];
-                    match (kind, begins) {
-                        (FaultKind::Clock, true) => at.clock_offset += (factor * 1e6) as u64,
+                    let node_state = &mut self.nodes[node];
+                    match (kind, active) {
+                        (FaultKind::Clock, true) => node_state.clock_offset += (factor * 1e6) as u64,
                         // A monotonic clock does not step back.
                         (FaultKind::Clock, false) => {}
-                        (_, true) => at.silence_count += 1,
-                        (_, false) => at.silence_count -= 1,
+                        (_, true) => node_state.silence_count += 1,
+                        (_, false) => node_state.silence_count -= 1,
                     }
                 }
             }
             _ => {
                 for server in 0..self.servers.len() {
                     if self.fault_targets[number].servers[server] {
-                        self.change_server_fault(server, number, begins);
+                        self.change_server_fault(server, number, active);
                     }
                 }
             }
         }
     }
 
-    fn change_server_fault(&mut self, server: usize, number: usize, begins: bool) {
+    fn change_server_fault(&mut self, server: usize, number: usize, active: bool) {
         let trouble = &self.experiment.faults[number];
-        let station = &mut self.servers[server];
-        match (trouble.kind, begins) {
-            (FaultKind::Stall, true) => station.stalls += 1,
-            (FaultKind::Stall, false) => station.stalls -= 1,
-            (FaultKind::Slow, true) => station.slow *= trouble.factor.max(1e-6),
-            (FaultKind::Slow, false) => station.slow /= trouble.factor.max(1e-6),
-            (FaultKind::Resets, true) => station.resets += trouble.factor,
-            (FaultKind::Resets, false) => station.resets -= trouble.factor,
-            (FaultKind::Crash, true) if station.state != ServerState::Gone => {
+        let server_model = &mut self.servers[server];
+        match (trouble.kind, active) {
+            (FaultKind::Stall, true) => server_model.stalls += 1,
+            (FaultKind::Stall, false) => server_model.stalls -= 1,
+            (FaultKind::Slow, true) => server_model.slow *= trouble.factor.max(1e-6),
+            (FaultKind::Slow, false) => server_model.slow /= trouble.factor.max(1e-6),
+            (FaultKind::Resets, true) => server_model.resets += trouble.factor,
+            (FaultKind::Resets, false) => server_model.resets -= trouble.factor,
+            (FaultKind::Crash, true) if server_model.state != ServerState::Gone => {
                 return self.stop_server(server, false);
             }
-            (FaultKind::Drain, true) if station.state == ServerState::Ready => {
-                station.state = ServerState::Draining;
-                station.version += 1;
+            (FaultKind::Drain, true) if server_model.state == ServerState::Ready => {
+                server_model.state = ServerState::Draining;
+                server_model.version += 1;
                 // The server has half of the fault's duration to finish its requests.
-                let (version, gone) = (station.version, self.now + micros(trouble.duration) / 2);
+                let (version, gone) = (server_model.version, self.now + micros(trouble.duration) / 2);
                 self.queue.push(gone, ScheduledEvent::DrainEnd(server, version));
                 return self.publish_server(server);
             }
@@ -106,7 +106,7 @@
             (FaultKind::Crash | FaultKind::Drain, false) => return self.start_server(server),
             _ => {}
         }
-        station.update_speed(self.now);
+        server_model.update_speed(self.now);
         self.schedule_completion(server);
     }
 }
--- a/crates/lab/src/simulation/talk.rs
+++ b/crates/lab/src/simulation/gossip.rs
@@ -7,9 +7,9 @@
 use dunelink_gossip::{Gossip, Input, KeyRing, Output, Secret, Settings};
 use rand::RngCore;
 
-use super::chance::{RngPurpose, generator};
 use super::events::ScheduledEvent;
-use super::{START_TIME, World};
+use super::random::{RngPurpose, generator};
+use super::{START_TIME, Simulation};
 use crate::Micros;
 use crate::experiment::{Experiment, FaultKind};
 
@@ -54,7 +54,7 @@
     let line =
         |(node, secret): (usize, &[u8; 32])| format!("n{node} {}\n", Secret::from_seed(*secret).public_hex());
     let ring: String = secrets.iter().enumerate().map(line).collect();
-    let talk = |(node, secret): (usize, &[u8; 32])| {
+    let gossip_node = |(node, secret): (usize, &[u8; 32])| {
         let settings = Settings {
             name: format!("n{node}"),
             address: address(node),
@@ -69,10 +69,10 @@
         let gossip = Gossip::new(settings, keys, Secret::from_seed(*secret), START_TIME)?;
         Some(GossipNode { gossip, next_tick: Micros::MAX })
     };
-    secrets.iter().enumerate().filter_map(talk).collect()
+    secrets.iter().enumerate().filter_map(gossip_node).collect()
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Starts gossip at all nodes, spread over the interval.
     pub(super) fn start_gossip(&mut self) {
         for node in 0..self.gossip_nodes.len() {
@@ -83,8 +83,8 @@
 
     /// A node gossips its own observations of servers.
     pub(super) fn share_observations(&mut self, node: usize) {
-        let shown = self.node_clock(node);
-        let observations = self.nodes[node].server_observations(shown);
+        let clock = self.node_clock(node);
+        let observations = self.nodes[node].server_observations(clock);
         self.handle_gossip(node, Input::Observations(observations));
         if self.now < self.arrivals_end {
             self.queue.push(self.now + OBSERVATION_INTERVAL, ScheduledEvent::ShareObservations(node));
@@ -103,15 +103,15 @@
 
     fn handle_gossip(&mut self, node: usize, input: Input<'_>) {
         let mut out = Vec::new();
-        let shown = self.node_clock(node);
-        self.gossip_nodes[node].gossip.handle(shown, input, &mut out);
+        let clock = self.node_clock(node);
+        self.gossip_nodes[node].gossip.handle(clock, input, &mut out);
         for output in out {
             match output {
                 Output::Send(to, bytes) => {
                     let Some(to) = node_at(to).filter(|to| *to < self.nodes.len()) else { continue };
-                    let way = self.network_delay();
+                    let delay = self.network_delay();
                     if !self.is_cut_off(node, to) {
-                        self.queue.push(self.now + way, ScheduledEvent::GossipPacket(to, node, bytes));
+                        self.queue.push(self.now + delay, ScheduledEvent::GossipPacket(to, node, bytes));
                     }
                 }
                 Output::Suspicions(suspicions) => self.notify_node(node, Event::PeerSuspicions(suspicions)),
@@ -121,7 +121,7 @@
                 Output::PayloadReceived(..) | Output::LogEvent(_) => {}
             }
         }
-        let wait = self.gossip_nodes[node].gossip.next_wakeup().saturating_sub(shown).max(1000);
+        let wait = self.gossip_nodes[node].gossip.next_wakeup().saturating_sub(clock).max(1000);
         if self.now < self.arrivals_end {
             self.gossip_nodes[node].next_tick = self.now + wait;
             self.queue.push(self.now + wait, ScheduledEvent::GossipTick(node));
@@ -130,10 +130,10 @@
 
     /// Whether a cut currently separates two nodes.
     fn is_cut_off(&self, one: usize, other: usize) -> bool {
-        self.fault_targets.iter().any(|met| {
-            met.active
-                && self.experiment.faults[met.number].kind == FaultKind::Cut
-                && met.nodes[one] != met.nodes[other]
+        self.fault_targets.iter().any(|targets| {
+            targets.active
+                && self.experiment.faults[targets.number].kind == FaultKind::Cut
+                && targets.nodes[one] != targets.nodes[other]
         })
     }
 
@@ -144,10 +144,10 @@
             return None;
         }
         let seconds = (self.now - START_TIME).max(1) as f64 / 1e6;
-        let bytes: u64 = self.gossip_nodes.iter().map(|talk| talk.gossip.counters().bytes_sent).sum();
+        let bytes: u64 = self.gossip_nodes.iter().map(|node| node.gossip.counters().bytes_sent).sum();
         let mut present: HashMap<usize, usize> = HashMap::new();
-        for talk in &self.gossip_nodes {
-            *present.entry(talk.gossip.alive_processes().len()).or_default() += 1;
+        for node in &self.gossip_nodes {
+            *present.entry(node.gossip.alive_processes().len()).or_default() += 1;
         }
         let least = present.keys().min().copied().unwrap_or(0);
         Some(GossipStats { bytes: bytes as f64 / count as f64 / seconds, least })
--- a/crates/lab/src/simulation/list.rs
+++ b/crates/lab/src/simulation/list.rs
@@ -4,23 +4,23 @@
 use cherryusher::{Event, ServerEntry, ServerState};
 use rand::Rng;
 
-use super::World;
-use super::chance::exponential;
+use super::Simulation;
 use super::events::ScheduledEvent;
+use super::random::exponential;
 use crate::baselines::server_id;
 use crate::experiment::micros;
 
 /// The factor by which updates to laggards are delayed.
 const LAGGARD_FACTOR: f64 = 10.0;
 
-impl World<'_> {
+impl Simulation<'_> {
     /// The list's entry for a server.
     fn server_entry(&self, number: usize) -> ServerEntry {
-        let (s, station) = (&self.experiment.servers, &self.servers[number]);
+        let (s, server_model) = (&self.experiment.servers, &self.servers[number]);
         ServerEntry {
             id: server_id(number),
-            state: station.state,
-            ready_at: station.started,
+            state: server_model.state,
+            ready_at: server_model.started,
             zone: (number % usize::from(s.zones)) as u8,
             cell: (number % usize::from(s.cells)) as u16,
             weight: if s.weights { s.speeds[number % s.speeds.len()] } else { 1.0 },
@@ -45,14 +45,14 @@
     /// Records the state of a server that a node has received; returns whether it is not older than what it
     /// had.
     fn record_server_state(&mut self, node: usize, server: usize, state: ServerState, version: u32) -> bool {
-        let (now, at) = (self.now, &mut self.nodes[node]);
-        if version < at.versions[server] {
+        let (now, node_state) = (self.now, &mut self.nodes[node]);
+        if version < node_state.versions[server] {
             return false;
         }
-        at.versions[server] = version;
-        at.unavailable_since[server] = match state {
+        node_state.versions[server] = version;
+        node_state.unavailable_since[server] = match state {
             ServerState::Ready => None,
-            _ => at.unavailable_since[server].or(Some(now)),
+            _ => node_state.unavailable_since[server].or(Some(now)),
         };
         true
     }
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -1,15 +1,15 @@
 //! The simulation of clients, nodes, servers, service discovery and the network, in simulated time.
 
-pub(crate) mod chance;
+mod calls;
 mod clients;
 mod events;
+mod faults;
+mod gossip;
 pub mod ground_truth;
 mod list;
 mod nodes;
+pub(crate) mod random;
 mod server;
-mod talk;
-mod troubles;
-mod wants;
 
 use std::collections::{HashMap, VecDeque};
 
@@ -21,12 +21,12 @@
 use crate::experiment::{Case, Experiment, FaultKind, micros};
 use crate::invariants::InvariantChecks;
 use crate::metrics::{MetricsCollector, RunMetrics, RunTotals, TIMELINE_POINTS};
-use chance::{RngPurpose, exponential, generator};
 use clients::{Call, Clients};
 use events::{EventQueue, ScheduledEvent};
+pub use gossip::GossipStats;
 use nodes::{Attempt, Node, Request};
+use random::{RngPurpose, exponential, generator};
 pub use server::{Admission, ServerParameters, SimulatedServer};
-pub use talk::GossipStats;
 
 /// The start of simulated time. It is far from 0, so that there are times long before it.
 pub(crate) const START_TIME: Micros = 1_000_000_000;
@@ -38,7 +38,7 @@
 const SAMPLES_PER_POINT: Micros = 4;
 
 /// The state of the simulation.
-pub(crate) struct World<'a> {
+pub(crate) struct Simulation<'a> {
     experiment: &'a Experiment,
     now: Micros,
     queue: EventQueue,
@@ -50,10 +50,10 @@
     last_id: u64,
     nodes: Vec<Node>,
     /// The gossip of each node; empty if the experiment has none.
-    gossip_nodes: Vec<talk::GossipNode>,
+    gossip_nodes: Vec<gossip::GossipNode>,
     servers: Vec<SimulatedServer>,
     ids: HashMap<ServerId, usize>,
-    fault_targets: Vec<troubles::FaultTargets>,
+    fault_targets: Vec<faults::FaultTargets>,
     /// The current factor of the arrival rate, by burst faults.
     burst: f64,
     network_rng: Pcg64,
@@ -88,17 +88,17 @@
     progress: &mut dyn FnMut(f64) -> bool,
     make: &dyn Fn(u32) -> Option<Box<dyn Policy>>,
 ) -> RunMetrics {
-    let mut world = World::new(case, make);
-    world.start();
-    let cut = !world.run_until_end(progress);
-    world.into_metrics(cut)
+    let mut simulation = Simulation::new(case, make);
+    simulation.start();
+    let cut = !simulation.run_until_end(progress);
+    simulation.into_metrics(cut)
 }
 
-impl<'a> World<'a> {
-    fn new(case: &'a Case, make: &dyn Fn(u32) -> Option<Box<dyn Policy>>) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(case: &'a Case, make: &dyn Fn(u32) -> Option<Box<dyn Policy>>) -> Simulation<'a> {
         let (experiment, seed) = (&case.experiment, case.seed);
         let s = &experiment.servers;
-        let station = |number: usize| {
+        let server_model = |number: usize| {
             SimulatedServer::new(ServerParameters {
                 cores: s.cores,
                 shares: s.shares,
@@ -112,7 +112,7 @@
         let count = s.count as usize;
         let classes: Vec<String> = experiment.classes.iter().map(|class| class.name.clone()).collect();
         let arrivals_end = START_TIME + micros(experiment.span);
-        World {
+        Simulation {
             experiment,
             now: START_TIME,
             queue: EventQueue::default(),
@@ -122,10 +122,10 @@
             attempts: HashMap::new(),
             last_id: 0,
             nodes: (0..experiment.nodes.count).map(|rank| Node::new(make(rank), count)).collect(),
-            gossip_nodes: talk::gossip_nodes(experiment, seed),
-            servers: (0..count).map(station).collect(),
+            gossip_nodes: gossip::gossip_nodes(experiment, seed),
+            servers: (0..count).map(server_model).collect(),
             ids: (0..count).map(|number| (baselines::server_id(number), number)).collect(),
-            fault_targets: troubles::fault_targets(experiment, seed),
+            fault_targets: faults::fault_targets(experiment, seed),
             burst: 1.0,
             network_rng: generator(seed, RngPurpose::Network, 0),
             list_rng: generator(seed, RngPurpose::List, 0),
@@ -147,7 +147,7 @@
     }
 
     fn start(&mut self) {
-        self.servers.iter_mut().for_each(|station| station.update_speed(START_TIME));
+        self.servers.iter_mut().for_each(|server_model| server_model.update_speed(START_TIME));
         for node in 0..self.nodes.len() {
             self.full_server_list(node);
         }
@@ -171,7 +171,7 @@
     /// Runs to the end; returns false if `progress` stopped it.
     fn run_until_end(&mut self, progress: &mut dyn FnMut(f64) -> bool) -> bool {
         let span = (self.arrivals_end - START_TIME) as f64;
-        while let Some((at, due)) = self.queue.pop() {
+        while let Some((at, event)) = self.queue.pop() {
             // After the end of arrivals, only pending calls and attempts are completed.
             let over = self.attempts.is_empty() || at > self.arrivals_end + DRAIN_TIME;
             if at > self.arrivals_end && self.calls.is_empty() && over {
@@ -182,13 +182,13 @@
             if self.events.is_multiple_of(65_536) && !progress(((at - START_TIME) as f64 / span).min(1.0)) {
                 return false;
             }
-            self.dispatch(due);
+            self.dispatch(event);
         }
         true
     }
 
-    fn dispatch(&mut self, due: ScheduledEvent) {
-        match due {
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::OpenLoopArrival => self.open_loop_arrival(),
             ScheduledEvent::ArrivalRateCheck => self.schedule_arrival(),
             ScheduledEvent::ThinkTimeOver(client) => {
@@ -211,7 +211,7 @@
                 self.server_update(node, server, entry, version)
             }
             ScheduledEvent::FullServerList(node) => self.full_server_list(node),
-            ScheduledEvent::FaultChange(number, begins) => self.change_fault(number, begins),
+            ScheduledEvent::FaultChange(number, active) => self.change_fault(number, active),
             ScheduledEvent::DrainEnd(server, version) => {
                 if self.servers[server].version == version {
                     self.stop_server(server, false);
@@ -252,8 +252,8 @@
     fn sample_load(&mut self) {
         let at = self.now - START_TIME;
         if self.now < self.arrivals_end {
-            for (number, station) in self.servers.iter().enumerate() {
-                self.metrics.record_load(at, number, station.count(), 1.0 / SAMPLES_PER_POINT as f32);
+            for (number, server_model) in self.servers.iter().enumerate() {
+                self.metrics.record_load(at, number, server_model.count(), 1.0 / SAMPLES_PER_POINT as f32);
             }
             let step = (self.arrivals_end - START_TIME) / (TIMELINE_POINTS as Micros * SAMPLES_PER_POINT);
             self.queue.push(self.now + step.max(1), ScheduledEvent::SampleLoad);
@@ -262,9 +262,9 @@
 
     /// Schedules the next completion at a server.
     fn schedule_completion(&mut self, server: usize) {
-        let station = &self.servers[server];
-        if let Some(at) = station.next() {
-            self.queue.push(at.max(self.now), ScheduledEvent::ServerCompletion(server, station.serial));
+        let server_model = &self.servers[server];
+        if let Some(at) = server_model.next() {
+            self.queue.push(at.max(self.now), ScheduledEvent::ServerCompletion(server, server_model.serial));
         }
     }
 
@@ -274,9 +274,9 @@
         let lost = self.servers[server].stop(self.now);
         for attempt in lost {
             self.leave_server(attempt);
-            let way = self.network_delay();
+            let delay = self.network_delay();
             self.queue
-                .push(self.now + way, ScheduledEvent::AttemptOutcome(attempt, cherryusher::Outcome::Reset));
+                .push(self.now + delay, ScheduledEvent::AttemptOutcome(attempt, cherryusher::Outcome::Reset));
         }
         self.publish_server(server);
         if overloaded {
@@ -299,18 +299,19 @@
 
     fn into_metrics(mut self, cut: bool) -> RunMetrics {
         let (now, span) = (self.now, (self.now - START_TIME).max(1) as f64);
-        self.servers.iter_mut().for_each(|station| station.update_speed(now));
+        self.servers.iter_mut().for_each(|server_model| server_model.update_speed(now));
         let used: Vec<f64> =
             self.servers.iter().map(|s| s.busy_integral / span / f64::from(s.cores())).collect();
         let mean = used.iter().sum::<f64>() / used.len().max(1) as f64;
         let (least, most) = used.iter().fold((f64::MAX, 0.0_f64), |(l, m), x| (l.min(*x), m.max(*x)));
-        let mean_count = self.servers.iter().map(|station| station.count_integral).sum::<f64>() / span;
+        let mean_count =
+            self.servers.iter().map(|server_model| server_model.count_integral).sum::<f64>() / span;
         // The arrival rate times the mean sojourn time is the sum of sojourn times over the span.
         let little = (mean_count, self.total_sojourn / span);
-        let talked = self.gossip_stats();
+        let gossip = self.gossip_stats();
         self.metrics.finish(RunTotals {
             cut,
-            gossip: talked,
+            gossip: gossip,
             utilization: (least, mean, most),
             little,
             events: self.events,
@@ -321,11 +322,11 @@
 
     /// Whether a partition currently separates a node from a server.
     fn is_partitioned(&self, node: usize, server: usize) -> bool {
-        self.fault_targets.iter().any(|met| {
-            met.active
-                && self.experiment.faults[met.number].kind == FaultKind::Partition
-                && met.nodes[node]
-                && met.servers[server]
+        self.fault_targets.iter().any(|targets| {
+            targets.active
+                && self.experiment.faults[targets.number].kind == FaultKind::Partition
+                && targets.nodes[node]
+                && targets.servers[server]
         })
     }
 }
--- a/crates/lab/src/simulation/nodes.rs
+++ b/crates/lab/src/simulation/nodes.rs
@@ -5,7 +5,7 @@
 
 use super::events::{Reply, ScheduledEvent};
 use super::ground_truth::GroundTruth;
-use super::{Admission, START_TIME, World};
+use super::{Admission, START_TIME, Simulation};
 use crate::Micros;
 use crate::baselines::Policy;
 use crate::experiment::{Effect, micros};
@@ -101,12 +101,12 @@
     stage: Stage,
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Reads the clock of a node.
     pub(super) fn node_clock(&mut self, node: usize) -> Micros {
-        let at = &mut self.nodes[node];
-        at.last_clock = at.last_clock.max(self.now + at.clock_offset);
-        at.last_clock
+        let node_state = &mut self.nodes[node];
+        node_state.last_clock = node_state.last_clock.max(self.now + node_state.clock_offset);
+        node_state.last_clock
     }
 
     /// Delivers an event to a node and carries out its actions. Events that these cause are delivered
@@ -118,12 +118,12 @@
         }
         let mut actions = Vec::new();
         while let Some((node, event)) = self.pending_events.pop_front() {
-            let shown = self.node_clock(node);
+            let clock = self.node_clock(node);
             let policy = self.nodes[node].policy.take();
             let Some(mut policy) = policy else { continue };
             let mean_work = micros(self.experiment.servers.time) as f64;
             let truth = GroundTruth { now: self.now, servers: &self.servers, indices: &self.ids, mean_work };
-            policy.handle(shown, event, &truth, &mut actions);
+            policy.handle(clock, event, &truth, &mut actions);
             self.nodes[node].policy = Some(policy);
             for action in actions.drain(..) {
                 self.apply_action(node, action);
@@ -139,10 +139,10 @@
             Action::Fail(request) => self.send_reply(request, Reply::Failed),
             Action::Cancel(request, number) => {
                 let attempts = self.requests.get(&request).map(|request| request.attempts.clone());
-                let named = |id: &u64| self.attempts.get(id).is_some_and(|one| one.number == number);
-                if let Some(id) = attempts.unwrap_or_default().into_iter().find(named) {
-                    let way = self.network_delay();
-                    self.queue.push(self.now + way, ScheduledEvent::CancelAtServer(id));
+                let has_number = |id: &u64| self.attempts.get(id).is_some_and(|one| one.number == number);
+                if let Some(id) = attempts.unwrap_or_default().into_iter().find(has_number) {
+                    let delay = self.network_delay();
+                    self.queue.push(self.now + delay, ScheduledEvent::CancelAtServer(id));
                     self.attempt_outcome(id, Outcome::Cancelled);
                 }
             }
@@ -162,8 +162,8 @@
 
     /// Fires a timer. A request has only one timer, the one set last.
     pub(super) fn node_timer(&mut self, node: usize, token: u64, serial: u64) {
-        let of_request = self.requests.get(&token).map(|request| request.timer_serial);
-        if serial == 0 || of_request == Some(serial) {
+        let current_serial = self.requests.get(&token).map(|request| request.timer_serial);
+        if serial == 0 || current_serial == Some(serial) {
             self.notify_node(node, Event::TimerFired(token));
         }
     }
@@ -206,16 +206,16 @@
                 format!("request {number}")
             });
         }
-        let way = self.network_delay();
-        self.queue.push(self.now + way, ScheduledEvent::ReplyAtClient(number, reply));
+        let delay = self.network_delay();
+        self.queue.push(self.now + delay, ScheduledEvent::ReplyAtClient(number, reply));
     }
 
     fn send(&mut self, node: usize, number: u64, server: ServerId) {
         let Some(server) = self.ids.get(&server).copied() else { return };
         let id = self.next_id();
-        let (way, return_delay) = (self.network_delay(), self.network_delay());
+        let (delay, return_delay) = (self.network_delay(), self.network_delay());
         let refused = self.network_rng.random::<f64>() < self.experiment.network.refused;
-        let parted = self.is_partitioned(node, server);
+        let partitioned = self.is_partitioned(node, server);
         let Some(request) = self.requests.get_mut(&number) else { return };
         let hedged = request.attempts.iter().any(|id| self.attempts.get(id).is_some_and(|a| a.awaited));
         let counts = &mut self.metrics.attempts;
@@ -243,13 +243,19 @@
             self.nodes[node].unavailable_since[server].filter(|since| since + DRAIN_GRACE < self.now)
         {
             let late = (self.now - since) as f64 / 1e6;
-            let what = || format!("node {node} to server {server}, {late:.2} s after it heard");
-            self.invariants.report(Invariant::SentToDraining, self.now - START_TIME, what);
+            let cause = || {
+                format!(
+                    "node {node} to server {server}, {late:.2} s after it learned that the server is unavailable"
+                )
+            };
+            self.invariants.report(Invariant::SentToDraining, self.now - START_TIME, cause);
         }
         let failure = match () {
             () if answered => Some((0, Outcome::NotSent)),
-            () if parted => Some((micros(self.experiment.network.connect_timeout), Outcome::ConnectFailed)),
-            () if refused => Some((way + return_delay, Outcome::ConnectFailed)),
+            () if partitioned => {
+                Some((micros(self.experiment.network.connect_timeout), Outcome::ConnectFailed))
+            }
+            () if refused => Some((delay + return_delay, Outcome::ConnectFailed)),
             () => None,
         };
         match failure {
@@ -257,7 +263,7 @@
                 self.leave_server(id);
                 self.queue.push(self.now + after, ScheduledEvent::AttemptOutcome(id, outcome));
             }
-            None => self.queue.push(self.now + way, ScheduledEvent::AttemptAtServer(id)),
+            None => self.queue.push(self.now + delay, ScheduledEvent::AttemptAtServer(id)),
         }
     }
 
@@ -283,29 +289,29 @@
         let work = call
             .and_then(|call| self.calls.get(&call))
             .map_or_else(|| micros(self.experiment.servers.time) as f64, |w| w.work);
-        let station = &mut self.servers[server];
-        let taken = station.arrive(now, id, work);
+        let server_model = &mut self.servers[server];
+        let admission = server_model.arrive(now, id, work);
         // Attempts that the server rejects count too, because nodes sent them.
         let (overloaded, ramp) =
-            (taken != Admission::Down && station.is_overloaded(now, work), station.ramp(now));
-        let outcome = match taken {
+            (admission != Admission::Down && server_model.is_overloaded(now, work), server_model.ramp(now));
+        let outcome = match admission {
             Admission::Down => Some(Outcome::ConnectFailed),
             Admission::Full => Some(Outcome::Rejected),
             _ => None,
         };
-        match (outcome, taken) {
+        match (outcome, admission) {
             (Some(outcome), _) => {
                 self.leave_server(id);
-                let way = self.network_delay();
-                self.queue.push(now + way, ScheduledEvent::AttemptOutcome(id, outcome));
+                let delay = self.network_delay();
+                self.queue.push(now + delay, ScheduledEvent::AttemptOutcome(id, outcome));
             }
             (None, Admission::Started) => self.attempt_started(id),
             (None, _) => set_stage(&mut self.attempts, id, Stage::Queued),
         }
         if overloaded {
             if ramp < 1.0 {
-                let what = || format!("server {server} at {:.0}% of its speed", 100.0 * ramp);
-                self.invariants.report(Invariant::PushedOver, now - START_TIME, what);
+                let cause = || format!("server {server} at {:.0}% of its speed", 100.0 * ramp);
+                self.invariants.report(Invariant::PushedOver, now - START_TIME, cause);
             }
             self.stop_server(server, true);
         } else {
@@ -341,8 +347,8 @@
                 true => Outcome::Reset,
                 false => Outcome::Served,
             };
-            let way = self.network_delay();
-            self.queue.push(self.now + way, ScheduledEvent::AttemptOutcome(id, outcome));
+            let delay = self.network_delay();
+            self.queue.push(self.now + delay, ScheduledEvent::AttemptOutcome(id, outcome));
             if let Some(next) = next {
                 self.attempt_started(next);
             }
@@ -385,15 +391,15 @@
         self.drop_finished_attempt(id);
         let Some((node, finished, first)) = node_outcome else { return };
         if outcome == Outcome::Served && first {
-            let way = self.network_delay();
-            self.queue.push(self.now + way, ScheduledEvent::ReplyAtClient(number, Reply::Served));
+            let delay = self.network_delay();
+            self.queue.push(self.now + delay, ScheduledEvent::ReplyAtClient(number, Reply::Served));
         }
-        let took = self.now - sent;
+        let latency = self.now - sent;
         let ended = cherryusher::AttemptEnd {
             request: number,
             attempt: no,
             outcome,
-            elapsed: took,
+            elapsed: latency,
             request_finished: finished,
         };
         self.notify_node(node, Event::AttemptEnded(ended));
