--- a/crates/lab/src/simulation/faults.rs
+++ b/crates/lab/src/simulation/faults.rs
@@ -18,9 +18,9 @@
 
 /// Draws the targets of each fault.
 pub(super) fn fault_targets(experiment: &Experiment, seed: u64) -> Vec<FaultTargets> {
-    let draw = |number: usize, which: &TargetSelector, count: u32, of_nodes: u64| -> Vec<bool> {
-        let mut rng = generator(seed, RngPurpose::Troubles, 2 * number as u64 + of_nodes);
-        match which {
+    let draw = |number: usize, selector: &TargetSelector, count: u32, of_nodes: u64| -> Vec<bool> {
+        let mut rng = generator(seed, RngPurpose::Faults, 2 * number as u64 + of_nodes);
+        match selector {
             TargetSelector::Part(part) => {
                 // Exactly this fraction of them, chosen at random.
                 let mut all: Vec<usize> = (0..count as usize).collect();
@@ -38,10 +38,10 @@
             TargetSelector::These(indices) => (0..count).map(|n| indices.contains(&n)).collect(),
         }
     };
-    let targets = |(number, trouble): (usize, &crate::experiment::Fault)| FaultTargets {
+    let targets = |(number, fault): (usize, &crate::experiment::Fault)| FaultTargets {
         number,
-        servers: draw(number, &trouble.servers, experiment.servers.count, 0),
-        nodes: draw(number, &trouble.nodes, experiment.nodes.count, 1),
+        servers: draw(number, &fault.servers, experiment.servers.count, 0),
+        nodes: draw(number, &fault.nodes, experiment.nodes.count, 1),
         active: false,
     };
     experiment.faults.iter().enumerate().map(targets).collect()
@@ -82,15 +82,15 @@
     }
 
     fn change_server_fault(&mut self, server: usize, number: usize, active: bool) {
-        let trouble = &self.experiment.faults[number];
+        let fault = &self.experiment.faults[number];
         let server_model = &mut self.servers[server];
-        match (trouble.kind, active) {
+        match (fault.kind, active) {
             (FaultKind::Stall, true) => server_model.stalls += 1,
             (FaultKind::Stall, false) => server_model.stalls -= 1,
-            (FaultKind::Slow, true) => server_model.slow *= trouble.factor.max(1e-6),
-            (FaultKind::Slow, false) => server_model.slow /= trouble.factor.max(1e-6),
-            (FaultKind::Resets, true) => server_model.resets += trouble.factor,
-            (FaultKind::Resets, false) => server_model.resets -= trouble.factor,
+            (FaultKind::Slow, true) => server_model.slow *= fault.factor.max(1e-6),
+            (FaultKind::Slow, false) => server_model.slow /= fault.factor.max(1e-6),
+            (FaultKind::Resets, true) => server_model.resets += fault.factor,
+            (FaultKind::Resets, false) => server_model.resets -= fault.factor,
             (FaultKind::Crash, true) if server_model.state != ServerState::Gone => {
                 return self.stop_server(server, false);
             }
@@ -98,7 +98,7 @@
                 server_model.state = ServerState::Draining;
                 server_model.version += 1;
                 // The server has half of the fault's duration to finish its requests.
-                let (version, gone) = (server_model.version, self.now + micros(trouble.duration) / 2);
+                let (version, gone) = (server_model.version, self.now + micros(fault.duration) / 2);
                 self.queue.push(gone, ScheduledEvent::DrainEnd(server, version));
                 return self.publish_server(server);
             }
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -311,7 +311,7 @@
         let gossip = self.gossip_stats();
         self.metrics.finish(RunTotals {
             cut,
-            gossip: gossip,
+            gossip,
             utilization: (least, mean, most),
             little,
             events: self.events,
--- a/crates/lab/src/simulation/random.rs
+++ b/crates/lab/src/simulation/random.rs
@@ -17,7 +17,7 @@
     /// Delays and losses of the server list.
     List = 3,
     /// The targets of faults.
-    Troubles = 4,
+    Faults = 4,
     /// Clients' retries.
     Clients = 5,
     /// The policies' own draws.
