--- a/crates/dunelinkd/src/graphql.rs
+++ b/crates/dunelinkd/src/graphql.rs
@@ -1,4 +1,4 @@
-//! `dunelink graphql explain`: what a node would take a GraphQL request for, and why.
+//! `dunelink graphql explain`: how a node would classify a GraphQL request, and why.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -17,40 +17,41 @@
 
 use crate::serve::Source;
 
-/// What operators do with the GraphQL endpoint.
+/// Commands for the GraphQL endpoint.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Say what a request would be taken for, and why.
+    /// Show how a request would be classified, and why.
     Explain(Explain),
 }
 
 #[derive(Args)]
 pub(crate) struct Explain {
-    /// What is asked: a document, or the JSON body of a POST if its name ends in .json; "-" reads from standard input.
+    /// The request: a document, or the JSON body of a POST if its name ends in .json; "-" reads from standard
+    /// input.
     file: PathBuf,
-    /// The configuration, with a [graphql] table.
+    /// The configuration file, with a [graphql] table.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Which of a document's operations is meant.
+    /// The operation to run, if the document has several.
     #[arg(long, value_name = "NAME")]
     operation: Option<String>,
-    /// The values of a document's variables, a JSON object.
+    /// The values of the document's variables, as a JSON object.
     #[arg(long, value_name = "JSON")]
     variables: Option<String>,
-    /// Take a document to be asked for by GET.
+    /// Treat the document as requested by GET.
     #[arg(long)]
     get: bool,
-    /// Take the request to have an Idempotency-Key.
+    /// Treat the request as having an Idempotency-Key.
     #[arg(long)]
     key: bool,
-    /// Print JSON, for programs.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
 
 pub(crate) fn run(command: Command) -> anyhow::Result<()> {
     let Command::Explain(explain) = command;
-    let config = Source::of(explain.config.clone()).read()?;
+    let config = Source::from_path(explain.config.clone()).read()?;
     let Some(reader) = config.graphql_reader()? else {
         bail!("{}: graphql: expected a [graphql] table", explain.config.display());
     };
@@ -74,9 +75,9 @@
         };
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let is_body = self.file.extension().is_some_and(|end| end == "json");
+        let is_body = self.file.extension().is_some_and(|extension| extension == "json");
         if is_body && (self.get || self.operation.is_some() || self.variables.is_some()) {
-            bail!("{name}: a body says itself what --get, --operation and --variables would");
+            bail!("{name}: a JSON body can't be combined with --get, --operation and --variables");
         }
         let post = |body: &Bytes| {
             reader.read(Request {
@@ -97,7 +98,7 @@
             let body = json!({"query": document, "operationName": self.operation, "variables": variables});
             return Ok(post(&body.to_string().into()));
         }
-        let encode = |text: &str| text.bytes().map(|octet| format!("%{octet:02X}")).collect::<String>();
+        let encode = |text: &str| text.bytes().map(|byte| format!("%{byte:02X}")).collect::<String>();
         let mut query = format!("query={}", encode(&document));
         for (key, value) in [("operationName", &self.operation), ("variables", &self.variables)] {
             value.iter().for_each(|value| query += &format!("&{key}={}", encode(value)));
@@ -108,54 +109,60 @@
     }
 }
 
-/// The parts of a request, each with what it is taken for.
+/// The parts of a request, each with its classification or the reason for its rejection.
 fn parts(verdict: &Result<ClassifiedRequest, Rejection>) -> Vec<Result<&Classification, &Rejection>> {
     match verdict {
         Err(rejection) => vec![Err(rejection)],
-        Ok(ClassifiedRequest::Single(ruling)) => vec![Ok(ruling)],
+        Ok(ClassifiedRequest::Single(classification)) => vec![Ok(classification)],
         Ok(ClassifiedRequest::Batch(parts)) => {
             parts.iter().map(|BatchPart { classification, .. }| classification.as_ref()).collect()
         }
     }
 }
 
-fn class_name<'a>(config: &'a Config, ruling: &Classification) -> &'a str {
-    config.classes.get(ruling.class.index).map_or("", |class| &class.name)
+fn class_name<'a>(config: &'a Config, classification: &Classification) -> &'a str {
+    config.classes.get(classification.class.index).map_or("", |class| &class.name)
 }
 
 fn to_text(config: &Config, verdict: &Result<ClassifiedRequest, Rejection>) -> String {
     let mut text = String::new();
-    let mut say = |key: &str, value: &dyn std::fmt::Display| text += &format!("{key:<11}{value}\n");
+    let mut write_line = |key: &str, value: &dyn std::fmt::Display| text += &format!("{key:<11}{value}\n");
     let parts = parts(verdict);
-    for (at, part) in parts.iter().enumerate() {
+    for (index, part) in parts.iter().enumerate() {
         if parts.len() > 1 {
-            say("part", &at);
+            write_line("part", &index);
         }
-        let ruling = match part {
-            Ok(ruling) => ruling,
-            Err(wrong) => {
-                say("turned down", &format!(" {}: {wrong}", wrong.code.name()));
+        let classification = match part {
+            Ok(classification) => classification,
+            Err(rejection) => {
+                write_line("turned down", &format!(" {}: {rejection}", rejection.code.name()));
                 let (response, json) =
-                    (wrong.status(ResponseMediaType::GraphqlResponse), wrong.status(ResponseMediaType::Json));
-                say("status", &format!("{}, or {} as application/json", response.as_u16(), json.as_u16()));
+                    (
+                    rejection.status(ResponseMediaType::GraphqlResponse),
+                    rejection.status(ResponseMediaType::Json),
+                );
+                write_line(
+                    "status",
+                    &format!("{}, or {} as application/json", response.as_u16(), json.as_u16()),
+                );
                 continue;
             }
         };
-        say("class", &class_name(config, ruling));
-        say("effect", &ruling.class.effect.name());
-        say("why", &ruling.reason);
-        if let Some(operation) = &ruling.operation {
+        write_line("class", &class_name(config, classification));
+        write_line("effect", &classification.class.effect.name());
+        write_line("why", &classification.reason);
+        if let Some(operation) = &classification.operation {
             let named = operation.name.as_deref().unwrap_or("without a name");
-            say("operation", &format!("{} {named}", operation.kind.name()));
-            say("asks for", &operation.root_fields.join(", "));
-            say("work", &format!("{:?}", operation.work));
+            write_line("operation", &format!("{} {named}", operation.kind.name()));
+            write_line("asks for", &operation.root_fields.join(", "));
+            write_line("work", &format!("{:?}", operation.work));
             let size = operation.size;
             let (fields, depth) = (size.fields, size.depth);
             let sizes = format!(
                 "{fields} fields, {depth} deep, {} aliases, {} directives",
                 size.aliases, size.directives
             );
-            say("size", &sizes);
+            write_line("size", &sizes);
         }
     }
     text
@@ -163,13 +170,13 @@
 
 fn to_json(config: &Config, verdict: &Result<ClassifiedRequest, Rejection>) -> Value {
     let part = |part: &Result<&Classification, &Rejection>| match part {
-        Err(wrong) => json!({
-            "code": wrong.code.name(), "message": wrong.message,
-            "status": wrong.status(ResponseMediaType::GraphqlResponse).as_u16(), "status_json": wrong.status(ResponseMediaType::Json).as_u16(),
+        Err(rejection) => json!({
+            "code": rejection.code.name(), "message": rejection.message,
+            "status": rejection.status(ResponseMediaType::GraphqlResponse).as_u16(), "status_json": rejection.status(ResponseMediaType::Json).as_u16(),
         }),
-        Ok(ruling) => json!({
-            "class": class_name(config, ruling), "effect": ruling.class.effect.name(), "why": ruling.reason.to_string(),
-            "operation": ruling.operation.as_ref().map(|operation| json!({
+        Ok(classification) => json!({
+            "class": class_name(config, classification), "effect": classification.class.effect.name(), "why": classification.reason.to_string(),
+            "operation": classification.operation.as_ref().map(|operation| json!({
                 "type": operation.kind.name(), "name": operation.name, "root_fields": operation.root_fields,
                 "mutates": operation.kind == OperationKind::Mutation, "work_us": operation.work.as_micros() as u64,
                 "fields": operation.size.fields, "depth": operation.size.depth,
