--- a/crates/dunelinkd/src/lab.rs
+++ b/crates/dunelinkd/src/lab.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Context, anyhow, bail};
 use clap::{Args, Subcommand};
-use dunelink_lab::{Case, Experiment, report, run, shortest};
+use dunelink_lab::{Case, Experiment, report, run, shrink_case};
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 
@@ -127,8 +127,11 @@
         if let Some(folder) = &options.out {
             write(folder, file, &experiment, &runs)?;
         }
-        breaches +=
-            runs.iter().filter_map(|(_, outcome)| outcome.as_ref().ok()).map(|f| f.breaches).sum::<u64>();
+        breaches += runs
+            .iter()
+            .filter_map(|(_, outcome)| outcome.as_ref().ok())
+            .map(|f| f.violation_count)
+            .sum::<u64>();
         if STOP.load(Ordering::SeqCst) {
             bail!("interrupted; the report covers what was run until then");
         }
@@ -147,7 +150,7 @@
     jobs: Option<usize>,
     name: &str,
     stop: &AtomicBool,
-) -> anyhow::Result<Vec<(Case, report::Outcome)>> {
+) -> anyhow::Result<Vec<(Case, report::RunResult)>> {
     let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs.unwrap_or(0)).build()?;
     // Nothing is drawn if the output is not a terminal.
     let progress_bar = ProgressBar::new((cases.len() as f64 * PROGRESS_STEPS) as u64);
@@ -186,7 +189,7 @@
     folder: &Path,
     file: &Path,
     experiment: &Experiment,
-    runs: &[(Case, report::Outcome)],
+    runs: &[(Case, report::RunResult)],
 ) -> anyhow::Result<()> {
     fs::create_dir_all(folder).with_context(|| format!("{}: can't be created", folder.display()))?;
     let stem = file.file_stem().unwrap_or_default();
@@ -211,17 +214,17 @@
     // A run that stops at once: settings that can't be run fail here, before any case is shrunk.
     run(case, &mut |_| false)?;
     let run_case = |case: &Case| run(case, &mut |_| true).unwrap_or_else(|error| unreachable!("{error}"));
-    match shortest(case, &run_case) {
+    match shrink_case(case, &run_case) {
         None => println!("{}: {policy} with seed {seed} breaks no rule", file.display()),
         Some((case, breach)) => {
-            println!("seed {seed}, {:.3} s: {:?}, {}", breach.at, breach.rule, breach.what);
+            println!("seed {seed}, {:.3} s: {:?}, {}", breach.at, breach.invariant, breach.cause);
             let experiment = &case.experiment;
             println!("span {:?}, {} nodes", experiment.span, experiment.nodes.count);
-            for trouble in &experiment.troubles {
+            for trouble in &experiment.faults {
                 let (servers, nodes) = (&trouble.servers, &trouble.nodes);
                 println!(
                     "{:?} at {:?} for {:?}, {servers:?} of servers, {nodes:?} of nodes",
-                    trouble.kind, trouble.at, trouble.lasts
+                    trouble.kind, trouble.at, trouble.duration
                 );
             }
         }
