--- a/crates/dunelinkd/src/graphql.rs
+++ b/crates/dunelinkd/src/graphql.rs
@@ -136,8 +136,7 @@
             Ok(classification) => classification,
             Err(rejection) => {
                 write_line("turned down", &format!(" {}: {rejection}", rejection.code.name()));
-                let (response, json) =
-                    (
+                let (response, json) = (
                     rejection.status(ResponseMediaType::GraphqlResponse),
                     rejection.status(ResponseMediaType::Json),
                 );
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -151,10 +151,10 @@
         for node in 0..self.nodes.len() {
             self.full_server_list(node);
         }
-        for (number, trouble) in self.experiment.faults.iter().enumerate() {
-            let at = START_TIME + micros(trouble.at);
+        for (number, fault) in self.experiment.faults.iter().enumerate() {
+            let at = START_TIME + micros(fault.at);
             self.queue.push(at, ScheduledEvent::FaultChange(number, true));
-            self.queue.push(at + micros(trouble.duration), ScheduledEvent::FaultChange(number, false));
+            self.queue.push(at + micros(fault.duration), ScheduledEvent::FaultChange(number, false));
         }
         match self.experiment.clients.loops {
             0 => self.schedule_arrival(),
