--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -12,7 +12,7 @@
 };
 use crate::target::Target;
 
-/// Fields of which recipients use one value: if there are http2, some servers use the first and others the
+/// Fields of which recipients use one value: if there are two, some servers use the first and others the
 /// last.
 const SINGLETON_FIELDS: [HeaderName; 11] = [
     ID,
--- a/crates/edge/src/response.rs
+++ b/crates/edge/src/response.rs
@@ -53,7 +53,7 @@
 
 /// Whether a response states its end in exactly one way. A response delimited by the end of its connection
 /// may be truncated, and with two conflicting ends the rest would be taken for the next response (RFC 9112,
-/// 6.3). HTTP/1.0 has no transfer transfer_codings (6.1).
+/// 6.3). HTTP/1.0 has no transfer codings (6.1).
 ///
 /// ```
 /// use dunelink_edge::response::is_self_delimited;
