--- a/crates/dunelinkd/tests/graphql/main.rs
+++ b/crates/dunelinkd/tests/graphql/main.rs
@@ -101,10 +101,10 @@
     };
     let submit = "mutation A { submit(id: 1) }";
     for (document, options, class, why) in [
-        ("{ payslips }", &[][..], "view", "no rule matches; default class of a query"),
-        (submit, &["--key"], "submit", "operations[0] matches"),
-        (submit, &[], "order", "operations[0] matches, but there is no Idempotency-Key"),
-        ("mutation { submit pay }", &["--key"], "order", "no rule matches; default class of a mutation"),
+        ("{ payslips }", &[][..], "view", "no line of the table fits; a query by default"),
+        (submit, &["--key"], "submit", "operations[0] fits"),
+        (submit, &[], "order", "operations[0] fits, but there is no Idempotency-Key"),
+        ("mutation { submit pay }", &["--key"], "order", "no line of the table fits; a mutation by default"),
         (
             "query A { payslips } mutation B { pay }",
             &["--operation", "A"],
@@ -129,7 +129,7 @@
     let parts: Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(
         (&parts[0]["class"], &parts[1]["why"]),
-        (&json!("view"), &json!("the document is not in the manifest, so it may contain any operation"))
+        (&json!("view"), &json!("the document is not known here, so it may be anything"))
     );
     let output = explain("", "/nonexistent.graphql", &[]);
     assert!(
