--- a/crates/storage/tests/space.rs
+++ b/crates/storage/tests/space.rs
@@ -128,7 +128,7 @@
     assert_eq!(recovered.entries.len(), 1);
 }
 
-/// Data that a failed sync should have last_index may never reach the disk, even if a later sync of the file
+/// Data that a failed sync should have covered may never reach the disk, even if a later sync of the file
 /// succeeds.
 #[test]
 fn segment_is_not_written_after_a_failed_sync() {
